--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -5,6 +5,7 @@
 mod simulated;
 
 use actix_web::http::Method;
+use common::digest::HistoryDigest;
 use common::*;
 use foxspur::coordination::job_lookup::READ_AGE;
 use foxspur::coordination::ledger;
@@ -218,11 +219,25 @@
         self.look_closely(job, true);
     }
 
+    /// Prints the digest of all answers, in the order in which they left.
+    fn print_digest(&self, seed: u64) {
+        let mut digest = HistoryDigest::default();
+        for answered in self.answers.borrow().iter() {
+            digest.number(answered.job as u64);
+            digest.number(answered.controller as u64);
+            digest.number(self.cluster.since_start(answered.begun).as_nanos() as u64);
+            digest.number(self.cluster.since_start(answered.left).as_nanos() as u64);
+            digest.number(answered.told as u64);
+        }
+        digest.print("answers", seed);
+    }
+
     /// Guards against an answer older than one that had left before its request came, or
     /// that had left the same controller at all, and against one that was held up for longer
     /// than `READ_AGE`.
     fn check(&self, seed: u64, met: &mut Met) {
         let answers = self.answers.borrow();
+        self.print_digest(seed);
         // In the order in which they left.
         for (n, late) in answers.iter().enumerate() {
             let mut newer_left = false;
--- /dev/null
+++ b/tests/common/digest.rs
@@ -0,0 +1,37 @@
+//! A digest of what happened in a simulation. Two versions of the program that decide alike
+//! give the same digest for the same seed; it is printed by `digest.print`, so that a
+//! refactoring can be compared with the sources before it (see `CONTRIBUTING.md`).
+
+/// 64-bit FNV-1a over the events of one history, in order.
+#[derive(Debug, Clone)]
+pub struct HistoryDigest(u64);
+
+impl Default for HistoryDigest {
+    fn default() -> HistoryDigest {
+        HistoryDigest(0xcbf2_9ce4_8422_2325)
+    }
+}
+
+impl HistoryDigest {
+    /// Adds the bytes of an event as it is on the wire, which no renaming changes.
+    pub fn bytes(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+
+    /// Adds a number: a kind of event, a place, a term.
+    pub fn number(&mut self, number: u64) {
+        self.bytes(&number.to_le_bytes());
+    }
+
+    /// Adds a time, in seconds.
+    pub fn time(&mut self, seconds: f64) {
+        self.number(seconds.to_bits());
+    }
+
+    /// Prints the digest of the history of this seed.
+    pub fn print(&self, simulation: &str, seed: u64) {
+        println!("digest {simulation} {seed} {:016x}", self.0);
+    }
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,6 +1,8 @@
 //! Stand-ins shared by the tests.
 #![allow(dead_code)]
 
+pub mod digest;
+
 use foxspur::coordination::core::{Core, Params};
 use foxspur::coordination::fence::Fence;
 use foxspur::protocol::cloud::MachineType;
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -240,6 +240,7 @@
         () = day.play() => {}
         () = checks => {}
     }
+    day.cluster.calls.borrow().print("handover", seed);
     let told = day.told.borrow().len();
     assert_eq!(told, JOBS, "seed {seed}: a cancellation had no answer");
     day.met.take()
--- a/tests/pause/events.rs
+++ b/tests/pause/events.rs
@@ -163,6 +163,21 @@
         }
     }
 
+    /// Adds what each controller takes itself for to the digest of the history.
+    fn record(&mut self) {
+        self.digest.time(self.now);
+        self.digest.number(self.events.len() as u64);
+        for n in 0..self.nodes.len() {
+            let tenure = &self.nodes[n].tenure;
+            let entitled = u64::from(tenure.entitled(self.local(n)));
+            let certain = u64::from(tenure.certain(self.local(n)));
+            self.digest.number(2 * entitled + certain);
+            self.digest.number(tenure.acting_term().unwrap_or(0));
+            self.digest.number(tenure.boot());
+            self.digest.time(tenure.confirmed());
+        }
+    }
+
     pub(crate) fn play(&mut self, seed: u64, until: f64) {
         let mut beat = 0.0;
         while self.now < until {
@@ -212,6 +227,7 @@
                 }
             }
             self.check(seed);
+            self.record();
         }
         let owners = (0..self.nodes.len()).filter(|n| {
             let core = self.nodes[*n].core;
--- a/tests/pause/main.rs
+++ b/tests/pause/main.rs
@@ -19,6 +19,7 @@
 mod network;
 mod trouble;
 
+use common::digest::HistoryDigest;
 use common::{own_seeds, seeds};
 use foxspur::coordination::member::cover::Told;
 use foxspur::coordination::member::taking::{Claim, Rewrite};
@@ -166,6 +167,7 @@
     /// that were raised like that and then adopted.
     lost: BTreeMap<&'static str, usize>,
     adopted: usize,
+    digest: HistoryDigest,
 }
 
 impl Request {
@@ -220,6 +222,7 @@
             found_late: 0,
             lost: BTreeMap::new(),
             adopted: 0,
+            digest: HistoryDigest::default(),
         };
         for n in 0..count {
             let offset = world.rng.random_range(0.0..500.0);
@@ -287,6 +290,7 @@
     for seed in seeds(60) {
         let mut world = World::new(seed, [3, 5, 7, 2][seed as usize % 4]);
         world.play(seed, 700.0);
+        world.digest.print("pause", seed);
         takeovers += world.taken.len();
         woken += world.woken_owners;
         words += world.words;
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -6,6 +6,7 @@
 pub mod users;
 
 use super::common;
+use super::common::digest::HistoryDigest;
 use actix_http::Request;
 use actix_web::dev::{Service, ServiceResponse};
 use actix_web::http::Method;
@@ -64,6 +65,8 @@
     pub page: Cell<usize>,
     /// Pages of live jobs that were followed by another one, lately: who read it, when.
     pub pages: RefCell<Vec<(usize, Instant)>>,
+    /// Calls of the controllers to the state service and to each other.
+    pub calls: RefCell<HistoryDigest>,
     start: Instant,
     handlers: RefCell<Vec<(SocketAddr, Handler)>>,
 }
@@ -131,6 +134,7 @@
             refused: Cell::new(None),
             page: Cell::new(1000),
             pages: RefCell::default(),
+            calls: RefCell::default(),
             start: Instant::now(),
             handlers: RefCell::default(),
         });
@@ -186,6 +190,21 @@
         }
     }
 
+    /// Adds a call to the digest of the history. Bodies hold incarnations, which are drawn
+    /// anew in each run, and so are left out.
+    fn record(&self, from: usize, call: &Call) {
+        let mut calls = self.calls.borrow_mut();
+        calls.number(self.start.elapsed().as_nanos() as u64);
+        calls.number(from as u64);
+        calls.bytes(call.method.as_str().as_bytes());
+        calls.bytes(call.path.as_bytes());
+    }
+
+    /// How long after the cluster's start this was.
+    pub fn since_start(&self, at: Instant) -> Duration {
+        at.saturating_duration_since(self.start)
+    }
+
     /// A way through the network, in milliseconds.
     fn way(&self) -> Duration {
         let mut rng = self.rng.borrow_mut();
@@ -282,6 +301,7 @@
 impl Exchange for Network {
     fn call(&self, call: Call) -> LocalBoxFuture<'static, Result<Response, CallError>> {
         let cluster = self.cluster.clone();
+        cluster.record(self.from, &call);
         let timeout = call.timeout;
         let answer: LocalBoxFuture<_> = match self.kind {
             Kind::State => Box::pin(cluster.to_state(self.from, call)),
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -10,6 +10,7 @@
 mod trouble;
 mod worker;
 
+use common::digest::HistoryDigest;
 use common::*;
 use foxspur::coordination::calls::CallResult;
 use foxspur::coordination::core::Core;
@@ -105,6 +106,7 @@
     hears_at: f64,
     drained: usize,
     met: Met,
+    digest: HistoryDigest,
 }
 
 /// Done marks on their way to the store, carried out late.
@@ -182,6 +184,7 @@
         hears_at: 0.0,
         drained: 0,
         met: Met::default(),
+        digest: HistoryDigest::default(),
     };
     for n in 0..workers {
         world.workers.push(Worker::new(n, 0.0));
@@ -315,6 +318,12 @@
             }
         }
     }
+    let simulation = match (anew, workers) {
+        (_, 300) => "fleet",
+        (true, _) => "recounting",
+        (false, _) => "simulation",
+    };
+    world.digest.print(simulation, seed);
     let left: Vec<_> = world.live.keys().collect();
     let expired = world.owners.last().map(|(c, _)| {
         c.machines
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -11,7 +11,31 @@
         }
     }
 
+    /// Adds a message to the digest of the history.
+    fn record(&mut self, message: &Message) {
+        let (kind, worker, base) = match message {
+            Message::Hello(w, base, ..) => (0, *w, *base),
+            Message::Answer(w, session, ..) => (1, *w, *session),
+            Message::Direct(w, base, ..) => (2, *w, *base),
+            Message::Called(w, base, ..) => (3, *w, *base),
+        };
+        let body = match message {
+            Message::Hello(_, _, report, _) => serde_json::to_vec(report),
+            Message::Answer(_, _, _, reply) => serde_json::to_vec(reply),
+            Message::Direct(_, _, call, _) | Message::Called(_, _, call, _) => {
+                serde_json::to_vec(call)
+            }
+        };
+        self.digest.time(self.now);
+        self.digest.number(kind);
+        self.digest.number(worker as u64);
+        self.digest.number(base);
+        self.digest
+            .bytes(&body.expect("a message that can be written"));
+    }
+
     pub(crate) fn send(&mut self, message: Message) {
+        self.record(&message);
         let w = match &message {
             Message::Hello(w, ..)
             | Message::Answer(w, ..)
