--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -23,8 +23,8 @@
 
 /// Connections at once: a few people and a collector of metrics.
 const CONNECTIONS: usize = 8;
-/// Largest order; two thousand machine names fit well.
-const MAX_BODY: usize = 64 * 1024;
+/// Largest order, in bytes; ten thousand machine names fit.
+pub const MAX_BODY: usize = 256 * 1024;
 /// Jobs listed when nobody says how many, and at most.
 const JOBS: (u32, u32) = (200, 5000);
 /// Patience with the owner, in seconds: a view of all machines takes a busy one
--- a/src/admin/orders.rs
+++ b/src/admin/orders.rs
@@ -16,8 +16,9 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::rc::Rc;
 
-/// Drains at most: all controllers keep them in memory, and read them at a start.
-const MOST: usize = 5000;
+/// Drains at most, a fleet and a half of 6,000 machines and more: all controllers keep them
+/// in memory, and read them at a start.
+const MOST: usize = 10_000;
 /// Longest text of an order, and longest name.
 const TEXT: usize = 500;
 const NAME: usize = 150;
--- a/src/coordination/core.rs
+++ b/src/coordination/core.rs
@@ -8,6 +8,7 @@
 use super::machine::{Active, Machine, Standing};
 use super::order::Order;
 use super::quota::Usage;
+use super::recent::RecentMap;
 use super::room::{Index, Room};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::policy::Policy;
@@ -25,12 +26,12 @@
     lease_s * 1.002 + 0.1
 }
 
-/// Most names of returned machines kept: a fleet and a half of the largest.
-const RETURNED: usize = 2048;
+/// Names of returned machines that are remembered: one and a half fleets of 6,000 machines.
+const RETURNED_MACHINES: usize = 9_000;
 
-/// Most names of jobs that are over kept: an answer overtaken by as many ends is of
+/// Names of jobs that are over and remembered: an answer overtaken by as many ends is of
 /// minutes ago and was given up.
-const ENDED: usize = 1024;
+const ENDED_JOBS: usize = 8_192;
 
 /// Machine types by name.
 pub type Types = HashMap<String, MachineType, RandomState>;
@@ -98,7 +99,7 @@
     pub followed: u64,
     /// Jobs known to be over, the latest ones: an older answer, of a submission of
     /// our own say, must not bring one back.
-    pub(super) ended: Names,
+    pub(super) ended: RecentMap<Name, ()>,
     /// Latest time passed in.
     pub(super) now: f64,
     /// Since when we listen without a gap: what we did not hear while we stood
@@ -124,7 +125,7 @@
     pub(super) doubtful: Names,
     /// Machines that the cloud confirmed as gone, the latest ones: their reports
     /// come late.
-    pub(super) returned: Names,
+    pub(super) returned: RecentMap<Name, ()>,
     /// Machines with a start in limbo, and some that had.
     pub(super) limbo: Names,
     /// Machines where a bound task may start now.
@@ -159,7 +160,7 @@
             record_dirty: false,
             wall_offset_s: 0.0,
             followed: 0,
-            ended: Names::default(),
+            ended: RecentMap::new(ENDED_JOBS),
             now: 0.0,
             listening_since: f64::NEG_INFINITY,
             index: Index::default(),
@@ -170,7 +171,7 @@
             awaited: Names::default(),
             awaited_before: 0,
             doubtful: Names::default(),
-            returned: Names::default(),
+            returned: RecentMap::new(RETURNED_MACHINES),
             limbo: Names::default(),
             freed: Names::default(),
             stopping: IndexSet::default(),
@@ -275,10 +276,7 @@
     pub fn job_over(&mut self, id: &str) {
         let known = self.jobs.get_key_value(id).map(|(name, _)| name.clone());
         let name = known.unwrap_or_else(|| id.into());
-        self.ended.insert(name.clone());
-        if self.ended.len() > ENDED {
-            self.ended.shift_remove_index(0);
-        }
+        self.ended.insert(name.clone(), ());
         let Some(job) = self.jobs.get_mut(&name) else {
             return;
         };
@@ -422,10 +420,7 @@
     /// The cloud confirmed the return: what still comes from the machine is old.
     pub fn machine_returned(&mut self, name: &str) {
         self.machine_gone(name);
-        self.returned.insert(name.into());
-        if self.returned.len() > RETURNED {
-            self.returned.shift_remove_index(0);
-        }
+        self.returned.insert(name.into(), ());
     }
 
     /// The machine and all on it are gone.
--- a/src/coordination/fair.rs
+++ b/src/coordination/fair.rs
@@ -19,8 +19,8 @@
 const OWED: f64 = 0.70;
 const SETTLED: f64 = 0.80;
 
-/// Most groups counted: classes come from users, so they are bounded.
-const GROUPS: usize = 256;
+/// Most groups counted, some 50 bytes each: classes come from users, so they are bounded.
+const GROUPS: usize = 1024;
 
 /// Who may be passed over: a class of jobs, or a team by its place in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/src/coordination/job_lookup.rs
+++ b/src/coordination/job_lookup.rs
@@ -7,11 +7,11 @@
 //! it, and a read whose answer came late is repeated instead of being passed on.
 
 use super::node::Node;
+use super::recent::RecentMap;
 use super::version_check;
 use crate::storage::records::{self, Final, LiveJob};
 use crate::transport::clients::{Failure, Lane};
 use actix_rt::time::Instant;
-use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -23,35 +23,27 @@
 /// Reads for one answer at most.
 const READS: usize = 2;
 
-/// Terminal states, which never change, of as many jobs as fit.
-#[derive(Default)]
-pub struct TerminalStates {
-    known: HashMap<String, Final>,
-    /// Ids in the order in which they came, to evict the oldest.
-    order: VecDeque<String>,
+/// Terminal states, which never change, of the jobs that ended last.
+pub struct TerminalStates(RecentMap<String, Final>);
+
+impl Default for TerminalStates {
+    fn default() -> TerminalStates {
+        TerminalStates(RecentMap::new(TerminalStates::CAPACITY))
+    }
 }
 
 impl TerminalStates {
-    /// Most jobs remembered; others are read again.
-    pub const MOST: usize = 4096;
+    /// Jobs remembered, some 150 bytes each; the states of others are read again.
+    pub const CAPACITY: usize = 16_384;
 
     /// The job's terminal state, if it is remembered.
     pub fn get(&self, id: &str) -> Option<Final> {
-        self.known.get(id).copied()
+        self.0.get(id).copied()
     }
 
     /// Remembers a terminal state; true if it was not known.
     pub fn put(&mut self, id: &str, state: Final) -> bool {
-        let new = self.known.insert(id.to_string(), state).is_none();
-        if new {
-            self.order.push_back(id.to_string());
-            if self.order.len() > Self::MOST {
-                if let Some(oldest) = self.order.pop_front() {
-                    self.known.remove(&oldest);
-                }
-            }
-        }
-        new
+        self.0.insert(id.to_string(), state).is_none()
     }
 }
 
--- a/src/coordination/learn.rs
+++ b/src/coordination/learn.rs
@@ -7,7 +7,9 @@
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 
-/// Most classes remembered; they come from users, so they are bounded.
+/// Most classes remembered, some 30 KB each; they come from users, so they are bounded. Their
+/// number does not grow with the fleet, and for any more the distribution of all classes is
+/// used.
 const CLASSES: usize = 256;
 /// Values after which a class begins anew: "recent", so old ones fade.
 const RECENT: u64 = 500;
--- a/src/coordination/member/cover.rs
+++ b/src/coordination/member/cover.rs
@@ -88,8 +88,8 @@
     from: f64,
 }
 
-/// Most cancellations kept: as many as final states.
-const MOST: usize = 4096;
+/// Most cancellations kept: as many as terminal states.
+const MOST: usize = 16_384;
 
 impl Told {
     /// Of a process that began at this time by its clock.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -28,6 +28,7 @@
 pub mod queue;
 pub mod quota;
 pub mod reach;
+pub mod recent;
 pub mod rolls;
 pub mod room;
 pub mod sessions;
--- a/src/coordination/version_check.rs
+++ b/src/coordination/version_check.rs
@@ -5,17 +5,17 @@
 //! most polls need to know.
 
 use super::node::Node;
+use super::recent::RecentMap;
 use crate::protocol::state::Txn;
 use crate::storage::records::{self, LiveJob};
 use crate::transport::clients::{Failure, Lane, Timed};
 use actix_rt::time::Instant;
-use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Most records remembered: some hundred bytes each.
-const MOST_RECORDS: usize = 2048;
+/// Live records remembered, some hundred bytes each; others are read again.
+const CACHED_RECORDS: usize = 8_192;
 /// Time between two checks at least: a twentieth of what a user waits for an answer to a
 /// poll, so ten requests a second at most.
 const INTERVAL_S: f64 = 0.1;
@@ -45,42 +45,39 @@
 }
 
 /// Live records as they were read, and the polls that wait for a check of them.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 pub struct RecordCache {
-    cached: HashMap<String, Cached>,
-    /// Ids in the order in which they came, to evict the oldest.
-    order: VecDeque<String>,
+    cached: RecentMap<String, Cached>,
     waiting: Vec<Question>,
     /// Whether the checking task runs.
     checking: bool,
     checked_at: f64,
 }
 
+impl Default for RecordCache {
+    fn default() -> RecordCache {
+        RecordCache {
+            cached: RecentMap::new(CACHED_RECORDS),
+            waiting: Vec::new(),
+            checking: false,
+            checked_at: 0.0,
+        }
+    }
+}
+
 impl RecordCache {
     /// Remembers a record that was read or written.
     pub fn insert(&mut self, record: &Rc<LiveJob>, version: u64) {
         let id = &record.spec.id;
         let before = self.cached.get(id).map(|c| c.read.version);
-        if before.is_none() {
-            self.order.push_back(id.clone());
-            self.evict();
-        }
-        let record = record.clone();
         let cached = Cached {
-            read: VersionedRecord { record, version },
+            read: VersionedRecord {
+                record: record.clone(),
+                version,
+            },
             changing: before.is_some_and(|v| v != version),
         };
-        let id = cached.read.record.spec.id.clone();
-        self.cached.insert(id, cached);
-    }
-
-    fn evict(&mut self) {
-        if self.order.len() <= MOST_RECORDS {
-            return;
-        }
-        if let Some(oldest) = self.order.pop_front() {
-            self.cached.remove(&oldest);
-        }
+        self.cached.insert(id.clone(), cached);
     }
 
     /// The record as it was last read.
--- a/src/protocol/mesh.rs
+++ b/src/protocol/mesh.rs
@@ -71,8 +71,8 @@
     bincode::serde::encode_to_vec(message, bincode::config::standard()).unwrap_or_default()
 }
 
-/// Largest message taken: a snapshot of several thousand machines and jobs.
-const MOST_BYTES: usize = 4 << 20;
+/// Largest message taken: a snapshot of 6,000 machines with a dozen tasks each.
+const MOST_BYTES: usize = 16 << 20;
 
 /// Decodes a message, bounded, since peers are not trusted to be of our version.
 pub fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Option<T> {
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -6,8 +6,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest response taken; watches and listings may be long.
-const MAX_BODY: usize = 4 << 20;
+/// Largest response taken, in bytes: a snapshot of 6,000 machines, or the 10,000 changes
+/// that a watch of the state service may tell at once. Listings come in pages.
+const MAX_BODY: usize = 16 << 20;
 
 /// A response.
 #[derive(Debug)]
--- /dev/null
+++ b/tests/limits.rs
@@ -0,0 +1,172 @@
+//! Nothing that is bounded is bounded below a fleet of 6,000 machines, half as many again as
+//! the largest expected.
+
+mod common;
+
+use common::*;
+use foxspur::admin::{of_core, orders, MAX_BODY};
+use foxspur::coordination::core::Core;
+use foxspur::coordination::job_lookup::TerminalStates;
+use foxspur::coordination::member::cover::Told;
+use foxspur::coordination::recent::RecentMap;
+use foxspur::coordination::sessions::Answer;
+use foxspur::coordination::version_check::RecordCache;
+use foxspur::protocol::admin::{DrainOrder, Rest};
+use foxspur::protocol::job::{JobState, Urgency};
+use foxspur::protocol::mesh::{self, Topic};
+use foxspur::protocol::worker::Phase;
+use foxspur::storage::marks::Marks;
+use foxspur::storage::records::Final;
+use foxspur::transport::sockets::Sockets;
+use std::rc::Rc;
+
+const MACHINES: usize = 6000;
+
+fn machine_name(n: usize) -> String {
+    format!("m-{n:06}")
+}
+
+/// A core whose record lists 6,000 machines.
+fn fleet_core() -> Core {
+    let names: Vec<String> = (0..MACHINES).map(machine_name).collect();
+    let names: Vec<&str> = names.iter().map(String::as_str).collect();
+    core(vec![team("t", 0.0, 0.0)], 5, &names)
+}
+
+/// Guards against late copies of the reports of machines that are gone, each of which would
+/// be taken for a new machine.
+#[test]
+fn every_returned_machine_of_a_fleet_stays_returned() {
+    let mut core = fleet_core();
+    for n in 0..MACHINES {
+        core.machine_returned(&machine_name(n));
+    }
+    for n in 0..MACHINES {
+        let late = report(&machine_name(n), 1, 1, 5, &[]);
+        assert!(matches!(core.hello(&late, 1.0), Answer::Refuse), "{n}");
+    }
+    assert!(core.machines.is_empty());
+}
+
+/// Guards against late answers that bring a job back which is over.
+#[test]
+fn as_many_jobs_as_machines_stay_over() {
+    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &[]);
+    for n in 0..MACHINES {
+        core.job_over(&format!("run-{n}"));
+    }
+    for n in 0..MACHINES {
+        let job = spec(&format!("run-{n}"), "t", Urgency::Standard, 1, 1.0);
+        core.job_added(live(job, 0.0), 1, Marks::default());
+    }
+    assert!(core.jobs.is_empty());
+}
+
+/// Guards against views of the leader that its peers cannot take in.
+#[test]
+fn a_snapshot_of_the_fleet_is_one_message() {
+    let mut core = fleet_core();
+    let tasks = 12 * MACHINES as u32;
+    add(
+        &mut core,
+        spec("run-1", "t", Urgency::Standard, tasks, 0.5),
+        0.0,
+    );
+    for n in 0..MACHINES {
+        let names: Vec<String> = (12 * n..12 * n + 12)
+            .map(|t| format!("run-1/{t}"))
+            .collect();
+        let shown = names
+            .iter()
+            .map(|t| (t.as_str(), 83_886_080, Phase::Running, None));
+        let shown: Vec<_> = shown.collect();
+        core.hello(&report(&machine_name(n), 1, 1, 5, &shown), 1.0);
+    }
+    for topic in [Topic::Snapshot, Topic::Machines] {
+        let text = of_core(&core, topic, 2.5).expect("a view");
+        let answer = mesh::Answer::Admin(5, text);
+        let read = mesh::decode::<mesh::Answer>(&mesh::encode(&answer));
+        assert!(read.as_ref() == Some(&answer), "{topic:?}");
+    }
+}
+
+/// Guards against an order for the whole fleet that is refused for its size.
+#[test]
+fn the_whole_fleet_can_be_drained_by_one_order() {
+    let order = DrainOrder {
+        order: "all".into(),
+        hosts: (0..MACHINES).map(machine_name).collect(),
+        by: "operator".into(),
+        why: "the site moves".into(),
+        deadline_s: None,
+        rest: Rest::Leave,
+        term: None,
+    };
+    assert_eq!(orders::check(&order).map(|h| h.len()), Ok(MACHINES));
+    let body = serde_json::to_vec(&order).expect("an order").len();
+    assert!(body <= MAX_BODY, "{body}");
+}
+
+/// Guards against answers that rest on what was evicted while it was in use.
+#[test]
+fn as_many_jobs_as_machines_are_remembered() {
+    let mut terminal = TerminalStates::default();
+    let mut told = Told::default();
+    let mut records = RecordCache::default();
+    let done = Final {
+        state: JobState::Done,
+        tasks: 1,
+        done: 1,
+    };
+    for n in 0..MACHINES {
+        let id = format!("run-{n}");
+        assert!(terminal.put(&id, done));
+        told.note(&id, 1.0 + n as f64 / 1000.0);
+        let job = spec(&id, "t", Urgency::Standard, 1, 1.0);
+        records.insert(&Rc::new(live(job, 0.0)), 1);
+    }
+    for n in 0..MACHINES {
+        let id = format!("run-{n}");
+        assert!(
+            terminal.get(&id).is_some() && records.get(&id).is_some(),
+            "{n}"
+        );
+    }
+    assert_eq!(told.within(8.0, 8.0).map(|ids| ids.len()), Some(MACHINES));
+}
+
+/// What is evicted is the oldest, and a repeated key stays as old as it was.
+#[test]
+fn the_oldest_entry_is_forgotten_first() {
+    let mut map = RecentMap::new(2);
+    for (key, before) in [("a", None), ("b", None), ("a", Some(0)), ("c", None)] {
+        assert_eq!(map.insert(key, 0), before, "{key}");
+    }
+    let kept: Vec<&str> = ["a", "b", "c"]
+        .into_iter()
+        .filter(|k| map.contains(*k))
+        .collect();
+    assert_eq!(kept, ["b", "c"]);
+}
+
+/// How many machines a number of sockets carries: see `docs/operators/controller.md`.
+#[test]
+fn sockets_for_a_fleet() {
+    for (sockets, machines, kept) in [
+        // A connection of each worker, and one to each.
+        (3 * MACHINES, MACHINES, MACHINES),
+        (9000, 4063, 3000),
+        // The least: connections to workers are then made anew again and again.
+        (8800, MACHINES, 1100),
+        (800, 550, 100),
+    ] {
+        let share = Sockets::new(sockets);
+        assert!(share.front() >= machines, "{sockets}: {}", share.front());
+        share.incoming.set(machines);
+        assert!(
+            share.to_workers() >= kept,
+            "{sockets}: {}",
+            share.to_workers()
+        );
+    }
+}
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -31,7 +31,7 @@
 /// machines beyond some 550 useless, and against rewriting all of it for one.
 #[test]
 fn a_machine_list_in_chunks() {
-    let fleet: Vec<_> = (0..1300)
+    let fleet: Vec<_> = (0..6000)
         .map(|i| machine(&format!("m-{i:06}"), "a", false))
         .collect();
     let first = plan(&Written::default(), &refs(&fleet), 14_000);
