--- a/crates/plan/tests/fair.rs
+++ b/crates/plan/tests/fair.rs
@@ -8,7 +8,7 @@
 use foxspur::protocol::settings::{Objective, Team};
 use foxspur::storage::records::MachineInfo;
 use foxspur_plan::sim::{run, Script};
-use foxspur_tally::bound::{together, Fleet, Job};
+use foxspur_report::bound::{together, Fleet, Job};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/tally/src/main.rs
+++ b/crates/report/src/main.rs
@@ -1,9 +1,9 @@
-//! `foxspur-tally`: what a day served of each class and team.
+//! `foxspur-report`: what a day served of each class and team.
 
 use clap::Parser;
-use foxspur_tally::count::count;
-use foxspur_tally::report::{Aim, Report};
-use foxspur_tally::{log, show};
+use foxspur_report::count::count;
+use foxspur_report::report::{Aim, Report};
+use foxspur_report::{log, show};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -70,7 +70,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(error) => {
-            eprintln!("foxspur-tally: {error}");
+            eprintln!("foxspur-report: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/tally/tests/tally.rs
+++ b/crates/report/tests/report.rs
@@ -1,10 +1,10 @@
 //! Tables of logs and days, and the bound against plans that exist.
 
-use foxspur_tally::bound::{alone, together, Fleet, Job};
-use foxspur_tally::count::count;
-use foxspur_tally::log::{read, Event, Unreadable};
-use foxspur_tally::report::{Aim, Report};
-use foxspur_tally::show;
+use foxspur_report::bound::{alone, together, Fleet, Job};
+use foxspur_report::count::count;
+use foxspur_report::log::{read, Event, Unreadable};
+use foxspur_report::report::{Aim, Report};
+use foxspur_report::show;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -199,7 +199,7 @@
 /// `begun` counts from its end, one without either waits until the day's end.
 #[test]
 fn the_largest_jobs_are_counted_by_tasks_and_by_work() {
-    use foxspur_tally::largest::largest;
+    use foxspur_report::largest::largest;
     let mut log = String::new();
     for n in 1..=8 {
         // The fewer tasks, the longer they run: j1 is the largest by work.
--- a/crates/world/examples/against_naive.rs
+++ b/crates/testbed/examples/against_naive.rs
@@ -1,7 +1,7 @@
-//! The library against a naive loop, on the same world in one run:
+//! The library against a naive loop, on the same testbed in one run:
 //!
 //! ```text
-//! cargo build --release && cargo run --release -p foxspur-world --example against_naive
+//! cargo build --release && cargo run --release -p foxspur-testbed --example against_naive
 //! ```
 //!
 //! Both submit the same jobs, sixteen at a time, once with no fault and once with a
@@ -11,9 +11,9 @@
 //! acceptance as ratios, and how many jobs exist for each that was wanted.
 
 use foxspur_client::{Client, Outbox, Settings};
-use foxspur_world::load::work;
-use foxspur_world::site::{Site, DEFAULT};
-use foxspur_world::world::{program_beside_us, World};
+use foxspur_testbed::load::work;
+use foxspur_testbed::site::{Site, DEFAULT};
+use foxspur_testbed::testbed::{program_beside_us, Testbed};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -106,16 +106,16 @@
     actix_web::rt::System::new().block_on(async {
         for cut in [0, 250] {
             let dir = tempfile::tempdir().expect("a folder");
-            let world = World::up(site.clone(), &program, dir.path()).await.expect("up");
-            let front = format!("http://{}", world.front);
+            let testbed = Testbed::up(site.clone(), &program, dir.path()).await.expect("up");
+            let front = format!("http://{}", testbed.front);
             tokio::time::sleep(Duration::from_secs(3)).await;
-            world.trouble.set(cut, 0);
+            testbed.trouble.set(cut, 0);
             let (mut wall, mut p99) = (Vec::new(), Vec::new());
             for caller in [Caller::Library, Caller::NaiveSameId, Caller::Naive] {
-                let exist = |w: &World| w.state.count("fx/live/") + w.state.count("fx/fin/");
-                let before = exist(&world);
-                let (s, times) = run(caller, front.clone(), world.site.clone()).await;
-                let made = exist(&world) - before;
+                let exist = |w: &Testbed| w.state.count("fx/live/") + w.state.count("fx/fin/");
+                let before = exist(&testbed);
+                let (s, times) = run(caller, front.clone(), testbed.site.clone()).await;
+                let made = exist(&testbed) - before;
                 wall.push(s);
                 p99.push(times[times.len() * 99 / 100]);
                 println!(
@@ -125,7 +125,7 @@
                     p99.last().unwrap_or(&0.0) / p99[0]
                 );
             }
-            world.down().await;
+            testbed.down().await;
         }
     });
 }
--- a/crates/world/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -13,4 +13,4 @@
 pub mod site;
 pub mod state;
 pub mod store;
-pub mod world;
+pub mod testbed;
--- a/crates/world/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,12 +1,12 @@
-//! A world on loopback: see foxspur run, and play load and faults against it.
+//! A testbed on loopback: see foxspur run, and play load and faults against it.
 
 use clap::{Parser, Subcommand};
 use foxspur_client::{Client, Outbox, Settings};
+use foxspur_testbed::history::{check, Entry, History};
+use foxspur_testbed::load::{play, Counts, Tally};
+use foxspur_testbed::site::{Site, DEFAULT};
+use foxspur_testbed::testbed::{program_beside_us, Fault, Testbed};
 use foxspur_wire::job::JobSpec;
-use foxspur_world::history::{check, Entry, History};
-use foxspur_world::load::{play, Counts, Tally};
-use foxspur_world::site::{Site, DEFAULT};
-use foxspur_world::world::{program_beside_us, Fault, World};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -25,7 +25,7 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Brings the world up, plays a load with faults, says what came of it.
+    /// Brings the testbed up, plays a load with faults, says what came of it.
     Up {
         /// A site in TOML; there is a small one by default.
         #[arg(long)]
@@ -54,7 +54,7 @@
         #[arg(long)]
         foxspur: Option<PathBuf>,
     },
-    /// Plays a load against a world that `up --hold` keeps up.
+    /// Plays a load against a testbed that `up --hold` keeps up.
     Load {
         /// Base URL of the front, as `up` prints it.
         #[arg(long)]
@@ -62,7 +62,7 @@
         /// Base URL of the control address, as `up` prints it.
         #[arg(long)]
         control: String,
-        /// The world's site, if it is not the default one.
+        /// The testbed's site, if it is not the default one.
         #[arg(long)]
         site: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
@@ -216,7 +216,7 @@
     Ok(())
 }
 
-/// Plays a load against a world in another process, and judges what both saw.
+/// Plays a load against a testbed in another process, and judges what both saw.
 async fn load(
     site: Site,
     front: String,
@@ -262,7 +262,7 @@
 }
 
 fn fail(why: &str) -> ExitCode {
-    eprintln!("foxspur-world: {why}");
+    eprintln!("foxspur-testbed: {why}");
     ExitCode::from(2)
 }
 
@@ -275,28 +275,28 @@
     program: PathBuf,
 ) -> Result<ExitCode, String> {
     let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
-    let world = World::up(site, &program, dir.path())
+    let testbed = Testbed::up(site, &program, dir.path())
         .await
         .map_err(|e| e.to_string())?;
     println!(
         "front   http://{} ({} controllers behind it)",
-        world.front,
-        world.fronts.len()
+        testbed.front,
+        testbed.fronts.len()
     );
-    println!("control http://{}", world.control);
-    let admins: Vec<String> = world.admins.iter().map(|a| a.to_string()).collect();
+    println!("control http://{}", testbed.control);
+    let admins: Vec<String> = testbed.admins.iter().map(|a| a.to_string()).collect();
     println!("operate export FOXSPUR_AT={}", admins.join(","));
     let outbox = Outbox::open(&dir.path().join("outbox"), true).map_err(|e| e.to_string())?;
-    let settings = Settings::new([format!("http://{}", world.front)]);
+    let settings = Settings::new([format!("http://{}", testbed.front)]);
     let client = Client::with_outbox(settings, outbox).map_err(|e| e.to_string())?;
     if jobs == 0 {
-        world.schedule(&faults, f64::MAX);
+        testbed.schedule(&faults, f64::MAX);
         let _ = tokio::signal::ctrl_c().await;
-        world.down().await;
+        testbed.down().await;
         return Ok(ExitCode::SUCCESS);
     }
-    let span_s = jobs as f64 / world.site.load.jobs_per_s;
-    world.schedule(&faults, span_s);
+    let span_s = jobs as f64 / testbed.site.load.jobs_per_s;
+    testbed.schedule(&faults, span_s);
     let bar = ProgressBar::new(jobs);
     let style = ProgressStyle::with_template("{elapsed_precise} {bar:30} {pos}/{len} over  {msg}");
     bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
@@ -315,13 +315,13 @@
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
     });
-    let machines = world.machines.clone();
+    let machines = testbed.machines.clone();
     let upload = Arc::new(move |id, spec| machines.upload(id, spec));
     let settle = Duration::from_secs(120);
     let load = play(
         &client,
-        &world.site,
-        &world.history,
+        &testbed.site,
+        &testbed.history,
         upload,
         (seed, jobs, settle),
         &tally,
@@ -335,10 +335,13 @@
     if !finished {
         println!("ended   by Ctrl-C; what is open stays open");
     }
-    let ended = world.ended().await;
-    world.down().await;
-    summary(&tally.counts(), world.trouble.cuts.load(Ordering::Relaxed));
-    let entries = world.history.entries();
+    let ended = testbed.ended().await;
+    testbed.down().await;
+    summary(
+        &tally.counts(),
+        testbed.trouble.cuts.load(Ordering::Relaxed),
+    );
+    let entries = testbed.history.entries();
     if let Some(path) = history {
         write_lines(&path, &entries)?;
     }
--- a/crates/world/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -1,4 +1,4 @@
-//! A site of ours in TOML: what the world consists of.
+//! A site of ours in TOML: what the testbed consists of.
 
 use foxspur_wire::cloud::MachineType;
 use serde::{Deserialize, Serialize};
--- a/crates/world/src/world.rs
+++ b/crates/testbed/src/testbed.rs
@@ -89,9 +89,9 @@
     }
 }
 
-/// A world that is up.
+/// A testbed that is up.
 #[derive(Clone)]
-pub struct World {
+pub struct Testbed {
     pub site: Arc<Site>,
     pub history: History,
     pub machines: Machines,
@@ -138,14 +138,14 @@
     }
 }
 
-/// Loopback address of this world alone, where the system has more than one: worlds that
+/// Loopback address of this testbed alone, where the system has more than one: testbeds that
 /// run beside each other must not be given the port of a controller that was just killed.
 /// (Two tests shared a port, and controllers of one wrote to the state service of the other.)
 fn own_address() -> Ipv4Addr {
-    static WORLDS: AtomicU8 = AtomicU8::new(1);
-    let world = WORLDS.fetch_add(1, Ordering::Relaxed);
+    static TESTBEDS: AtomicU8 = AtomicU8::new(1);
+    let testbed = TESTBEDS.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let own = Ipv4Addr::new(127, high | 1, low, world.max(1));
+    let own = Ipv4Addr::new(127, high | 1, low, testbed.max(1));
     match TcpListener::bind((own, 0)) {
         Ok(_) => own,
         Err(_) => Ipv4Addr::LOCALHOST,
@@ -180,9 +180,9 @@
     }};
 }
 
-impl World {
+impl Testbed {
     /// Brings everything up; files go into `dir`. Runs in an actix runtime.
-    pub async fn up(site: Site, program: &Path, dir: &Path) -> std::io::Result<World> {
+    pub async fn up(site: Site, program: &Path, dir: &Path) -> std::io::Result<Testbed> {
         let site = Arc::new(site);
         let history = History::default();
         for team in &site.teams {
@@ -260,7 +260,7 @@
         let close_looks = CloseLooks::default();
         let looking = close_looks.clone();
         actix_web::rt::spawn(looking.run(history.clone(), fronts.clone()));
-        let world = World {
+        let testbed = Testbed {
             site,
             history,
             machines,
@@ -274,7 +274,7 @@
             admins: places.iter().map(|p| p.admin).collect(),
             controllers: Arc::new(Mutex::new(controllers)),
         };
-        Ok(world)
+        Ok(testbed)
     }
 
     /// Controllers that are not running though nobody killed them, and what they
@@ -306,11 +306,11 @@
             "late-commands" => self.machines.repeat_commands(s),
             "late-reports" => self.machines.copy_reports(s),
             "pause" => {
-                let world = self.clone();
+                let testbed = self.clone();
                 self.controllers.lock().await[n].pause(true).await;
                 actix_web::rt::spawn(async move {
                     tokio::time::sleep(Duration::from_secs_f64(s)).await;
-                    world.controllers.lock().await[n].pause(false).await;
+                    testbed.controllers.lock().await[n].pause(false).await;
                 });
             }
             "refuse" => self.state.refuse(n, s),
@@ -337,10 +337,10 @@
             controller.kill().await;
         }
         drop(controllers);
-        let world = self.clone();
+        let testbed = self.clone();
         actix_web::rt::spawn(async move {
             tokio::time::sleep(Duration::from_secs_f64(after_s)).await;
-            for controller in &mut world.controllers.lock().await[from..to] {
+            for controller in &mut testbed.controllers.lock().await[from..to] {
                 if !controller.runs() {
                     let _ = controller.start();
                 }
@@ -351,13 +351,13 @@
     /// Makes these faults at their times until `until_s`.
     pub fn schedule(&self, faults: &[Fault], until_s: f64) {
         for fault in faults.iter().cloned() {
-            let world = self.clone();
+            let testbed = self.clone();
             actix_web::rt::spawn(async move {
                 let mut at = fault.at_s;
                 while at < until_s {
-                    let wait = (at - world.history.now()).max(0.0);
+                    let wait = (at - testbed.history.now()).max(0.0);
                     tokio::time::sleep(Duration::from_secs_f64(wait)).await;
-                    world.strike(&fault).await;
+                    testbed.strike(&fault).await;
                     match fault.every_s {
                         Some(every) => at += every,
                         None => return,
--- a/crates/world/tests/history.rs
+++ b/crates/testbed/tests/history.rs
@@ -1,9 +1,9 @@
 //! The checker finds what it is there for, and faults and sites name what is
 //! wrong with them.
 
-use foxspur_world::history::{check, Entry, Event};
-use foxspur_world::site::{Site, DEFAULT};
-use foxspur_world::world::Fault;
+use foxspur_testbed::history::{check, Entry, Event};
+use foxspur_testbed::site::{Site, DEFAULT};
+use foxspur_testbed::testbed::Fault;
 
 fn on(task: &str, attempt: u64, machine: &str) -> Event {
     Event::On {
@@ -174,7 +174,7 @@
 /// that was under way is not.
 #[test]
 fn answers_that_go_back_are_found() {
-    use foxspur_world::history::Status::{self, Accepted, Done, Unknown, Withdrawn};
+    use foxspur_testbed::history::Status::{self, Accepted, Done, Unknown, Withdrawn};
     let look = |begun: f64, at: f64, status: Status| Entry {
         at,
         event: Event::Looked {
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! What travels between foxspur and the world: the only place that knows wire
+//! What travels between foxspur and other programs: the only place that knows wire
 //! names. Inside the program the field's own terms are used.
 
 //!
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -16,7 +16,7 @@
 use foxspur::storage::marks::Marks;
 use foxspur::storage::records::{self, Prior, Term, TOKENS};
 use foxspur::transport::budget::Budget;
-use foxspur_world::store::Store;
+use foxspur_testbed::store::Store;
 
 /// Done and running tasks of a job.
 fn counts(core: &Core, id: &str) -> Option<(u32, u32)> {
--- a/tests/drain_world.rs
+++ b/tests/drain_testbed.rs
@@ -5,10 +5,10 @@
 use clap::Parser;
 use foxctl::cli::Cli;
 use foxspur_client::{Client, Outbox, Settings};
-use foxspur_world::history::check;
-use foxspur_world::load::{play, Tally};
-use foxspur_world::site::{Site, DEFAULT};
-use foxspur_world::world::{Fault, World};
+use foxspur_testbed::history::check;
+use foxspur_testbed::load::{play, Tally};
+use foxspur_testbed::site::{Site, DEFAULT};
+use foxspur_testbed::testbed::{Fault, Testbed};
 use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
@@ -47,7 +47,7 @@
         .collect()
 }
 
-async fn operators(world: &World, at: &str) {
+async fn operators(testbed: &Testbed, at: &str) {
     actix_rt::time::sleep(Duration::from_secs(3)).await;
     assert_eq!(foxctl(at, "drain m-nowhere --why x").await.0, 1);
     let machines = loop {
@@ -60,7 +60,7 @@
     // Nothing is recorded while the state service is away, and it says so. It is
     // away for far longer than the question takes, also on a slow machine.
     let away: Fault = "state:6@0".parse().unwrap();
-    world.schedule(&[away], 1.0);
+    testbed.schedule(&[away], 1.0);
     actix_rt::time::sleep(Duration::from_millis(700)).await;
     let (code, text) = foxctl(at, &format!("undrain {}", machines[0])).await;
     assert_eq!(code, 3, "{text}");
@@ -84,7 +84,7 @@
         );
         if n == 1 {
             // The owner dies between the record and what follows from it.
-            world.schedule(&["kill-all@0".parse().unwrap()], 0.1);
+            testbed.schedule(&["kill-all@0".parse().unwrap()], 0.1);
         }
         at_last(at, "drains --check").await;
         at_last(at, &format!("undrain {host}")).await;
@@ -102,27 +102,27 @@
     let dir = tempfile::tempdir().unwrap();
     actix_rt::System::new().block_on(async {
         let program = Path::new(env!("CARGO_BIN_EXE_foxspur"));
-        let world = World::up(site, program, dir.path()).await.unwrap();
-        let at: Vec<String> = world.admins.iter().map(|a| a.to_string()).collect();
+        let testbed = Testbed::up(site, program, dir.path()).await.unwrap();
+        let at: Vec<String> = testbed.admins.iter().map(|a| a.to_string()).collect();
         let outbox = Outbox::open(&dir.path().join("outbox"), true).unwrap();
-        let settings = Settings::new([format!("http://{}", world.front)]);
+        let settings = Settings::new([format!("http://{}", testbed.front)]);
         let client = Client::with_outbox(settings, outbox).unwrap();
         let tally = Tally::default();
-        let machines = world.machines.clone();
+        let machines = testbed.machines.clone();
         let upload = Arc::new(move |id, spec| machines.upload(id, spec));
         let arrivals = (7, JOBS, Duration::from_secs(120));
         let load = play(
             &client,
-            &world.site,
-            &world.history,
+            &testbed.site,
+            &testbed.history,
             upload,
             arrivals,
             &tally,
         );
-        futures_util::future::join(load, operators(&world, &at.join(","))).await;
+        futures_util::future::join(load, operators(&testbed, &at.join(","))).await;
         let counts = tally.counts();
         assert_eq!(counts.done + counts.withdrawn, JOBS, "{counts:?}");
-        assert_eq!(check(&world.history.entries()), Vec::<String>::new());
-        world.down().await;
+        assert_eq!(check(&testbed.history.entries()), Vec::<String>::new());
+        testbed.down().await;
     });
 }
--- a/tests/layout.rs
+++ b/tests/layout.rs
@@ -11,7 +11,7 @@
     ("src/coordination/core.rs", 580),
     ("src/coordination/place.rs", 414),
     ("crates/client/src/engine.rs", 469),
-    ("crates/world/src/machines.rs", 456),
+    ("crates/testbed/src/machines.rs", 456),
     ("crates/plan/tests/plan.rs", 482),
     ("tests/core.rs", 769),
     ("tests/drains.rs", 866),
--- a/tests/pause/controller.rs
+++ b/tests/pause/controller.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(crate) fn start(&mut self, n: usize) {
         let start = self.nodes[n].start;
         for each in [Loop::Lease, Loop::Mind, Loop::Area, Loop::Live] {
--- a/tests/pause/events.rs
+++ b/tests/pause/events.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(crate) fn at(&mut self, when: f64, event: Event) {
         let order = self.events.len() as u64;
         self.events.push(Some(event));
--- a/tests/pause/main.rs
+++ b/tests/pause/main.rs
@@ -26,7 +26,7 @@
 use foxspur::coordination::member::tenure::{LeaseStep, Tenure, Terms};
 use foxspur::protocol::state::Entry;
 use foxspur::storage::records::{self, Share};
-use foxspur_world::store::{Logged, Refusal, Store};
+use foxspur_testbed::store::{Logged, Refusal, Store};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -129,7 +129,7 @@
     listed: (f64, BTreeSet<u64>),
 }
 
-struct World {
+struct Simulation {
     now: f64,
     rng: StdRng,
     store: Store,
@@ -191,10 +191,10 @@
     format!("berth-{n}")
 }
 
-impl World {
-    fn new(seed: u64, count: usize) -> World {
+impl Simulation {
+    fn new(seed: u64, count: usize) -> Simulation {
         let quiet_s = QUIET_S[seed as usize % QUIET_S.len()];
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0.0,
             rng: StdRng::seed_from_u64(seed),
             store: Store::default(),
@@ -225,13 +225,13 @@
             digest: HistoryDigest::default(),
         };
         for n in 0..count {
-            let offset = world.rng.random_range(0.0..500.0);
+            let offset = simulation.rng.random_range(0.0..500.0);
             let node = Controller {
-                tenure: tenure(n, count, n as u64 + 1, quiet_s, world.blind_s),
+                tenure: tenure(n, count, n as u64 + 1, quiet_s, simulation.blind_s),
                 start: 0,
                 offset,
-                drift: world.rng.random_range(-0.0005..0.0005),
-                wall_off_ms: world.rng.random_range(-1000.0..1000.0),
+                drift: simulation.rng.random_range(-0.0005..0.0005),
+                wall_off_ms: simulation.rng.random_range(-1000.0..1000.0),
                 paused_until: 0.0,
                 cut_until: 0.0,
                 refused_until: 0.0,
@@ -246,10 +246,10 @@
                 knows: BTreeSet::new(),
                 listed: (0.0, BTreeSet::new()),
             };
-            world.nodes.push(node);
-            world.start(n);
+            simulation.nodes.push(node);
+            simulation.start(n);
         }
-        world
+        simulation
     }
 
     fn is_away(&self) -> bool {
@@ -288,18 +288,18 @@
     let (mut gap_told, mut gap_learnt, mut found_late) = (0, 0, 0);
     let (mut lost, mut adopted) = (BTreeMap::<&str, usize>::new(), 0);
     for seed in seeds(60) {
-        let mut world = World::new(seed, [3, 5, 7, 2][seed as usize % 4]);
-        world.play(seed, 700.0);
-        world.digest.print("pause", seed);
-        takeovers += world.taken.len();
-        woken += world.woken_owners;
-        words += world.words;
-        told += world.told.len();
-        gap_told += world.gap_told;
-        gap_learnt += world.gap_learnt;
-        found_late += world.found_late;
-        adopted += world.adopted;
-        for (kind, times) in world.lost {
+        let mut simulation = Simulation::new(seed, [3, 5, 7, 2][seed as usize % 4]);
+        simulation.play(seed, 700.0);
+        simulation.digest.print("pause", seed);
+        takeovers += simulation.taken.len();
+        woken += simulation.woken_owners;
+        words += simulation.words;
+        told += simulation.told.len();
+        gap_told += simulation.gap_told;
+        gap_learnt += simulation.gap_learnt;
+        found_late += simulation.found_late;
+        adopted += simulation.adopted;
+        for (kind, times) in simulation.lost {
             *lost.entry(kind).or_default() += times;
         }
     }
--- a/tests/pause/network.rs
+++ b/tests/pause/network.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// Sends a request; it may stand still before it leaves, the way may be
     /// long, and who asked gives up after a while.
     pub(crate) fn ask(&mut self, n: usize, request: Request) {
--- a/tests/pause/trouble.rs
+++ b/tests/pause/trouble.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     /// The controller stands still from here on, with what it was about to do.
     pub(crate) fn pause(&mut self, n: usize, most_s: f64) {
         let until = self.now + self.rng.random_range(0.2..most_s);
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -21,7 +21,7 @@
 use foxspur::storage::records::{self, Share};
 use foxspur::transport::clients::{CloudClient, MeshClient, StateClient, WorkerClient};
 use foxspur::transport::http::{Call, CallError, Exchange, Http, Response};
-use foxspur_world::store::Store;
+use foxspur_testbed::store::Store;
 use futures_util::future::LocalBoxFuture;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/tests/simulated/state.rs
+++ b/tests/simulated/state.rs
@@ -3,7 +3,7 @@
 use super::{Call, Cluster, WATCH_STEP};
 use foxspur::protocol::state::{Entry, Event, Lease, LeaseRequest, Listing, News, Revision, Txn};
 use foxspur::storage::records;
-use foxspur_world::store::Refusal;
+use foxspur_testbed::store::Refusal;
 use serde_json::json;
 use tokio::time::Instant;
 
--- a/tests/simulation/leader.rs
+++ b/tests/simulation/leader.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(crate) fn owner(&mut self, base: u64) -> Option<&mut Core> {
         self.owners
             .iter_mut()
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -66,7 +66,7 @@
     usize::from(job.ends_with(['3', '6', '9']))
 }
 
-struct World {
+struct Simulation {
     now: f64,
     rng: StdRng,
     workers: Vec<Worker>,
@@ -158,7 +158,7 @@
 
 /// `anew`: whether machines may come back counting from one, which the protocol rules out.
 fn play(seed: u64, workers: usize, until: f64, anew: bool) -> (usize, usize, usize, Met) {
-    let mut world = World {
+    let mut simulation = Simulation {
         now: 0.0,
         rng: StdRng::seed_from_u64(seed),
         workers: Vec::new(),
@@ -187,127 +187,127 @@
         digest: HistoryDigest::default(),
     };
     for n in 0..workers {
-        world.workers.push(Worker::new(n, 0.0));
+        simulation.workers.push(Worker::new(n, 0.0));
     }
-    world.take_over(true);
+    simulation.take_over(true);
     let mut jobs = 0;
     let mut ids = BTreeSet::new();
-    while world.now < until {
-        world.now += STEP_S;
-        let now = world.now;
+    while simulation.now < until {
+        simulation.now += STEP_S;
+        let now = simulation.now;
         // The second half is left for what piled up, and for what comes late.
         let calm = now > until / 2.0;
-        if !calm && world.rng.random_bool(0.005 * workers.min(20) as f64) {
+        if !calm && simulation.rng.random_bool(0.005 * workers.min(20) as f64) {
             jobs += 1;
             let id = format!("run-{jobs}");
-            let cpus = world.cpus(&format!("{id}/0"));
+            let cpus = simulation.cpus(&format!("{id}/0"));
             let most = (2 * workers).min(8 + workers / 4) as u32;
-            let tasks = world.rng.random_range(1..most);
+            let tasks = simulation.rng.random_range(1..most);
             let team = TEAMS[team_of(&id)];
             let spec = placed(spec(&id, team, Urgency::Standard, tasks, cpus));
-            world.specs.insert(id.clone(), spec.clone());
+            simulation.specs.insert(id.clone(), spec.clone());
             let record = live(spec, now);
-            world.version += 1;
-            let version = world.version;
-            world
+            simulation.version += 1;
+            let version = simulation.version;
+            simulation
                 .live
                 .insert(id.clone(), (record.clone(), Marks::default(), version));
             // Each owner hears of it in its own time, a former one perhaps first.
-            for (core, _) in &world.owners {
-                let at = now + world.rng.random_range(0.0..3.0);
+            for (core, _) in &simulation.owners {
+                let at = now + simulation.rng.random_range(0.0..3.0);
                 let base = core.fence.base_term;
-                world.unheard.push((at, base, record.clone(), version));
+                simulation.unheard.push((at, base, record.clone(), version));
             }
             ids.insert(id);
         }
-        if !calm && world.rng.random_bool(0.006) {
-            world.cancel(false);
+        if !calm && simulation.rng.random_bool(0.006) {
+            simulation.cancel(false);
         }
-        if !calm && world.rng.random_bool(0.01) {
-            world.cancel(true);
+        if !calm && simulation.rng.random_bool(0.01) {
+            simulation.cancel(true);
         }
-        if !calm && world.rng.random_bool(0.003) {
-            let crash = world.rng.random_bool(0.5);
-            world.take_over(crash);
+        if !calm && simulation.rng.random_bool(0.003) {
+            let crash = simulation.rng.random_bool(0.5);
+            simulation.take_over(crash);
         }
-        if !calm && world.rng.random_bool(0.05) {
-            world.cancel_at_limits();
+        if !calm && simulation.rng.random_bool(0.05) {
+            simulation.cancel_at_limits();
         }
-        if !calm && world.workers.len() < 2 * workers && world.rng.random_bool(0.003) {
-            world.new_machine();
+        if !calm && simulation.workers.len() < 2 * workers && simulation.rng.random_bool(0.003) {
+            simulation.new_machine();
         }
-        if !calm && world.away_until == f64::MAX && world.rng.random_bool(0.0008) {
-            world.all_go_away();
+        if !calm && simulation.away_until == f64::MAX && simulation.rng.random_bool(0.0008) {
+            simulation.all_go_away();
         }
-        if !calm && world.rng.random_bool(0.0008) {
-            world.cut_zone();
+        if !calm && simulation.rng.random_bool(0.0008) {
+            simulation.cut_zone();
         }
-        if world.away_until <= now {
-            world.one_returns();
+        if simulation.away_until <= now {
+            simulation.one_returns();
         }
-        if world.ends_soon <= now {
-            world.ends_soon = f64::MAX;
-            world.take_over(true);
+        if simulation.ends_soon <= now {
+            simulation.ends_soon = f64::MAX;
+            simulation.take_over(true);
         }
-        if !calm && world.rng.random_bool(0.004) {
+        if !calm && simulation.rng.random_bool(0.004) {
             // Any owner, often just when another takes over.
-            let o = world.rng.random_range(0..world.owners.len());
-            let base = world.owners[o].0.fence.base_term;
-            let until = now + world.rng.random_range(0.5..3.0 * LEASE_S);
-            world.paused.insert(base, until);
-            if world.rng.random_bool(0.3) {
-                world.take_over(false);
+            let o = simulation.rng.random_range(0..simulation.owners.len());
+            let base = simulation.owners[o].0.fence.base_term;
+            let until = now + simulation.rng.random_range(0.5..3.0 * LEASE_S);
+            simulation.paused.insert(base, until);
+            if simulation.rng.random_bool(0.3) {
+                simulation.take_over(false);
             }
         }
         if !calm
-            && world
+            && simulation
                 .rng
                 .random_bool((0.001 * workers as f64).clamp(0.005, 0.1))
         {
-            let w = world.rng.random_range(0..world.workers.len());
-            let until = now + world.rng.random_range(1.0..20.0);
-            match world.rng.random_range(0..6) {
+            let w = simulation.rng.random_range(0..simulation.workers.len());
+            let until = now + simulation.rng.random_range(1.0..20.0);
+            match simulation.rng.random_range(0..6) {
                 5 => {
-                    world.workers[w].mute_until = now + 2.0 * (until - now);
-                    if world.rng.random_bool(0.3) {
-                        world.take_over(true);
+                    simulation.workers[w].mute_until = now + 2.0 * (until - now);
+                    if simulation.rng.random_bool(0.3) {
+                        simulation.take_over(true);
                     }
                 }
-                0 | 1 => world.workers[w].hung_until = until,
-                2 | 3 => world.workers[w].cut_until = until,
-                _ if world.rng.random_bool(0.5) => {
-                    world.workers[w].deaf_until = now + 4.0 * (until - now);
+                0 | 1 => simulation.workers[w].hung_until = until,
+                2 | 3 => simulation.workers[w].cut_until = until,
+                _ if simulation.rng.random_bool(0.5) => {
+                    simulation.workers[w].deaf_until = now + 4.0 * (until - now);
                 }
-                _ if anew => world.restart(w),
+                _ if anew => simulation.restart(w),
                 _ => {}
             }
         }
         if !calm
-            && world
+            && simulation
                 .rng
                 .random_bool((0.002 * workers as f64).clamp(0.01, 0.1))
         {
-            world.drain_or_undrain(workers);
+            simulation.drain_or_undrain(workers);
         }
-        if calm && !world.drains.is_empty() {
-            world.drains.clear();
-            world.hears_at = now;
+        if calm && !simulation.drains.is_empty() {
+            simulation.drains.clear();
+            simulation.hears_at = now;
         }
-        world.hear();
-        world.late_marks_arrive();
-        world.deliver();
-        world.workers_step();
-        for (core, _) in &world.owners {
+        simulation.hear();
+        simulation.late_marks_arrive();
+        simulation.deliver();
+        simulation.workers_step();
+        for (core, _) in &simulation.owners {
             kept_counts_are_right(core);
         }
-        world.owners_step();
-        for worker in &world.workers {
+        simulation.owners_step();
+        for worker in &simulation.workers {
             for ((task, _), state) in &worker.tasks {
                 let job = job_of(task);
-                if let Some((at, true)) = world.over.get(job) {
+                if let Some((at, true)) = simulation.over.get(job) {
                     let on = state.phase != Phase::Exited && worker.hung_until <= now;
                     if on {
-                        world.met.gone_s.insert(job.into(), now - at);
+                        simulation.met.gone_s.insert(job.into(), now - at);
                     }
                     assert!(
                         !(on && now - at > CANCEL_S),
@@ -318,14 +318,14 @@
             }
         }
     }
-    let simulation = match (anew, workers) {
+    let name = match (anew, workers) {
         (_, 300) => "fleet",
         (true, _) => "recounting",
         (false, _) => "simulation",
     };
-    world.digest.print(simulation, seed);
-    let left: Vec<_> = world.live.keys().collect();
-    let expired = world.owners.last().map(|(c, _)| {
+    simulation.digest.print(name, seed);
+    let left: Vec<_> = simulation.live.keys().collect();
+    let expired = simulation.owners.last().map(|(c, _)| {
         c.machines
             .values()
             .filter(|m| m.standing == Standing::Expired)
@@ -335,7 +335,12 @@
         left.is_empty(),
         "seed {seed}: not done: {left:?}, expired {expired:?}"
     );
-    (world.started, ids.len(), world.drained, world.met)
+    (
+        simulation.started,
+        ids.len(),
+        simulation.drained,
+        simulation.met,
+    )
 }
 
 fn rules_hold(anew: bool) {
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(crate) fn delay(&mut self) -> f64 {
         match self.rng.random_range(0..40) {
             0 => self.rng.random_range(5.0..60.0),
--- a/tests/simulation/trouble.rs
+++ b/tests/simulation/trouble.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl World {
+impl Simulation {
     pub(crate) fn cpus(&self, task: &str) -> f64 {
         if job_of(task).ends_with(['0', '2', '4', '6', '8']) {
             1.0
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -75,7 +75,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn report(&mut self, w: usize) -> Report {
         let worker = &mut self.workers[w];
         worker.seq += 1;
--- a/tests/tenure.rs
+++ b/tests/tenure.rs
@@ -5,7 +5,7 @@
 use foxspur::coordination::member::tenure::{LeaseStep, Tenure, Terms};
 use foxspur::protocol::state::{Entry, Txn};
 use foxspur::storage::records::{self, Alive, Share};
-use foxspur_world::store::Store;
+use foxspur_testbed::store::Store;
 
 const LIFE_S: f64 = 4.0;
 /// The watch of live jobs never falls behind in these cases.
--- a/tests/world.rs
+++ b/tests/testbed.rs
@@ -3,10 +3,10 @@
 //! rule is broken, each job exists once, and each has one final answer.
 
 use foxspur_client::{Client, Outbox, Settings};
-use foxspur_world::history::{check, Entry, Event};
-use foxspur_world::load::{play, Tally};
-use foxspur_world::site::{Site, DEFAULT};
-use foxspur_world::world::{Fault, World};
+use foxspur_testbed::history::{check, Entry, Event};
+use foxspur_testbed::load::{play, Tally};
+use foxspur_testbed::site::{Site, DEFAULT};
+use foxspur_testbed::testbed::{Fault, Testbed};
 use std::path::Path;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -128,19 +128,19 @@
     let dir = tempfile::tempdir().unwrap();
     actix_rt::System::new().block_on(async {
         let program = Path::new(env!("CARGO_BIN_EXE_foxspur"));
-        let world = World::up(site, program, dir.path()).await.unwrap();
+        let testbed = Testbed::up(site, program, dir.path()).await.unwrap();
         let outbox = Outbox::open(&dir.path().join("outbox"), true).unwrap();
-        let settings = Settings::new([format!("http://{}", world.front)]);
+        let settings = Settings::new([format!("http://{}", testbed.front)]);
         let client = Client::with_outbox(settings, outbox).unwrap();
-        world.schedule(&faults, 14.0);
+        testbed.schedule(&faults, 14.0);
         let tally = Tally::default();
-        let machines = world.machines.clone();
+        let machines = testbed.machines.clone();
         let upload = Arc::new(move |id, spec| machines.upload(id, spec));
         let arrivals = (7, jobs, Duration::from_secs(120));
         play(
             &client,
-            &world.site,
-            &world.history,
+            &testbed.site,
+            &testbed.history,
             upload,
             arrivals,
             &tally,
@@ -151,20 +151,23 @@
         assert_eq!(counts.done + counts.withdrawn, jobs, "{counts:?}");
         assert_eq!(client.len(), Ok((jobs as _, 0)));
         // As the state service has it, whatever the library thinks.
-        let (live, over) = (world.state.count("fx/live/"), world.state.count("fx/fin/"));
+        let (live, over) = (
+            testbed.state.count("fx/live/"),
+            testbed.state.count("fx/fin/"),
+        );
         assert_eq!((live, over), (0, jobs as usize));
         let loses = faults.iter().any(|f| f.what == "lost-answers");
-        let lost = world.state.answers_lost();
+        let lost = testbed.state.answers_lost();
         assert!(!loses || lost > 5, "only {lost} answers were lost");
-        let cuts = world.trouble.cuts.load(Ordering::Relaxed);
-        let entries = world.history.entries();
+        let cuts = testbed.trouble.cuts.load(Ordering::Relaxed);
+        let entries = testbed.history.entries();
         let asked = |e: &&Entry| matches!(e.event, Event::Asked { answered: true, .. });
         assert!(
             entries.iter().filter(asked).count() > 20,
             "nobody was asked"
         );
         assert_eq!(check(&entries), Vec::<String>::new());
-        world.down().await;
+        testbed.down().await;
         (entries, cuts)
     })
 }
