--- a/crates/plan/examples/calibrate.rs
+++ b/crates/plan/examples/calibrate.rs
@@ -4,7 +4,9 @@
 //! had learnt, `--arrivals` lets jobs come that no plan knew of.
 
 use clap::Parser;
-use foxspur::coordination::snapshot::{ClassError, SnapJob, SnapMachine, SnapTask, Snapshot};
+use foxspur::coordination::scheduler::snapshot::{
+    ClassError, SnapJob, SnapMachine, SnapTask, Snapshot,
+};
 use foxspur::protocol::admin::{Drain, Rest};
 use foxspur::protocol::cloud::MachineType;
 use foxspur::protocol::job::{JobSpec, Shape, Urgency};
--- a/crates/plan/src/draw.rs
+++ b/crates/plan/src/draw.rs
@@ -1,7 +1,7 @@
 //! How long tasks really run: drawn from what estimates of their class turned
 //! out to be worth, the same for a task in every run of one sample.
 
-use foxspur::coordination::snapshot::Snapshot;
+use foxspur::coordination::scheduler::snapshot::Snapshot;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod sim;
 mod ways;
 
-pub use foxspur::coordination::snapshot::Snapshot;
+pub use foxspur::coordination::scheduler::snapshot::Snapshot;
 pub use plan::{difference, plan, Options, Order, Plan, PlanError};
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -1,7 +1,7 @@
 //! A plan: what a drain would do, as probabilities over many runs.
 
 use crate::planner::Planner;
-use foxspur::coordination::snapshot::{SnapJob, Snapshot};
+use foxspur::coordination::scheduler::snapshot::{SnapJob, Snapshot};
 use foxspur::protocol::admin::Rest;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -2,7 +2,7 @@
 
 use crate::plan::{due_s, ClassPlan, HostPlan, JobPlan, Options, Order, Range, Variant};
 use crate::sim::{run, Outcome, Script};
-use foxspur::coordination::snapshot::Snapshot;
+use foxspur::coordination::scheduler::snapshot::Snapshot;
 use foxspur::protocol::admin::Drain;
 use rayon::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/plan/src/sim.rs
+++ b/crates/plan/src/sim.rs
@@ -4,10 +4,10 @@
 
 use crate::draw::Draws;
 use crate::machine::{Book, JobFacts, Machine};
-use foxspur::coordination::calls::CallResult;
-use foxspur::coordination::core::Core;
-use foxspur::coordination::sessions::Answer;
-use foxspur::coordination::snapshot::Snapshot;
+use foxspur::coordination::agents::direct_calls::CallResult;
+use foxspur::coordination::agents::heartbeat::Answer;
+use foxspur::coordination::scheduler::snapshot::Snapshot;
+use foxspur::coordination::scheduler::state::Core;
 use foxspur::protocol::admin::Drain;
 use foxspur::protocol::job::JobSpec;
 use foxspur::storage::marks::Marks;
@@ -328,7 +328,7 @@
 
 /// The core counts what it adopts from its first report on; here it is known for
 /// how long each task has run.
-fn adopt_ages(core: &mut Core, machine: &foxspur::coordination::snapshot::SnapMachine) {
+fn adopt_ages(core: &mut Core, machine: &foxspur::coordination::scheduler::snapshot::SnapMachine) {
     let Some(m) = core.machines.get_mut(machine.info.id.as_str()) else {
         return;
     };
--- a/crates/plan/src/ways.rs
+++ b/crates/plan/src/ways.rs
@@ -2,7 +2,7 @@
 
 use crate::plan::Variant;
 use crate::planner::Planner;
-use foxspur::coordination::snapshot::SnapMachine;
+use foxspur::coordination::scheduler::snapshot::SnapMachine;
 use std::collections::HashMap;
 
 impl Planner<'_> {
--- a/crates/plan/tests/fair.rs
+++ b/crates/plan/tests/fair.rs
@@ -1,7 +1,7 @@
 //! Nobody starves: random loads, played with the real core, against what a relaxed
 //! plan could have served.
 
-use foxspur::coordination::snapshot::{ClassError, SnapMachine, Snapshot};
+use foxspur::coordination::scheduler::snapshot::{ClassError, SnapMachine, Snapshot};
 use foxspur::protocol::cloud::MachineType;
 use foxspur::protocol::job::{JobSpec, Shape, Urgency};
 use foxspur::protocol::policy::Policy;
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -2,8 +2,8 @@
 //! owner, of its share. Made anew for each look; nothing is kept between.
 
 use super::services;
-use crate::coordination::core::Core;
 use crate::coordination::node::Node;
+use crate::coordination::scheduler::state::Core;
 use prometheus::{GaugeVec, Opts, Registry, TextEncoder};
 
 /// A set of gauges with these labels, registered.
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -6,9 +6,9 @@
 pub mod orders;
 pub mod rolls;
 
-use crate::coordination::core::Core;
 use crate::coordination::node::Node;
-use crate::coordination::views::spread;
+use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::views::spread;
 use crate::protocol::admin::{Answer, Problem, ServiceRow, ShareRow, Waits};
 use crate::protocol::mesh::{self, Ask, Topic};
 use crate::transport::clients::Met;
--- a/src/admin/rolls.rs
+++ b/src/admin/rolls.rs
@@ -3,8 +3,8 @@
 
 use super::orders::{named, read, share, Refused, NOT_NOW, TRIES, UNSURE};
 use super::{answer, Shared};
+use crate::coordination::fleet::rollout::in_turn;
 use crate::coordination::node::Node;
-use crate::coordination::rolls::in_turn;
 use crate::protocol::roll::{Among, AtMost, Roll, RollOrder, RollState, Turn, TurnOrder};
 use crate::protocol::state::Txn;
 use crate::storage::chunks::Written;
--- a/src/app.rs
+++ b/src/app.rs
@@ -1,10 +1,10 @@
 //! Starts a process: its actors, and the servers that users, workers, health checks and
 //! other controllers call.
 
-use crate::coordination::dispatch::Dispatcher;
-use crate::coordination::fleet::Fleet;
-use crate::coordination::ledger::Ledger;
-use crate::coordination::member::Member;
+use crate::coordination::agents::dispatcher::Dispatcher;
+use crate::coordination::fleet::manager::Fleet;
+use crate::coordination::jobs::completion_writer::Ledger;
+use crate::coordination::leadership::Member;
 use crate::coordination::node::Node;
 use crate::handlers::{self, MAX_BODY};
 use crate::protocol::policy::Policy;
--- a/src/coordination/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -1,9 +1,9 @@
 //! Commands for machines: in answers to their reports, in direct calls, and the
 //! calls that ask for a report.
 
-use super::core::Core;
-use super::job::{Name, TaskId};
-use super::machine::{Active, Machine, Standing};
+use crate::coordination::scheduler::job::{Name, TaskId};
+use crate::coordination::scheduler::machine::{Active, Machine, Standing};
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::worker::{Cause, Command, Direct, Phase};
 use crate::storage::records::TOKENS;
 
@@ -28,7 +28,7 @@
     /// its start arrives, however late. (A task of a job cancelled long ago ran, and one
     /// ran twice.) So the answer that has it forget one carries a token above that of
     /// any such call, and copies are refused from then on.
-    pub(super) fn orders(&mut self, name: &Name, order: (u64, u64), now: f64) -> Vec<Command> {
+    pub(crate) fn orders(&mut self, name: &Name, order: (u64, u64), now: f64) -> Vec<Command> {
         let term = self.term;
         let Some(m) = self.machines.get(name) else {
             return Vec::new();
@@ -142,7 +142,7 @@
 
     /// Asks machines in doubt whether they hear us: an answer is proof. One that does
     /// not is asked again when it may have come round to us once more.
-    pub(super) fn ask_doubtful(&mut self, now: f64) {
+    pub(crate) fn ask_doubtful(&mut self, now: f64) {
         let machines = &self.machines;
         self.doubtful
             .retain(|n| machines.get(n).is_some_and(|m| m.hearing.doubted()));
--- a/src/coordination/calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -1,9 +1,9 @@
 //! Direct calls to workers: what their results say of a machine.
 
-use super::core::Core;
-use super::job::{Name, TaskId};
-use super::machine::Standing;
-use super::sessions::Via;
+use crate::coordination::agents::heartbeat::Via;
+use crate::coordination::scheduler::job::{Name, TaskId};
+use crate::coordination::scheduler::machine::Standing;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::worker::{Command, Direct, Report};
 
 /// What came of a direct call, as far as the core cares.
--- a/src/coordination/dispatch.rs
+++ b/src/coordination/agents/dispatcher.rs
@@ -1,9 +1,9 @@
 //! Sends direct commands: works off the difference between what machines
 //! should do and what they were told. Also drives the core's clock.
 
-use super::calls::CallResult;
-use super::job::Name;
-use super::node::Node;
+use crate::coordination::agents::direct_calls::CallResult;
+use crate::coordination::node::Node;
+use crate::coordination::scheduler::job::Name;
 use crate::transport::clients::DirectOutcome;
 use actix::prelude::*;
 use std::rc::Rc;
--- a/src/coordination/silence.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -1,9 +1,9 @@
 //! What silence proves, and what is done about machines that are silent, deaf,
 //! failing or about to be taken away.
 
-use super::core::{with_margin, Core};
-use super::job::Name;
-use super::machine::{Machine, Standing};
+use crate::coordination::scheduler::job::Name;
+use crate::coordination::scheduler::machine::{Machine, Standing};
+use crate::coordination::scheduler::state::{with_margin, Core};
 
 impl Core {
     /// Time passes: silent machines are proven empty, notices handled.
@@ -82,7 +82,7 @@
     /// and again, for a part of a lease, and reports under an older one. As long as it
     /// is answered, its lease may live, with what a former owner started on it, and
     /// the whole share waits for it; so it is left alone until that is over.
-    pub(super) fn in_vain(&self, name: &str, now: f64) -> bool {
+    pub(crate) fn in_vain(&self, name: &str, now: f64) -> bool {
         let m = self.machines.get(name);
         let some_s = self.params.lease_s / 4.0;
         m.is_some_and(|m| {
--- a/src/coordination/sessions.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -1,11 +1,11 @@
 //! Worker sessions: what reports say is on machines, what commands they get,
 //! and when silence proves a machine empty.
 
-use super::core::Core;
-use super::hearing::{Sign, Signs, PATIENCE_S};
-use super::job::{Name, TaskId};
-use super::machine::{Active, Machine, Standing};
-use super::room::Room;
+use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::delivery::{Sign, Signs, PATIENCE_S};
+use crate::coordination::scheduler::job::{Name, TaskId};
+use crate::coordination::scheduler::machine::{Active, Machine, Standing};
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::worker::{Phase, Reply, Report, ReportHead};
 use crate::storage::records::{MachineInfo, TOKENS};
 
@@ -163,7 +163,7 @@
     }
 
     /// Reconciles a newer message with what we thought.
-    pub(super) fn take_in(&mut self, name: &Name, report: &Report, via: Via, now: f64) {
+    pub(crate) fn take_in(&mut self, name: &Name, report: &Report, via: Via, now: f64) {
         let base_term = self.fence.base_term;
         // What ended while we stood still says nothing of the machine's hearing.
         let steady = now - self.listening_since(now) > self.params.lease_s;
@@ -284,7 +284,7 @@
     }
 
     /// Forgets an attempt; the machine is to be indexed anew afterwards.
-    pub(super) fn remove_attempt(&mut self, name: &Name, key: &(TaskId, u64)) {
+    pub(crate) fn remove_attempt(&mut self, name: &Name, key: &(TaskId, u64)) {
         let mut removed = None;
         if let Some(m) = self.machines.get_mut(name) {
             removed = m.active.remove(key);
--- a/src/coordination/reach.rs
+++ b/src/coordination/agents/leader_reachability.rs
@@ -3,8 +3,8 @@
 //! workers run out. It resigns when most of its machines fell silent at once
 //! and another controller says that workers come there to be sent on.
 
-use super::core::Core;
-use super::machine::Standing;
+use crate::coordination::scheduler::machine::Standing;
+use crate::coordination::scheduler::state::Core;
 
 /// Reports turned away, in two windows.
 #[derive(Debug, Default, Clone, Copy)]
@@ -62,8 +62,9 @@
     pub fn reach(&self, now: f64) -> (usize, usize) {
         let due_s = 1.5 * self.params.report_s;
         // What operators switched off is silent for another reason.
-        let expected =
-            |m: &&super::machine::Machine| m.recorded && !m.held && m.standing == Standing::Up;
+        let expected = |m: &&crate::coordination::scheduler::machine::Machine| {
+            m.recorded && !m.held && m.standing == Standing::Up
+        };
         let mut sums = (0, 0);
         for m in self.machines.values().filter(expected) {
             sums.0 += 1;
--- a/src/coordination/shown.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -1,15 +1,15 @@
 //! One task of a report: adopted, counted, ended, or to be stopped.
 
-use super::core::Core;
-use super::hearing::Sign;
-use super::job::{Name, TaskId};
-use super::machine::Active;
-use super::room::Room;
+use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::delivery::Sign;
+use crate::coordination::scheduler::job::{Name, TaskId};
+use crate::coordination::scheduler::machine::Active;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::worker::{Cause, Phase};
 
 impl Core {
     /// One task of a report; what it takes of the machine if its job is known.
-    pub(super) fn take_entry(
+    pub(crate) fn take_entry(
         &mut self,
         name: &Name,
         key: &(TaskId, u64),
--- a/src/coordination/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -11,11 +11,11 @@
 //!   owner starts anything there: so a machine that is switched off then holds
 //!   up no takeover, and is not given back to the cloud.
 
-use super::core::Core;
-use super::job::{Job, Name, TaskId};
-use super::machine::{Active, Machine, Standing};
-use super::preempt::loss;
-use super::room::Room;
+use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::job::{Job, Name, TaskId};
+use crate::coordination::scheduler::machine::{Active, Machine, Standing};
+use crate::coordination::scheduler::preemption::loss;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::admin::{Drain, DrainRow, DrainState, Drained, Proof, Rest};
 use crate::protocol::job::Shape;
 use std::collections::HashMap;
@@ -116,7 +116,7 @@
 
 impl Core {
     /// Whether the machine is set aside and recorded as proven empty.
-    pub(super) fn proven_aside(&self, name: &str) -> bool {
+    pub(crate) fn proven_aside(&self, name: &str) -> bool {
         let wish = self.wishes.get(name);
         wish.is_some_and(|w| w.drain.drained.is_some())
     }
@@ -237,7 +237,7 @@
     }
 
     /// Works off what is on machines that are set aside.
-    pub(super) fn tend_drains(&mut self, _now: f64) {
+    pub(crate) fn tend_drains(&mut self, _now: f64) {
         if self.wishes.is_empty() || !self.fence.open {
             return;
         }
--- a/src/coordination/fleet.rs
+++ b/src/coordination/fleet/manager.rs
@@ -1,8 +1,8 @@
 //! The fleet: rents what is wanted, returns what is broken, silent or idle.
 
-use super::fleet_plan::{wanted, Demand, Offer};
-use super::machine::Standing;
-use super::node::Node;
+use crate::coordination::fleet::scale_out::{wanted, Demand, Offer};
+use crate::coordination::node::Node;
+use crate::coordination::scheduler::machine::Standing;
 use crate::protocol::cloud::{Listed, ListedState, Rental, TypeList};
 use crate::protocol::state::Txn;
 use crate::storage::records::{self, MachineInfo};
@@ -223,12 +223,12 @@
             books.booting.remove(&name);
             books.list.retain(|l| l.id != name);
         }
-        super::dispatch::drain(node);
+        crate::coordination::agents::dispatcher::drain(node);
     }
 }
 
 /// Drains one machine that has been idle for long while much is free.
-fn retire_idle(node: &Rc<Node>, core: &mut super::core::Core, now: f64) {
+fn retire_idle(node: &Rc<Node>, core: &mut crate::coordination::scheduler::state::Core, now: f64) {
     let used: f64 = core.used().cpus();
     let waiting = core.jobs.values().any(|j| j.waiting() > 0);
     let have: f64 = core
--- a/src/coordination/rolls.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -3,8 +3,8 @@
 //! zone can spare one, counting every machine that is out of use for whatever
 //! reason, and halts by itself as soon as its plan's promise is broken.
 
-use super::core::Core;
-use super::machine::Standing;
+use crate::coordination::scheduler::machine::Standing;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::admin::Drain;
 use crate::protocol::roll::{AtMost, Roll, RollState};
 use std::collections::HashMap;
--- a/src/coordination/member/steps.rs
+++ b/src/coordination/fleet/rollout_writer.rs
@@ -1,9 +1,9 @@
 //! Carries rolls on: writes each step on condition that the share is ours, and
 //! that roll and drains are those it was worked out from.
 
-use super::claim::reread;
+use crate::coordination::fleet::rollout::{step, Step};
+use crate::coordination::leadership::failover::reread;
 use crate::coordination::node::Node;
-use crate::coordination::rolls::{step, Step};
 use crate::protocol::admin::Drain;
 use crate::protocol::roll::RollState;
 use crate::protocol::state::Txn;
--- a/src/coordination/fleet_plan.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -1,6 +1,6 @@
 //! What machines are wanted beyond those there are: pure code.
 
-use super::core::Types;
+use crate::coordination::scheduler::state::Types;
 use crate::protocol::job::JobSpec;
 use crate::storage::records::fits_type;
 use std::rc::Rc;
--- a/src/coordination/batch.rs
+++ b/src/coordination/jobs/completion_batch.rs
@@ -1,8 +1,8 @@
 //! What to write of done marks and final states next: one transaction that rests on
 //! the version of each job's record. Pure.
 
-use super::core::Core;
-use super::job::{Job, Name};
+use crate::coordination::scheduler::job::{Job, Name};
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::job::JobState;
 use crate::protocol::state::Txn;
 use crate::storage::marks::Marks;
--- a/src/coordination/ledger.rs
+++ b/src/coordination/jobs/completion_writer.rs
@@ -1,11 +1,11 @@
 //! The job ledger: follows live jobs while we own the share, and writes done
 //! marks and final states in batches.
 
-use super::batch::{self, Batch, Part};
-use super::core::Core;
-use super::job::Name;
-use super::member::cover::blind_s;
-use super::node::Node;
+use crate::coordination::jobs::completion_batch::{self, Batch, Part};
+use crate::coordination::leadership::cancellation_horizon::blind_s;
+use crate::coordination::node::Node;
+use crate::coordination::scheduler::job::Name;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::state::{Entry, Seen, Txn};
 use crate::storage::marks::Marks;
 use crate::storage::records::{self, LiveJob, MarkChunk};
@@ -52,7 +52,8 @@
         };
         let txn_ops = node.settings.cluster.state.txn_ops;
         let chunk_tasks = node.chunk_tasks();
-        let Some(batch) = batch::plan(core, txn_ops, chunk_tasks, partial, node.now()) else {
+        let Some(batch) = completion_batch::plan(core, txn_ops, chunk_tasks, partial, node.now())
+        else {
             return false;
         };
         (batch, core.fence.base_term)
@@ -200,7 +201,7 @@
 /// Follows the live jobs from `revision` on, as long as this core lasts.
 pub fn follow(node: Rc<Node>, term: u64, mut revision: u64) {
     // Whoever owns the share may answer workers only while it knows of cancellations
-    // (`member::cover`): eight looks in that time, so that a few may be lost, or wait
+    // (`leadership::cover`): eight looks in that time, so that a few may be lost, or wait
     // on a connection that a cut left behind.
     let workers = &node.settings.cluster.workers;
     let wait_s = (blind_s(workers.cancel_s, workers.lease_s) / 8.0).clamp(0.5, 20.0);
@@ -226,7 +227,7 @@
                         }
                     }
                     followed(&node, term, revision, asked_at);
-                    super::dispatch::drain(&node);
+                    crate::coordination::agents::dispatcher::drain(&node);
                 }
                 Err(Failure::Gone) => {
                     // Too far behind: read all again, and drop what is gone.
@@ -243,7 +244,7 @@
                             take_entry(&node, term, entry);
                         }
                         followed(&node, term, revision, asked_at);
-                        super::dispatch::drain(&node);
+                        crate::coordination::agents::dispatcher::drain(&node);
                     }
                 }
                 Err(_) => actix_rt::time::sleep(Duration::from_millis(250)).await,
--- a/src/coordination/job_lookup.rs
+++ b/src/coordination/jobs/lookup.rs
@@ -6,9 +6,9 @@
 //! the request came; what this controller learnt while the read was under way wins over
 //! it, and a read whose answer came late is repeated instead of being passed on.
 
-use super::node::Node;
-use super::recent::RecentMap;
-use super::version_check;
+use crate::coordination::jobs::version_check;
+use crate::coordination::node::Node;
+use crate::coordination::recent::RecentMap;
 use crate::storage::records::{self, Final, LiveJob};
 use crate::transport::clients::{Failure, Lane};
 use actix_rt::time::Instant;
--- a/src/coordination/version_check.rs
+++ b/src/coordination/jobs/version_check.rs
@@ -4,8 +4,8 @@
 //! versions at once, and that a record read earlier still has its version is all that
 //! most polls need to know.
 
-use super::node::Node;
-use super::recent::RecentMap;
+use crate::coordination::node::Node;
+use crate::coordination::recent::RecentMap;
 use crate::protocol::state::Txn;
 use crate::storage::records::{self, LiveJob};
 use crate::transport::clients::{Failure, Lane, Timed};
--- a/src/coordination/member/cover.rs
+++ b/src/coordination/leadership/cancellation_horizon.rs
@@ -18,7 +18,7 @@
 //!   self, one that made a claim of its own does not answer, and one out of reach may
 //!   be telling users: then there is no proof.
 
-use crate::coordination::core::with_margin;
+use crate::coordination::scheduler::state::with_margin;
 use std::collections::{HashMap, VecDeque};
 
 /// For how long an owner may answer workers on what it knew of cancellations: a
--- a/src/coordination/member/view.rs
+++ b/src/coordination/leadership/cluster_view.rs
@@ -78,7 +78,7 @@
         }
         let drain = entry.read::<Drain>().unwrap_or_else(|error| {
             tracing::error!(key = %entry.key, %error, "unreadable drain");
-            super::super::drains::unreadable(host)
+            crate::coordination::fleet::drains::unreadable(host)
         });
         self.drains.insert(host.into(), (drain, entry.version));
         self.drains_seen += 1;
--- a/src/coordination/member/claim.rs
+++ b/src/coordination/leadership/failover.rs
@@ -1,11 +1,11 @@
 //! A takeover: the share in one conditional transaction under a fresh term,
 //! then what belongs to it is read.
 
-use super::taking::Claim;
-use crate::coordination::core::{Core, Params};
-use crate::coordination::fence::Fence;
-use crate::coordination::ledger;
+use crate::coordination::jobs::completion_writer;
+use crate::coordination::leadership::takeover::Claim;
 use crate::coordination::node::Node;
+use crate::coordination::scheduler::fence::Fence;
+use crate::coordination::scheduler::state::{Core, Params};
 use crate::storage::chunks::Written;
 use crate::storage::records::{self, LiveJob, Share};
 use crate::transport::clients::{Failure, Lane};
@@ -24,17 +24,17 @@
             tracing::info!(term, "share taken");
             while let Err(error) = load(node, share).await {
                 tracing::warn!(%error, "share not read yet");
-                super::sleep(0.2).await;
+                crate::coordination::leadership::sleep(0.2).await;
                 if !node.tenure.borrow().holds(term) {
                     return;
                 }
             }
-            crate::coordination::dispatch::drain(node);
+            crate::coordination::agents::dispatcher::drain(node);
         }
         Err(Failure::Conflict(_)) => reread(node).await,
         Err(error) => {
             tracing::info!(%error, "share not taken");
-            super::sleep(0.1).await;
+            crate::coordination::leadership::sleep(0.1).await;
             reread(node).await;
         }
     }
@@ -63,7 +63,7 @@
         }
     }
     if node.tenure.borrow().deposed() {
-        super::step_down(node);
+        crate::coordination::leadership::step_down(node);
     }
 }
 
@@ -92,7 +92,7 @@
             tracing::error!(key = %entry.key, "unreadable job record");
             continue;
         };
-        let extra = ledger::marks_apart(node, &record, Lane::Control).await?;
+        let extra = completion_writer::marks_apart(node, &record, Lane::Control).await?;
         core.job_added(record, entry.version, extra);
     }
     core.followed = revision;
@@ -122,6 +122,6 @@
     }
     *node.written.borrow_mut() = written;
     *node.core.borrow_mut() = Some(core);
-    ledger::follow(node.clone(), share.term, revision);
+    completion_writer::follow(node.clone(), share.term, revision);
     Ok(())
 }
--- a/src/coordination/member/mind.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -1,10 +1,10 @@
 //! The owner's slow loop: keeps what it rests on, writes the machine record,
 //! raises the term, learns when former owners are quiet.
 
-use super::claim::reread;
-use super::record::write_machines;
-use super::taking::Rewrite;
-use super::tenure::Tenure;
+use crate::coordination::fleet::machine_record_writer::write_machines;
+use crate::coordination::leadership::failover::reread;
+use crate::coordination::leadership::leadership::Tenure;
+use crate::coordination::leadership::takeover::Rewrite;
 use crate::coordination::node::Node;
 use crate::protocol::mesh::{Answer, Ask};
 use crate::protocol::state::Txn;
@@ -17,19 +17,19 @@
     // As often as the lease is renewed: takeovers are decided by its end.
     let every = (node.life_s() / 10.0).clamp(0.1, 0.5);
     loop {
-        super::sleep(every).await;
+        crate::coordination::leadership::sleep(every).await;
         let rewrite = node.tenure.borrow().reassert(node.now());
         if let Some(rewrite) = rewrite {
             tracing::info!("our lease is new: is the share still ours?");
             carry_out(&node, rewrite).await;
         }
-        super::look_after_share(&node);
+        crate::coordination::leadership::look_after_share(&node);
         seek_vouches(&node);
         seek_words(&node);
         seek_promises(&node);
         learn_quiet(&node);
         note_drained(&node).await;
-        super::steps::carry_on(&node).await;
+        crate::coordination::fleet::rollout_writer::carry_on(&node).await;
         while write_machines(&node).await {}
         raise_term(&node).await;
     }
@@ -99,14 +99,14 @@
             }
             let now = node.now();
             node.tenure.borrow_mut().word(term, &name, asked_at, now);
-            crate::coordination::dispatch::drain(&node);
+            crate::coordination::agents::dispatcher::drain(&node);
         });
     }
 }
 
 /// After a takeover asks the others never to vouch for an earlier owner.
 fn seek_promises(node: &Rc<Node>) {
-    let seeks = |c: &crate::coordination::core::Core| c.fence.quiet_since.is_none();
+    let seeks = |c: &crate::coordination::scheduler::state::Core| c.fence.quiet_since.is_none();
     if !node.core.borrow().as_ref().is_some_and(seeks) {
         return;
     }
--- a/src/coordination/member/tenure.rs
+++ b/src/coordination/leadership/leadership.rs
@@ -16,10 +16,10 @@
 //! - Who promised for a later term acts under no earlier one, also if its own
 //!   claim of that term is answered only afterwards.
 
-use super::cover::Cover;
-use super::view::View;
-use super::vouch::{self, Round, Spans};
-use crate::coordination::fence::remaining;
+use crate::coordination::leadership::cancellation_horizon::Cover;
+use crate::coordination::leadership::cluster_view::View;
+use crate::coordination::leadership::lease_extension::{self, Round, Spans};
+use crate::coordination::scheduler::fence::remaining;
 use crate::protocol::state::Entry;
 use crate::storage::records::{Alive, Prior, Share};
 
@@ -43,17 +43,17 @@
 
 /// Our key in the state service, as we wrote it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct AliveKey {
-    pub(super) lease: u64,
-    pub(super) boot: u64,
-    pub(super) version: u64,
+pub(crate) struct AliveKey {
+    pub(crate) lease: u64,
+    pub(crate) boot: u64,
+    pub(crate) version: u64,
 }
 
 /// The share is read, and we act for it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Acting {
-    pub(super) base_term: u64,
-    pub(super) term: u64,
+pub(crate) struct Acting {
+    pub(crate) base_term: u64,
+    pub(crate) term: u64,
 }
 
 /// What the lease loop should do next.
@@ -76,29 +76,29 @@
 
 /// One controller's part in owning the share.
 pub struct Tenure {
-    pub(super) terms: Terms,
+    pub(crate) terms: Terms,
     pub view: View,
-    pub(super) boot: u64,
-    pub(super) lease: Option<u64>,
-    pub(super) key: Option<AliveKey>,
+    pub(crate) boot: u64,
+    pub(crate) lease: Option<u64>,
+    pub(crate) key: Option<AliveKey>,
     /// The lease under which the share record was last written as ours.
-    pub(super) sure: Option<u64>,
+    pub(crate) sure: Option<u64>,
     /// When the last successful check that the share is ours began.
-    pub(super) confirmed: f64,
-    pub(super) acting: Option<Acting>,
-    pub(super) vouches: Round,
-    pub(super) promises: Round,
+    pub(crate) confirmed: f64,
+    pub(crate) acting: Option<Acting>,
+    pub(crate) vouches: Round,
+    pub(crate) promises: Round,
     /// What we know of cancellations.
-    pub(super) cover: Cover,
+    pub(crate) cover: Cover,
     /// When the others were last asked for vouches, for promises, and for words.
-    pub(super) asked_at: (f64, f64, f64),
+    pub(crate) asked_at: (f64, f64, f64),
     /// Version of the share record on which our last claim rested: until we see a
     /// newer one it may yet be carried out.
-    pub(super) tried: Option<u64>,
-    pub(super) taken_at: f64,
+    pub(crate) tried: Option<u64>,
+    pub(crate) taken_at: f64,
     /// Highest term of an owner that we know of by a promise or a claim of ours.
-    pub(super) promised: u64,
-    pub(super) resigned_at: f64,
+    pub(crate) promised: u64,
+    pub(crate) resigned_at: f64,
 }
 
 impl Tenure {
@@ -153,14 +153,14 @@
         self.terms.peers.len() + 1
     }
 
-    pub(super) fn mine(&self, share: &Share) -> bool {
+    pub(crate) fn mine(&self, share: &Share) -> bool {
         share.owner == self.terms.me && share.boot == self.boot
     }
 
     /// Whether we own the share and may answer workers.
     pub fn entitled(&self, now: f64) -> bool {
         self.acting.is_some_and(|a| a.term >= self.promised)
-            && vouch::may_answer(
+            && lease_extension::may_answer(
                 &self.vouches,
                 &self.spans(),
                 self.nodes(),
@@ -363,7 +363,7 @@
         self.promises.agreed(term, peer, asked_at, now, nodes);
     }
 
-    pub(super) fn left(&self, prior: &[Prior], now_ms: u64) -> Vec<Prior> {
+    pub(crate) fn left(&self, prior: &[Prior], now_ms: u64) -> Vec<Prior> {
         let alive = |host: &str| {
             if host == self.terms.me {
                 Some(self.boot)
@@ -382,7 +382,7 @@
         let Some((share, _)) = self.view.share.as_ref().filter(|(s, _)| self.mine(s)) else {
             return false;
         };
-        let promised = vouch::quiet_from(&self.promises, &self.spans(), self.taken_at);
+        let promised = lease_extension::quiet_from(&self.promises, &self.spans(), self.taken_at);
         self.left(&share.prior, now_ms).is_empty() || promised.is_some_and(|t| now > t)
     }
 }
--- a/src/coordination/member/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -2,18 +2,17 @@
 //! the share of one that is not is taken over under a fresh term. What follows
 //! from what is decided in `tenure`; here is who talks to whom, and when.
 
-mod claim;
-pub mod cover;
-mod mind;
-mod record;
-mod steps;
-pub mod taking;
-pub mod tenure;
-pub mod view;
-pub mod vouch;
+pub mod cancellation_horizon;
+pub mod cluster_view;
+pub mod failover;
+pub mod leader_loop;
+pub mod leadership;
+pub mod lease_extension;
+pub mod takeover;
 
-use super::health::Peers;
-use super::node::Node;
+use crate::coordination::leadership::leadership::LeaseStep;
+use crate::coordination::node::Node;
+use crate::coordination::readiness::Peers;
 use crate::protocol::mesh::{Answer, Ask};
 use crate::protocol::state::Seen;
 use crate::storage::records;
@@ -21,7 +20,6 @@
 use actix::prelude::*;
 use std::rc::Rc;
 use std::time::Duration;
-use tenure::LeaseStep;
 
 /// Keeps our lease and watches the others'.
 pub struct Member {
@@ -34,7 +32,9 @@
     fn started(&mut self, _: &mut Self::Context) {
         actix_rt::spawn(keep_lease(self.node.clone()));
         actix_rt::spawn(watch_area(self.node.clone()));
-        actix_rt::spawn(mind::mind_share(self.node.clone()));
+        actix_rt::spawn(crate::coordination::leadership::leader_loop::mind_share(
+            self.node.clone(),
+        ));
         actix_rt::spawn(mind_reach(self.node.clone()));
         actix_rt::spawn(mind_health(self.node.clone()));
     }
@@ -192,7 +192,11 @@
         let reach = node.core.borrow().as_ref().map(|c| (c.term, c.reach(now)));
         // Whether as many machines are silent as it takes, whatever others say.
         let silent = |(_, (all, silent)): &(u64, (usize, usize))| {
-            super::reach::out_of_reach(*all, *silent, u32::MAX / 8)
+            crate::coordination::agents::leader_reachability::out_of_reach(
+                *all,
+                *silent,
+                u32::MAX / 8,
+            )
         };
         let Some((term, (all, silent))) = reach.filter(silent).filter(|_| node.certain()) else {
             continue;
@@ -212,7 +216,11 @@
             .into_iter()
             .sum();
         let still = node.core.borrow().as_ref().is_some_and(|c| c.term == term);
-        if still && super::reach::out_of_reach(all, silent, elsewhere) {
+        if still
+            && crate::coordination::agents::leader_reachability::out_of_reach(
+                all, silent, elsewhere,
+            )
+        {
             tracing::warn!(
                 term,
                 all,
@@ -221,7 +229,7 @@
                 "workers do not reach us: resigning"
             );
             *node.core.borrow_mut() = None;
-            let boot = super::node::draw_boot();
+            let boot = crate::coordination::node::draw_boot();
             node.tenure.borrow_mut().resign(node.now(), boot);
         }
     }
@@ -249,7 +257,7 @@
         node.claimed.notify_waiters();
     }
     // Only now: a drain that ended under a later owner frees nothing for us.
-    mind::take_drains(node);
+    crate::coordination::leadership::leader_loop::take_drains(node);
     let (now, now_ms) = (node.now(), node.wall_ms());
     if node.claiming.get() {
         return;
@@ -259,7 +267,7 @@
         node.claiming.set(true);
         let node = node.clone();
         actix_rt::spawn(async move {
-            claim::carry_out(&node, claim).await;
+            crate::coordination::leadership::failover::carry_out(&node, claim).await;
             node.claiming.set(false);
             node.claimed.notify_waiters();
         });
@@ -288,5 +296,7 @@
 /// Stops acting for the share.
 fn step_down(node: &Node) {
     *node.core.borrow_mut() = None;
-    node.tenure.borrow_mut().step_down(super::node::draw_boot());
+    node.tenure
+        .borrow_mut()
+        .step_down(crate::coordination::node::draw_boot());
 }
--- a/src/coordination/member/taking.rs
+++ b/src/coordination/leadership/takeover.rs
@@ -1,8 +1,8 @@
 //! Taking the share, and keeping it: the transactions, and what follows when
 //! their answers come, however late.
 
-use super::cover::Cover;
-use super::tenure::{Acting, Tenure};
+use crate::coordination::leadership::cancellation_horizon::Cover;
+use crate::coordination::leadership::leadership::{Acting, Tenure};
 use crate::protocol::state::Txn;
 use crate::storage::records::{self, Prior, Share, Term};
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,40 +1,19 @@
-//! Decides: membership and shares, worker sessions, placement, quota,
-//! preemption and the fleet. The `Core` and all it uses is pure code with
-//! passed-in time and a seeded generator; the actors around it do the talking.
+//! Decides: who leads, where tasks run, what machines are told, and how many machines there
+//! are. The state machines are pure code with passed-in time and a seeded generator; the
+//! loops and actors beside them carry out their effects.
+//!
+//! - [`scheduler`]: jobs, machines and what runs where.
+//! - [`agents`]: heartbeats, the failure detector, commands and calls to workers.
+//! - [`leadership`]: leases, takeovers, and what a leader rests on.
+//! - [`jobs`]: look-ups, completions, the watch of live jobs.
+//! - [`fleet`]: scale out and in, drains, rollouts, the machine record.
+//! - [`node`]: what ties the parts of one process together.
 
-pub mod batch;
-pub mod calls;
-pub mod commands;
-pub mod core;
-pub mod dispatch;
-pub mod drains;
-pub mod fair;
-pub mod fence;
+pub mod agents;
 pub mod fleet;
-pub mod fleet_plan;
-pub mod health;
-pub mod hearing;
-pub mod job;
-pub mod job_lookup;
-pub mod learn;
-pub mod ledger;
-pub mod machine;
-pub mod member;
+pub mod jobs;
+pub mod leadership;
 pub mod node;
-pub mod order;
-pub mod overview;
-pub mod place;
-pub mod preempt;
-pub mod queue;
-pub mod quota;
-pub mod reach;
+pub mod readiness;
 pub mod recent;
-pub mod rolls;
-pub mod room;
-pub mod sessions;
-mod shown;
-pub mod silence;
-pub mod snapshot;
-pub mod version_check;
-pub mod views;
-mod zones;
+pub mod scheduler;
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -1,13 +1,13 @@
 //! What all parts of one controller share. Everything runs on one thread, so
 //! plain cells suffice; no borrow is held across an await.
 
-use super::core::Core;
-use super::health::Health;
-use super::job_lookup::TerminalStates;
-use super::member::cover::{blind_s, Told};
-use super::member::tenure::{Tenure, Terms};
-use super::reach::Tally;
-use super::version_check::RecordCache;
+use crate::coordination::agents::leader_reachability::Tally;
+use crate::coordination::jobs::lookup::TerminalStates;
+use crate::coordination::jobs::version_check::RecordCache;
+use crate::coordination::leadership::cancellation_horizon::{blind_s, Told};
+use crate::coordination::leadership::leadership::{Tenure, Terms};
+use crate::coordination::readiness::Health;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::job::{JobSpec, JobState};
 use crate::protocol::mesh::Topic;
 use crate::protocol::policy::Policy;
@@ -262,7 +262,8 @@
             crate::protocol::job::Shape::Sweep => 1.0,
             crate::protocol::job::Shape::Service => f64::from(spec.tasks),
         };
-        if !super::quota::within_limit(Some(team), (0.0, 0.0), spec, tasks) {
+        if !crate::coordination::scheduler::quota::within_limit(Some(team), (0.0, 0.0), spec, tasks)
+        {
             return Some(Err("more than the owner's limit".into()));
         }
         let tenure = self.tenure.borrow();
--- a/src/coordination/room.rs
+++ b/src/coordination/scheduler/capacity.rs
@@ -1,9 +1,9 @@
 //! Room on machines, and an index of them by it, so that placing a task looks
 //! at a few machines and not at all of them.
 
-use super::core::Types;
-use super::job::Name;
-use super::machine::Machine;
+use crate::coordination::scheduler::job::Name;
+use crate::coordination::scheduler::machine::Machine;
+use crate::coordination::scheduler::state::Types;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobSpec;
 use crate::storage::records::{fits_type, MachineInfo};
@@ -56,7 +56,7 @@
 
 /// Machines alike to every job: one type, zone and kind of rental.
 #[derive(Debug)]
-pub(super) struct Pool {
+pub(crate) struct Pool {
     pub kind: String,
     pub zone: String,
     pub spot: bool,
@@ -99,7 +99,7 @@
     pools: Vec<Pool>,
     places: HashMap<Name, Place, RandomState>,
     /// Changes whenever a pool gets its first machine or loses its last one.
-    pub(super) version: u64,
+    pub(crate) version: u64,
     /// Needs for which no machine of these pools has room, as found by a look
     /// at all of them. Room only comes free one machine at a time, so this
     /// holds until one of them does (see `grew`).
@@ -111,7 +111,7 @@
 
 impl Index {
     /// Takes a machine out.
-    pub(super) fn remove(&mut self, name: &str) {
+    pub(crate) fn remove(&mut self, name: &str) {
         let Some(place) = self.places.remove(name) else {
             return;
         };
@@ -131,7 +131,7 @@
     }
 
     /// Puts a usable machine where it belongs now.
-    pub(super) fn put(&mut self, name: &Name, info: &MachineInfo, free_cpus: f64, short: bool) {
+    pub(crate) fn put(&mut self, name: &Name, info: &MachineInfo, free_cpus: f64, short: bool) {
         if let Some(place) = self.places.get(name) {
             if place.cpus == free_cpus && place.short.is_some() == short {
                 return;
@@ -171,12 +171,12 @@
     }
 
     /// The pool that has the machine.
-    pub(super) fn pool_of(&self, name: &str) -> Option<usize> {
+    pub(crate) fn pool_of(&self, name: &str) -> Option<usize> {
         self.places.get(name).map(|p| p.pool)
     }
 
     /// The pools that the job may use at all.
-    pub(super) fn pools_for(
+    pub(crate) fn pools_for(
         &self,
         spec: &JobSpec,
         types: &Types,
@@ -190,37 +190,37 @@
             .collect()
     }
 
-    pub(super) fn pool(&self, at: usize) -> &Pool {
+    pub(crate) fn pool(&self, at: usize) -> &Pool {
         &self.pools[at]
     }
 
     /// A machine has this much room now, and had less.
-    pub(super) fn grew(&mut self, free: &Room) {
+    pub(crate) fn grew(&mut self, free: &Room) {
         self.full.retain(|(_, need)| !free.holds(need));
     }
 
     /// No machine of the pools has room for this.
-    pub(super) fn set_full(&mut self, pools: &[usize], need: Room) {
+    pub(crate) fn set_full(&mut self, pools: &[usize], need: Room) {
         if self.full.len() < FULL {
             self.full.push((pools.to_vec(), need));
         }
     }
 
     /// Whether it is known that no machine of the pools has room for this.
-    pub(super) fn is_full(&self, pools: &[usize], need: &Room) -> bool {
+    pub(crate) fn is_full(&self, pools: &[usize], need: &Room) -> bool {
         self.full
             .iter()
             .any(|(p, full)| need.holds(full) && p == pools)
     }
 
     /// How many machines of the pools have this many CPUs free.
-    pub(super) fn roomy(&self, pools: &[usize], cpus: f64) -> usize {
+    pub(crate) fn roomy(&self, pools: &[usize], cpus: f64) -> usize {
         let roomy = |p: &Pool| p.by_room.len() - p.first(cpus);
         pools.iter().map(|&p| roomy(&self.pools[p])).sum()
     }
 
     /// The `n`th of those.
-    pub(super) fn roomy_at(&self, pools: &[usize], cpus: f64, mut n: usize) -> Option<&Name> {
+    pub(crate) fn roomy_at(&self, pools: &[usize], cpus: f64, mut n: usize) -> Option<&Name> {
         for &p in pools {
             let pool = &self.pools[p];
             let roomy = &pool.by_room[pool.first(cpus)..];
@@ -233,18 +233,18 @@
     }
 
     /// The pool's machines with as many CPUs free, the fullest first.
-    pub(super) fn with_cpus(&self, pool: usize, cpus: f64) -> &[(f64, Name)] {
+    pub(crate) fn with_cpus(&self, pool: usize, cpus: f64) -> &[(f64, Name)] {
         let pool = &self.pools[pool];
         &pool.by_room[pool.first(cpus)..]
     }
 
     /// How many machines of the pools have a place in their queue.
-    pub(super) fn short(&self, pools: &[usize]) -> usize {
+    pub(crate) fn short(&self, pools: &[usize]) -> usize {
         pools.iter().map(|&p| self.pools[p].short.len()).sum()
     }
 
     /// The `n`th of those.
-    pub(super) fn short_at(&self, pools: &[usize], mut n: usize) -> Option<&Name> {
+    pub(crate) fn short_at(&self, pools: &[usize], mut n: usize) -> Option<&Name> {
         for &p in pools {
             let short = &self.pools[p].short;
             if n < short.len() {
@@ -264,6 +264,6 @@
 }
 
 /// Whether the job may use the machine at all, apart from room.
-pub(super) fn may_use(spec: &JobSpec, m: &Machine, types: &Types) -> bool {
+pub(crate) fn may_use(spec: &JobSpec, m: &Machine, types: &Types) -> bool {
     allowed(spec, &m.info.kind, &m.info.zone, m.info.spot, types)
 }
--- a/src/coordination/hearing.rs
+++ b/src/coordination/scheduler/delivery.rs
@@ -41,7 +41,7 @@
 }
 
 /// A worker without an answer for this long goes on to another controller.
-pub(super) const PATIENCE_S: f64 = 4.0;
+pub(crate) const PATIENCE_S: f64 = 4.0;
 
 /// What is known of a machine's hearing.
 #[derive(Debug, Clone, Copy, Default)]
--- a/src/coordination/order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -1,11 +1,11 @@
 //! Precedence among jobs: urgency first, and work whose aims are all out of
 //! reach after everything that can still meet one.
 
-use super::core::Core;
-use super::fair::Group;
-use super::job::{Job, Name};
-use super::preempt::dearness;
-use super::room::Room;
+use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::fair_share::Group;
+use crate::coordination::scheduler::job::{Job, Name};
+use crate::coordination::scheduler::preemption::dearness;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::job::Shape;
 use crate::protocol::settings::Objective;
 use std::cell::Cell;
@@ -16,7 +16,7 @@
 
 /// A job in the order.
 #[derive(Debug)]
-pub(super) struct Entry {
+pub(crate) struct Entry {
     pub rank: u8,
     /// Order within the rank, lowest first.
     within: f64,
@@ -33,11 +33,11 @@
 #[derive(Debug, Default)]
 pub struct Order {
     /// Unfinished jobs in the order of precedence.
-    pub(super) jobs: Vec<Entry>,
+    pub(crate) jobs: Vec<Entry>,
     /// The same jobs, those first whose stopping is cheapest.
-    pub(super) victims: Vec<(f64, f64, Name)>,
+    pub(crate) victims: Vec<(f64, f64, Name)>,
     /// Jobs came or went since it was made.
-    pub(super) stale: bool,
+    pub(crate) stale: bool,
     made_at: f64,
 }
 
@@ -71,7 +71,7 @@
 impl Core {
     /// Makes the order anew if jobs came or went, or some time has passed: aims
     /// go out of reach and work left shrinks slowly against a report interval.
-    pub(super) fn make_order(&mut self, now: f64) {
+    pub(crate) fn make_order(&mut self, now: f64) {
         // Jobs that come or go by the dozen are taken in together.
         let age_s = now - self.order.made_at;
         let settled = age_s < self.params.report_s / 4.0 && !self.order.stale;
@@ -262,7 +262,7 @@
     }
 
     /// Seconds until the first aim still in reach is lost, `None` without one.
-    pub(super) fn slack_s(&self, job: &Job, now: f64) -> Option<f64> {
+    pub(crate) fn slack_s(&self, job: &Job, now: f64) -> Option<f64> {
         let age_s = now - job.at;
         let predicted_s = self.predict(job);
         self.params
@@ -280,7 +280,7 @@
     }
 
     /// Until each aim by which the job should be finished is due, in seconds.
-    pub(super) fn due_times<'a>(
+    pub(crate) fn due_times<'a>(
         &'a self,
         job: &'a Job,
         now: f64,
@@ -294,7 +294,7 @@
     /// Whether stopping others for the job still serves: an aim is in reach, or
     /// it has none to tell by. (Waiting until an aim was close cost reminders
     /// their deadlines and saved riga nothing: see `docs/measurements.md`.)
-    pub(super) fn pressed(&self, job: &Job, now: f64) -> bool {
+    pub(crate) fn pressed(&self, job: &Job, now: f64) -> bool {
         let aimed = job.spec.deadline_s.is_some()
             || self
                 .params
@@ -305,7 +305,7 @@
     }
 
     /// Rank, lowest first, and the order within it.
-    pub(super) fn precedence(&self, job: &Job, now: f64) -> (u8, f64) {
+    pub(crate) fn precedence(&self, job: &Job, now: f64) -> (u8, f64) {
         let age_s = now - job.at;
         let predicted_s = self.predict(job);
         let mut lefts = self
--- a/src/coordination/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -1,8 +1,8 @@
 //! A machine of the share, and the attempts that may be on it.
 
-use super::hearing::Hearing;
-use super::job::{Name, TaskId};
-use super::room::Room;
+use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::delivery::Hearing;
+use crate::coordination::scheduler::job::{Name, TaskId};
 use crate::protocol::worker::{Cause, Phase};
 use crate::storage::records::{MachineInfo, TOKENS};
 use std::collections::BTreeMap;
--- a/src/coordination/overview.rs
+++ b/src/coordination/scheduler/overview.rs
@@ -1,7 +1,7 @@
 //! Live jobs at a glance as plain text: a rendering of `views`, for whoever
 //! looks after the night with nothing but a browser at hand.
 
-use super::core::Core;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::admin::Standing;
 use std::fmt::Write;
 
--- a/src/coordination/place.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -6,11 +6,11 @@
 //! every machine or every task: samples come from the index of machines by
 //! room, and jobs that cannot be served are passed over by a few numbers.
 
-use super::core::Core;
-use super::job::{Job, Name, Names, TaskId};
-use super::machine::Machine;
-use super::quota::{within_limit, Usage};
-use super::room::{may_use, Room};
+use crate::coordination::scheduler::capacity::{may_use, Room};
+use crate::coordination::scheduler::job::{Job, Name, Names, TaskId};
+use crate::coordination::scheduler::machine::Machine;
+use crate::coordination::scheduler::quota::{within_limit, Usage};
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::job::{JobSpec, Urgency};
 use rand::Rng;
 use std::collections::HashMap;
@@ -21,7 +21,7 @@
 const DRAWS: usize = 4;
 /// What decides whether room can be made for a task, apart from how much it
 /// takes: team, urgency, whether it is within a guarantee, where it may run.
-pub(super) type Kind = (Option<usize>, Urgency, bool, Rc<[usize]>);
+pub(crate) type Kind = (Option<usize>, Urgency, bool, Rc<[usize]>);
 
 /// Jobs that are tried thoroughly again after a report that freed room, first
 /// in the order; for the others, which may be hundreds, room that came free is
@@ -30,7 +30,7 @@
 
 /// What one pass remembers.
 #[derive(Debug, Default)]
-pub(super) struct Pass {
+pub(crate) struct Pass {
     pub usage: Usage,
     /// Kinds of tasks for which no room can be made, and how little they take:
     /// it can't be made for more either.
@@ -67,12 +67,12 @@
         (!self.fence.open).then(|| machines.filter(|m| m.holds_up()).count())
     }
 
-    pub(super) fn usable(&self, m: &Machine, now: f64) -> bool {
+    pub(crate) fn usable(&self, m: &Machine, now: f64) -> bool {
         m.usable(now, self.params.silent_s())
     }
 
     /// Brings a machine's free room and its place in the index up to date.
-    pub(super) fn reindex(&mut self, name: &str) {
+    pub(crate) fn reindex(&mut self, name: &str) {
         let silent_s = self.params.silent_s();
         let depth = self.params.policy.queue_depth;
         let Some((_, key, m)) = self.machines.get_full_mut(name) else {
@@ -162,7 +162,7 @@
     }
 
     /// Starts the task on the machine.
-    pub(super) fn begin(
+    pub(crate) fn begin(
         &mut self,
         machine: &Name,
         task: TaskId,
@@ -266,7 +266,7 @@
     }
 
     /// The pools that a task of the job may use now.
-    pub(super) fn pools_of(&mut self, name: &Name) -> Option<Rc<[usize]>> {
+    pub(crate) fn pools_of(&mut self, name: &Name) -> Option<Rc<[usize]>> {
         let job = self.jobs.get(name)?;
         let spec = &job.spec;
         let by_zone = spec.one_zone || spec.spread;
@@ -295,7 +295,7 @@
     /// image, and takes the best of the sample: one that has the image, then
     /// the one with fewer bound waiting tasks, then the tighter one, which
     /// leaves whole machines to large tasks.
-    pub(super) fn draw_open(
+    pub(crate) fn draw_open(
         &mut self,
         spec: &JobSpec,
         task: &TaskId,
@@ -408,7 +408,7 @@
         picks
     }
 
-    pub(super) fn may_use(&self, spec: &JobSpec, m: &Machine) -> bool {
+    pub(crate) fn may_use(&self, spec: &JobSpec, m: &Machine) -> bool {
         may_use(spec, m, &self.types)
     }
 }
--- a/src/coordination/preempt.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -5,11 +5,11 @@
 //! is being stopped already, then some of those that run the work whose loss
 //! is cheapest.
 
-use super::core::Core;
-use super::job::{Job, Name, TaskId};
-use super::place::{Kind, Pass};
-use super::quota::{within_limit, Usage};
-use super::room::Room;
+use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::job::{Job, Name, TaskId};
+use crate::coordination::scheduler::placement::{Kind, Pass};
+use crate::coordination::scheduler::quota::{within_limit, Usage};
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::job::{JobSpec, Urgency};
 use rand::Rng;
 use std::collections::HashMap;
@@ -26,7 +26,7 @@
 /// What stopping the attempt would lose, in CPU seconds, and the grace to stop
 /// it with. Work that can save does so unless saving takes longer than what it
 /// would keep, or the room is needed at once.
-pub(super) fn loss(spec: &JobSpec, ran_s: f64, at_once: bool) -> (f64, f64) {
+pub(crate) fn loss(spec: &JobSpec, ran_s: f64, at_once: bool) -> (f64, f64) {
     let weight = spec.cpus.max(spec.gpus).max(0.1);
     if spec.checkpoint_s <= 0.0 {
         return (ran_s * weight, 0.0);
@@ -43,7 +43,7 @@
 /// How much dearer stopping work of this job is than stopping idle work: a
 /// guarantee may take from anyone, but should take from the least urgent, and
 /// first from what is late anyway.
-pub(super) fn dearness(victim: &Job) -> f64 {
+pub(crate) fn dearness(victim: &Job) -> f64 {
     let urgency = match victim.spec.urgency {
         Urgency::Idle => 1.0,
         Urgency::Standard => 4.0,
@@ -132,7 +132,7 @@
     }
 
     /// Forgets stops that have had their effect.
-    pub(super) fn prune_stopping(&mut self) {
+    pub(crate) fn prune_stopping(&mut self) {
         let machines = &self.machines;
         self.stopping.retain(|(machine, key)| {
             machines
@@ -144,7 +144,7 @@
 
     /// Stops tasks on a machine so that a task of the job fits, and names that
     /// machine.
-    pub(super) fn make_room(
+    pub(crate) fn make_room(
         &mut self,
         name: &str,
         pools: &Rc<[usize]>,
@@ -236,7 +236,7 @@
         &self,
         machine: &Name,
         job: &Job,
-        zones: &super::zones::Zones,
+        zones: &crate::coordination::scheduler::zone_constraint::Zones,
         lacking: bool,
         pass: &Pass,
         now: f64,
--- a/src/coordination/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -6,12 +6,12 @@
 //! the queues of a large fleet held more tasks than waited, so that room went to
 //! whatever stood before it and the smallest job fared like the largest.
 
-use super::core::Core;
-use super::job::{Name, Names, TaskId};
-use super::machine::Bound;
-use super::place::Pass;
-use super::quota::within_limit;
-use super::room::Room;
+use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::job::{Name, Names, TaskId};
+use crate::coordination::scheduler::machine::Bound;
+use crate::coordination::scheduler::placement::Pass;
+use crate::coordination::scheduler::quota::within_limit;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::job::JobSpec;
 
 impl Core {
@@ -21,7 +21,7 @@
     }
 
     /// Puts a task into a machine's queue.
-    pub(super) fn bind(&mut self, machine: &Name, task: TaskId, reserved: bool, now: f64) {
+    pub(crate) fn bind(&mut self, machine: &Name, task: TaskId, reserved: bool, now: f64) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -43,7 +43,7 @@
     }
 
     /// Takes a task out of whatever queue it is bound to.
-    pub(super) fn unbind(&mut self, task: &TaskId) {
+    pub(crate) fn unbind(&mut self, task: &TaskId) {
         let job = self.jobs.get_mut(&task.job);
         let Some(machine) = job.and_then(|j| j.bound.remove(&task.index)) else {
             return;
@@ -55,7 +55,7 @@
     }
 
     /// Empties a machine's queue; its tasks wait unbound again.
-    pub(super) fn unbind_all(&mut self, machine: &str) {
+    pub(crate) fn unbind_all(&mut self, machine: &str) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
@@ -71,7 +71,7 @@
 
     /// Bound tasks that waited past the age limit are drawn again, those at a
     /// machine that fell silent or leaves at once.
-    pub(super) fn unbind_aged(&mut self, now: f64) {
+    pub(crate) fn unbind_aged(&mut self, now: f64) {
         let age = self.age_s();
         // Ages are in report intervals, so a quarter of one is often enough.
         if now - self.aged_at < self.params.report_s / 4.0 {
@@ -112,7 +112,7 @@
 
     /// Starts tasks of the job that wait in queues where there is free room
     /// elsewhere, as far as it goes.
-    pub(super) fn leave_queues(&mut self, name: &Name, spec: &JobSpec, pass: &mut Pass, now: f64) {
+    pub(crate) fn leave_queues(&mut self, name: &Name, spec: &JobSpec, pass: &mut Pass, now: f64) {
         let Some(job) = self.jobs.get(name) else {
             return;
         };
@@ -148,7 +148,7 @@
 
     /// Starts tasks up to this rank for which room was made, where it came free:
     /// by smallest prediction.
-    pub(super) fn start_bound(&mut self, rank: u8, freed: &Names, pass: &mut Pass, now: f64) {
+    pub(crate) fn start_bound(&mut self, rank: u8, freed: &Names, pass: &mut Pass, now: f64) {
         for name in freed {
             let Some(m) = self.machines.get(name) else {
                 continue;
--- a/src/coordination/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -1,7 +1,7 @@
 //! What teams use, and which jobs fit into their guarantees.
 
-use super::core::Core;
-use super::job::Name;
+use crate::coordination::scheduler::job::Name;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::job::JobSpec;
 use crate::protocol::settings::Team;
 
@@ -52,12 +52,12 @@
 
 impl Core {
     /// Place of the team of this name in the settings.
-    pub(super) fn team_at(&self, name: &str) -> Option<usize> {
+    pub(crate) fn team_at(&self, name: &str) -> Option<usize> {
         self.params.teams.iter().position(|t| t.name == name)
     }
 
     /// The team at this place.
-    pub(super) fn team(&self, at: Option<usize>) -> Option<&Team> {
+    pub(crate) fn team(&self, at: Option<usize>) -> Option<&Team> {
         at.and_then(|t| self.params.teams.get(t))
     }
 
@@ -109,7 +109,7 @@
 
     /// A job is within its team's guarantee if it fits into it together with
     /// the team's earlier unfinished jobs.
-    pub(super) fn judge_guarantees(&mut self) {
+    pub(crate) fn judge_guarantees(&mut self) {
         let none = |t: &Team| t.cpus <= 0.0 && t.gpus <= 0.0;
         if self.params.teams.iter().all(none) {
             return;
--- a/src/coordination/learn.rs
+++ b/src/coordination/scheduler/run_time_predictor.rs
@@ -1,8 +1,8 @@
 //! What finished tasks teach: how long those of a class run, by how much their
 //! estimates are off, and how long jobs wait for their first task.
 
-use super::core::Core;
-use super::job::Job;
+use crate::coordination::scheduler::job::Job;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::job::{JobSpec, Shape};
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
@@ -68,7 +68,7 @@
 
 impl Learned {
     /// Remembers how long a job of the class waited for its first task.
-    pub(super) fn waited(&mut self, class: &str, wait_s: f64) {
+    pub(crate) fn waited(&mut self, class: &str, wait_s: f64) {
         self.wait_ms.add(class, wait_s * 1000.0);
     }
 }
@@ -90,7 +90,7 @@
     }
 
     /// Remembers how long a task ran.
-    pub(super) fn ran(&mut self, spec: &JobSpec, run_s: f64) {
+    pub(crate) fn ran(&mut self, spec: &JobSpec, run_s: f64) {
         self.learned.run_ms.add(&spec.class, run_s * 1000.0);
         if spec.estimate_s > 0.0 {
             let ratio = run_s / spec.estimate_s;
--- a/src/coordination/snapshot.rs
+++ b/src/coordination/scheduler/snapshot.rs
@@ -1,9 +1,9 @@
 //! The state of a share at one moment, as plans are made from it, and a core
 //! made from such a snapshot: the same code decides there as here.
 
-use super::core::{Core, Params};
-use super::fence::Fence;
-use super::machine::Standing;
+use crate::coordination::scheduler::fence::Fence;
+use crate::coordination::scheduler::machine::Standing;
+use crate::coordination::scheduler::state::{Core, Params};
 use crate::protocol::admin::Drain;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobSpec;
--- a/src/coordination/core.rs
+++ b/src/coordination/scheduler/state.rs
@@ -1,15 +1,15 @@
 //! The owner's view of its share: jobs, machines and what is wanted of them.
 
-use super::drains::Wish;
-use super::fair::Fair;
-use super::fence::Fence;
-use super::job::{ByName, Job, Name, Names, TaskCounts, TaskId};
-use super::learn::Learned;
-use super::machine::{Active, Machine, Standing};
-use super::order::Order;
-use super::quota::Usage;
-use super::recent::RecentMap;
-use super::room::{Index, Room};
+use crate::coordination::fleet::drains::Wish;
+use crate::coordination::recent::RecentMap;
+use crate::coordination::scheduler::capacity::{Index, Room};
+use crate::coordination::scheduler::fair_share::Fair;
+use crate::coordination::scheduler::fence::Fence;
+use crate::coordination::scheduler::job::{ByName, Job, Name, Names, TaskCounts, TaskId};
+use crate::coordination::scheduler::job_order::Order;
+use crate::coordination::scheduler::machine::{Active, Machine, Standing};
+use crate::coordination::scheduler::quota::Usage;
+use crate::coordination::scheduler::run_time_predictor::Learned;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::policy::Policy;
 use crate::protocol::settings::{Objective, Settings, Team};
@@ -99,50 +99,50 @@
     pub followed: u64,
     /// Jobs known to be over, the latest ones: an older answer, of a submission of
     /// our own say, must not bring one back.
-    pub(super) ended: RecentMap<Name, ()>,
+    pub(crate) ended: RecentMap<Name, ()>,
     /// Latest time passed in.
-    pub(super) now: f64,
+    pub(crate) now: f64,
     /// Since when we listen without a gap: what we did not hear while we stood
     /// still is no silence of the others.
     listening_since: f64,
     /// Usable machines by room.
-    pub(super) index: Index,
+    pub(crate) index: Index,
     /// Machines with tasks in their queue, and some that had.
-    pub(super) queued: Names,
+    pub(crate) queued: Names,
     /// Machines that have an image, and some that had.
-    pub(super) holders: HashMap<String, Vec<Name>, RandomState>,
+    pub(crate) holders: HashMap<String, Vec<Name>, RandomState>,
     /// Room of machines that have more of it than at the last pass.
-    pub(super) grown: Vec<Room>,
+    pub(crate) grown: Vec<Room>,
     /// What teams use, kept up with every task that goes on or off a machine
     /// and counted anew at each full pass.
-    pub(super) used: Usage,
+    pub(crate) used: Usage,
     /// Machines that may hold up placing after a takeover, and some that do not
     /// any more; those that do are all here while the fence is closed.
-    pub(super) awaited: Names,
+    pub(crate) awaited: Names,
     /// How many of them there were at the last look.
-    pub(super) awaited_before: usize,
+    pub(crate) awaited_before: usize,
     /// Machines that may not hear us, and some that did not.
-    pub(super) doubtful: Names,
+    pub(crate) doubtful: Names,
     /// Machines that the cloud confirmed as gone, the latest ones: their reports
     /// come late.
-    pub(super) returned: RecentMap<Name, ()>,
+    pub(crate) returned: RecentMap<Name, ()>,
     /// Machines with a start in limbo, and some that had.
-    pub(super) limbo: Names,
+    pub(crate) limbo: Names,
     /// Machines where a bound task may start now.
-    pub(super) freed: Names,
+    pub(crate) freed: Names,
     /// Attempts being stopped, and some that were.
-    pub(super) stopping: IndexSet<(Name, (TaskId, u64)), RandomState>,
-    pub(super) order: Order,
+    pub(crate) stopping: IndexSet<(Name, (TaskId, u64)), RandomState>,
+    pub(crate) order: Order,
     /// Who is served less than half, and owed room for it.
     pub fair: Fair,
     /// When queues were last searched for aged tasks.
-    pub(super) aged_at: f64,
-    pub(super) attempts: u64,
+    pub(crate) aged_at: f64,
+    pub(crate) attempts: u64,
     /// What finished tasks taught.
     pub learned: Learned,
     /// Machines that operators set aside (see `drains`).
-    pub(super) wishes: ByName<Wish>,
-    pub(super) rng: SmallRng,
+    pub(crate) wishes: ByName<Wish>,
+    pub(crate) rng: SmallRng,
 }
 
 impl Core {
@@ -187,13 +187,13 @@
 
     /// Time passes. The clock's beat comes at least every half second, so a gap
     /// of a report interval (and a second, for the shortest) is our own.
-    pub(super) fn passes(&mut self, now: f64) {
+    pub(crate) fn passes(&mut self, now: f64) {
         self.listening_since = self.listening_since(now);
         self.now = now;
     }
 
     /// Since when we listen without a gap, if it is `now`.
-    pub(super) fn listening_since(&self, now: f64) -> f64 {
+    pub(crate) fn listening_since(&self, now: f64) -> f64 {
         if now - self.now > self.params.report_s + 1.0 {
             now
         } else {
@@ -203,12 +203,12 @@
 
     /// For how long a machine last heard of at `heard` has been silent, as far
     /// as we listened.
-    pub(super) fn silence(&self, heard: f64, now: f64) -> f64 {
+    pub(crate) fn silence(&self, heard: f64, now: f64) -> f64 {
         now - heard.max(self.listening_since(now))
     }
 
     /// Attempts only grow, also across takeovers: the term is their upper part.
-    pub(super) fn next_attempt(&mut self) -> u64 {
+    pub(crate) fn next_attempt(&mut self) -> u64 {
         self.attempts += 1;
         (self.fence.base_term << 24) + self.attempts
     }
@@ -223,7 +223,7 @@
 
     /// A machine of the record we took over.
     pub fn inherit(&mut self, info: MachineInfo, now: f64) {
-        let name = super::machine::name(&info);
+        let name = crate::coordination::scheduler::machine::name(&info);
         let held = self.wishes.contains_key(&name);
         // One that was proven empty and set aside since holds up nobody: as long
         // as that record stands no owner starts anything on it, and who learns
@@ -335,7 +335,7 @@
     }
 
     /// Wants an attempt stopped.
-    pub(super) fn stop(&mut self, machine: &str, key: &(TaskId, u64), grace_s: f64) {
+    pub(crate) fn stop(&mut self, machine: &str, key: &(TaskId, u64), grace_s: f64) {
         let Some((name, m)) = self
             .machines
             .get_key_value(machine)
@@ -357,7 +357,7 @@
     }
 
     /// Starts a task on a machine: from now on it counts as on.
-    pub(super) fn start(&mut self, machine: &Name, task: TaskId, now: f64) {
+    pub(crate) fn start(&mut self, machine: &Name, task: TaskId, now: f64) {
         let attempt = self.next_attempt();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -379,7 +379,7 @@
     }
 
     /// An attempt is not on its machine any more (or never was).
-    pub(super) fn off(&mut self, key: &(TaskId, u64)) {
+    pub(crate) fn off(&mut self, key: &(TaskId, u64)) {
         let (task, attempt) = key;
         if let Some(job) = self.jobs.get_mut(&task.job) {
             if job.lacking() == 0 {
@@ -393,7 +393,7 @@
     }
 
     /// Forgets all that a machine had: it was proven empty or is gone.
-    pub(super) fn clear_machine(&mut self, name: &str) {
+    pub(crate) fn clear_machine(&mut self, name: &str) {
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
@@ -454,7 +454,7 @@
     }
 
     /// Grace with which a task of the job can save, 0 if it never does.
-    pub(super) fn save_grace(&self, job: &str) -> f64 {
+    pub(crate) fn save_grace(&self, job: &str) -> f64 {
         self.jobs.get(job).map_or(0.0, |j| {
             if j.spec.checkpoint_s > 0.0 {
                 j.spec.save_s + self.params.report_s
@@ -490,7 +490,7 @@
     }
 
     /// An attempt does not run any more.
-    pub(super) fn not_running(&mut self, key: &(TaskId, u64), active: &mut Active) {
+    pub(crate) fn not_running(&mut self, key: &(TaskId, u64), active: &mut Active) {
         if std::mem::take(&mut active.counted) {
             if let Some(job) = self.jobs.get_mut(&key.0.job) {
                 job.running = job.running.saturating_sub(1);
--- a/src/coordination/views.rs
+++ b/src/coordination/scheduler/views.rs
@@ -1,11 +1,11 @@
 //! What operators see of a share: jobs, teams, machines, waits. Counted anew for
 //! each look, from the owner's view as it is.
 
-use super::core::Core;
-use super::job::Job;
-use super::learn::ByClass;
-use super::machine::{Machine, Standing as Up};
-use super::quota::{within_limit, Usage};
+use crate::coordination::scheduler::job::Job;
+use crate::coordination::scheduler::machine::{Machine, Standing as Up};
+use crate::coordination::scheduler::quota::{within_limit, Usage};
+use crate::coordination::scheduler::run_time_predictor::ByClass;
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::admin::{
     JobRow, Jobs, MachineRow, MachineState, Spread, Standing, TeamRow, Waits,
 };
@@ -151,7 +151,9 @@
     fn machine_state(&self, m: &Machine, now: f64) -> (MachineState, String) {
         let silent_s = self.silence(m.heard, now);
         let wish = self.wishes.get(&*m.info.id);
-        let aside = |w: &super::drains::Wish| format!("by {}: {}", w.drain.by, w.drain.why);
+        let aside = |w: &crate::coordination::fleet::drains::Wish| {
+            format!("by {}: {}", w.drain.by, w.drain.why)
+        };
         match (m.standing, wish) {
             (_, Some(w)) if w.drain.drained.is_some() => (MachineState::Drained, aside(w)),
             (_, Some(w)) => (MachineState::Draining, aside(w)),
--- a/src/coordination/zones.rs
+++ b/src/coordination/scheduler/zone_constraint.rs
@@ -1,13 +1,13 @@
 //! In which zones another task of a job may start, given where its others are or may be.
 
-use super::core::Core;
-use super::job::{Job, Name};
-use super::room::Room;
+use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::job::{Job, Name};
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::job::JobSpec;
 
 /// Where tasks of a job may go, given its other tasks.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Zones {
+pub(crate) struct Zones {
     /// Only this zone.
     only: Option<String>,
     /// Tasks in each zone.
@@ -39,7 +39,7 @@
 }
 
 impl Core {
-    pub(super) fn zones(&self, job: &Job) -> Zones {
+    pub(crate) fn zones(&self, job: &Job) -> Zones {
         let spec = &job.spec;
         if !spec.one_zone && !spec.spread {
             return Zones::default();
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -1,15 +1,15 @@
 //! Submissions, polls and cancellations.
 //!
-//! Any controller answers for any job. An answer rests on [`job_lookup::find`], which is
+//! Any controller answers for any job. An answer rests on [`lookup::find`], which is
 //! the last thing that a handler waits for, or on a write of its own.
 
 use super::reply::{json_response, no_such_job, read_body, refuse, try_elsewhere};
 use super::SharedNode;
-use crate::coordination::dispatch;
-use crate::coordination::job::TaskCounts;
-use crate::coordination::job_lookup::{self, Found, READ_AGE};
-use crate::coordination::ledger;
+use crate::coordination::agents::dispatcher;
+use crate::coordination::jobs::completion_writer;
+use crate::coordination::jobs::lookup::{self, Found, READ_AGE};
 use crate::coordination::node::Node;
+use crate::coordination::scheduler::job::TaskCounts;
 use crate::protocol::job::{
     parse_submission, peek_id, valid_id, Accepted, JobSpec, JobState, Progress,
 };
@@ -104,7 +104,7 @@
         core.job_added(record, version, Marks::default());
         core.place_news(node.now());
     }
-    dispatch::drain(node);
+    dispatcher::drain(node);
 }
 
 fn accepted(status: StatusCode, id: &str, state: JobState) -> HttpResponse {
@@ -115,13 +115,13 @@
 /// The present state of a job that is known, whatever its repeated submission holds; else
 /// the refusal.
 async fn known_or(node: &Rc<Node>, id: &str, refusal: HttpResponse) -> HttpResponse {
-    let mut found = job_lookup::find(node, id).await;
+    let mut found = lookup::find(node, id).await;
     let mut counts = None;
     if matches!(found, Ok(Found::Live(..))) {
         // Most of what comes here is unknown or over; only this needs the leader's counts,
         // and the job once more, since waiting for them has aged the answer.
         counts = task_counts(node, id).await;
-        found = job_lookup::find(node, id).await;
+        found = lookup::find(node, id).await;
     }
     match found {
         Ok(Found::Live(..)) => accepted(StatusCode::OK, id, live_state(counts)),
@@ -162,7 +162,7 @@
         return no_such_job();
     }
     let counts = task_counts(&node, &id).await;
-    match job_lookup::find(&node, &id).await {
+    match lookup::find(&node, &id).await {
         Ok(Found::Live(record, _)) => {
             // Where the leader does not answer, what is in the record. Marks kept apart are
             // hundreds of KiB for the largest jobs; the counts are worth no such read.
@@ -205,7 +205,7 @@
     let known = node.terminal.borrow().get(&id).is_some();
     // Done marks written meanwhile change the record's version: look again.
     for _ in 0..CANCEL_ATTEMPTS {
-        let (record, version) = match job_lookup::find(&node, &id).await {
+        let (record, version) = match lookup::find(&node, &id).await {
             Ok(Found::Live(record, version)) => (Some(record), version),
             Ok(Found::Unreadable(version)) => (None, version),
             Ok(Found::Final(last)) => {
@@ -250,14 +250,14 @@
 async fn cancelled(node: &Rc<Node>, id: &str, last: Final) {
     tracing::info!(job = %id, "cancelled");
     node.learnt_final(id, last);
-    dispatch::drain(node);
-    ledger::sweep_marks(node.clone(), id.into(), last.tasks);
+    dispatcher::drain(node);
+    completion_writer::sweep_marks(node.clone(), id.into(), last.tasks);
     tell_leader(node, id).await;
 }
 
 /// Tells the leader of a cancellation before the user is told, so that it starts no task
 /// of the job afterwards. (It learns it from its watch as well, but later.) The message
-/// may be lost: what bounds the time then is `member::cover`.
+/// may be lost: what bounds the time then is `leadership::cover`.
 async fn tell_leader(node: &Rc<Node>, id: &str) {
     if node.core.borrow().is_some() {
         return;
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -2,9 +2,10 @@
 
 use super::SharedNode;
 use crate::admin;
-use crate::coordination::core::Core;
+use crate::coordination::agents::dispatcher;
+use crate::coordination::leadership;
 use crate::coordination::node::Node;
-use crate::coordination::{dispatch, member};
+use crate::coordination::scheduler::state::Core;
 use crate::protocol::mesh::{self, Answer, Ask, Topic};
 use actix_web::web::Bytes;
 use actix_web::HttpResponse;
@@ -27,7 +28,7 @@
         Ask::Admin(topic) => of_core(node, |core| admin_page(node, core, topic)),
         Ask::Vouch(term) => agreed_if(node.tenure.borrow().vouches_for(term)),
         Ask::Promise(term) => {
-            member::promise(node, term);
+            leadership::promise(node, term);
             Answer::Agreed
         }
         Ask::Contact => {
@@ -54,7 +55,7 @@
     if let Some(core) = node.core.borrow_mut().as_mut() {
         core.job_over(id);
     }
-    dispatch::drain(node);
+    dispatcher::drain(node);
 }
 
 /// What the leader's core says, if this controller leads.
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -2,10 +2,11 @@
 
 use super::reply::{json_response, read_body, refuse, unavailable};
 use super::SharedNode;
+use crate::coordination::agents::dispatcher;
+use crate::coordination::agents::heartbeat::Answer;
+use crate::coordination::agents::leader_reachability;
+use crate::coordination::leadership;
 use crate::coordination::node::Node;
-use crate::coordination::reach;
-use crate::coordination::sessions::Answer;
-use crate::coordination::{dispatch, member};
 use crate::protocol::worker::{Redirect, Reply, ReportHead};
 use actix_web::http::StatusCode;
 use actix_web::web;
@@ -51,12 +52,12 @@
     };
     match verdict {
         Answer::Orders(reply) => {
-            dispatch::drain(&node);
+            dispatcher::drain(&node);
             json_response(StatusCode::OK, &reply)
         }
         Answer::Refuse => unavailable(),
         Answer::Superseded => {
-            member::superseded(&node);
+            leadership::superseded(&node);
             unavailable()
         }
     }
@@ -73,7 +74,7 @@
         return;
     }
     let lately = node.turned_away.borrow_mut().add(node.now());
-    if reach::owner_unreached(lately) {
+    if leader_reachability::owner_unreached(lately) {
         node.moved().await;
     }
 }
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -164,7 +164,7 @@
             return bad("cluster.workers.lease_s", "is not above report_s");
         }
         // An owner may answer workers on what it knows of cancellations for as long as
-        // `cancel_s` leaves beside a lease (`member::cover`): less than a report and
+        // `cancel_s` leaves beside a lease (`leadership::cover`): less than a report and
         // nobody would be answered.
         let least = 1.05 * (c.workers.lease_s + c.workers.report_s);
         if c.workers.cancel_s < least {
--- a/tests/answer_cases.rs
+++ b/tests/answer_cases.rs
@@ -5,7 +5,7 @@
 
 use actix_web::http::Method;
 use common::*;
-use foxspur::coordination::job_lookup::READ_AGE;
+use foxspur::coordination::jobs::lookup::READ_AGE;
 use foxspur::protocol::job::{JobState, Urgency};
 use foxspur::protocol::state::Txn;
 use foxspur::storage::marks::Marks;
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -5,10 +5,10 @@
 mod common;
 
 use common::*;
-use foxspur::coordination::calls::CallResult;
-use foxspur::coordination::member::cover::{blind_s, Cover, Told};
+use foxspur::coordination::agents::direct_calls::CallResult;
+use foxspur::coordination::agents::heartbeat::Answer;
+use foxspur::coordination::leadership::cancellation_horizon::{blind_s, Cover, Told};
 use foxspur::coordination::node::Node;
-use foxspur::coordination::sessions::Answer;
 use foxspur::protocol::job::{JobState, Urgency};
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Settings;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 pub mod digest;
 
-use foxspur::coordination::core::{Core, Params};
-use foxspur::coordination::fence::Fence;
+use foxspur::coordination::scheduler::fence::Fence;
+use foxspur::coordination::scheduler::state::{Core, Params};
 use foxspur::protocol::cloud::MachineType;
 use foxspur::protocol::job::{JobSpec, Shape, Urgency};
 use foxspur::protocol::policy::Policy;
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::*;
-use foxspur::coordination::core::Core;
-use foxspur::coordination::fair::{Fair, Group};
-use foxspur::coordination::sessions::Answer;
+use foxspur::coordination::agents::heartbeat::Answer;
+use foxspur::coordination::scheduler::fair_share::{Fair, Group};
+use foxspur::coordination::scheduler::state::Core;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Objective;
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -7,7 +7,7 @@
 use actix::Actor;
 use actix_web::http::Method;
 use common::*;
-use foxspur::coordination::member::Member;
+use foxspur::coordination::leadership::Member;
 use foxspur::coordination::node::draw_boot;
 use foxspur::storage::records::{self, Share};
 use rand::Rng;
--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::*;
-use foxspur::coordination::calls::CallResult;
-use foxspur::coordination::core::Core;
-use foxspur::coordination::fence::Fence;
-use foxspur::coordination::health::{Health, Peers};
-use foxspur::coordination::machine::Standing;
-use foxspur::coordination::sessions::Answer;
+use foxspur::coordination::agents::direct_calls::CallResult;
+use foxspur::coordination::agents::heartbeat::Answer;
+use foxspur::coordination::readiness::{Health, Peers};
+use foxspur::coordination::scheduler::fence::Fence;
+use foxspur::coordination::scheduler::machine::Standing;
+use foxspur::coordination::scheduler::state::Core;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::worker::{Cause, Command, Phase};
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -5,12 +5,12 @@
 
 use common::*;
 use foxspur::admin::{of_core, orders, MAX_BODY};
-use foxspur::coordination::core::Core;
-use foxspur::coordination::job_lookup::TerminalStates;
-use foxspur::coordination::member::cover::Told;
+use foxspur::coordination::agents::heartbeat::Answer;
+use foxspur::coordination::jobs::lookup::TerminalStates;
+use foxspur::coordination::jobs::version_check::RecordCache;
+use foxspur::coordination::leadership::cancellation_horizon::Told;
 use foxspur::coordination::recent::RecentMap;
-use foxspur::coordination::sessions::Answer;
-use foxspur::coordination::version_check::RecordCache;
+use foxspur::coordination::scheduler::state::Core;
 use foxspur::protocol::admin::{DrainOrder, Rest};
 use foxspur::protocol::job::{JobState, Urgency};
 use foxspur::protocol::mesh::{self, Topic};
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
-use foxspur::coordination::core::Core;
-use foxspur::coordination::machine::Standing;
+use foxspur::coordination::scheduler::machine::Standing;
+use foxspur::coordination::scheduler::state::Core;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::worker::{Cause, Phase};
--- a/tests/pause/main.rs
+++ b/tests/pause/main.rs
@@ -21,9 +21,9 @@
 
 use common::digest::HistoryDigest;
 use common::{own_seeds, seeds};
-use foxspur::coordination::member::cover::Told;
-use foxspur::coordination::member::taking::{Claim, Rewrite};
-use foxspur::coordination::member::tenure::{LeaseStep, Tenure, Terms};
+use foxspur::coordination::leadership::cancellation_horizon::Told;
+use foxspur::coordination::leadership::leadership::{LeaseStep, Tenure, Terms};
+use foxspur::coordination::leadership::takeover::{Claim, Rewrite};
 use foxspur::protocol::state::Entry;
 use foxspur::storage::records::{self, Share};
 use foxspur_testbed::store::{Logged, Refusal, Store};
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::*;
-use foxspur::coordination::core::Core;
-use foxspur::coordination::sessions::Answer;
+use foxspur::coordination::agents::heartbeat::Answer;
+use foxspur::coordination::scheduler::state::Core;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::worker::{Cause, Command, Phase, ReportHead};
 use foxspur::storage::chunks::{fitting, plan, txn, Written};
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -12,12 +12,12 @@
 
 use common::digest::HistoryDigest;
 use common::*;
-use foxspur::coordination::calls::CallResult;
-use foxspur::coordination::core::Core;
-use foxspur::coordination::fence::Fence;
-use foxspur::coordination::job::Name;
-use foxspur::coordination::machine::{Active, Standing};
-use foxspur::coordination::sessions::Answer;
+use foxspur::coordination::agents::direct_calls::CallResult;
+use foxspur::coordination::agents::heartbeat::Answer;
+use foxspur::coordination::scheduler::fence::Fence;
+use foxspur::coordination::scheduler::job::Name;
+use foxspur::coordination::scheduler::machine::{Active, Standing};
+use foxspur::coordination::scheduler::state::Core;
 use foxspur::protocol::admin::{Drain, Rest};
 use foxspur::protocol::job::{JobSpec, Urgency};
 use foxspur::protocol::worker::{Cause, Command, Direct, Phase, Reply, Report, Shown};
--- a/tests/tenure.rs
+++ b/tests/tenure.rs
@@ -1,8 +1,8 @@
 //! What an owner may conclude from answers that come late, one case each; the
 //! simulation in tests/pause.rs looks for the cases that are not here.
 
-use foxspur::coordination::member::taking::Claim;
-use foxspur::coordination::member::tenure::{LeaseStep, Tenure, Terms};
+use foxspur::coordination::leadership::leadership::{LeaseStep, Tenure, Terms};
+use foxspur::coordination::leadership::takeover::Claim;
 use foxspur::protocol::state::{Entry, Txn};
 use foxspur::storage::records::{self, Alive, Share};
 use foxspur_testbed::store::Store;
--- a/tests/vouch.rs
+++ b/tests/vouch.rs
@@ -2,7 +2,7 @@
 //! takes its machines for empty: by cases, and by many random courses of who
 //! reaches whom.
 
-use foxspur::coordination::member::vouch::{may_answer, quiet_from, Round, Spans};
+use foxspur::coordination::leadership::lease_extension::{may_answer, quiet_from, Round, Spans};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
