--- a/crates/plan/src/sim.rs
+++ b/crates/plan/src/sim.rs
@@ -5,12 +5,12 @@
 use crate::draw::Draws;
 use crate::machine::{Book, JobFacts, Machine};
 use foxspur::coordination::agents::direct_calls::CallResult;
-use foxspur::coordination::agents::heartbeat::Answer;
+use foxspur::coordination::agents::heartbeat::HeartbeatReply;
 use foxspur::coordination::scheduler::snapshot::Snapshot;
-use foxspur::coordination::scheduler::state::Core;
+use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::admin::Drain;
 use foxspur::protocol::job::JobSpec;
-use foxspur::storage::marks::Marks;
+use foxspur::storage::marks::CompletedTasks;
 use foxspur::storage::records::LiveJob;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -60,7 +60,7 @@
 }
 
 struct Run<'a> {
-    core: Core,
+    core: Scheduler,
     book: Book,
     machines: Vec<Machine>,
     by_name: HashMap<String, usize>,
@@ -83,7 +83,7 @@
                 return;
             }
             let report = m.report();
-            let Answer::Orders(reply) = self.core.hello(&report, now) else {
+            let HeartbeatReply::Orders(reply) = self.core.hello(&report, now) else {
                 return;
             };
             let m = &mut self.machines[at];
@@ -165,7 +165,8 @@
                 at_ms: (at * 1000.0) as u64,
                 done: String::new(),
             };
-            self.core.job_added(record, self.version, Marks::default());
+            self.core
+                .job_added(record, self.version, CompletedTasks::default());
             let known = self.core.jobs.get(spec.id.as_str());
             let facts = JobFacts {
                 predicted_s: known.map_or(0.0, |known| self.core.predict(known)),
@@ -254,7 +255,7 @@
 
 /// Plays the snapshot forward.
 pub fn run(snapshot: &Snapshot, script: &Script, seed: u64) -> Outcome {
-    let mut core = Core::of_snapshot(snapshot, seed);
+    let mut core = Scheduler::of_snapshot(snapshot, seed);
     let facts = snapshot.jobs.iter().map(|j| {
         let known = core.jobs.get(j.spec.id.as_str());
         let facts = JobFacts {
@@ -328,7 +329,10 @@
 
 /// The core counts what it adopts from its first report on; here it is known for
 /// how long each task has run.
-fn adopt_ages(core: &mut Core, machine: &foxspur::coordination::scheduler::snapshot::SnapMachine) {
+fn adopt_ages(
+    core: &mut Scheduler,
+    machine: &foxspur::coordination::scheduler::snapshot::SnapMachine,
+) {
     let Some(m) = core.machines.get_mut(machine.info.id.as_str()) else {
         return;
     };
--- a/examples/owner.rs
+++ b/examples/owner.rs
@@ -11,12 +11,12 @@
 use common::{core, live, spec, team};
 use foxspur::admin::of_core;
 use foxspur::coordination::agents::direct_calls::CallResult;
-use foxspur::coordination::agents::heartbeat::Answer;
-use foxspur::coordination::scheduler::state::Core;
+use foxspur::coordination::agents::heartbeat::HeartbeatReply;
+use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::mesh::Topic;
 use foxspur::protocol::worker::{Command, Report, ReportHead};
-use foxspur::storage::marks::Marks;
+use foxspur::storage::marks::CompletedTasks;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
 }
 
 /// One report, as the front server hands it to the core; true if it repeats.
-fn hello(core: &mut Core, worker: &mut Worker, now: f64, rng: &mut StdRng) -> bool {
+fn hello(core: &mut Scheduler, worker: &mut Worker, now: f64, rng: &mut StdRng) -> bool {
     let text = worker.report(now);
     let Ok(head) = serde_json::from_str::<ReportHead>(&text) else {
         return false;
@@ -104,7 +104,7 @@
     let Some(report) = head.read() else {
         return false;
     };
-    if let Answer::Orders(reply) = core.hello(&report, now) {
+    if let HeartbeatReply::Orders(reply) = core.hello(&report, now) {
         core.remember(&report.machine, (report.session, report.seq), tasks.get());
         worker.token = reply.token;
         worker.execute(&reply.commands, now, rng);
@@ -144,14 +144,14 @@
             takeover = None;
             owner = fresh(2);
             for record in records.values() {
-                owner.job_added(live(spec_of(record), now), 1, Marks::default());
+                owner.job_added(live(spec_of(record), now), 1, CompletedTasks::default());
             }
         }
         while f64::from(jobs) < args.jobs * now {
             jobs += 1;
             let id = format!("run-{jobs:06}");
             let record = (id.clone(), rng.random_range(1.0..4.0));
-            owner.job_added(live(spec_of(&record), now), 1, Marks::default());
+            owner.job_added(live(spec_of(&record), now), 1, CompletedTasks::default());
             records.insert(id, record);
             owner.place_news(now);
         }
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -3,7 +3,7 @@
 
 use super::services;
 use crate::coordination::node::Node;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::state::Scheduler;
 use prometheus::{GaugeVec, Opts, Registry, TextEncoder};
 
 /// A set of gauges with these labels, registered.
@@ -18,7 +18,7 @@
     Ok(gauges)
 }
 
-fn of_share(registry: &Registry, core: &Core, now: f64) -> prometheus::Result<()> {
+fn of_share(registry: &Registry, core: &Scheduler, now: f64) -> prometheus::Result<()> {
     let jobs = core.job_rows(now, 0);
     let live = gauges(
         registry,
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -7,10 +7,10 @@
 pub mod rolls;
 
 use crate::coordination::node::Node;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::coordination::scheduler::views::spread;
 use crate::protocol::admin::{Answer, Problem, ServiceRow, ShareRow, Waits};
-use crate::protocol::mesh::{self, Ask, Topic};
+use crate::protocol::mesh::{self, PeerRequest, Topic};
 use crate::transport::clients::Met;
 use crate::transport::listen;
 use actix_web::web::{Data, PayloadConfig};
@@ -52,7 +52,7 @@
 }
 
 /// What operators see of the share that this core holds, as JSON.
-pub fn of_core(core: &Core, topic: Topic, now: f64) -> Option<String> {
+pub fn of_core(core: &Scheduler, topic: Topic, now: f64) -> Option<String> {
     match topic {
         Topic::Jobs(most) => json(&core.job_rows(now, most.min(JOBS.1) as usize)),
         Topic::Teams => json(&core.team_rows()),
@@ -72,9 +72,9 @@
     }
     let owner = node.other_owner().and_then(|o| node.peer(&o));
     if let Some(addr) = owner {
-        let ask = Ask::Admin(topic);
+        let ask = PeerRequest::Admin(topic);
         let asked = node.mesh.ask_within(addr, &ask, PATIENCE_S).await;
-        if let Some(mesh::Answer::Admin(term, text)) = asked {
+        if let Some(mesh::PeerResponse::Admin(term, text)) = asked {
             // A plan must not be made from a state that is over.
             if topic != Topic::Snapshot {
                 let told = (node.now(), term, text.clone());
--- a/src/admin/orders.rs
+++ b/src/admin/orders.rs
@@ -7,7 +7,7 @@
 use crate::coordination::node::Node;
 use crate::protocol::admin::{Drain, DrainOrder, UndrainOrder};
 use crate::protocol::state::Txn;
-use crate::storage::chunks::Written;
+use crate::storage::chunks::MachineRecord;
 use crate::storage::records;
 use crate::transport::clients::{Failure, Lane};
 use actix_web::web::Bytes;
@@ -124,7 +124,7 @@
     let entry = node.state.get(records::SHARE, Lane::Data).await;
     let entry = entry.map_err(|_| NOT_NOW)?;
     let entry = entry.ok_or(Refused::Later("nobody has owned the share yet"))?;
-    let share: records::Share = entry.read().map_err(|_| NOT_NOW)?;
+    let share: records::ShardRecord = entry.read().map_err(|_| NOT_NOW)?;
     Ok((entry.version, share.term))
 }
 
@@ -139,7 +139,7 @@
             return Err(Refused::Against(why));
         }
         let machines = node.state.list(records::MACHINES, Lane::Data).await;
-        let machines = Written::read(&machines.map_err(|_| NOT_NOW)?.0);
+        let machines = MachineRecord::read(&machines.map_err(|_| NOT_NOW)?.0);
         let known: HashSet<&str> = machines.machines().map(|m| m.id.as_str()).collect();
         if let Some(host) = wanted.iter().find(|h| !known.contains(h.as_str())) {
             return Err(Refused::Unknown(format!("no machine {host} is in use")));
--- a/src/admin/rolls.rs
+++ b/src/admin/rolls.rs
@@ -7,7 +7,7 @@
 use crate::coordination::node::Node;
 use crate::protocol::roll::{Among, AtMost, Roll, RollOrder, RollState, Turn, TurnOrder};
 use crate::protocol::state::Txn;
-use crate::storage::chunks::Written;
+use crate::storage::chunks::MachineRecord;
 use crate::storage::records::{self, MachineInfo};
 use crate::transport::clients::{Failure, Lane};
 use actix_web::web::Bytes;
@@ -100,7 +100,7 @@
             return Err(Refused::Against(format!("{MOST} rolls stand already")));
         }
         let machines = node.state.list(records::MACHINES, Lane::Data).await;
-        let machines = Written::read(&machines.map_err(|_| NOT_NOW)?.0);
+        let machines = MachineRecord::read(&machines.map_err(|_| NOT_NOW)?.0);
         let machines: Vec<&MachineInfo> = machines.machines().collect();
         let roll = Roll {
             name: order.name.clone(),
--- a/src/app.rs
+++ b/src/app.rs
@@ -2,9 +2,9 @@
 //! other controllers call.
 
 use crate::coordination::agents::dispatcher::Dispatcher;
-use crate::coordination::fleet::manager::Fleet;
-use crate::coordination::jobs::completion_writer::Ledger;
-use crate::coordination::leadership::Member;
+use crate::coordination::fleet::manager::FleetManager;
+use crate::coordination::jobs::completion_writer::CompletionWriter;
+use crate::coordination::leadership::LeadershipActor;
 use crate::coordination::node::Node;
 use crate::handlers::{self, MAX_BODY};
 use crate::protocol::policy::Policy;
@@ -54,9 +54,9 @@
 }
 
 fn start_actors(node: &Rc<Node>) {
-    Member { node: node.clone() }.start();
-    Ledger { node: node.clone() }.start();
-    Fleet { node: node.clone() }.start();
+    LeadershipActor { node: node.clone() }.start();
+    CompletionWriter { node: node.clone() }.start();
+    FleetManager { node: node.clone() }.start();
     Dispatcher {
         node: node.clone(),
         beats: 0,
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -2,15 +2,15 @@
 //! calls that ask for a report.
 
 use crate::coordination::scheduler::job::{Name, TaskId};
-use crate::coordination::scheduler::machine::{Active, Machine, Standing};
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Cause, Command, Direct, Phase};
 use crate::storage::records::TOKENS;
 
-impl Core {
+impl Scheduler {
     /// Whether an exited attempt can be forgotten by its worker: what it says
     /// is in the books, and no copy of its start may still come.
-    fn forgettable(&self, key: &(TaskId, u64), active: &Active) -> bool {
+    fn forgettable(&self, key: &(TaskId, u64), active: &Attempt) -> bool {
         if active.in_flight() {
             return false;
         }
@@ -100,7 +100,7 @@
         let term = self.term;
         let m = self.machines.get_mut(name)?;
         let token = m.token_under(term);
-        if m.calling || m.standing == Standing::Expired {
+        if m.calling || m.standing == MachineStatus::Expired {
             return None;
         }
         let probe = m.recorded && !m.fenced || m.hearing.doubted();
--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -1,9 +1,9 @@
 //! Direct calls to workers: what their results say of a machine.
 
-use crate::coordination::agents::heartbeat::Via;
+use crate::coordination::agents::heartbeat::ReportSource;
 use crate::coordination::scheduler::job::{Name, TaskId};
-use crate::coordination::scheduler::machine::Standing;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::machine::MachineStatus;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Command, Direct, Report};
 
 /// What came of a direct call, as far as the core cares.
@@ -15,7 +15,7 @@
     Unknown,
 }
 
-impl Core {
+impl Scheduler {
     /// Takes in what came of a direct call with these starts.
     pub fn called(&mut self, name: &Name, call: &Direct, result: CallResult, now: f64) {
         self.passes(now);
@@ -73,12 +73,12 @@
                 let newer =
                     (report.session, report.seq) > m.seen && report.token >= m.token && !early;
                 if report.machine == **name && newer {
-                    if m.standing == Standing::Expired {
+                    if m.standing == MachineStatus::Expired {
                         // A new session: its own report readmits it. The old
                         // one was proven over: what is late says nothing.
                         return;
                     }
-                    self.take_in(name, &report, Via::Direct, now);
+                    self.take_in(name, &report, ReportSource::Direct, now);
                 }
             }
             CallResult::NotSent | CallResult::Unknown => {}
--- a/src/coordination/agents/failure_detector.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -2,10 +2,10 @@
 //! failing or about to be taken away.
 
 use crate::coordination::scheduler::job::Name;
-use crate::coordination::scheduler::machine::{Machine, Standing};
-use crate::coordination::scheduler::state::{with_margin, Core};
+use crate::coordination::scheduler::machine::{Machine, MachineStatus};
+use crate::coordination::scheduler::state::{with_margin, Scheduler};
 
-impl Core {
+impl Scheduler {
     /// Time passes: silent machines are proven empty, notices handled.
     ///
     /// `confirmed` is when the last successful check that the share is ours
@@ -18,7 +18,7 @@
         let mut expired = Vec::new();
         let mut fallen = Vec::new();
         for (name, m) in &self.machines {
-            if m.standing == Standing::Expired {
+            if m.standing == MachineStatus::Expired {
                 continue;
             }
             if m.indexed != (self.usable(m, now) && self.types.contains_key(&m.info.kind)) {
@@ -56,7 +56,7 @@
             tracing::warn!(machine = %name, term = self.term, "silent for a lease: proven empty");
             self.clear_machine(&name);
             if let Some(m) = self.machines.get_mut(&name) {
-                m.standing = Standing::Expired;
+                m.standing = MachineStatus::Expired;
                 m.recorded = false;
                 // No former owner answers any more, and what sessions it knew are
                 // over: the next one holds up nobody. (A machine that hears nothing
@@ -120,7 +120,7 @@
             asked.is_some_and(|t| !m.fenced && self.silence(t, now) > s)
         };
         let silent = |m: &&Machine| {
-            m.standing != Standing::Expired
+            m.standing != MachineStatus::Expired
                 && if m.fenced {
                     // One that does not hear: past a lease nothing of value runs there.
                     let deaf_s = m.hearing.doubted_s(now).unwrap_or(0.0);
@@ -209,7 +209,7 @@
         let bad: Vec<Name> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.standing == Standing::Up && !m.held && m.errors.len() >= limit)
+            .filter(|(_, m)| m.standing == MachineStatus::Up && !m.held && m.errors.len() >= limit)
             .map(|(n, _)| n.clone())
             .collect();
         for name in bad {
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -1,17 +1,17 @@
 //! Worker sessions: what reports say is on machines, what commands they get,
 //! and when silence proves a machine empty.
 
-use crate::coordination::scheduler::capacity::Room;
-use crate::coordination::scheduler::delivery::{Sign, Signs, PATIENCE_S};
+use crate::coordination::scheduler::capacity::Resources;
+use crate::coordination::scheduler::delivery::{Evidence, EvidenceSummary, PATIENCE_S};
 use crate::coordination::scheduler::job::{Name, TaskId};
-use crate::coordination::scheduler::machine::{Active, Machine, Standing};
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Phase, Reply, Report, ReportHead};
 use crate::storage::records::{MachineInfo, TOKENS};
 
 /// How a message came to us.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Via {
+pub enum ReportSource {
     /// A report of the worker's own, which our answer keeps alive.
     Hello,
     /// The answer to a direct call.
@@ -20,7 +20,7 @@
 
 /// What to answer a worker.
 #[derive(Debug)]
-pub enum Answer {
+pub enum HeartbeatReply {
     Orders(Reply),
     /// We must not answer this session.
     Refuse,
@@ -38,14 +38,14 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// Whether the report says just what the one before said and there is
     /// nothing to tell the worker; then it is taken in, and the answer is this
     /// token and no command. Most reports of a large fleet are like this.
     pub fn repeats(&mut self, head: &ReportHead, now: f64) -> Option<u64> {
         let m = self.machines.get_mut(&*head.machine)?;
         let token = m.token_under(self.term);
-        let same = m.standing == Standing::Up
+        let same = m.standing == MachineStatus::Up
             && m.fenced
             && m.recorded
             && m.strangers == 0
@@ -74,21 +74,21 @@
     /// nothing, and call for no command.
     pub fn remember(&mut self, machine: &str, order: (u64, u64), tasks: &str) {
         if let Some(m) = self.machines.get_mut(machine) {
-            let plain = m.seen == order && m.active.values().all(Active::settled);
+            let plain = m.seen == order && m.active.values().all(Attempt::settled);
             m.repeated = plain.then(|| tasks.into());
         }
     }
 
     /// Takes in a report and says what to answer.
-    pub fn hello(&mut self, report: &Report, now: f64) -> Answer {
+    pub fn hello(&mut self, report: &Report, now: f64) -> HeartbeatReply {
         self.passes(now);
         if report.token >= self.term + TOKENS {
-            return Answer::Superseded;
+            return HeartbeatReply::Superseded;
         }
         let name: Name = report.machine.as_str().into();
         if self.returned.contains(&name) {
             // A late copy: the machine is gone, and its name is never used again.
-            return Answer::Refuse;
+            return HeartbeatReply::Refuse;
         }
         if !self.machines.contains_key(&name) {
             // Not in our record, so nothing can have been started on it. It
@@ -103,20 +103,20 @@
         }
         let listening = self.listening_since(now);
         let Some(m) = self.machines.get_mut(&name) else {
-            return Answer::Refuse;
+            return HeartbeatReply::Refuse;
         };
         // An older one that is not a copy is overtaken by a newer message at most while
         // its worker waits for the answer; by then the next one is due.
         let overtaken_s = PATIENCE_S.max(1.5 * self.params.report_s);
         let order = (report.session, report.seq);
-        let early = m.standing != Standing::Expired
+        let early = m.standing != MachineStatus::Expired
             && m.early_session(report.session, self.params.lease_s, now);
-        if m.standing == Standing::Expired {
+        if m.standing == MachineStatus::Expired {
             if report.session <= m.seen.0 {
                 // Answering would renew a lease that was declared over.
-                return Answer::Refuse;
+                return HeartbeatReply::Refuse;
             }
-            m.standing = Standing::Up;
+            m.standing = MachineStatus::Up;
             m.recorded = false;
             m.errors.clear();
             self.record_dirty = true;
@@ -133,17 +133,17 @@
             // not the one we know, and nothing says what it runs. Its lease must end
             // (an answer might renew it), and until it can have ended, from now on,
             // what calls of ours started meanwhile may run.
-            m.hearing.heard(Sign::Unheeded, now);
+            m.hearing.heard(Evidence::Unheeded, now);
             m.anew_at.get_or_insert(now);
             self.doubtful.insert(name.clone());
             self.reindex(&name);
-            return Answer::Refuse;
+            return HeartbeatReply::Refuse;
         }
         if !stale {
-            self.take_in(&name, report, Via::Hello, now);
+            self.take_in(&name, report, ReportSource::Hello, now);
         }
         if self.in_vain(&name, now) {
-            return Answer::Refuse;
+            return HeartbeatReply::Refuse;
         }
         let mut commands = Vec::new();
         if !stale {
@@ -159,11 +159,11 @@
             m.hearing.answered(token);
             m.repeated = None;
         }
-        Answer::Orders(Reply { token, commands })
+        HeartbeatReply::Orders(Reply { token, commands })
     }
 
     /// Reconciles a newer message with what we thought.
-    pub(crate) fn take_in(&mut self, name: &Name, report: &Report, via: Via, now: f64) {
+    pub(crate) fn take_in(&mut self, name: &Name, report: &Report, via: ReportSource, now: f64) {
         let base_term = self.fence.base_term;
         // What ended while we stood still says nothing of the machine's hearing.
         let steady = now - self.listening_since(now) > self.params.lease_s;
@@ -172,20 +172,20 @@
         };
         let newer_session = report.session > m.seen.0;
         let first = m.seen == (0, 0);
-        let mut signs = Signs::default();
-        if via == Via::Direct {
-            signs.note(Sign::Heeded);
+        let mut signs = EvidenceSummary::default();
+        if via == ReportSource::Direct {
+            signs.note(Evidence::Heeded);
         } else {
             // What it did not hear of before is seen below, from its tasks.
             let told = m.hearing.told;
             if report.token < told {
-                signs.note(Sign::Unheeded);
+                signs.note(Evidence::Unheeded);
             } else if m.token < told {
-                signs.note(Sign::Heeded);
+                signs.note(Evidence::Heeded);
             }
             m.hearing.stays(now - m.heard);
             if newer_session && m.hearing.session_over() && !first && steady {
-                signs.note(Sign::Unheeded);
+                signs.note(Evidence::Unheeded);
             }
         }
         m.heard = now;
@@ -222,7 +222,7 @@
             let known = self.jobs.get_key_value(job);
             let holds = known
                 .filter(|(_, j)| index < j.spec.tasks)
-                .map(|(_, j)| Room::of_task(&j.spec));
+                .map(|(_, j)| Resources::of_task(&j.spec));
             let job = known.map_or_else(|| job.into(), |(name, _)| name.clone());
             let key = (TaskId { index, job }, entry.attempt);
             if holds.is_none() && entry.phase != Phase::Exited {
@@ -242,16 +242,16 @@
         let (token, seen) = (m.token, m.seen);
         let mut gone = Vec::new();
         for (key, active) in m.active.iter_mut() {
-            if via == Via::Hello && active.hello.take().is_some() {
+            if via == ReportSource::Hello && active.hello.take().is_some() {
                 // A start in an answer to an earlier report shows by now.
                 signs.note(if active.shown == seen {
-                    Sign::Heeded
+                    Evidence::Heeded
                 } else {
-                    Sign::Unheeded
+                    Evidence::Unheeded
                 });
             }
             if active.told && active.shown != seen {
-                signs.note(Sign::Heeded);
+                signs.note(Evidence::Heeded);
             }
             if active.limbo.is_some_and(|(term, _)| term < token) {
                 active.limbo = None;
--- a/src/coordination/agents/leader_reachability.rs
+++ b/src/coordination/agents/leader_reachability.rs
@@ -3,12 +3,12 @@
 //! workers run out. It resigns when most of its machines fell silent at once
 //! and another controller says that workers come there to be sent on.
 
-use crate::coordination::scheduler::machine::Standing;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::machine::MachineStatus;
+use crate::coordination::scheduler::state::Scheduler;
 
 /// Reports turned away, in two windows.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Tally {
+pub struct RedirectCounter {
     since: f64,
     now: u32,
     before: u32,
@@ -18,7 +18,7 @@
 /// controller after 4 s, and again about as often.
 const WINDOW_S: f64 = 5.0;
 
-impl Tally {
+impl RedirectCounter {
     fn turn(&mut self, now: f64) {
         if now - self.since >= WINDOW_S {
             let lately = now - self.since < 2.0 * WINDOW_S;
@@ -56,14 +56,14 @@
     machines >= 8 && 4 * silent > 3 * machines && 8 * elsewhere as usize >= machines
 }
 
-impl Core {
+impl Scheduler {
     /// How many machines should report, and how many of them did not for longer
     /// than the longest time between two reports (1.25 `report_s`) and a delay.
     pub fn reach(&self, now: f64) -> (usize, usize) {
         let due_s = 1.5 * self.params.report_s;
         // What operators switched off is silent for another reason.
         let expected = |m: &&crate::coordination::scheduler::machine::Machine| {
-            m.recorded && !m.held && m.standing == Standing::Up
+            m.recorded && !m.held && m.standing == MachineStatus::Up
         };
         let mut sums = (0, 0);
         for m in self.machines.values().filter(expected) {
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -1,13 +1,13 @@
 //! One task of a report: adopted, counted, ended, or to be stopped.
 
-use crate::coordination::scheduler::capacity::Room;
-use crate::coordination::scheduler::delivery::Sign;
+use crate::coordination::scheduler::capacity::Resources;
+use crate::coordination::scheduler::delivery::Evidence;
 use crate::coordination::scheduler::job::{Name, TaskId};
-use crate::coordination::scheduler::machine::Active;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::machine::Attempt;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Cause, Phase};
 
-impl Core {
+impl Scheduler {
     /// One task of a report; what it takes of the machine if its job is known.
     pub(crate) fn take_entry(
         &mut self,
@@ -15,16 +15,16 @@
         key: &(TaskId, u64),
         phase: Phase,
         cause: Option<Cause>,
-        holds: Option<Room>,
+        holds: Option<Resources>,
         now: f64,
-    ) -> Sign {
+    ) -> Evidence {
         let Some(m) = self.machines.get_mut(name) else {
-            return Sign::Nothing;
+            return Evidence::Nothing;
         };
         let mut fresh = false;
         let active = m.active.entry(key.clone()).or_insert_with(|| {
             fresh = true;
-            let mut adopted = Active::new(now, Room::default());
+            let mut adopted = Attempt::new(now, Resources::default());
             adopted.unsent = false;
             adopted
         });
@@ -32,9 +32,9 @@
         active.holds = holds.unwrap_or_default();
         let was_exited = active.exited();
         let sign = match std::mem::take(&mut active.told) {
-            true if active.phase == Some(phase) => Sign::Unheeded,
-            true => Sign::Heeded,
-            false => Sign::Nothing,
+            true if active.phase == Some(phase) => Evidence::Unheeded,
+            true => Evidence::Heeded,
+            false => Evidence::Nothing,
         };
         active.phase = Some(phase);
         if phase == Phase::Running && active.running.is_none() {
--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -11,18 +11,18 @@
 //!   owner starts anything there: so a machine that is switched off then holds
 //!   up no takeover, and is not given back to the cloud.
 
-use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::capacity::Resources;
 use crate::coordination::scheduler::job::{Job, Name, TaskId};
-use crate::coordination::scheduler::machine::{Active, Machine, Standing};
+use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
 use crate::coordination::scheduler::preemption::loss;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::admin::{Drain, DrainRow, DrainState, Drained, Proof, Rest};
 use crate::protocol::job::Shape;
 use std::collections::HashMap;
 
 /// One machine's drain as its owner carries it out.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wish {
+pub struct DrainTarget {
     pub drain: Drain,
     /// Version of its record.
     pub version: u64,
@@ -32,7 +32,7 @@
 
 /// What becomes of an attempt on a machine that is set aside.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict {
+pub enum DrainDecision {
     /// It ends by itself in time.
     Finishes,
     /// It is stopped and runs elsewhere: what that loses, in CPU seconds, and
@@ -44,7 +44,7 @@
 
 /// What the verdict on an attempt follows from.
 #[derive(Debug, Clone, Copy)]
-pub struct Look {
+pub struct AttemptOutlook {
     /// A replica that never ends by itself.
     pub endless: bool,
     pub ran_s: f64,
@@ -73,9 +73,9 @@
 }
 
 /// The rule of a drain.
-pub fn verdict(look: &Look) -> Verdict {
+pub fn verdict(look: &AttemptOutlook) -> DrainDecision {
     let rest_s = remaining_s(look.predicted_s, look.ran_s);
-    let moves = Verdict::Moves {
+    let moves = DrainDecision::Moves {
         lost: look.loss.0,
         grace_s: look.loss.1,
     };
@@ -84,16 +84,16 @@
         return moves;
     }
     if !look.endless && look.left_s.is_none_or(|left| rest_s <= left) {
-        return Verdict::Finishes;
+        return DrainDecision::Finishes;
     }
     match look.elsewhere {
-        (false, _) => return Verdict::Stays("no other machine may run it"),
-        (_, false) => return Verdict::Stays("waits for room elsewhere"),
+        (false, _) => return DrainDecision::Stays("no other machine may run it"),
+        (_, false) => return DrainDecision::Stays("waits for room elsewhere"),
         _ => {}
     }
     let kept = |due: &f64| !look.endless && rest_s <= *due && *due < look.again_s;
     if look.due_s.iter().flatten().any(kept) {
-        return Verdict::Stays("would miss its deadline elsewhere");
+        return DrainDecision::Stays("would miss its deadline elsewhere");
     }
     moves
 }
@@ -114,7 +114,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// Whether the machine is set aside and recorded as proven empty.
     pub(crate) fn proven_aside(&self, name: &str) -> bool {
         let wish = self.wishes.get(name);
@@ -150,7 +150,7 @@
             let deadline = drain
                 .deadline_ms
                 .map(|ms| ms as f64 / 1000.0 - self.wall_offset_s);
-            let wish = Wish {
+            let wish = DrainTarget {
                 drain: drain.clone(),
                 version: *version,
                 deadline,
@@ -190,7 +190,13 @@
 
     /// What the verdict on an attempt follows from; `None` for one whose job is
     /// over, which is being stopped anyway.
-    fn look_at(&self, m: &Machine, wish: &Wish, key: &(TaskId, u64), a: &Active) -> Option<Look> {
+    fn look_at(
+        &self,
+        m: &Machine,
+        wish: &DrainTarget,
+        key: &(TaskId, u64),
+        a: &Attempt,
+    ) -> Option<AttemptOutlook> {
         let job = self.jobs.get(&key.0.job).filter(|j| !j.over)?;
         let now = self.now;
         let ran_s = a.running.map_or(0.0, |t| now - t);
@@ -210,9 +216,9 @@
         let again_s = fetch_s + lost.1 + (predicted_s - kept_s).max(0.0);
         let zones = self.zones(job);
         let pools = self.index.pools_for(spec, &self.types, |z| zones.allows(z));
-        let need = Room::of_task(spec);
+        let need = Resources::of_task(spec);
         let room = self.index.roomy(&pools, spec.cpus) > 0 && !self.index.is_full(&pools, &need);
-        Some(Look {
+        Some(AttemptOutlook {
             endless: spec.shape == Shape::Service,
             ran_s,
             predicted_s,
@@ -226,7 +232,7 @@
     }
 
     /// What becomes of each attempt on the machine that is not being stopped.
-    fn verdicts(&self, m: &Machine, wish: &Wish) -> Vec<((TaskId, u64), Verdict)> {
+    fn verdicts(&self, m: &Machine, wish: &DrainTarget) -> Vec<((TaskId, u64), DrainDecision)> {
         m.holding()
             .filter(|(_, a)| a.stop.is_none())
             .filter_map(|(key, a)| {
@@ -246,7 +252,7 @@
             let (Some(m), Some(wish)) = (self.machines.get(&name), self.wishes.get(&name)) else {
                 continue;
             };
-            if m.standing != Standing::Up || !m.fenced || m.active.is_empty() {
+            if m.standing != MachineStatus::Up || !m.fenced || m.active.is_empty() {
                 continue;
             }
             let over =
@@ -260,7 +266,7 @@
                 .verdicts(m, wish)
                 .into_iter()
                 .filter_map(|(key, v)| match v {
-                    Verdict::Moves { lost, grace_s } => Some((lost, grace_s, key)),
+                    DrainDecision::Moves { lost, grace_s } => Some((lost, grace_s, key)),
                     _ => None,
                 })
                 .collect();
@@ -278,8 +284,8 @@
             return None;
         }
         match m.standing {
-            Standing::Expired => Some(Proof::LeaseOver),
-            Standing::Up | Standing::Draining if m.fenced => Some(Proof::Reported),
+            MachineStatus::Expired => Some(Proof::LeaseOver),
+            MachineStatus::Up | MachineStatus::Draining if m.fenced => Some(Proof::Reported),
             _ => None,
         }
     }
@@ -319,7 +325,7 @@
                 let tasks = m.map_or(0, |m| m.holding().count() as u32);
                 let stays = m.map_or(Vec::new(), |m| self.verdicts(m, wish));
                 let stays = stays.into_iter().find_map(|(key, v)| match v {
-                    Verdict::Stays(why) => Some(format!("{}: {why}", key.0.wire())),
+                    DrainDecision::Stays(why) => Some(format!("{}: {why}", key.0.wire())),
                     _ => None,
                 });
                 let late = wish.deadline.is_some_and(|d| now > d);
--- a/src/coordination/fleet/machine_record_writer.rs
+++ b/src/coordination/fleet/machine_record_writer.rs
@@ -39,7 +39,8 @@
         return false;
     }
     let result = node.state.txn(&txn, Lane::Control).await;
-    let ours = |c: &&mut crate::coordination::scheduler::state::Core| c.fence.base_term == term;
+    let ours =
+        |c: &&mut crate::coordination::scheduler::state::Scheduler| c.fence.base_term == term;
     match result {
         Ok(version) => {
             let mut core = node.core.borrow_mut();
@@ -80,7 +81,7 @@
     let Ok((listed, _)) = node.state.list(records::MACHINES, Lane::Control).await else {
         return;
     };
-    let ours = |c: &crate::coordination::scheduler::state::Core| c.fence.base_term == term;
+    let ours = |c: &crate::coordination::scheduler::state::Scheduler| c.fence.base_term == term;
     if node.core.borrow().as_ref().is_some_and(ours) {
         node.written.borrow_mut().reread(&listed);
     }
--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::fleet::scale_out::{wanted, Demand, Offer};
 use crate::coordination::node::Node;
-use crate::coordination::scheduler::machine::Standing;
+use crate::coordination::scheduler::machine::MachineStatus;
 use crate::protocol::cloud::{Listed, ListedState, Rental, TypeList};
 use crate::protocol::state::Txn;
 use crate::storage::records::{self, MachineInfo};
@@ -13,13 +13,13 @@
 use std::time::Duration;
 
 /// Keeps the fleet.
-pub struct Fleet {
+pub struct FleetManager {
     pub node: Rc<Node>,
 }
 
 /// What the loop remembers.
 #[derive(Default)]
-struct Books {
+struct FleetState {
     /// Rented and not reporting yet, since when.
     booting: HashMap<String, (MachineInfo, f64)>,
     /// Offers refused: not before this time.
@@ -31,7 +31,7 @@
     list: Vec<Listed>,
 }
 
-impl Actor for Fleet {
+impl Actor for FleetManager {
     type Context = Context<Self>;
 
     fn started(&mut self, _: &mut Self::Context) {
@@ -39,7 +39,7 @@
         actix_rt::spawn(async move { keep_types(node).await });
         let node = self.node.clone();
         actix_rt::spawn(async move {
-            let mut books = Books::default();
+            let mut books = FleetState::default();
             let mut base = 0;
             loop {
                 // Silent machines hold up all placing after a takeover.
@@ -54,9 +54,9 @@
                 };
                 if term != base {
                     base = term;
-                    books = Books {
+                    books = FleetState {
                         next_booking: books.next_booking,
-                        ..Books::default()
+                        ..FleetState::default()
                     };
                 }
                 round(&node, &mut books).await;
@@ -108,7 +108,7 @@
     }
 }
 
-async fn round(node: &Rc<Node>, books: &mut Books) {
+async fn round(node: &Rc<Node>, books: &mut FleetState) {
     let lag = node.settings.cluster.cloud.list_lag_s;
     let gate = node.core.borrow().as_ref().is_some_and(|c| c.fence.open);
     if gate && node.now() - books.listed_at > lag / 2.0 {
@@ -126,7 +126,7 @@
 }
 
 /// Compares the machine list with what we know.
-fn compare(node: &Rc<Node>, books: &mut Books) {
+fn compare(node: &Rc<Node>, books: &mut FleetState) {
     let now = node.now();
     let mut core = node.core.borrow_mut();
     let Some(core) = core.as_mut() else {
@@ -149,7 +149,7 @@
                     // Nor where an operator switched it off.
                     // One that hears nobody is as good as silent.
                     let after_s = 2.0 * lease + boot_s;
-                    let silent = m.standing == Standing::Expired && now - m.heard > after_s;
+                    let silent = m.standing == MachineStatus::Expired && now - m.heard > after_s;
                     (silent || m.deaf(now, after_s)) && !m.held && !cut.contains(&m.info.zone)
                 })
             }
@@ -175,7 +175,7 @@
         .machines
         .iter()
         .filter(|(n, m)| {
-            m.standing == Standing::Expired
+            m.standing == MachineStatus::Expired
                 && now - m.heard > 4.0 * node.settings.cluster.cloud.list_lag_s
                 && !books.list.iter().any(|l| l.id == ***n)
         })
@@ -187,7 +187,7 @@
 }
 
 /// Returns machines; only the cloud's 200 proves them gone.
-async fn give_back(node: &Rc<Node>, books: &mut Books) {
+async fn give_back(node: &Rc<Node>, books: &mut FleetState) {
     let now = node.now();
     {
         let mut core = node.core.borrow_mut();
@@ -199,7 +199,7 @@
         for (name, m) in &core.machines {
             // A draining machine may save first, but not for ever.
             let empty = m.holding().next().is_none();
-            if m.standing == Standing::Draining && (empty || now - m.idle_since > 60.0) {
+            if m.standing == MachineStatus::Draining && (empty || now - m.idle_since > 60.0) {
                 books.returning.insert(name.to_string());
             }
         }
@@ -228,13 +228,17 @@
 }
 
 /// Drains one machine that has been idle for long while much is free.
-fn retire_idle(node: &Rc<Node>, core: &mut crate::coordination::scheduler::state::Core, now: f64) {
+fn retire_idle(
+    node: &Rc<Node>,
+    core: &mut crate::coordination::scheduler::state::Scheduler,
+    now: f64,
+) {
     let used: f64 = core.used().cpus();
     let waiting = core.jobs.values().any(|j| j.waiting() > 0);
     let have: f64 = core
         .machines
         .values()
-        .filter(|m| m.standing == Standing::Up && !m.held)
+        .filter(|m| m.standing == MachineStatus::Up && !m.held)
         .filter_map(|m| core.types.get(&m.info.kind))
         .map(|t| t.cpus)
         .sum();
@@ -244,7 +248,7 @@
     let idle = core
         .machines
         .iter()
-        .filter(|(_, m)| m.standing == Standing::Up && !m.held)
+        .filter(|(_, m)| m.standing == MachineStatus::Up && !m.held)
         .filter(|(_, m)| m.active.is_empty() && m.queue.is_empty())
         .find(|(_, m)| {
             let boot_s = core.types.get(&m.info.kind).map_or(60.0, |t| t.boot_s);
@@ -257,7 +261,7 @@
 }
 
 /// Rents what is wanted.
-async fn rent(node: &Rc<Node>, books: &mut Books) {
+async fn rent(node: &Rc<Node>, books: &mut FleetState) {
     let now = node.now();
     let plan = {
         let core = node.core.borrow();
@@ -288,7 +292,7 @@
         demand.have_cpus = core
             .machines
             .values()
-            .filter(|m| m.standing == Standing::Up && !m.held && !m.deaf(now, deaf_s))
+            .filter(|m| m.standing == MachineStatus::Up && !m.held && !m.deaf(now, deaf_s))
             .map(|m| &m.info)
             .chain(books.booting.values().map(|b| &b.0))
             .filter(|info| !cut.contains(&info.zone))
--- a/src/coordination/fleet/rollout.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -3,15 +3,15 @@
 //! zone can spare one, counting every machine that is out of use for whatever
 //! reason, and halts by itself as soon as its plan's promise is broken.
 
-use crate::coordination::scheduler::machine::Standing;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::machine::MachineStatus;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::admin::Drain;
 use crate::protocol::roll::{AtMost, Roll, RollState};
 use std::collections::HashMap;
 
 /// What a step follows from.
 #[derive(Debug, Default)]
-pub struct Scene {
+pub struct FleetView {
     pub now_ms: u64,
     /// Zone of each machine of the share.
     pub zones: HashMap<String, String>,
@@ -27,7 +27,7 @@
 
 /// What is to be written: the roll, and drains that begin and end.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Step {
+pub struct RolloutStep {
     pub roll: Roll,
     pub begin: Vec<String>,
     pub end: Vec<String>,
@@ -41,7 +41,7 @@
 }
 
 /// Why the roll must halt, if it must.
-fn broken(roll: &Roll, scene: &Scene, own: &[&Drain]) -> Option<String> {
+fn broken(roll: &Roll, scene: &FleetView, own: &[&Drain]) -> Option<String> {
     let promise = &roll.promise;
     let before = roll.late_before.unwrap_or(scene.late);
     if scene.late > before + promise.late {
@@ -67,7 +67,7 @@
 
 /// The next step, at most `room` drains at once; `None` while there is nothing
 /// to do.
-pub fn step(roll: &Roll, scene: &Scene, room: usize) -> Option<Step> {
+pub fn step(roll: &Roll, scene: &FleetView, room: usize) -> Option<RolloutStep> {
     let own: Vec<&Drain> = scene
         .drains
         .values()
@@ -90,7 +90,7 @@
             if let Some(reason) = broken(roll, scene, &own) {
                 next.state = RollState::Halted;
                 next.reason = reason;
-                return Some(Step {
+                return Some(RolloutStep {
                     roll: next,
                     begin,
                     end,
@@ -130,7 +130,7 @@
     if roll.state == RollState::Running && all_begun && own.len() == end.len() {
         next.state = RollState::Done;
     }
-    let step = Step {
+    let step = RolloutStep {
         roll: next,
         begin,
         end,
@@ -158,17 +158,17 @@
     (0..longest).flat_map(nth).map(|h| h.to_string()).collect()
 }
 
-impl Core {
+impl Scheduler {
     /// What rolls look at. Nothing is to be done while a takeover goes on: what is
     /// out of use then is not known.
-    pub fn scene(&self, drains: &HashMap<String, (Drain, u64)>, now: f64) -> Option<Scene> {
+    pub fn scene(&self, drains: &HashMap<String, (Drain, u64)>, now: f64) -> Option<FleetView> {
         if !self.fence.open {
             return None;
         }
-        let mut scene = Scene {
+        let mut scene = FleetView {
             now_ms: ((now + self.wall_offset_s) * 1000.0).max(0.0) as u64,
             drains: drains.clone(),
-            ..Scene::default()
+            ..FleetView::default()
         };
         for (name, m) in &self.machines {
             let zone = m.info.zone.clone();
@@ -179,7 +179,7 @@
             let drained = drains.get(&**name).and_then(|d| d.0.drained.as_ref());
             let newer = drained.is_some_and(|d| m.seen.0 > d.session);
             let heard = self.silence(m.heard, now) < self.params.silent_s();
-            if newer && m.fenced && m.standing == Standing::Up && heard {
+            if newer && m.fenced && m.standing == MachineStatus::Up && heard {
                 scene.back.push(name.to_string());
             }
         }
--- a/src/coordination/fleet/rollout_writer.rs
+++ b/src/coordination/fleet/rollout_writer.rs
@@ -1,7 +1,7 @@
 //! Carries rolls on: writes each step on condition that the share is ours, and
 //! that roll and drains are those it was worked out from.
 
-use crate::coordination::fleet::rollout::{step, Step};
+use crate::coordination::fleet::rollout::{step, RolloutStep};
 use crate::coordination::leadership::failover::reread;
 use crate::coordination::node::Node;
 use crate::protocol::admin::Drain;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 
 /// The steps that are due, each with its roll's version.
-fn due(node: &Node) -> Vec<(Step, u64)> {
+fn due(node: &Node) -> Vec<(RolloutStep, u64)> {
     let tenure = node.tenure.borrow();
     let core = node.core.borrow();
     let rolls = &tenure.view.rolls;
--- a/src/coordination/jobs/completion_batch.rs
+++ b/src/coordination/jobs/completion_batch.rs
@@ -2,24 +2,24 @@
 //! the version of each job's record. Pure.
 
 use crate::coordination::scheduler::job::{Job, Name};
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::JobState;
 use crate::protocol::state::Txn;
-use crate::storage::marks::Marks;
-use crate::storage::records::{self, Final, LiveJob, MarkChunk};
+use crate::storage::marks::CompletedTasks;
+use crate::storage::records::{self, CompletedTasksChunk, LiveJob, TerminalRecord};
 use crate::transport::budget::Budget;
 
 /// A transaction, and what it writes of which job.
-pub struct Batch {
+pub struct CompletionBatch {
     pub txn: Txn,
-    pub parts: Vec<Part>,
+    pub parts: Vec<JobCompletion>,
 }
 
 /// One job's part of a batch.
-pub struct Part {
+pub struct JobCompletion {
     pub id: Name,
-    pub marks: Marks,
-    pub last: Option<Final>,
+    pub marks: CompletedTasks,
+    pub last: Option<TerminalRecord>,
     /// The job's marks are kept apart from its record.
     pub chunked: bool,
 }
@@ -37,12 +37,12 @@
 /// `chunk_tasks` tasks keep their marks apart. `partial` bounds the writes for jobs that
 /// go on.
 pub fn plan(
-    core: &Core,
+    core: &Scheduler,
     txn_ops: usize,
     chunk_tasks: u32,
     partial: &mut Budget,
     now: f64,
-) -> Option<Batch> {
+) -> Option<CompletionBatch> {
     let due = core.marks_due(txn_ops);
     if due.is_empty() {
         return None;
@@ -62,7 +62,7 @@
             break;
         }
         let chunked = job.spec.tasks > chunk_tasks;
-        let mut part = Part {
+        let mut part = JobCompletion {
             id: id.clone(),
             marks: job.done.clone(),
             last: None,
@@ -71,7 +71,7 @@
         let key = records::live(&id);
         txn = txn.when(&key, job.version);
         if job.complete() {
-            let last = Final {
+            let last = TerminalRecord {
                 state: JobState::Done,
                 tasks: job.spec.tasks,
                 done: job.spec.tasks,
@@ -80,7 +80,7 @@
             txn = txn.delete(&key).put(&records::fin(&id), &last);
             bytes += 200;
         } else if chunked {
-            part.marks = Marks::default();
+            part.marks = CompletedTasks::default();
             // The record is written again with each of them: its version is what the
             // next write rests on, so that one without an answer, carried out late,
             // cannot put older marks in the place of newer ones. (Their workers have
@@ -98,7 +98,7 @@
                 }
                 let done = marks.to_text();
                 bytes += done.len() + 100;
-                txn = txn.put(&records::mark(&id, chunk), &MarkChunk { done });
+                txn = txn.put(&records::mark(&id, chunk), &CompletedTasksChunk { done });
                 part.marks.merge(&marks);
             }
         } else {
@@ -111,5 +111,5 @@
     if parts.is_empty() {
         return None;
     }
-    Some(Batch { txn, parts })
+    Some(CompletionBatch { txn, parts })
 }
--- a/src/coordination/jobs/completion_writer.rs
+++ b/src/coordination/jobs/completion_writer.rs
@@ -1,14 +1,14 @@
 //! The job ledger: follows live jobs while we own the share, and writes done
 //! marks and final states in batches.
 
-use crate::coordination::jobs::completion_batch::{self, Batch, Part};
+use crate::coordination::jobs::completion_batch::{self, CompletionBatch, JobCompletion};
 use crate::coordination::leadership::cancellation_horizon::blind_s;
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::job::Name;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::state::{Entry, Seen, Txn};
-use crate::storage::marks::Marks;
-use crate::storage::records::{self, LiveJob, MarkChunk};
+use crate::storage::marks::CompletedTasks;
+use crate::storage::records::{self, CompletedTasksChunk, LiveJob};
 use crate::transport::budget::Budget;
 use crate::transport::clients::{Failure, Lane};
 use actix::prelude::*;
@@ -16,11 +16,11 @@
 use std::time::Duration;
 
 /// Writes what is due.
-pub struct Ledger {
+pub struct CompletionWriter {
     pub node: Rc<Node>,
 }
 
-impl Actor for Ledger {
+impl Actor for CompletionWriter {
     type Context = Context<Self>;
 
     fn started(&mut self, _: &mut Self::Context) {
@@ -58,7 +58,7 @@
         };
         (batch, core.fence.base_term)
     };
-    let Batch { txn, parts } = batch;
+    let CompletionBatch { txn, parts } = batch;
     let result = node.state.txn(&txn, Lane::Data).await;
     match result {
         Ok(version) => {
@@ -78,7 +78,7 @@
     }
 }
 
-fn written(node: &Rc<Node>, parts: Vec<Part>, version: u64, term: u64) {
+fn written(node: &Rc<Node>, parts: Vec<JobCompletion>, version: u64, term: u64) {
     let mut core = node.core.borrow_mut();
     let core = core.as_mut().filter(|c| c.fence.base_term == term);
     let mut over = Vec::new();
@@ -108,13 +108,17 @@
 
 /// Done marks that the job keeps apart from its record: none, unless it has too
 /// many tasks for one.
-pub async fn marks_apart(node: &Node, record: &LiveJob, lane: Lane) -> Result<Marks, Failure> {
-    let mut marks = Marks::default();
+pub async fn marks_apart(
+    node: &Node,
+    record: &LiveJob,
+    lane: Lane,
+) -> Result<CompletedTasks, Failure> {
+    let mut marks = CompletedTasks::default();
     if record.spec.tasks > node.chunk_tasks() {
         let prefix = records::marks(&record.spec.id);
         for entry in node.state.list(&prefix, lane).await?.0 {
-            if let Ok(chunk) = entry.read::<MarkChunk>() {
-                marks.merge(&Marks::from_text(&chunk.done, record.spec.tasks));
+            if let Ok(chunk) = entry.read::<CompletedTasksChunk>() {
+                marks.merge(&CompletedTasks::from_text(&chunk.done, record.spec.tasks));
             }
         }
     }
@@ -153,7 +157,7 @@
     match entry {
         Some(entry) => {
             if let Ok(record) = entry.read::<LiveJob>() {
-                let done = Marks::from_text(&record.done, record.spec.tasks);
+                let done = CompletedTasks::from_text(&record.done, record.spec.tasks);
                 core.job_reread(id, entry.version, &done);
             }
         }
@@ -165,14 +169,14 @@
     let now = node.now();
     // Most changes are marks that we wrote ourselves: they need not be read.
     let id = entry.key.strip_prefix(records::LIVE).unwrap_or_default();
-    let known = |c: &Core| c.jobs.get(id).is_some_and(|j| j.version >= entry.version);
+    let known = |c: &Scheduler| c.jobs.get(id).is_some_and(|j| j.version >= entry.version);
     if node.core.borrow().as_ref().is_some_and(known) {
         return;
     }
     if let Ok(record) = entry.read::<LiveJob>() {
         if let Some(core) = node.core.borrow_mut().as_mut() {
             if core.fence.base_term == term {
-                core.job_added(record, entry.version, Marks::default());
+                core.job_added(record, entry.version, CompletedTasks::default());
                 if core.dirty {
                     core.place_news(now);
                 }
--- a/src/coordination/jobs/lookup.rs
+++ b/src/coordination/jobs/lookup.rs
@@ -9,7 +9,7 @@
 use crate::coordination::jobs::version_check;
 use crate::coordination::node::Node;
 use crate::coordination::recent::RecentMap;
-use crate::storage::records::{self, Final, LiveJob};
+use crate::storage::records::{self, LiveJob, TerminalRecord};
 use crate::transport::clients::{Failure, Lane};
 use actix_rt::time::Instant;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 const READS: usize = 2;
 
 /// Terminal states, which never change, of the jobs that ended last.
-pub struct TerminalStates(RecentMap<String, Final>);
+pub struct TerminalStates(RecentMap<String, TerminalRecord>);
 
 impl Default for TerminalStates {
     fn default() -> TerminalStates {
@@ -37,12 +37,12 @@
     pub const CAPACITY: usize = 16_384;
 
     /// The job's terminal state, if it is remembered.
-    pub fn get(&self, id: &str) -> Option<Final> {
+    pub fn get(&self, id: &str) -> Option<TerminalRecord> {
         self.0.get(id).copied()
     }
 
     /// Remembers a terminal state; true if it was not known.
-    pub fn put(&mut self, id: &str, state: Final) -> bool {
+    pub fn put(&mut self, id: &str, state: TerminalRecord) -> bool {
         self.0.insert(id.to_string(), state).is_none()
     }
 }
@@ -53,7 +53,7 @@
     /// The live record and its version.
     Live(Rc<LiveJob>, u64),
     /// The job is over.
-    Final(Final),
+    TerminalRecord(TerminalRecord),
     /// It is live, and its record says nothing to this version of the program: it
     /// waits for one that can read it, and its user must be answered.
     Unreadable(u64),
@@ -66,13 +66,13 @@
 pub async fn find(node: &Rc<Node>, id: &str) -> Result<Found, Failure> {
     for _ in 0..READS {
         if let Some(state) = node.terminal.borrow().get(id) {
-            return Ok(Found::Final(state));
+            return Ok(Found::TerminalRecord(state));
         }
         let (found, sent_at) = read(node, id).await?;
         if let Some(state) = node.terminal.borrow().get(id) {
-            return Ok(Found::Final(state));
+            return Ok(Found::TerminalRecord(state));
         }
-        if matches!(found, Found::Final(_)) {
+        if matches!(found, Found::TerminalRecord(_)) {
             return Ok(found);
         }
         if sent_at.elapsed() <= READ_AGE {
@@ -109,9 +109,9 @@
     }
     match node.state.get(&records::fin(id), Lane::Data).await? {
         Some(entry) => {
-            let state: Final = entry.read().map_err(|_| Failure::Unknown)?;
+            let state: TerminalRecord = entry.read().map_err(|_| Failure::Unknown)?;
             node.learnt_final(id, state);
-            Ok((Found::Final(state), sent_at))
+            Ok((Found::TerminalRecord(state), sent_at))
         }
         None => Ok((Found::Nothing, sent_at)),
     }
--- a/src/coordination/leadership/cancellation_horizon.rs
+++ b/src/coordination/leadership/cancellation_horizon.rs
@@ -34,14 +34,14 @@
 
 /// As of when an owner knows all cancellations.
 #[derive(Debug, Default)]
-pub struct Cover {
+pub struct CancellationHorizon {
     /// When the last answer of the watch was asked for.
     watched: Option<f64>,
     /// When the last word of each peer was asked for.
     words: HashMap<String, f64>,
 }
 
-impl Cover {
+impl CancellationHorizon {
     /// The watch, or a listing, told all until after `asked_at`.
     pub fn watched(&mut self, asked_at: f64) {
         self.watched = Some(self.watched.map_or(asked_at, |t| t.max(asked_at)));
@@ -82,7 +82,7 @@
 
 /// Cancellations that this process told users of, the latest ones.
 #[derive(Debug, Default)]
-pub struct Told {
+pub struct ConfirmedCancellations {
     latest: VecDeque<(f64, String)>,
     /// It is complete from here on; the process began at 0.
     from: f64,
@@ -91,12 +91,12 @@
 /// Most cancellations kept: as many as terminal states.
 const MOST: usize = 16_384;
 
-impl Told {
+impl ConfirmedCancellations {
     /// Of a process that began at this time by its clock.
-    pub fn since(from: f64) -> Told {
-        Told {
+    pub fn since(from: f64) -> ConfirmedCancellations {
+        ConfirmedCancellations {
             from,
-            ..Told::default()
+            ..ConfirmedCancellations::default()
         }
     }
 
--- a/src/coordination/leadership/cluster_view.rs
+++ b/src/coordination/leadership/cluster_view.rs
@@ -7,17 +7,17 @@
 use crate::protocol::cloud::{MachineType, TypeList};
 use crate::protocol::roll::Roll;
 use crate::protocol::state::Entry;
-use crate::storage::records::{self, Alive, Share, Term};
+use crate::storage::records::{self, AliveRecord, ShardRecord, TermCounter};
 use std::collections::HashMap;
 
 /// What the watched area of the state service says.
 #[derive(Default, Debug)]
-pub struct View {
+pub struct ClusterView {
     /// It was read at least once.
     pub loaded: bool,
     /// Revision up to which all changes are known.
     pub revision: u64,
-    pub share: Option<(Share, u64)>,
+    pub share: Option<(ShardRecord, u64)>,
     pub term: (u64, u64),
     /// Controllers' alive keys: incarnation and version.
     pub alive: HashMap<String, (u64, u64)>,
@@ -30,7 +30,7 @@
     pub drains_seen: u64,
 }
 
-impl View {
+impl ClusterView {
     /// A controller's alive key at this version.
     pub fn see_alive(&mut self, host: String, boot: u64, version: u64) {
         let known = self.alive.get(&host);
@@ -42,11 +42,11 @@
     /// Takes in one record of the area, unless a newer one is known.
     pub fn take_entry(&mut self, entry: &Entry) {
         if entry.key == records::SHARE {
-            if let Ok(share) = entry.read::<Share>() {
+            if let Ok(share) = entry.read::<ShardRecord>() {
                 self.see_share(share, entry.version);
             }
         } else if entry.key == records::TERM {
-            if let Ok(term) = entry.read::<Term>() {
+            if let Ok(term) = entry.read::<TermCounter>() {
                 if entry.version >= self.term.1 {
                     self.term = (term.term, entry.version);
                 }
@@ -63,7 +63,7 @@
         } else if let Some(host) = entry.key.strip_prefix(records::DRAINS) {
             self.see_drain(host, entry);
         } else if let Some(host) = entry.key.strip_prefix(&records::alive("")) {
-            if let Ok(alive) = entry.read::<Alive>() {
+            if let Ok(alive) = entry.read::<AliveRecord>() {
                 self.see_alive(host.to_string(), alive.boot, entry.version);
             }
         }
@@ -93,7 +93,7 @@
     }
 
     /// The share record at this version.
-    pub fn see_share(&mut self, share: Share, version: u64) {
+    pub fn see_share(&mut self, share: ShardRecord, version: u64) {
         let known = self.share.as_ref().map_or(0, |(_, v)| *v);
         if version >= known {
             self.share = Some((share, version));
--- a/src/coordination/leadership/failover.rs
+++ b/src/coordination/leadership/failover.rs
@@ -2,17 +2,17 @@
 //! then what belongs to it is read.
 
 use crate::coordination::jobs::completion_writer;
-use crate::coordination::leadership::takeover::Claim;
+use crate::coordination::leadership::takeover::TakeoverAttempt;
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::fence::Fence;
-use crate::coordination::scheduler::state::{Core, Params};
-use crate::storage::chunks::Written;
-use crate::storage::records::{self, LiveJob, Share};
+use crate::coordination::scheduler::state::{Scheduler, SchedulerConfig};
+use crate::storage::chunks::MachineRecord;
+use crate::storage::records::{self, LiveJob, ShardRecord};
 use crate::transport::clients::{Failure, Lane};
 use std::rc::Rc;
 
 /// Takes the share and reads what belongs to it.
-pub async fn carry_out(node: &Rc<Node>, claim: Claim) {
+pub async fn carry_out(node: &Rc<Node>, claim: TakeoverAttempt) {
     match node.state.txn(&claim.txn, Lane::Control).await {
         Ok(version) => {
             let share = &claim.share;
@@ -68,11 +68,11 @@
 }
 
 /// Builds the core from the records of the share.
-async fn load(node: &Rc<Node>, share: &Share) -> Result<(), Failure> {
+async fn load(node: &Rc<Node>, share: &ShardRecord) -> Result<(), Failure> {
     let quiet_since = share.prior.is_empty().then(|| node.now());
     let fence = Fence::new(share.term, quiet_since);
-    let params = Params::new(&node.settings, &node.policy);
-    let mut core = Core::new(params, share.term, fence, share.boot ^ share.term);
+    let params = SchedulerConfig::new(&node.settings, &node.policy);
+    let mut core = Scheduler::new(params, share.term, fence, share.boot ^ share.term);
     core.wall_offset_s = node.wall_ms() as f64 / 1000.0 - node.now();
     // Read after the share was taken, so that no drain ordered under the owner
     // before us is missed: its machines must get nothing new.
@@ -81,7 +81,7 @@
     core.set_drains(&node.tenure.borrow().view.drains);
     let (listed, _) = node.state.list(records::MACHINES, Lane::Control).await?;
     let now = node.now();
-    let written = Written::read(&listed);
+    let written = MachineRecord::read(&listed);
     for info in written.machines() {
         core.inherit(info.clone(), now);
     }
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -3,10 +3,10 @@
 
 use crate::coordination::fleet::machine_record_writer::write_machines;
 use crate::coordination::leadership::failover::reread;
-use crate::coordination::leadership::leadership::Tenure;
-use crate::coordination::leadership::takeover::Rewrite;
+use crate::coordination::leadership::leadership::Leadership;
+use crate::coordination::leadership::takeover::ShardUpdate;
 use crate::coordination::node::Node;
-use crate::protocol::mesh::{Answer, Ask};
+use crate::protocol::mesh::{PeerRequest, PeerResponse};
 use crate::protocol::state::Txn;
 use crate::storage::records;
 use crate::transport::clients::{Failure, Lane};
@@ -36,7 +36,7 @@
 }
 
 /// Writes the share record once more, under the same or a higher term.
-async fn carry_out(node: &Rc<Node>, rewrite: Rewrite) {
+async fn carry_out(node: &Rc<Node>, rewrite: ShardUpdate) {
     match node.state.txn(&rewrite.txn, Lane::Control).await {
         Ok(version) => {
             let term = node.tenure.borrow_mut().rewritten(&rewrite, version);
@@ -50,17 +50,23 @@
 }
 
 /// How an agreement is noted: the term, who, when it was asked for, and now.
-type Note = fn(&mut Tenure, u64, &str, f64, f64);
+type Note = fn(&mut Leadership, u64, &str, f64, f64);
 
 /// Asks the peers that `wanted` lets pass, and notes who agreed.
-fn ask_peers(node: &Rc<Node>, ask: Ask, term: u64, note: Note, wanted: impl Fn(&str) -> bool) {
+fn ask_peers(
+    node: &Rc<Node>,
+    ask: PeerRequest,
+    term: u64,
+    note: Note,
+    wanted: impl Fn(&str) -> bool,
+) {
     let peers = &node.settings.peers;
     for peer in peers.iter().filter(|p| wanted(&p.name)) {
         let (node, ask) = (node.clone(), ask.clone());
         let (name, addr) = (peer.name.clone(), peer.addr);
         actix_rt::spawn(async move {
             let asked_at = node.now();
-            if node.mesh.ask(addr, &ask).await == Some(Answer::Agreed) {
+            if node.mesh.ask(addr, &ask).await == Some(PeerResponse::Agreed) {
                 let now = node.now();
                 note(&mut node.tenure.borrow_mut(), term, &name, asked_at, now);
             }
@@ -72,7 +78,13 @@
 fn seek_vouches(node: &Rc<Node>) {
     let due = node.tenure.borrow_mut().vouch_due(node.now());
     if let Some(term) = due {
-        ask_peers(node, Ask::Vouch(term), term, Tenure::vouched, |_| true);
+        ask_peers(
+            node,
+            PeerRequest::Vouch(term),
+            term,
+            Leadership::vouched,
+            |_| true,
+        );
     }
 }
 
@@ -85,12 +97,12 @@
     for peer in &node.settings.peers {
         let (node, ask) = (
             node.clone(),
-            Ask::Told(term, (gap_s * 1000.0).ceil() as u64),
+            PeerRequest::Told(term, (gap_s * 1000.0).ceil() as u64),
         );
         let (name, addr) = (peer.name.clone(), peer.addr);
         actix_rt::spawn(async move {
             let asked_at = node.now();
-            let Some(Answer::Told(jobs)) = node.mesh.ask(addr, &ask).await else {
+            let Some(PeerResponse::Told(jobs)) = node.mesh.ask(addr, &ask).await else {
                 return;
             };
             // First the knowledge, then what rests on it.
@@ -106,7 +118,8 @@
 
 /// After a takeover asks the others never to vouch for an earlier owner.
 fn seek_promises(node: &Rc<Node>) {
-    let seeks = |c: &crate::coordination::scheduler::state::Core| c.fence.quiet_since.is_none();
+    let seeks =
+        |c: &crate::coordination::scheduler::state::Scheduler| c.fence.quiet_since.is_none();
     if !node.core.borrow().as_ref().is_some_and(seeks) {
         return;
     }
@@ -114,9 +127,9 @@
     if let Some((term, missing)) = due {
         ask_peers(
             node,
-            Ask::Promise(term),
+            PeerRequest::Promise(term),
             term,
-            Tenure::has_promised,
+            Leadership::has_promised,
             |name| missing.iter().any(|m| m == name),
         );
     }
--- a/src/coordination/leadership/leadership.rs
+++ b/src/coordination/leadership/leadership.rs
@@ -16,16 +16,16 @@
 //! - Who promised for a later term acts under no earlier one, also if its own
 //!   claim of that term is answered only afterwards.
 
-use crate::coordination::leadership::cancellation_horizon::Cover;
-use crate::coordination::leadership::cluster_view::View;
-use crate::coordination::leadership::lease_extension::{self, Round, Spans};
+use crate::coordination::leadership::cancellation_horizon::CancellationHorizon;
+use crate::coordination::leadership::cluster_view::ClusterView;
+use crate::coordination::leadership::lease_extension::{self, LeaseSpans, QuorumRound};
 use crate::coordination::scheduler::fence::remaining;
 use crate::protocol::state::Entry;
-use crate::storage::records::{Alive, Prior, Share};
+use crate::storage::records::{AliveRecord, FormerLeader, ShardRecord};
 
 /// What a tenure needs of the settings.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct LeadershipConfig {
     pub me: String,
     pub peers: Vec<String>,
     pub teams: Vec<String>,
@@ -51,7 +51,7 @@
 
 /// The share is read, and we act for it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Acting {
+pub(crate) struct LeaderTerm {
     pub(crate) base_term: u64,
     pub(crate) term: u64,
 }
@@ -75,9 +75,9 @@
 }
 
 /// One controller's part in owning the share.
-pub struct Tenure {
-    pub(crate) terms: Terms,
-    pub view: View,
+pub struct Leadership {
+    pub(crate) terms: LeadershipConfig,
+    pub view: ClusterView,
     pub(crate) boot: u64,
     pub(crate) lease: Option<u64>,
     pub(crate) key: Option<AliveKey>,
@@ -85,11 +85,11 @@
     pub(crate) sure: Option<u64>,
     /// When the last successful check that the share is ours began.
     pub(crate) confirmed: f64,
-    pub(crate) acting: Option<Acting>,
-    pub(crate) vouches: Round,
-    pub(crate) promises: Round,
+    pub(crate) acting: Option<LeaderTerm>,
+    pub(crate) vouches: QuorumRound,
+    pub(crate) promises: QuorumRound,
     /// What we know of cancellations.
-    pub(crate) cover: Cover,
+    pub(crate) cover: CancellationHorizon,
     /// When the others were last asked for vouches, for promises, and for words.
     pub(crate) asked_at: (f64, f64, f64),
     /// Version of the share record on which our last claim rested: until we see a
@@ -101,20 +101,20 @@
     pub(crate) resigned_at: f64,
 }
 
-impl Tenure {
-    pub fn new(terms: Terms, boot: u64) -> Tenure {
-        Tenure {
+impl Leadership {
+    pub fn new(terms: LeadershipConfig, boot: u64) -> Leadership {
+        Leadership {
             terms,
-            view: View::default(),
+            view: ClusterView::default(),
             boot,
             lease: None,
             key: None,
             sure: None,
             confirmed: f64::NEG_INFINITY,
             acting: None,
-            vouches: Round::default(),
-            promises: Round::default(),
-            cover: Cover::default(),
+            vouches: QuorumRound::default(),
+            promises: QuorumRound::default(),
+            cover: CancellationHorizon::default(),
             asked_at: (f64::NEG_INFINITY, f64::NEG_INFINITY, f64::NEG_INFINITY),
             tried: None,
             taken_at: f64::NEG_INFINITY,
@@ -145,15 +145,15 @@
         self.acting.map(|a| a.term)
     }
 
-    fn spans(&self) -> Spans {
-        Spans::new(self.terms.life_s, self.terms.quiet_s)
+    fn spans(&self) -> LeaseSpans {
+        LeaseSpans::new(self.terms.life_s, self.terms.quiet_s)
     }
 
     fn nodes(&self) -> usize {
         self.terms.peers.len() + 1
     }
 
-    pub(crate) fn mine(&self, share: &Share) -> bool {
+    pub(crate) fn mine(&self, share: &ShardRecord) -> bool {
         share.owner == self.terms.me && share.boot == self.boot
     }
 
@@ -248,7 +248,7 @@
         self.view.alive.remove(&self.terms.me);
         if let Some(entry) = found {
             // One that this version of the program cannot read is replaced all the same.
-            let boot = entry.read::<Alive>().map_or(0, |alive| alive.boot);
+            let boot = entry.read::<AliveRecord>().map_or(0, |alive| alive.boot);
             let me = self.terms.me.clone();
             self.view.see_alive(me, boot, entry.version);
         }
@@ -363,7 +363,7 @@
         self.promises.agreed(term, peer, asked_at, now, nodes);
     }
 
-    pub(crate) fn left(&self, prior: &[Prior], now_ms: u64) -> Vec<Prior> {
+    pub(crate) fn left(&self, prior: &[FormerLeader], now_ms: u64) -> Vec<FormerLeader> {
         let alive = |host: &str| {
             if host == self.terms.me {
                 Some(self.boot)
--- a/src/coordination/leadership/lease_extension.rs
+++ b/src/coordination/leadership/lease_extension.rs
@@ -13,7 +13,7 @@
 
 /// The spans of time involved, in seconds.
 #[derive(Debug, Clone, Copy)]
-pub struct Spans {
+pub struct LeaseSpans {
     /// An owner goes on alone for this long after its last check.
     pub alone_s: f64,
     /// A vouch counts for this long from when it was asked for.
@@ -22,11 +22,11 @@
     pub most_s: f64,
 }
 
-impl Spans {
+impl LeaseSpans {
     /// `life_s` is that of a controller's lease; before it ends nobody can have
     /// taken over, and half of it more covers a slow renewal.
-    pub fn new(life_s: f64, most_s: f64) -> Spans {
-        Spans {
+    pub fn new(life_s: f64, most_s: f64) -> LeaseSpans {
+        LeaseSpans {
             alone_s: (1.5 * life_s).min(most_s),
             vouch_s: life_s / 2.0,
             most_s,
@@ -36,7 +36,7 @@
 
 /// An answer from each controller and when it was asked for.
 #[derive(Debug, Default)]
-pub struct Round {
+pub struct QuorumRound {
     /// The term that it is about.
     term: u64,
     asked: HashMap<String, f64>,
@@ -44,13 +44,13 @@
     complete_at: Option<f64>,
 }
 
-impl Round {
+impl QuorumRound {
     /// Starts anew if it is about another term.
     pub fn about(&mut self, term: u64) {
         if self.term != term {
-            *self = Round {
+            *self = QuorumRound {
                 term,
-                ..Round::default()
+                ..QuorumRound::default()
             };
         }
     }
@@ -79,7 +79,13 @@
 
 /// Whether an owner may answer its workers, given its last check of its
 /// ownership and the vouches for its term.
-pub fn may_answer(vouches: &Round, spans: &Spans, nodes: usize, confirmed: f64, now: f64) -> bool {
+pub fn may_answer(
+    vouches: &QuorumRound,
+    spans: &LeaseSpans,
+    nodes: usize,
+    confirmed: f64,
+    now: f64,
+) -> bool {
     let alone_s = now - confirmed;
     if alone_s < spans.alone_s {
         return true;
@@ -90,7 +96,7 @@
 
 /// From when on no earlier owner answers, once enough peers have promised;
 /// `taken_at` is when the takeover was known to be done.
-pub fn quiet_from(promises: &Round, spans: &Spans, taken_at: f64) -> Option<f64> {
+pub fn quiet_from(promises: &QuorumRound, spans: &LeaseSpans, taken_at: f64) -> Option<f64> {
     let last_vouch = promises.complete_at? + spans.vouch_s;
     // Clocks drift by half a thousandth against each other, timers come late.
     let margin = 0.002 * (spans.alone_s + spans.vouch_s) + 0.1;
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -12,8 +12,8 @@
 
 use crate::coordination::leadership::leadership::LeaseStep;
 use crate::coordination::node::Node;
-use crate::coordination::readiness::Peers;
-use crate::protocol::mesh::{Answer, Ask};
+use crate::coordination::readiness::PeerContacts;
+use crate::protocol::mesh::{PeerRequest, PeerResponse};
 use crate::protocol::state::Seen;
 use crate::storage::records;
 use crate::transport::clients::{Failure, Lane};
@@ -22,11 +22,11 @@
 use std::time::Duration;
 
 /// Keeps our lease and watches the others'.
-pub struct Member {
+pub struct LeadershipActor {
     pub node: Rc<Node>,
 }
 
-impl Actor for Member {
+impl Actor for LeadershipActor {
     type Context = Context<Self>;
 
     fn started(&mut self, _: &mut Self::Context) {
@@ -164,19 +164,23 @@
 }
 
 /// What the others say of their contact.
-async fn ask_contact(node: &Rc<Node>) -> Peers {
+async fn ask_contact(node: &Rc<Node>) -> PeerContacts {
     let peers: Vec<_> = node.settings.peers.iter().map(|p| p.addr).collect();
-    let asked = peers.iter().map(|addr| node.mesh.ask(*addr, &Ask::Contact));
+    let asked = peers
+        .iter()
+        .map(|addr| node.mesh.ask(*addr, &PeerRequest::Contact));
     let answers = futures_util::future::join_all(asked).await;
-    let mut found = Peers {
+    let mut found = PeerContacts {
         all: peers.len(),
-        ..Peers::default()
+        ..PeerContacts::default()
     };
     for answer in answers {
         match answer {
             // One that has just got it back says nothing of our own way.
-            Some(Answer::Contact(ms)) if ms as f64 > node.contact_s() * 1000.0 => found.with += 1,
-            Some(Answer::Contact(_)) => found.without += 1,
+            Some(PeerResponse::Contact(ms)) if ms as f64 > node.contact_s() * 1000.0 => {
+                found.with += 1
+            }
+            Some(PeerResponse::Contact(_)) => found.without += 1,
             _ => {}
         }
     }
@@ -205,8 +209,8 @@
         let asked = peers.into_iter().map(|addr| {
             let node = node.clone();
             async move {
-                match node.mesh.ask(addr, &Ask::TurnedAway).await {
-                    Some(Answer::TurnedAway(n)) => n,
+                match node.mesh.ask(addr, &PeerRequest::TurnedAway).await {
+                    Some(PeerResponse::TurnedAway(n)) => n,
                     _ => 0,
                 }
             }
--- a/src/coordination/leadership/takeover.rs
+++ b/src/coordination/leadership/takeover.rs
@@ -1,47 +1,47 @@
 //! Taking the share, and keeping it: the transactions, and what follows when
 //! their answers come, however late.
 
-use crate::coordination::leadership::cancellation_horizon::Cover;
-use crate::coordination::leadership::leadership::{Acting, Tenure};
+use crate::coordination::leadership::cancellation_horizon::CancellationHorizon;
+use crate::coordination::leadership::leadership::{LeaderTerm, Leadership};
 use crate::protocol::state::Txn;
-use crate::storage::records::{self, Prior, Share, Term};
+use crate::storage::records::{self, FormerLeader, ShardRecord, TermCounter};
 
 /// A claim under way, and what it will mean if it succeeds.
 #[derive(Debug, Clone)]
-pub struct Claim {
+pub struct TakeoverAttempt {
     pub txn: Txn,
-    pub share: Share,
+    pub share: ShardRecord,
     lease: u64,
     asked_at: f64,
 }
 
 /// A rewriting of our own share record under way.
 #[derive(Debug, Clone)]
-pub struct Rewrite {
+pub struct ShardUpdate {
     pub txn: Txn,
-    share: Share,
+    share: ShardRecord,
     lease: Option<u64>,
     term_too: bool,
     asked_at: f64,
 }
 
-impl Rewrite {
+impl ShardUpdate {
     /// Whether it is under a higher term.
     pub fn raises_term(&self) -> bool {
         self.term_too
     }
 }
 
-impl Tenure {
+impl Leadership {
     /// The claim to make if the share may be taken: nobody has it, its owner's
     /// lease is gone, or it is our own from before a restart.
-    pub fn claim(&mut self, now: f64, now_ms: u64) -> Option<Claim> {
+    pub fn claim(&mut self, now: f64, now_ms: u64) -> Option<TakeoverAttempt> {
         if !self.view.loaded || self.acting.is_some() || self.resigned(now) {
             return None;
         }
         let key = self.key.filter(|k| k.boot == self.boot)?;
         let me = &self.terms.me;
-        let mut prior: Vec<Prior> = Vec::new();
+        let mut prior: Vec<FormerLeader> = Vec::new();
         let mut txn = Txn::default()
             .when(&records::alive(me), key.version)
             .when(records::TERM, self.view.term.1);
@@ -66,7 +66,7 @@
                         true => self.terms.quiet_s.min(self.terms.blind_s),
                         false => self.terms.quiet_s,
                     };
-                    prior.push(Prior {
+                    prior.push(FormerLeader {
                         host: old.owner.clone(),
                         boot: old.boot,
                         until_ms: now_ms + (silent_s * 1002.0) as u64 + self.terms.bound_ms,
@@ -74,7 +74,7 @@
                 }
             }
         }
-        let share = Share {
+        let share = ShardRecord {
             owner: me.clone(),
             boot: self.boot,
             term: self.view.term.0 + 1,
@@ -84,9 +84,9 @@
         };
         let txn = txn
             .put(records::SHARE, &share)
-            .put(records::TERM, &Term::taken(share.term));
+            .put(records::TERM, &TermCounter::taken(share.term));
         self.tried = Some(self.view.share_version());
-        Some(Claim {
+        Some(TakeoverAttempt {
             txn,
             share,
             lease: key.lease,
@@ -96,10 +96,10 @@
 
     /// The claim was carried out at `version`; false if it has been overtaken
     /// while the answer was on its way, or while we stood still.
-    pub fn claimed(&mut self, claim: &Claim, version: u64, now: f64) -> bool {
+    pub fn claimed(&mut self, claim: &TakeoverAttempt, version: u64, now: f64) -> bool {
         self.view.see_share(claim.share.clone(), version);
         if version >= self.view.term.1 {
-            self.view.term = (Term::taken(claim.share.term).term, version);
+            self.view.term = (TermCounter::taken(claim.share.term).term, version);
         }
         if !self.holds(claim.share.term) || self.acting.is_some() {
             return false;
@@ -113,7 +113,7 @@
 
     /// Whether the share is still ours under just this term, as far as we know.
     pub fn holds(&self, term: u64) -> bool {
-        let ours = |(s, _): &(Share, u64)| self.mine(s) && s.term == term;
+        let ours = |(s, _): &(ShardRecord, u64)| self.mine(s) && s.term == term;
         self.view.share.as_ref().is_some_and(ours) && self.promised <= term
     }
 
@@ -124,9 +124,9 @@
     pub fn begin(&mut self, term: u64, listed_at: f64) -> bool {
         let holds = self.holds(term);
         if holds {
-            self.cover = Cover::default();
+            self.cover = CancellationHorizon::default();
             self.cover.watched(listed_at);
-            self.acting = Some(Acting {
+            self.acting = Some(LeaderTerm {
                 base_term: term,
                 term,
             });
@@ -138,11 +138,11 @@
 
     /// After our lease ran out while we act: the record written once more under
     /// the present lease, if nobody took the share in between.
-    pub fn reassert(&self, now: f64) -> Option<Rewrite> {
+    pub fn reassert(&self, now: f64) -> Option<ShardUpdate> {
         self.acting?;
         let key = self.key.filter(|k| k.boot == self.boot)?;
         let (share, version) = self.view.share.as_ref().filter(|(s, _)| self.mine(s))?;
-        (self.sure != Some(key.lease)).then(|| Rewrite {
+        (self.sure != Some(key.lease)).then(|| ShardUpdate {
             txn: Txn::default()
                 .when(records::SHARE, *version)
                 .when(&records::alive(&self.terms.me), key.version)
@@ -155,17 +155,17 @@
     }
 
     /// A higher term for our share, to rule out lost commands.
-    pub fn raise(&self, now: f64) -> Option<Rewrite> {
+    pub fn raise(&self, now: f64) -> Option<ShardUpdate> {
         self.acting?;
         let (share, version) = self.view.share.as_ref().filter(|(s, _)| self.mine(s))?;
         let mut share = share.clone();
         share.term = self.view.term.0 + 1;
-        Some(Rewrite {
+        Some(ShardUpdate {
             txn: Txn::default()
                 .when(records::SHARE, *version)
                 .when(records::TERM, self.view.term.1)
                 .put(records::SHARE, &share)
-                .put(records::TERM, &Term::taken(share.term)),
+                .put(records::TERM, &TermCounter::taken(share.term)),
             share,
             lease: None,
             term_too: true,
@@ -174,10 +174,10 @@
     }
 
     /// The record was rewritten at `version`; our term, if it still is ours.
-    pub fn rewritten(&mut self, rewrite: &Rewrite, version: u64) -> Option<u64> {
+    pub fn rewritten(&mut self, rewrite: &ShardUpdate, version: u64) -> Option<u64> {
         self.view.see_share(rewrite.share.clone(), version);
         if rewrite.term_too && version >= self.view.term.1 {
-            self.view.term = (Term::taken(rewrite.share.term).term, version);
+            self.view.term = (TermCounter::taken(rewrite.share.term).term, version);
         }
         // Stepped down and taken again meanwhile: this was about another time.
         let same = self.holds(rewrite.share.term);
@@ -214,7 +214,7 @@
         let Some(acting) = self.acting else {
             return false;
         };
-        let other = |(s, _): &(Share, u64)| !self.mine(s);
+        let other = |(s, _): &(ShardRecord, u64)| !self.mine(s);
         self.view.share.as_ref().is_some_and(other) || self.promised > acting.term
     }
 
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -1,19 +1,19 @@
 //! What all parts of one controller share. Everything runs on one thread, so
 //! plain cells suffice; no borrow is held across an await.
 
-use crate::coordination::agents::leader_reachability::Tally;
+use crate::coordination::agents::leader_reachability::RedirectCounter;
 use crate::coordination::jobs::lookup::TerminalStates;
 use crate::coordination::jobs::version_check::RecordCache;
-use crate::coordination::leadership::cancellation_horizon::{blind_s, Told};
-use crate::coordination::leadership::leadership::{Tenure, Terms};
-use crate::coordination::readiness::Health;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::leadership::cancellation_horizon::{blind_s, ConfirmedCancellations};
+use crate::coordination::leadership::leadership::{Leadership, LeadershipConfig};
+use crate::coordination::readiness::Readiness;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::{JobSpec, JobState};
 use crate::protocol::mesh::Topic;
 use crate::protocol::policy::Policy;
 use crate::protocol::settings::Settings;
-use crate::storage::chunks::Written;
-use crate::storage::records::{self, Final};
+use crate::storage::chunks::MachineRecord;
+use crate::storage::records::{self, TerminalRecord};
 use crate::transport::clients::{CloudClient, MeshClient, StateClient, WorkerClient};
 use actix_rt::time::Instant;
 use hdrhistogram::Histogram;
@@ -65,17 +65,17 @@
     pub cloud: CloudClient,
     pub workers: WorkerClient,
     pub mesh: MeshClient,
-    pub core: RefCell<Option<Core>>,
+    pub core: RefCell<Option<Scheduler>>,
     /// Who owns the share, and what that rests on.
-    pub tenure: RefCell<Tenure>,
+    pub tenure: RefCell<Leadership>,
     /// Terminal states of jobs, as far as they were read or written here.
     pub terminal: RefCell<TerminalStates>,
     /// Cancellations that users were told of by us.
-    pub told_over: RefCell<Told>,
+    pub told_over: RefCell<ConfirmedCancellations>,
     /// Cancellations that other controllers told us of, for a core that is not there yet.
-    pub heard_over: RefCell<Told>,
+    pub heard_over: RefCell<ConfirmedCancellations>,
     /// Our share's machine record as it is written, by chunk.
-    pub written: RefCell<Written>,
+    pub written: RefCell<MachineRecord>,
     /// Direct calls to workers under way.
     pub calls: Cell<usize>,
     /// Term and count of the drains that the core was told of.
@@ -92,9 +92,9 @@
     /// Live jobs as they were read, and polls that wait for a check of them.
     pub records: RefCell<RecordCache>,
     /// Whether users should be sent here.
-    pub health: RefCell<Health>,
+    pub health: RefCell<Readiness>,
     /// Workers' reports that came here while another one was the owner.
-    pub turned_away: RefCell<Tally>,
+    pub turned_away: RefCell<RedirectCounter>,
 }
 
 impl Node {
@@ -107,7 +107,7 @@
     /// A controller that talks through these clients.
     pub fn with_clients(settings: Settings, policy: Policy, clients: Clients) -> Rc<Node> {
         let workers = &settings.cluster.workers;
-        let terms = Terms {
+        let terms = LeadershipConfig {
             me: settings.host_name.clone(),
             peers: settings.peers.iter().map(|p| p.name.clone()).collect(),
             teams: (settings.cluster.teams.iter().map(|t| t.name.clone())).collect(),
@@ -132,7 +132,7 @@
             told_term: Cell::new(0),
             start: Instant::now(),
             core: RefCell::new(None),
-            tenure: RefCell::new(Tenure::new(terms, draw_boot())),
+            tenure: RefCell::new(Leadership::new(terms, draw_boot())),
             terminal: RefCell::default(),
             told_over: RefCell::default(),
             heard_over: RefCell::default(),
@@ -156,7 +156,7 @@
     /// a poll here found it and told the user; then the state service went away, and what
     /// the other controllers told users, which is all that an owner asks for, did not
     /// have it: the job's tasks ran on.)
-    pub fn learnt_final(&self, id: &str, state: Final) {
+    pub fn learnt_final(&self, id: &str, state: TerminalRecord) {
         if self.terminal.borrow_mut().put(id, state) && state.state == JobState::Cancelled {
             self.told_over.borrow_mut().note(id, self.now());
             if let Some(core) = self.core.borrow_mut().as_mut() {
--- a/src/coordination/readiness.rs
+++ b/src/coordination/readiness.rs
@@ -6,7 +6,7 @@
 
 /// What a controller knows of its contact to the state service.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Health {
+pub struct Readiness {
     /// Since when there is contact without a gap.
     steady_since: f64,
     /// Users are sent elsewhere.
@@ -15,7 +15,7 @@
 
 /// What the other controllers say of their contact.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Peers {
+pub struct PeerContacts {
     /// How many there are.
     pub all: usize,
     /// With contact for some time.
@@ -24,7 +24,7 @@
     pub without: usize,
 }
 
-impl Peers {
+impl PeerContacts {
     /// Whether this looks like an outage for all: nobody has contact, and most
     /// controllers say so. (Two that are cut off together must not take each other's
     /// word for it.)
@@ -33,7 +33,7 @@
     }
 }
 
-impl Health {
+impl Readiness {
     /// Time passes: contact was last had at `contact_at`; without it for longer than
     /// `patience_s`, `peers` decide. Whether users are sent elsewhere now, or not any
     /// more, if that changed.
@@ -42,7 +42,7 @@
         now: f64,
         contact_at: f64,
         patience_s: f64,
-        peers: Option<Peers>,
+        peers: Option<PeerContacts>,
     ) -> Option<bool> {
         let gap_s = now - contact_at;
         if gap_s > patience_s / 2.0 {
--- a/src/coordination/scheduler/capacity.rs
+++ b/src/coordination/scheduler/capacity.rs
@@ -12,42 +12,42 @@
 
 /// Amounts of what tasks take.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Room {
+pub struct Resources {
     pub cpus: f64,
     pub gpus: f64,
     pub memory_gb: f64,
 }
 
-impl Room {
+impl Resources {
     /// All of a machine of this type.
-    pub fn of_type(kind: &MachineType) -> Room {
-        Room {
+    pub fn of_type(kind: &MachineType) -> Resources {
+        Resources {
             cpus: kind.cpus,
             gpus: kind.gpus,
             memory_gb: kind.memory_gb,
         }
     }
     /// What a task of the job takes.
-    pub fn of_task(spec: &JobSpec) -> Room {
-        Room {
+    pub fn of_task(spec: &JobSpec) -> Resources {
+        Resources {
             cpus: spec.cpus,
             gpus: spec.gpus,
             memory_gb: spec.memory_gb,
         }
     }
     /// Whether `need` fits into it; sums of decimals are off by a little.
-    pub fn holds(&self, need: &Room) -> bool {
+    pub fn holds(&self, need: &Resources) -> bool {
         const E: f64 = 1e-6;
         need.cpus <= self.cpus + E
             && need.gpus <= self.gpus + E
             && need.memory_gb <= self.memory_gb + E
     }
-    pub fn take(&mut self, other: &Room) {
+    pub fn take(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
-    pub fn give(&mut self, other: &Room) {
+    pub fn give(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
@@ -56,7 +56,7 @@
 
 /// Machines alike to every job: one type, zone and kind of rental.
 #[derive(Debug)]
-pub(crate) struct Pool {
+pub(crate) struct MachinePool {
     pub kind: String,
     pub zone: String,
     pub spot: bool,
@@ -68,7 +68,7 @@
     short: Vec<Name>,
 }
 
-impl Pool {
+impl MachinePool {
     pub fn usable(&self) -> usize {
         self.by_room.len()
     }
@@ -95,21 +95,21 @@
 
 /// The index.
 #[derive(Debug, Default)]
-pub struct Index {
-    pools: Vec<Pool>,
+pub struct CapacityIndex {
+    pools: Vec<MachinePool>,
     places: HashMap<Name, Place, RandomState>,
     /// Changes whenever a pool gets its first machine or loses its last one.
     pub(crate) version: u64,
     /// Needs for which no machine of these pools has room, as found by a look
     /// at all of them. Room only comes free one machine at a time, so this
     /// holds until one of them does (see `grew`).
-    full: Vec<(Vec<usize>, Room)>,
+    full: Vec<(Vec<usize>, Resources)>,
 }
 
 /// Most such needs remembered; any more are looked up again.
 const FULL: usize = 64;
 
-impl Index {
+impl CapacityIndex {
     /// Takes a machine out.
     pub(crate) fn remove(&mut self, name: &str) {
         let Some(place) = self.places.remove(name) else {
@@ -140,10 +140,11 @@
         // A machine stays in its pool.
         let known = self.places.get(name).map(|p| p.pool);
         self.remove(name);
-        let alike = |p: &Pool| p.kind == info.kind && p.zone == info.zone && p.spot == info.spot;
+        let alike =
+            |p: &MachinePool| p.kind == info.kind && p.zone == info.zone && p.spot == info.spot;
         let found = known.or_else(|| self.pools.iter().position(alike));
         let at = found.unwrap_or_else(|| {
-            self.pools.push(Pool {
+            self.pools.push(MachinePool {
                 kind: info.kind.clone(),
                 zone: info.zone.clone(),
                 spot: info.spot,
@@ -182,7 +183,7 @@
         types: &Types,
         zone_ok: impl Fn(&str) -> bool,
     ) -> Vec<usize> {
-        let fits = |p: &Pool| {
+        let fits = |p: &MachinePool| {
             p.usable() > 0 && allowed(spec, &p.kind, &p.zone, p.spot, types) && zone_ok(&p.zone)
         };
         (0..self.pools.len())
@@ -190,24 +191,24 @@
             .collect()
     }
 
-    pub(crate) fn pool(&self, at: usize) -> &Pool {
+    pub(crate) fn pool(&self, at: usize) -> &MachinePool {
         &self.pools[at]
     }
 
     /// A machine has this much room now, and had less.
-    pub(crate) fn grew(&mut self, free: &Room) {
+    pub(crate) fn grew(&mut self, free: &Resources) {
         self.full.retain(|(_, need)| !free.holds(need));
     }
 
     /// No machine of the pools has room for this.
-    pub(crate) fn set_full(&mut self, pools: &[usize], need: Room) {
+    pub(crate) fn set_full(&mut self, pools: &[usize], need: Resources) {
         if self.full.len() < FULL {
             self.full.push((pools.to_vec(), need));
         }
     }
 
     /// Whether it is known that no machine of the pools has room for this.
-    pub(crate) fn is_full(&self, pools: &[usize], need: &Room) -> bool {
+    pub(crate) fn is_full(&self, pools: &[usize], need: &Resources) -> bool {
         self.full
             .iter()
             .any(|(p, full)| need.holds(full) && p == pools)
@@ -215,7 +216,7 @@
 
     /// How many machines of the pools have this many CPUs free.
     pub(crate) fn roomy(&self, pools: &[usize], cpus: f64) -> usize {
-        let roomy = |p: &Pool| p.by_room.len() - p.first(cpus);
+        let roomy = |p: &MachinePool| p.by_room.len() - p.first(cpus);
         pools.iter().map(|&p| roomy(&self.pools[p])).sum()
     }
 
--- a/src/coordination/scheduler/delivery.rs
+++ b/src/coordination/scheduler/delivery.rs
@@ -7,7 +7,7 @@
 
 /// What a newer message says of our earlier answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sign {
+pub enum Evidence {
     /// Something we told was carried out, or it answered a call.
     Heeded,
     /// Something we told it in an earlier answer had no effect.
@@ -18,24 +18,24 @@
 
 /// All that one message says: a single thing that was carried out is proof.
 #[derive(Debug, Default)]
-pub struct Signs {
+pub struct EvidenceSummary {
     heeded: bool,
     unheeded: bool,
 }
 
-impl Signs {
+impl EvidenceSummary {
     /// One more.
-    pub fn note(&mut self, sign: Sign) {
-        self.heeded |= sign == Sign::Heeded;
-        self.unheeded |= sign == Sign::Unheeded;
+    pub fn note(&mut self, sign: Evidence) {
+        self.heeded |= sign == Evidence::Heeded;
+        self.unheeded |= sign == Evidence::Unheeded;
     }
 
     /// What they come to.
-    pub fn sum(&self) -> Sign {
+    pub fn sum(&self) -> Evidence {
         match (self.heeded, self.unheeded) {
-            (true, _) => Sign::Heeded,
-            (false, true) => Sign::Unheeded,
-            (false, false) => Sign::Nothing,
+            (true, _) => Evidence::Heeded,
+            (false, true) => Evidence::Unheeded,
+            (false, false) => Evidence::Nothing,
         }
     }
 }
@@ -45,7 +45,7 @@
 
 /// What is known of a machine's hearing.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Hearing {
+pub struct Delivery {
     /// Signs in a row that it does not hear.
     unheeded: u32,
     /// Since when it is in doubt.
@@ -61,7 +61,7 @@
 /// have, the whole share waits for it. One answer can be lost by chance.
 const IN_VAIN: u32 = 2;
 
-impl Hearing {
+impl Delivery {
     /// An answer with this term goes out to it.
     pub fn answered(&mut self, term: u64) {
         self.told = self.told.max(term);
@@ -69,19 +69,19 @@
     }
 
     /// A newer message came.
-    pub fn heard(&mut self, sign: Sign, now: f64) {
+    pub fn heard(&mut self, sign: Evidence, now: f64) {
         match sign {
-            Sign::Heeded => {
-                *self = Hearing {
+            Evidence::Heeded => {
+                *self = Delivery {
                     told: self.told,
-                    ..Hearing::default()
+                    ..Delivery::default()
                 }
             }
-            Sign::Unheeded => {
+            Evidence::Unheeded => {
                 self.unheeded += 1;
                 self.since.get_or_insert(now);
             }
-            Sign::Nothing => {}
+            Evidence::Nothing => {}
         }
     }
 
--- a/src/coordination/scheduler/fair_share.rs
+++ b/src/coordination/scheduler/fair_share.rs
@@ -24,7 +24,7 @@
 
 /// Who may be passed over: a class of jobs, or a team by its place in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Group {
+pub enum FairShareGroup {
     Class(String),
     Team(usize),
 }
@@ -38,13 +38,13 @@
 
 /// Counts for all groups.
 #[derive(Debug, Default)]
-pub struct Fair {
-    groups: HashMap<Group, Track>,
+pub struct FairShare {
+    groups: HashMap<FairShareGroup, Track>,
 }
 
-impl Fair {
+impl FairShare {
     /// A job of the group met its first finishing aim, or lost it.
-    pub fn outcome(&mut self, group: &Group, met: bool) {
+    pub fn outcome(&mut self, group: &FairShareGroup, met: bool) {
         let fresh = Track {
             share: 1.0,
             owed: false,
@@ -64,15 +64,15 @@
     }
 
     /// Groups that are owed room, the worst served first.
-    pub fn owed(&self) -> Vec<&Group> {
+    pub fn owed(&self) -> Vec<&FairShareGroup> {
         let owed = self.groups.iter().filter(|(_, t)| t.owed);
-        let mut owed: Vec<(f64, &Group)> = owed.map(|(g, t)| (t.share, g)).collect();
+        let mut owed: Vec<(f64, &FairShareGroup)> = owed.map(|(g, t)| (t.share, g)).collect();
         owed.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(b.1)));
         owed.into_iter().map(|o| o.1).collect()
     }
 
     /// The share of the group's jobs served in time, 1 if none is known.
-    pub fn share(&self, group: &Group) -> f64 {
+    pub fn share(&self, group: &FairShareGroup) -> f64 {
         self.groups.get(group).map_or(1.0, |t| t.share)
     }
 }
--- a/src/coordination/scheduler/fence.rs
+++ b/src/coordination/scheduler/fence.rs
@@ -1,7 +1,7 @@
 //! Fence, then place: after a takeover nothing of the share may start until
 //! every machine has reported under the new term or is proven empty.
 
-use crate::storage::records::Prior;
+use crate::storage::records::FormerLeader;
 
 /// What is known of former owners.
 #[derive(Debug, Clone)]
@@ -33,11 +33,11 @@
 /// Former owners that may still answer, after a look at who is alive: a host
 /// seen with another boot has lost its old process, and time runs out for all.
 pub fn remaining(
-    prior: &[Prior],
+    prior: &[FormerLeader],
     alive: impl Fn(&str) -> Option<u64>,
     now_ms: u64,
     bound_ms: u64,
-) -> Vec<&Prior> {
+) -> Vec<&FormerLeader> {
     prior
         .iter()
         .filter(|p| {
--- a/src/coordination/scheduler/job.rs
+++ b/src/coordination/scheduler/job.rs
@@ -1,7 +1,7 @@
 //! A live job as its owner sees it.
 
 use crate::protocol::job::{JobSpec, Shape, Urgency};
-use crate::storage::marks::Marks;
+use crate::storage::marks::CompletedTasks;
 use foldhash::fast::RandomState;
 use indexmap::{IndexMap, IndexSet};
 use std::cell::Cell;
@@ -64,9 +64,9 @@
     /// Version of its record in the state service.
     pub version: u64,
     /// Done tasks, as reported.
-    pub done: Marks,
+    pub done: CompletedTasks,
     /// Done tasks whose mark is written.
-    pub written: Marks,
+    pub written: CompletedTasks,
     /// When a mark was last written.
     pub marked_at: f64,
     /// The job is over (done or cancelled, recorded): nothing may start.
@@ -125,14 +125,20 @@
 
 impl Job {
     /// A job from its record.
-    pub fn new(spec: Rc<JobSpec>, team: Option<usize>, at: f64, version: u64, done: Marks) -> Job {
+    pub fn new(
+        spec: Rc<JobSpec>,
+        team: Option<usize>,
+        at: f64,
+        version: u64,
+        done: CompletedTasks,
+    ) -> Job {
         let mut job = Job {
             spec,
             team,
             at,
             version,
             written: done.clone(),
-            done: Marks::default(),
+            done: CompletedTasks::default(),
             marked_at: at,
             over: false,
             next: 0,
@@ -187,7 +193,7 @@
     }
 
     /// These tasks are done.
-    pub fn merge_done(&mut self, done: &Marks) {
+    pub fn merge_done(&mut self, done: &CompletedTasks) {
         for task in done.iter() {
             self.set_done(task);
         }
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -1,11 +1,11 @@
 //! Precedence among jobs: urgency first, and work whose aims are all out of
 //! reach after everything that can still meet one.
 
-use crate::coordination::scheduler::capacity::Room;
-use crate::coordination::scheduler::fair_share::Group;
+use crate::coordination::scheduler::capacity::Resources;
+use crate::coordination::scheduler::fair_share::FairShareGroup;
 use crate::coordination::scheduler::job::{Job, Name};
 use crate::coordination::scheduler::preemption::dearness;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::Shape;
 use crate::protocol::settings::Objective;
 use std::cell::Cell;
@@ -16,13 +16,13 @@
 
 /// A job in the order.
 #[derive(Debug)]
-pub(crate) struct Entry {
+pub(crate) struct OrderedJob {
     pub rank: u8,
     /// Order within the rank, lowest first.
     within: f64,
     pub name: Name,
     /// What a task takes.
-    pub need: Room,
+    pub need: Resources,
     /// See `Job::fresh`.
     pub fresh: Rc<Cell<bool>>,
     /// Its first task alone.
@@ -31,9 +31,9 @@
 
 /// The order of jobs, made anew from time to time.
 #[derive(Debug, Default)]
-pub struct Order {
+pub struct JobOrder {
     /// Unfinished jobs in the order of precedence.
-    pub(crate) jobs: Vec<Entry>,
+    pub(crate) jobs: Vec<OrderedJob>,
     /// The same jobs, those first whose stopping is cheapest.
     pub(crate) victims: Vec<(f64, f64, Name)>,
     /// Jobs came or went since it was made.
@@ -41,7 +41,7 @@
     made_at: f64,
 }
 
-impl Order {
+impl JobOrder {
     fn sort(&mut self) {
         self.jobs.sort_by(|a, b| {
             a.rank
@@ -68,7 +68,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// Makes the order anew if jobs came or went, or some time has passed: aims
     /// go out of reach and work left shrinks slowly against a report interval.
     pub(crate) fn make_order(&mut self, now: f64) {
@@ -88,9 +88,9 @@
             .map(|(n, _)| n.clone())
             .collect();
         self.judge_aims(now);
-        let mut order = Order {
+        let mut order = JobOrder {
             made_at: now,
-            ..Order::default()
+            ..JobOrder::default()
         };
         for name in names {
             let Some(job) = self.jobs.get(&name) else {
@@ -98,11 +98,11 @@
             };
             let pressed = self.pressed(job, now);
             let (rank, within) = self.precedence(job, now);
-            order.jobs.push(Entry {
+            order.jobs.push(OrderedJob {
                 rank,
                 within,
                 name: name.clone(),
-                need: Room::of_task(&job.spec),
+                need: Resources::of_task(&job.spec),
                 fresh: job.fresh.clone(),
                 first: false,
             });
@@ -154,8 +154,8 @@
             };
             job.judged = true;
             let groups = [
-                Some(Group::Class(job.spec.class.clone())),
-                job.team.map(Group::Team),
+                Some(FairShareGroup::Class(job.spec.class.clone())),
+                job.team.map(FairShareGroup::Team),
             ];
             for group in groups.iter().flatten() {
                 self.fair.outcome(group, met);
@@ -165,19 +165,19 @@
 
     /// Lifts the first jobs of each group that is owed room, as far as its floor
     /// goes.
-    fn lift(&mut self, order: &mut Order) {
+    fn lift(&mut self, order: &mut JobOrder) {
         for job in self.jobs.values_mut() {
             job.lifted = false;
         }
-        let owed: Vec<Group> = self.fair.owed().into_iter().cloned().collect();
+        let owed: Vec<FairShareGroup> = self.fair.owed().into_iter().cloned().collect();
         if owed.is_empty() {
             return;
         }
         let floor = self.capacity().1 * self.params.policy.floor_share / owed.len() as f64;
         for group in &owed {
             let of = |j: &Job| match group {
-                Group::Class(class) => j.spec.class == *class,
-                Group::Team(team) => j.team == Some(*team),
+                FairShareGroup::Class(class) => j.spec.class == *class,
+                FairShareGroup::Team(team) => j.team == Some(*team),
             };
             let mut used = 0.0;
             for entry in &mut order.jobs {
@@ -200,17 +200,17 @@
     /// Puts the first tasks of jobs of which nothing has begun for long before all
     /// else. Smallest-first, urgency and floors all pass over the largest jobs for as
     /// long as the load lasts; one task each takes little from the others.
-    fn begin_first(&self, order: &mut Order, now: f64) {
+    fn begin_first(&self, order: &mut JobOrder, now: f64) {
         let begin_s = self.params.policy.begin_s;
         if begin_s <= 0.0 {
             return;
         }
-        let waits = |e: &&Entry| {
+        let waits = |e: &&OrderedJob| {
             let job = self.jobs.get(&e.name);
             job.is_some_and(|j| !j.has_begun() && !j.suspect() && now - j.at > begin_s / 2.0)
         };
-        let mut firsts: Vec<Entry> = (order.jobs.iter().filter(waits))
-            .map(|e| Entry {
+        let mut firsts: Vec<OrderedJob> = (order.jobs.iter().filter(waits))
+            .map(|e| OrderedJob {
                 rank: 0,
                 within: self.jobs.get(&e.name).map_or(0.0, |j| j.at),
                 name: e.name.clone(),
@@ -235,7 +235,7 @@
     /// Which jobs need room made: those for which enough of it will not come free
     /// by itself within a part of their slack. Stopping others for the rest wins
     /// nobody's aim and loses what they have done.
-    fn judge_patience(&mut self, order: &Order, now: f64) {
+    fn judge_patience(&mut self, order: &JobOrder, now: f64) {
         // CPUs that come free in a second, by the size of the tasks that free them.
         let mut rates: Vec<(f64, f64)> = Vec::new();
         for job in self.jobs.values().filter(|j| !j.on.is_empty()) {
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -1,7 +1,7 @@
 //! A machine of the share, and the attempts that may be on it.
 
-use crate::coordination::scheduler::capacity::Room;
-use crate::coordination::scheduler::delivery::Hearing;
+use crate::coordination::scheduler::capacity::Resources;
+use crate::coordination::scheduler::delivery::Delivery;
 use crate::coordination::scheduler::job::{Name, TaskId};
 use crate::protocol::worker::{Cause, Phase};
 use crate::storage::records::{MachineInfo, TOKENS};
@@ -9,7 +9,7 @@
 
 /// An attempt that is on a machine, or may be.
 #[derive(Debug, Clone)]
-pub struct Active {
+pub struct Attempt {
     /// `None` until a report has shown it.
     pub phase: Option<Phase>,
     pub cause: Option<Cause>,
@@ -39,12 +39,12 @@
     /// It is to be stopped, with this grace.
     pub stop: Option<f64>,
     /// What it takes of the machine, as far as its job is known.
-    pub holds: Room,
+    pub holds: Resources,
 }
 
-impl Active {
-    pub fn new(now: f64, holds: Room) -> Active {
-        Active {
+impl Attempt {
+    pub fn new(now: f64, holds: Resources) -> Attempt {
+        Attempt {
             phase: None,
             cause: None,
             sent: now,
@@ -77,7 +77,7 @@
 
 /// A task bound to a machine's queue.
 #[derive(Debug, Clone)]
-pub struct Bound {
+pub struct QueuedTask {
     pub task: TaskId,
     pub rank: u8,
     pub predicted_s: f64,
@@ -88,7 +88,7 @@
 
 /// What a machine is good for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum MachineStatus {
     /// Takes tasks.
     Up,
     /// Takes no tasks any more and will be returned.
@@ -103,7 +103,7 @@
     pub info: MachineInfo,
     /// It stands in the share's written record, so tasks may start on it.
     pub recorded: bool,
-    pub standing: Standing,
+    pub standing: MachineStatus,
     /// Set aside by an operator: nothing new starts on it (see `drains`).
     pub held: bool,
     /// It was set aside and recorded as empty before we took over, so that it
@@ -132,15 +132,15 @@
     /// When a report of it was last answered.
     pub answered: Option<f64>,
     /// Whether it hears our answers.
-    pub hearing: Hearing,
+    pub hearing: Delivery,
     /// When the cloud will take it away.
     pub notice_at: Option<f64>,
-    pub active: BTreeMap<(TaskId, u64), Active>,
+    pub active: BTreeMap<(TaskId, u64), Attempt>,
     /// Attempts of jobs that we do not know, not exited.
     pub strangers: u32,
-    pub queue: Vec<Bound>,
+    pub queue: Vec<QueuedTask>,
     /// Room left by what holds it (see `place`).
-    pub free: Room,
+    pub free: Resources,
     /// It stands in the index of usable machines.
     pub indexed: bool,
     /// The task list of its newest report, as it came, while a report with the
@@ -168,7 +168,7 @@
         Machine {
             info,
             recorded,
-            standing: Standing::Up,
+            standing: MachineStatus::Up,
             held: false,
             proven: false,
             seen: (0, 0),
@@ -181,12 +181,12 @@
             anew_at: None,
             recounts: false,
             answered: None,
-            hearing: Hearing::default(),
+            hearing: Delivery::default(),
             notice_at: None,
             active: BTreeMap::new(),
             strangers: 0,
             queue: Vec::new(),
-            free: Room::default(),
+            free: Resources::default(),
             indexed: false,
             repeated: None,
             images: Vec::new(),
@@ -229,7 +229,7 @@
 
     /// Whether it holds up placing after a takeover.
     pub fn holds_up(&self) -> bool {
-        let unknown = self.recorded && !self.fenced && self.standing != Standing::Expired;
+        let unknown = self.recorded && !self.fenced && self.standing != MachineStatus::Expired;
         unknown && !self.proven || self.strangers > 0
     }
 
@@ -238,7 +238,7 @@
     pub fn usable(&self, now: f64, silent_s: f64) -> bool {
         self.recorded
             && self.fenced
-            && self.standing == Standing::Up
+            && self.standing == MachineStatus::Up
             && !self.held
             && self.strangers == 0
             && self.notice_at.is_none()
@@ -268,12 +268,12 @@
     pub fn may_start_yet(&self) -> bool {
         // That it only looks so is not enough: an owner that heard a late report first takes
         // the sessions since for early, and such a machine would be refused for ever.
-        let copied = |a: &Active| a.copies_to.is_some_and(|t| t >= self.token);
+        let copied = |a: &Attempt| a.copies_to.is_some_and(|t| t >= self.token);
         self.recounts && self.active.values().any(|a| a.in_flight() || copied(a))
     }
 
     /// Attempts that hold room.
-    pub fn holding(&self) -> impl Iterator<Item = (&(TaskId, u64), &Active)> {
+    pub fn holding(&self) -> impl Iterator<Item = (&(TaskId, u64), &Attempt)> {
         self.active.iter().filter(|(_, a)| !a.exited())
     }
 }
--- a/src/coordination/scheduler/overview.rs
+++ b/src/coordination/scheduler/overview.rs
@@ -1,14 +1,14 @@
 //! Live jobs at a glance as plain text: a rendering of `views`, for whoever
 //! looks after the night with nothing but a browser at hand.
 
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::admin::Standing;
 use std::fmt::Write;
 
 /// Most jobs shown.
 const MOST: usize = 200;
 
-impl Core {
+impl Scheduler {
     /// A table of live jobs, stuck ones first.
     pub fn overview(&self, now: f64) -> String {
         let jobs = self.job_rows(now, MOST);
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -6,11 +6,11 @@
 //! every machine or every task: samples come from the index of machines by
 //! room, and jobs that cannot be served are passed over by a few numbers.
 
-use crate::coordination::scheduler::capacity::{may_use, Room};
+use crate::coordination::scheduler::capacity::{may_use, Resources};
 use crate::coordination::scheduler::job::{Job, Name, Names, TaskId};
 use crate::coordination::scheduler::machine::Machine;
-use crate::coordination::scheduler::quota::{within_limit, Usage};
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::quota::{within_limit, TeamUsage};
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::{JobSpec, Urgency};
 use rand::Rng;
 use std::collections::HashMap;
@@ -21,7 +21,7 @@
 const DRAWS: usize = 4;
 /// What decides whether room can be made for a task, apart from how much it
 /// takes: team, urgency, whether it is within a guarantee, where it may run.
-pub(crate) type Kind = (Option<usize>, Urgency, bool, Rc<[usize]>);
+pub(crate) type TaskRequirements = (Option<usize>, Urgency, bool, Rc<[usize]>);
 
 /// Jobs that are tried thoroughly again after a report that freed room, first
 /// in the order; for the others, which may be hundreds, room that came free is
@@ -30,11 +30,11 @@
 
 /// What one pass remembers.
 #[derive(Debug, Default)]
-pub(crate) struct Pass {
-    pub usage: Usage,
+pub(crate) struct PlacementPass {
+    pub usage: TeamUsage,
     /// Kinds of tasks for which no room can be made, and how little they take:
     /// it can't be made for more either.
-    pub hopeless: Vec<(Kind, Room)>,
+    pub hopeless: Vec<(TaskRequirements, Resources)>,
     /// Stops that had their effect were forgotten in this pass.
     pub pruned: bool,
     /// What each team's stopped work will free, less what waits for it.
@@ -43,7 +43,7 @@
     less_urgent: HashMap<(Option<usize>, Urgency), bool>,
 }
 
-impl Core {
+impl Scheduler {
     /// Whether placing is allowed yet. Asked after every report of a takeover,
     /// so each machine that turned out accounted for is looked at once.
     pub fn gate_open(&mut self) -> bool {
@@ -80,7 +80,7 @@
             return;
         };
         let kind = self.types.get(&m.info.kind);
-        let mut free = kind.map_or(Room::default(), Room::of_type);
+        let mut free = kind.map_or(Resources::default(), Resources::of_type);
         if kind.is_some() {
             for (_, active) in m.holding() {
                 free.take(&active.holds);
@@ -130,9 +130,9 @@
         if full {
             self.used = self.usage();
         }
-        let mut pass = Pass {
+        let mut pass = PlacementPass {
             usage: self.used.clone(),
-            ..Pass::default()
+            ..PlacementPass::default()
         };
         let freed: Names = std::mem::take(&mut self.freed);
         let grown = std::mem::take(&mut self.grown);
@@ -167,7 +167,7 @@
         machine: &Name,
         task: TaskId,
         spec: &JobSpec,
-        pass: &mut Pass,
+        pass: &mut PlacementPass,
         now: f64,
     ) {
         tracing::debug!(job = %task.job, task = task.index, machine = %machine, term = self.term, "start");
@@ -179,7 +179,14 @@
 
     /// Places what waits of one job, `most` tasks: by room that is free and, if
     /// `thorough`, by making room and in queues.
-    fn place_job(&mut self, name: &Name, most: u32, thorough: bool, pass: &mut Pass, now: f64) {
+    fn place_job(
+        &mut self,
+        name: &Name,
+        most: u32,
+        thorough: bool,
+        pass: &mut PlacementPass,
+        now: f64,
+    ) {
         let Some(job) = self.jobs.get(name) else {
             return;
         };
@@ -193,7 +200,7 @@
             return;
         }
         let (spec, team) = (job.spec.clone(), job.team);
-        let need = Room::of_task(&spec);
+        let need = Resources::of_task(&spec);
         let mut placed = 0;
         loop {
             let Some(job) = self.jobs.get(name) else {
@@ -206,7 +213,7 @@
             }
             let limit = self.team(team);
             let allowed = within_limit(limit, pass.usage.of(team), &spec, 1.0);
-            let yields = |core: &Core, pass: &mut Pass| {
+            let yields = |core: &Scheduler, pass: &mut PlacementPass| {
                 thorough && core.team_has_less_urgent(team, spec.urgency, pass)
             };
             if !allowed && !yields(self, pass) {
@@ -283,7 +290,12 @@
     }
 
     /// Whether the team has work on machines that is less urgent than this.
-    fn team_has_less_urgent(&self, team: Option<usize>, urgency: Urgency, pass: &mut Pass) -> bool {
+    fn team_has_less_urgent(
+        &self,
+        team: Option<usize>,
+        urgency: Urgency,
+        pass: &mut PlacementPass,
+    ) -> bool {
         *pass.less_urgent.entry((team, urgency)).or_insert_with(|| {
             self.jobs
                 .values()
@@ -302,7 +314,7 @@
         pools: &[usize],
         now: f64,
     ) -> Option<Name> {
-        let need = Room::of_task(spec);
+        let need = Resources::of_task(spec);
         let n = self.index.roomy(pools, spec.cpus);
         let mut picks = Vec::new();
         if n > 0 {
@@ -373,7 +385,7 @@
         task: &TaskId,
         pools: &[usize],
         all: bool,
-        mut accept: impl FnMut(&Core, usize) -> Option<Name>,
+        mut accept: impl FnMut(&Scheduler, usize) -> Option<Name>,
     ) -> Vec<Name> {
         let want = self.params.policy.sample.min(n);
         let mut picks: Vec<Name> = Vec::with_capacity(want);
@@ -384,7 +396,7 @@
             let usable: usize = pools.iter().map(|&p| self.index.pool(p).usable()).sum();
             !f.is_empty() && f.len() < usable
         });
-        let mut good = |core: &Core, at: usize, picks: &[Name]| {
+        let mut good = |core: &Scheduler, at: usize, picks: &[Name]| {
             accept(core, at).filter(|m| !picks.contains(m) && failed.is_none_or(|f| !f.contains(m)))
         };
         let mut rng = self.rng.clone();
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -5,11 +5,11 @@
 //! is being stopped already, then some of those that run the work whose loss
 //! is cheapest.
 
-use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::capacity::Resources;
 use crate::coordination::scheduler::job::{Job, Name, TaskId};
-use crate::coordination::scheduler::placement::{Kind, Pass};
-use crate::coordination::scheduler::quota::{within_limit, Usage};
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::placement::{PlacementPass, TaskRequirements};
+use crate::coordination::scheduler::quota::{within_limit, TeamUsage};
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::{JobSpec, Urgency};
 use rand::Rng;
 use std::collections::HashMap;
@@ -21,7 +21,7 @@
 const PER_JOB: usize = 4;
 
 /// A way to make room: what it loses, the machine, what is stopped.
-type Plan = (f64, Name, Vec<((TaskId, u64), f64)>);
+type PreemptionPlan = (f64, Name, Vec<((TaskId, u64), f64)>);
 
 /// What stopping the attempt would lose, in CPU seconds, and the grace to stop
 /// it with. Work that can save does so unless saving takes longer than what it
@@ -57,9 +57,9 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     /// Whether `job` may stop a task of `victim`.
-    fn may_stop(&self, job: &Job, victim: &Job, usage: &Usage) -> bool {
+    fn may_stop(&self, job: &Job, victim: &Job, usage: &TeamUsage) -> bool {
         if victim.lifted && !job.guaranteed && !job.lifted {
             return false;
         }
@@ -79,7 +79,7 @@
 
     /// Whether `victim` may be stopped; if the team's limit is what lacks, only
     /// the team's own work frees it.
-    fn yields(&self, job: &Job, victim: &Job, lacking: bool, usage: &Usage) -> bool {
+    fn yields(&self, job: &Job, victim: &Job, lacking: bool, usage: &TeamUsage) -> bool {
         if lacking {
             victim.team == job.team && victim.spec.urgency < job.spec.urgency
         } else {
@@ -89,7 +89,7 @@
 
     /// Whether the team's limit leaves no room for one more task, counting
     /// what is being stopped as free and what waits for it as taken.
-    fn lacking_quota(&self, team: Option<usize>, spec: &JobSpec, pass: &mut Pass) -> bool {
+    fn lacking_quota(&self, team: Option<usize>, spec: &JobSpec, pass: &mut PlacementPass) -> bool {
         let Some(limit) = self.team(team) else {
             return true;
         };
@@ -148,7 +148,7 @@
         &mut self,
         name: &str,
         pools: &Rc<[usize]>,
-        pass: &mut Pass,
+        pass: &mut PlacementPass,
         now: f64,
     ) -> Option<Name> {
         let job = self.jobs.get(name)?;
@@ -156,9 +156,9 @@
             return None;
         }
         let (spec, team) = (job.spec.clone(), job.team);
-        let need = Room::of_task(&spec);
-        let kind: Kind = (team, spec.urgency, job.guaranteed, pools.clone());
-        let hopeless = |(k, least): &(Kind, Room)| need.holds(least) && *k == kind;
+        let need = Resources::of_task(&spec);
+        let kind: TaskRequirements = (team, spec.urgency, job.guaranteed, pools.clone());
+        let hopeless = |(k, least): &(TaskRequirements, Resources)| need.holds(least) && *k == kind;
         if pools.is_empty() || pass.hopeless.iter().any(hopeless) {
             return None;
         }
@@ -182,13 +182,19 @@
     }
 
     /// The cheapest of the plans weighed.
-    fn cheapest(&mut self, name: &str, lacking: bool, pass: &Pass, now: f64) -> Option<Plan> {
+    fn cheapest(
+        &mut self,
+        name: &str,
+        lacking: bool,
+        pass: &PlacementPass,
+        now: f64,
+    ) -> Option<PreemptionPlan> {
         let start: usize = self.rng.random_range(0..1 << 16);
         let job = self.jobs.get(name)?;
         let zones = self.zones(job);
         let mut seen: Vec<Name> = Vec::new();
-        let mut best: Option<Plan> = None;
-        let weigh = |machine: &Name, seen: &mut Vec<Name>, best: &mut Option<Plan>| {
+        let mut best: Option<PreemptionPlan> = None;
+        let weigh = |machine: &Name, seen: &mut Vec<Name>, best: &mut Option<PreemptionPlan>| {
             if seen.contains(machine) {
                 return;
             }
@@ -238,9 +244,9 @@
         job: &Job,
         zones: &crate::coordination::scheduler::zone_constraint::Zones,
         lacking: bool,
-        pass: &Pass,
+        pass: &PlacementPass,
         now: f64,
-    ) -> Option<Plan> {
+    ) -> Option<PreemptionPlan> {
         let m = self.machines.get(machine)?;
         let spec = &job.spec;
         let open = self.usable(m, now) && self.may_use(spec, m) && zones.allows(&m.info.zone);
@@ -248,12 +254,12 @@
             return None;
         }
         let at_once = spec.urgency >= Urgency::High || job.guaranteed;
-        let need = Room::of_task(spec);
+        let need = Resources::of_task(spec);
         // Room that is being made here is spoken for.
         let mut room = m.free;
         for bound in m.queue.iter().filter(|b| b.reserved) {
             if let Some(j) = self.jobs.get(&bound.task.job) {
-                room.take(&Room::of_task(&j.spec));
+                room.take(&Resources::of_task(&j.spec));
             }
         }
         let mut victims = Vec::new();
@@ -279,8 +285,8 @@
         victims.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut cost = 0.0;
         let mut chosen = Vec::new();
-        let mut freed = Room::default();
-        let enough = |room: &Room, freed: &Room| {
+        let mut freed = Resources::default();
+        let enough = |room: &Resources, freed: &Resources| {
             room.holds(&need) && (!lacking || freed.cpus >= need.cpus && freed.gpus >= need.gpus)
         };
         for (loss_s, key, held) in victims {
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -6,15 +6,15 @@
 //! the queues of a large fleet held more tasks than waited, so that room went to
 //! whatever stood before it and the smallest job fared like the largest.
 
-use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::capacity::Resources;
 use crate::coordination::scheduler::job::{Name, Names, TaskId};
-use crate::coordination::scheduler::machine::Bound;
-use crate::coordination::scheduler::placement::Pass;
+use crate::coordination::scheduler::machine::QueuedTask;
+use crate::coordination::scheduler::placement::PlacementPass;
 use crate::coordination::scheduler::quota::within_limit;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::JobSpec;
 
-impl Core {
+impl Scheduler {
     /// Half the age at which a bound task is drawn again.
     fn age_s(&self) -> f64 {
         self.params.policy.age_reports * self.params.report_s
@@ -30,7 +30,7 @@
             job.bound.insert(task.index, machine.clone());
         }
         if let Some(m) = self.machines.get_mut(machine) {
-            m.queue.push(Bound {
+            m.queue.push(QueuedTask {
                 task,
                 rank,
                 predicted_s,
@@ -112,7 +112,13 @@
 
     /// Starts tasks of the job that wait in queues where there is free room
     /// elsewhere, as far as it goes.
-    pub(crate) fn leave_queues(&mut self, name: &Name, spec: &JobSpec, pass: &mut Pass, now: f64) {
+    pub(crate) fn leave_queues(
+        &mut self,
+        name: &Name,
+        spec: &JobSpec,
+        pass: &mut PlacementPass,
+        now: f64,
+    ) {
         let Some(job) = self.jobs.get(name) else {
             return;
         };
@@ -148,7 +154,13 @@
 
     /// Starts tasks up to this rank for which room was made, where it came free:
     /// by smallest prediction.
-    pub(crate) fn start_bound(&mut self, rank: u8, freed: &Names, pass: &mut Pass, now: f64) {
+    pub(crate) fn start_bound(
+        &mut self,
+        rank: u8,
+        freed: &Names,
+        pass: &mut PlacementPass,
+        now: f64,
+    ) {
         for name in freed {
             let Some(m) = self.machines.get(name) else {
                 continue;
@@ -156,7 +168,7 @@
             if m.queue.is_empty() || !self.usable(m, now) {
                 continue;
             }
-            let mut ready: Vec<Bound> = (m.queue.iter())
+            let mut ready: Vec<QueuedTask> = (m.queue.iter())
                 .filter(|b| b.reserved && b.rank <= rank)
                 .cloned()
                 .collect();
@@ -175,7 +187,7 @@
                 let room = self
                     .machines
                     .get(name)
-                    .is_some_and(|m| m.free.holds(&Room::of_task(&spec)));
+                    .is_some_and(|m| m.free.holds(&Resources::of_task(&spec)));
                 if !room
                     || !within_limit(limit, pass.usage.of(team), &spec, 1.0)
                     || !self.zone_ok(&bound.task.job, name)
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -1,19 +1,19 @@
 //! What teams use, and which jobs fit into their guarantees.
 
 use crate::coordination::scheduler::job::Name;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::JobSpec;
 use crate::protocol::settings::Team;
 
 /// CPUs and GPUs in use, by the team's place in the settings.
 #[derive(Debug, Clone, Default)]
-pub struct Usage {
+pub struct TeamUsage {
     teams: Vec<(f64, f64)>,
     /// Of jobs whose team the settings do not name any more.
     other: (f64, f64),
 }
 
-impl Usage {
+impl TeamUsage {
     /// What the team uses.
     pub fn of(&self, team: Option<usize>) -> (f64, f64) {
         match team {
@@ -50,7 +50,7 @@
     fits(team.cpus_max, used.0, spec.cpus * tasks) && fits(team.gpus_max, used.1, spec.gpus * tasks)
 }
 
-impl Core {
+impl Scheduler {
     /// Place of the team of this name in the settings.
     pub(crate) fn team_at(&self, name: &str) -> Option<usize> {
         self.params.teams.iter().position(|t| t.name == name)
@@ -64,8 +64,8 @@
     /// Everything that is on a machine or may be: sent, fetching, running,
     /// saving, out of sight. Counted anew from the jobs, so that it cannot
     /// wander from them.
-    pub fn usage(&self) -> Usage {
-        let mut usage = Usage::default();
+    pub fn usage(&self) -> TeamUsage {
+        let mut usage = TeamUsage::default();
         for job in self.jobs.values().filter(|j| !j.on.is_empty()) {
             usage.add(job.team, &job.spec, job.attempts_on() as f64);
         }
@@ -73,7 +73,7 @@
     }
 
     /// The same, as it is kept up between full passes.
-    pub fn used(&self) -> &Usage {
+    pub fn used(&self) -> &TeamUsage {
         &self.used
     }
 
@@ -121,7 +121,7 @@
             .map(|(n, j)| (j.at, n.clone()))
             .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
-        let mut sums = Usage::default();
+        let mut sums = TeamUsage::default();
         for (_, name) in order {
             let Some(job) = self.jobs.get_mut(&name) else {
                 continue;
--- a/src/coordination/scheduler/run_time_predictor.rs
+++ b/src/coordination/scheduler/run_time_predictor.rs
@@ -2,7 +2,7 @@
 //! estimates are off, and how long jobs wait for their first task.
 
 use crate::coordination::scheduler::job::Job;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::{JobSpec, Shape};
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
@@ -16,9 +16,9 @@
 
 /// A distribution for each class, and for all of them under the name "".
 #[derive(Debug, Default)]
-pub struct ByClass(HashMap<String, Histogram<u32>>);
+pub struct ClassHistograms(HashMap<String, Histogram<u32>>);
 
-impl ByClass {
+impl ClassHistograms {
     fn add(&mut self, class: &str, value: f64) {
         for class in [class, ""] {
             if self.0.len() >= CLASSES && !self.0.contains_key(class) {
@@ -57,23 +57,23 @@
 
 /// What was learnt.
 #[derive(Debug, Default)]
-pub struct Learned {
+pub struct RunTimePredictor {
     /// How long tasks ran, in milliseconds.
-    pub run_ms: ByClass,
+    pub run_ms: ClassHistograms,
     /// How long they ran against their estimate, in thousandths.
-    pub ratio: ByClass,
+    pub ratio: ClassHistograms,
     /// From acceptance to the first task seen running, in milliseconds.
-    pub wait_ms: ByClass,
+    pub wait_ms: ClassHistograms,
 }
 
-impl Learned {
+impl RunTimePredictor {
     /// Remembers how long a job of the class waited for its first task.
     pub(crate) fn waited(&mut self, class: &str, wait_s: f64) {
         self.wait_ms.add(class, wait_s * 1000.0);
     }
 }
 
-impl Core {
+impl Scheduler {
     /// Prediction for a task: the job's estimate, or the recent median of its
     /// class, or of all, or else a lease.
     pub fn predict(&self, job: &Job) -> f64 {
--- a/src/coordination/scheduler/snapshot.rs
+++ b/src/coordination/scheduler/snapshot.rs
@@ -2,14 +2,14 @@
 //! made from such a snapshot: the same code decides there as here.
 
 use crate::coordination::scheduler::fence::Fence;
-use crate::coordination::scheduler::machine::Standing;
-use crate::coordination::scheduler::state::{Core, Params};
+use crate::coordination::scheduler::machine::MachineStatus;
+use crate::coordination::scheduler::state::{Scheduler, SchedulerConfig};
 use crate::protocol::admin::Drain;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobSpec;
 use crate::protocol::policy::Policy;
 use crate::protocol::settings::{Objective, Team};
-use crate::storage::marks::Marks;
+use crate::storage::marks::CompletedTasks;
 use crate::storage::records::{LiveJob, MachineInfo};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
@@ -77,11 +77,11 @@
     pub drains: Vec<Drain>,
 }
 
-impl Core {
+impl Scheduler {
     /// The share as it is now.
     pub fn snapshot(&self, now: f64) -> Snapshot {
         let machines = self.machines.values();
-        let up = machines.filter(|m| m.standing != Standing::Expired);
+        let up = machines.filter(|m| m.standing != MachineStatus::Expired);
         let machines = up.map(|m| {
             let tasks = m.holding().map(|((task, attempt), a)| SnapTask {
                 job: task.job.to_string(),
@@ -135,8 +135,8 @@
     /// An owner that took over, at the time 0, a share in this state: with the
     /// machines that go on in its record, and none heard of yet. Steady time is
     /// the time of day, so that deadlines count from the snapshot.
-    pub fn of_snapshot(snapshot: &Snapshot, seed: u64) -> Core {
-        let params = Params {
+    pub fn of_snapshot(snapshot: &Snapshot, seed: u64) -> Scheduler {
+        let params = SchedulerConfig {
             lease_s: snapshot.lease_s,
             report_s: snapshot.report_s,
             cancel_s: snapshot.cancel_s,
@@ -147,7 +147,7 @@
             policy: snapshot.policy.clone(),
         };
         let term = snapshot.term + 1;
-        let mut core = Core::new(params, term, Fence::new(term, Some(0.0)), seed);
+        let mut core = Scheduler::new(params, term, Fence::new(term, Some(0.0)), seed);
         core.set_types(&snapshot.types);
         for machine in snapshot.machines.iter().filter(|m| m.alive) {
             core.inherit(machine.info.clone(), 0.0);
@@ -158,7 +158,7 @@
                 at_ms: 0,
                 done: job.done.clone(),
             };
-            core.job_added(record, 1, Marks::default());
+            core.job_added(record, 1, CompletedTasks::default());
             if let Some(made) = core.jobs.get_mut(job.spec.id.as_str()) {
                 made.at = -job.age_s;
             }
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -1,19 +1,19 @@
 //! The owner's view of its share: jobs, machines and what is wanted of them.
 
-use crate::coordination::fleet::drains::Wish;
+use crate::coordination::fleet::drains::DrainTarget;
 use crate::coordination::recent::RecentMap;
-use crate::coordination::scheduler::capacity::{Index, Room};
-use crate::coordination::scheduler::fair_share::Fair;
+use crate::coordination::scheduler::capacity::{CapacityIndex, Resources};
+use crate::coordination::scheduler::fair_share::FairShare;
 use crate::coordination::scheduler::fence::Fence;
 use crate::coordination::scheduler::job::{ByName, Job, Name, Names, TaskCounts, TaskId};
-use crate::coordination::scheduler::job_order::Order;
-use crate::coordination::scheduler::machine::{Active, Machine, Standing};
-use crate::coordination::scheduler::quota::Usage;
-use crate::coordination::scheduler::run_time_predictor::Learned;
+use crate::coordination::scheduler::job_order::JobOrder;
+use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
+use crate::coordination::scheduler::quota::TeamUsage;
+use crate::coordination::scheduler::run_time_predictor::RunTimePredictor;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::policy::Policy;
 use crate::protocol::settings::{Objective, Settings, Team};
-use crate::storage::marks::Marks;
+use crate::storage::marks::CompletedTasks;
 use crate::storage::records::{LiveJob, MachineInfo, TOKENS};
 use foldhash::fast::RandomState;
 use indexmap::IndexSet;
@@ -44,7 +44,7 @@
 
 /// What the core needs of the settings.
 #[derive(Clone, Debug)]
-pub struct Params {
+pub struct SchedulerConfig {
     pub lease_s: f64,
     pub report_s: f64,
     pub cancel_s: f64,
@@ -56,10 +56,10 @@
     pub policy: Policy,
 }
 
-impl Params {
-    pub fn new(settings: &Settings, policy: &Policy) -> Params {
+impl SchedulerConfig {
+    pub fn new(settings: &Settings, policy: &Policy) -> SchedulerConfig {
         let workers = &settings.cluster.workers;
-        Params {
+        SchedulerConfig {
             lease_s: workers.lease_s,
             report_s: workers.report_s,
             cancel_s: workers.cancel_s,
@@ -77,8 +77,8 @@
 }
 
 /// The owner's view.
-pub struct Core {
-    pub params: Params,
+pub struct Scheduler {
+    pub params: SchedulerConfig,
     /// Current term; answers and commands carry it.
     pub term: u64,
     pub fence: Fence,
@@ -106,16 +106,16 @@
     /// still is no silence of the others.
     listening_since: f64,
     /// Usable machines by room.
-    pub(crate) index: Index,
+    pub(crate) index: CapacityIndex,
     /// Machines with tasks in their queue, and some that had.
     pub(crate) queued: Names,
     /// Machines that have an image, and some that had.
     pub(crate) holders: HashMap<String, Vec<Name>, RandomState>,
     /// Room of machines that have more of it than at the last pass.
-    pub(crate) grown: Vec<Room>,
+    pub(crate) grown: Vec<Resources>,
     /// What teams use, kept up with every task that goes on or off a machine
     /// and counted anew at each full pass.
-    pub(crate) used: Usage,
+    pub(crate) used: TeamUsage,
     /// Machines that may hold up placing after a takeover, and some that do not
     /// any more; those that do are all here while the fence is closed.
     pub(crate) awaited: Names,
@@ -132,22 +132,22 @@
     pub(crate) freed: Names,
     /// Attempts being stopped, and some that were.
     pub(crate) stopping: IndexSet<(Name, (TaskId, u64)), RandomState>,
-    pub(crate) order: Order,
+    pub(crate) order: JobOrder,
     /// Who is served less than half, and owed room for it.
-    pub fair: Fair,
+    pub fair: FairShare,
     /// When queues were last searched for aged tasks.
     pub(crate) aged_at: f64,
     pub(crate) attempts: u64,
     /// What finished tasks taught.
-    pub learned: Learned,
+    pub learned: RunTimePredictor,
     /// Machines that operators set aside (see `drains`).
-    pub(crate) wishes: ByName<Wish>,
+    pub(crate) wishes: ByName<DrainTarget>,
     pub(crate) rng: SmallRng,
 }
 
-impl Core {
-    pub fn new(params: Params, term: u64, fence: Fence, seed: u64) -> Core {
-        Core {
+impl Scheduler {
+    pub fn new(params: SchedulerConfig, term: u64, fence: Fence, seed: u64) -> Scheduler {
+        Scheduler {
             params,
             term,
             fence,
@@ -163,11 +163,11 @@
             ended: RecentMap::new(ENDED_JOBS),
             now: 0.0,
             listening_since: f64::NEG_INFINITY,
-            index: Index::default(),
+            index: CapacityIndex::default(),
             queued: Names::default(),
             holders: HashMap::default(),
             grown: Vec::new(),
-            used: Usage::default(),
+            used: TeamUsage::default(),
             awaited: Names::default(),
             awaited_before: 0,
             doubtful: Names::default(),
@@ -175,11 +175,11 @@
             limbo: Names::default(),
             freed: Names::default(),
             stopping: IndexSet::default(),
-            order: Order::default(),
-            fair: Fair::default(),
+            order: JobOrder::default(),
+            fair: FairShare::default(),
             aged_at: f64::NEG_INFINITY,
             attempts: 0,
-            learned: Learned::default(),
+            learned: RunTimePredictor::default(),
             wishes: ByName::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -240,14 +240,14 @@
     }
 
     /// A live job, from its record or freshly accepted.
-    pub fn job_added(&mut self, record: LiveJob, version: u64, extra: Marks) {
+    pub fn job_added(&mut self, record: LiveJob, version: u64, extra: CompletedTasks) {
         let id: Name = record.spec.id.as_str().into();
         if let Some(job) = self.jobs.get_mut(&id) {
             // A record read twice, our own mark seen by the watch, or a mark that
             // a former owner still wrote: its worker may have forgotten the
             // task since, so the mark must not be lost.
             if version > job.version {
-                let done = Marks::from_text(&record.done, job.spec.tasks);
+                let done = CompletedTasks::from_text(&record.done, job.spec.tasks);
                 job.version = version;
                 job.written.merge(&done);
                 job.merge_done(&done);
@@ -259,7 +259,7 @@
             // record, and of its end: the job is over and forgotten.
             return;
         }
-        let mut done = Marks::from_text(&record.done, record.spec.tasks);
+        let mut done = CompletedTasks::from_text(&record.done, record.spec.tasks);
         done.merge(&extra);
         let at = record.at_ms as f64 / 1000.0 - self.wall_offset_s;
         let team = self.team_at(&record.spec.team);
@@ -372,8 +372,8 @@
         job.starts += 1;
         job.passed_s = job.passed_s.max(now - job.served_at);
         job.served_at = now;
-        let holds = Room::of_task(&job.spec);
-        m.active.insert((task, attempt), Active::new(now, holds));
+        let holds = Resources::of_task(&job.spec);
+        m.active.insert((task, attempt), Attempt::new(now, holds));
         m.repeated = None;
         self.outbox.insert(machine.clone());
     }
@@ -439,10 +439,10 @@
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        if m.standing != Standing::Up {
+        if m.standing != MachineStatus::Up {
             return;
         }
-        m.standing = Standing::Draining;
+        m.standing = MachineStatus::Draining;
         let keys: Vec<(TaskId, u64)> = m.holding().map(|(k, _)| k.clone()).collect();
         m.repeated = None;
         self.unbind_all(name);
@@ -468,7 +468,7 @@
     pub fn wanted_record(&self) -> Vec<&MachineInfo> {
         self.machines
             .values()
-            .filter(|m| m.standing != Standing::Expired)
+            .filter(|m| m.standing != MachineStatus::Expired)
             .map(|m| &m.info)
             .collect()
     }
@@ -477,7 +477,7 @@
     pub fn record_written(&mut self, written: &[MachineInfo]) {
         for info in written {
             if let Some(m) = self.machines.get_mut(info.id.as_str()) {
-                if !m.recorded && m.standing != Standing::Expired {
+                if !m.recorded && m.standing != MachineStatus::Expired {
                     m.recorded = true;
                     if m.holds_up() {
                         self.awaited.insert(info.id.as_str().into());
@@ -490,7 +490,7 @@
     }
 
     /// An attempt does not run any more.
-    pub(crate) fn not_running(&mut self, key: &(TaskId, u64), active: &mut Active) {
+    pub(crate) fn not_running(&mut self, key: &(TaskId, u64), active: &mut Attempt) {
         if std::mem::take(&mut active.counted) {
             if let Some(job) = self.jobs.get_mut(&key.0.job) {
                 job.running = job.running.saturating_sub(1);
@@ -520,7 +520,7 @@
     }
 
     /// These marks of the job are written.
-    pub fn marks_written(&mut self, id: &str, marks: &Marks, version: u64) {
+    pub fn marks_written(&mut self, id: &str, marks: &CompletedTasks, version: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -533,7 +533,7 @@
     }
 
     /// The record of a job was read anew (after a conflict).
-    pub fn job_reread(&mut self, id: &str, version: u64, done: &Marks) {
+    pub fn job_reread(&mut self, id: &str, version: u64, done: &CompletedTasks) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.version = version;
             job.written.merge(done);
--- a/src/coordination/scheduler/views.rs
+++ b/src/coordination/scheduler/views.rs
@@ -2,10 +2,10 @@
 //! each look, from the owner's view as it is.
 
 use crate::coordination::scheduler::job::Job;
-use crate::coordination::scheduler::machine::{Machine, Standing as Up};
-use crate::coordination::scheduler::quota::{within_limit, Usage};
-use crate::coordination::scheduler::run_time_predictor::ByClass;
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::machine::{Machine, MachineStatus};
+use crate::coordination::scheduler::quota::{within_limit, TeamUsage};
+use crate::coordination::scheduler::run_time_predictor::ClassHistograms;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::admin::{
     JobRow, Jobs, MachineRow, MachineState, Spread, Standing, TeamRow, Waits,
 };
@@ -24,14 +24,14 @@
     }
 }
 
-fn spreads(ms: &ByClass) -> Vec<Spread> {
+fn spreads(ms: &ClassHistograms) -> Vec<Spread> {
     let classes = ms.classes().into_iter().filter(|(n, _)| !n.is_empty());
     classes.map(|(n, h)| spread(n, h)).collect()
 }
 
-impl Core {
+impl Scheduler {
     /// Why nothing of the job runs or could be added now.
-    fn reason(&self, job: &Job, usage: &Usage, now: f64) -> String {
+    fn reason(&self, job: &Job, usage: &TeamUsage, now: f64) -> String {
         if !self.fence.open {
             return "waits until all machines are accounted for after a takeover".into();
         }
@@ -151,17 +151,17 @@
     fn machine_state(&self, m: &Machine, now: f64) -> (MachineState, String) {
         let silent_s = self.silence(m.heard, now);
         let wish = self.wishes.get(&*m.info.id);
-        let aside = |w: &crate::coordination::fleet::drains::Wish| {
+        let aside = |w: &crate::coordination::fleet::drains::DrainTarget| {
             format!("by {}: {}", w.drain.by, w.drain.why)
         };
         match (m.standing, wish) {
             (_, Some(w)) if w.drain.drained.is_some() => (MachineState::Drained, aside(w)),
             (_, Some(w)) => (MachineState::Draining, aside(w)),
-            (Up::Draining, _) => {
+            (MachineStatus::Draining, _) => {
                 let why = format!("taken out of use; {} failures in a row", m.errors.len());
                 (MachineState::Returning, why)
             }
-            (Up::Expired, _) => {
+            (MachineStatus::Expired, _) => {
                 let why = "silent for a lease that nobody can have renewed";
                 (MachineState::Expired, why.into())
             }
--- a/src/coordination/scheduler/zone_constraint.rs
+++ b/src/coordination/scheduler/zone_constraint.rs
@@ -1,8 +1,8 @@
 //! In which zones another task of a job may start, given where its others are or may be.
 
-use crate::coordination::scheduler::capacity::Room;
+use crate::coordination::scheduler::capacity::Resources;
 use crate::coordination::scheduler::job::{Job, Name};
-use crate::coordination::scheduler::state::Core;
+use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::JobSpec;
 
 /// Where tasks of a job may go, given its other tasks.
@@ -38,7 +38,7 @@
     }
 }
 
-impl Core {
+impl Scheduler {
     pub(crate) fn zones(&self, job: &Job) -> Zones {
         let spec = &job.spec;
         if !spec.one_zone && !spec.spread {
@@ -72,7 +72,7 @@
     /// memory a zone was the roomiest for ever, and the job waited while another had room.
     fn roomiest_zone(&self, spec: &JobSpec) -> Option<String> {
         let mut room: Vec<(&str, f64)> = Vec::new();
-        let need = Room::of_task(spec);
+        let need = Resources::of_task(spec);
         for p in self.index.pools_for(spec, &self.types, |_| true) {
             let zone = self.index.pool(p).zone.as_str();
             let roomy = self.index.with_cpus(p, spec.cpus).iter();
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -13,10 +13,10 @@
 use crate::protocol::job::{
     parse_submission, peek_id, valid_id, Accepted, JobSpec, JobState, Progress,
 };
-use crate::protocol::mesh::{Answer, Ask};
+use crate::protocol::mesh::{PeerRequest, PeerResponse};
 use crate::protocol::state::Txn;
-use crate::storage::marks::Marks;
-use crate::storage::records::{self, Final, LiveJob};
+use crate::storage::marks::CompletedTasks;
+use crate::storage::records::{self, LiveJob, TerminalRecord};
 use crate::transport::clients::{Failure, Lane};
 use actix_web::http::StatusCode;
 use actix_web::web;
@@ -101,7 +101,7 @@
     let read = Rc::new(record.clone());
     node.records.borrow_mut().insert(&read, version);
     if let Some(core) = node.core.borrow_mut().as_mut() {
-        core.job_added(record, version, Marks::default());
+        core.job_added(record, version, CompletedTasks::default());
         core.place_news(node.now());
     }
     dispatcher::drain(node);
@@ -126,7 +126,7 @@
     match found {
         Ok(Found::Live(..)) => accepted(StatusCode::OK, id, live_state(counts)),
         Ok(Found::Unreadable(_)) => accepted(StatusCode::OK, id, JobState::Pending),
-        Ok(Found::Final(last)) => accepted(StatusCode::OK, id, last.state),
+        Ok(Found::TerminalRecord(last)) => accepted(StatusCode::OK, id, last.state),
         Ok(Found::Nothing) => refusal,
         Err(_) => try_elsewhere(node),
     }
@@ -149,8 +149,12 @@
         return core.progress(id);
     }
     let addr = node.peer(&node.other_owner()?)?;
-    match node.mesh.ask(addr, &Ask::Progress(id.to_string())).await? {
-        Answer::Progress { done, running } => Some(TaskCounts { done, running }),
+    match node
+        .mesh
+        .ask(addr, &PeerRequest::Progress(id.to_string()))
+        .await?
+    {
+        PeerResponse::Progress { done, running } => Some(TaskCounts { done, running }),
         _ => None,
     }
 }
@@ -173,7 +177,7 @@
             progress(&id, live_state(counts), counts.unwrap_or(unknown))
         }
         Ok(Found::Unreadable(_)) => progress(&id, JobState::Pending, TaskCounts::default()),
-        Ok(Found::Final(last)) => {
+        Ok(Found::TerminalRecord(last)) => {
             let counts = TaskCounts {
                 done: last.done,
                 running: 0,
@@ -208,7 +212,7 @@
         let (record, version) = match lookup::find(&node, &id).await {
             Ok(Found::Live(record, version)) => (Some(record), version),
             Ok(Found::Unreadable(version)) => (None, version),
-            Ok(Found::Final(last)) => {
+            Ok(Found::TerminalRecord(last)) => {
                 // Carried out before, and the answer was lost: nobody told the leader.
                 if !known && last.state == JobState::Cancelled {
                     tell_leader(&node, &id).await;
@@ -218,7 +222,7 @@
             Ok(Found::Nothing) => return no_such_job(),
             Err(_) => return try_elsewhere(&node),
         };
-        let last = Final {
+        let last = TerminalRecord {
             state: JobState::Cancelled,
             tasks: record.as_ref().map_or(0, |r| r.spec.tasks),
             done: record.as_ref().map_or(0, |r| r.marked()),
@@ -239,7 +243,7 @@
     try_elsewhere(&node)
 }
 
-fn cancellation(id: &str, version: u64, last: &Final) -> Txn {
+fn cancellation(id: &str, version: u64, last: &TerminalRecord) -> Txn {
     Txn::default()
         .when(&records::live(id), version)
         .delete(&records::live(id))
@@ -247,7 +251,7 @@
 }
 
 /// A cancellation was recorded, and its user is about to be told.
-async fn cancelled(node: &Rc<Node>, id: &str, last: Final) {
+async fn cancelled(node: &Rc<Node>, id: &str, last: TerminalRecord) {
     tracing::info!(job = %id, "cancelled");
     node.learnt_final(id, last);
     dispatcher::drain(node);
@@ -265,7 +269,7 @@
     let Some(addr) = node.other_owner().and_then(|o| node.peer(&o)) else {
         return;
     };
-    let message = Ask::Over(id.to_string());
+    let message = PeerRequest::Over(id.to_string());
     let told = node.mesh.ask_within(addr, &message, LEADER_HEARS_S);
     if told.await.is_none() {
         tracing::debug!(job = %id, "the leader was not reached with a cancellation");
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -5,45 +5,45 @@
 use crate::coordination::agents::dispatcher;
 use crate::coordination::leadership;
 use crate::coordination::node::Node;
-use crate::coordination::scheduler::state::Core;
-use crate::protocol::mesh::{self, Answer, Ask, Topic};
+use crate::coordination::scheduler::state::Scheduler;
+use crate::protocol::mesh::{self, PeerRequest, PeerResponse, Topic};
 use actix_web::web::Bytes;
 use actix_web::HttpResponse;
 use std::rc::Rc;
 
 /// `POST /mesh`: one message in `bincode`.
 pub async fn call(node: SharedNode, body: Bytes) -> HttpResponse {
-    match mesh::decode::<Ask>(&body) {
+    match mesh::decode::<PeerRequest>(&body) {
         Some(ask) => HttpResponse::Ok().body(mesh::encode(&answer(&node, ask))),
         None => HttpResponse::BadRequest().finish(),
     }
 }
 
-fn answer(node: &Rc<Node>, ask: Ask) -> Answer {
+fn answer(node: &Rc<Node>, ask: PeerRequest) -> PeerResponse {
     match ask {
-        Ask::Progress(id) => of_core(node, |core| progress(core, &id)),
-        Ask::Overview => of_core(node, |core| {
-            Some(Answer::Overview(core.overview(node.now())))
+        PeerRequest::Progress(id) => of_core(node, |core| progress(core, &id)),
+        PeerRequest::Overview => of_core(node, |core| {
+            Some(PeerResponse::Overview(core.overview(node.now())))
         }),
-        Ask::Admin(topic) => of_core(node, |core| admin_page(node, core, topic)),
-        Ask::Vouch(term) => agreed_if(node.tenure.borrow().vouches_for(term)),
-        Ask::Promise(term) => {
+        PeerRequest::Admin(topic) => of_core(node, |core| admin_page(node, core, topic)),
+        PeerRequest::Vouch(term) => agreed_if(node.tenure.borrow().vouches_for(term)),
+        PeerRequest::Promise(term) => {
             leadership::promise(node, term);
-            Answer::Agreed
+            PeerResponse::Agreed
         }
-        Ask::Contact => {
+        PeerRequest::Contact => {
             let steady_s = node.health.borrow().steady_s(node.now());
-            Answer::Contact((steady_s.max(0.0) * 1000.0) as u64)
+            PeerResponse::Contact((steady_s.max(0.0) * 1000.0) as u64)
         }
-        Ask::TurnedAway => {
+        PeerRequest::TurnedAway => {
             let recent = node.turned_away.borrow_mut().recent(node.now());
-            Answer::TurnedAway(recent)
+            PeerResponse::TurnedAway(recent)
         }
-        Ask::Over(id) => {
+        PeerRequest::Over(id) => {
             job_over(node, &id);
-            Answer::Agreed
+            PeerResponse::Agreed
         }
-        Ask::Told(term, for_ms) => told(node, term, for_ms),
+        PeerRequest::Told(term, for_ms) => told(node, term, for_ms),
     }
 }
 
@@ -59,41 +59,41 @@
 }
 
 /// What the leader's core says, if this controller leads.
-fn of_core(node: &Node, ask: impl FnOnce(&Core) -> Option<Answer>) -> Answer {
+fn of_core(node: &Node, ask: impl FnOnce(&Scheduler) -> Option<PeerResponse>) -> PeerResponse {
     let core = node.core.borrow();
-    core.as_ref().and_then(ask).unwrap_or(Answer::NotMine)
+    core.as_ref().and_then(ask).unwrap_or(PeerResponse::NotMine)
 }
 
-fn agreed_if(agreed: bool) -> Answer {
+fn agreed_if(agreed: bool) -> PeerResponse {
     if agreed {
-        Answer::Agreed
+        PeerResponse::Agreed
     } else {
-        Answer::NotMine
+        PeerResponse::NotMine
     }
 }
 
-fn progress(core: &Core, id: &str) -> Option<Answer> {
+fn progress(core: &Scheduler, id: &str) -> Option<PeerResponse> {
     let counts = core.progress(id)?;
-    Some(Answer::Progress {
+    Some(PeerResponse::Progress {
         done: counts.done,
         running: counts.running,
     })
 }
 
-fn admin_page(node: &Node, core: &Core, topic: Topic) -> Option<Answer> {
+fn admin_page(node: &Node, core: &Scheduler, topic: Topic) -> Option<PeerResponse> {
     let text = admin::of_core(core, topic, node.now())?;
-    Some(Answer::Admin(core.term, text))
+    Some(PeerResponse::Admin(core.term, text))
 }
 
 /// The cancellations that this controller told users of, for a leader that has no other
 /// way to learn them.
-fn told(node: &Node, term: u64, for_ms: u64) -> Answer {
+fn told(node: &Node, term: u64, for_ms: u64) -> PeerResponse {
     if !node.tenure.borrow().speaks_to(term) {
-        return Answer::NotMine;
+        return PeerResponse::NotMine;
     }
     let for_s = for_ms as f64 / 1000.0;
     match node.told_over.borrow().within(for_s, node.now()) {
-        Some(jobs) => Answer::Told(jobs),
-        None => Answer::NotMine,
+        Some(jobs) => PeerResponse::Told(jobs),
+        None => PeerResponse::NotMine,
     }
 }
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -3,7 +3,7 @@
 use super::reply::{json_response, read_body, refuse, unavailable};
 use super::SharedNode;
 use crate::coordination::agents::dispatcher;
-use crate::coordination::agents::heartbeat::Answer;
+use crate::coordination::agents::heartbeat::HeartbeatReply;
 use crate::coordination::agents::leader_reachability;
 use crate::coordination::leadership;
 use crate::coordination::node::Node;
@@ -48,15 +48,15 @@
             core.remember(&report.machine, order, tasks.get());
             verdict
         }
-        None => Answer::Refuse,
+        None => HeartbeatReply::Refuse,
     };
     match verdict {
-        Answer::Orders(reply) => {
+        HeartbeatReply::Orders(reply) => {
             dispatcher::drain(&node);
             json_response(StatusCode::OK, &reply)
         }
-        Answer::Refuse => unavailable(),
-        Answer::Superseded => {
+        HeartbeatReply::Refuse => unavailable(),
+        HeartbeatReply::Superseded => {
             leadership::superseded(&node);
             unavailable()
         }
--- a/src/handlers/status.rs
+++ b/src/handlers/status.rs
@@ -3,7 +3,7 @@
 use super::reply::{json_response, unavailable};
 use super::SharedNode;
 use crate::coordination::node::Node;
-use crate::protocol::mesh::{Answer, Ask};
+use crate::protocol::mesh::{PeerRequest, PeerResponse};
 use actix_web::http::StatusCode;
 use actix_web::HttpResponse;
 use serde_json::json;
@@ -37,8 +37,8 @@
 
 async fn leaders_overview(node: &Rc<Node>) -> Option<String> {
     let addr = node.peer(&node.other_owner()?)?;
-    match node.mesh.ask(addr, &Ask::Overview).await? {
-        Answer::Overview(text) => Some(text),
+    match node.mesh.ask(addr, &PeerRequest::Overview).await? {
+        PeerResponse::Overview(text) => Some(text),
         _ => None,
     }
 }
--- a/src/protocol/mesh.rs
+++ b/src/protocol/mesh.rs
@@ -6,7 +6,7 @@
 
 /// A question to another controller.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub enum Ask {
+pub enum PeerRequest {
     /// How many tasks of the job run, as far as you own it?
     Progress(String),
     /// The overview of live jobs, as text.
@@ -46,7 +46,7 @@
 
 /// Its answer.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub enum Answer {
+pub enum PeerResponse {
     /// Done and running tasks.
     Progress {
         done: u32,
--- a/src/storage/chunks.rs
+++ b/src/storage/chunks.rs
@@ -8,12 +8,12 @@
 /// The record as it stands: each chunk with its version, as far as we know, and
 /// which of them a write without an answer may still change.
 #[derive(Debug, Default)]
-pub struct Written(Vec<(Vec<MachineInfo>, u64)>, BTreeSet<usize>);
+pub struct MachineRecord(Vec<(Vec<MachineInfo>, u64)>, BTreeSet<usize>);
 
-impl Written {
+impl MachineRecord {
     /// Reads it from a listing; what is not in it does not exist.
-    pub fn read(listed: &[Entry]) -> Written {
-        let mut written = Written::default();
+    pub fn read(listed: &[Entry]) -> MachineRecord {
+        let mut written = MachineRecord::default();
         for entry in listed {
             match (records::chunk_of(&entry.key), entry.read::<MachineChunk>()) {
                 (Some(at), Ok(chunk)) => written.set(at, chunk.machines, entry.version),
@@ -31,7 +31,7 @@
 
     /// Takes over what was read anew; what is unsure stays so.
     pub fn reread(&mut self, listed: &[Entry]) {
-        self.0 = Written::read(listed).0;
+        self.0 = MachineRecord::read(listed).0;
     }
 
     /// The chunk holds these machines since this version.
@@ -57,7 +57,7 @@
 /// version and each chunk is the one we know. Without the latter one that was
 /// given up, and is carried out minutes late, would put an old list over a
 /// newer one: tasks would run on machines that no record names.
-pub fn txn(written: &Written, changes: &[Change], share_version: u64) -> Txn {
+pub fn txn(written: &MachineRecord, changes: &[Change], share_version: u64) -> Txn {
     let mut txn = Txn::default().when(records::SHARE, share_version);
     for (at, machines) in changes {
         let key = records::machines(*at);
@@ -79,8 +79,8 @@
 
 /// Chunks to write so that they hold just the `wanted` machines, none above
 /// `most_bytes`. A machine stays in its chunk, so a change touches few.
-pub fn plan(written: &Written, wanted: &[&MachineInfo], most_bytes: usize) -> Vec<Change> {
-    let Written(written, unsure) = written;
+pub fn plan(written: &MachineRecord, wanted: &[&MachineInfo], most_bytes: usize) -> Vec<Change> {
+    let MachineRecord(written, unsure) = written;
     let mut missing: HashMap<&str, &MachineInfo> =
         wanted.iter().map(|m| (m.id.as_str(), *m)).collect();
     let mut chunks: Vec<Vec<&MachineInfo>> = Vec::with_capacity(written.len());
--- a/src/storage/marks.rs
+++ b/src/storage/marks.rs
@@ -4,9 +4,9 @@
 
 /// A set of task numbers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Marks(BTreeSet<u32>);
+pub struct CompletedTasks(BTreeSet<u32>);
 
-impl Marks {
+impl CompletedTasks {
     pub fn insert(&mut self, task: u32) -> bool {
         self.0.insert(task)
     }
@@ -24,13 +24,13 @@
         self.0.iter().copied()
     }
     /// Adds all of `other`.
-    pub fn merge(&mut self, other: &Marks) {
+    pub fn merge(&mut self, other: &CompletedTasks) {
         self.0.extend(&other.0);
     }
     /// The marks within chunk `chunk` of `size` tasks.
-    pub fn chunk(&self, chunk: u32, size: u32) -> Marks {
+    pub fn chunk(&self, chunk: u32, size: u32) -> CompletedTasks {
         let from = chunk.saturating_mul(size);
-        Marks(
+        CompletedTasks(
             self.0
                 .range(from..from.saturating_add(size))
                 .copied()
@@ -60,7 +60,7 @@
     }
     /// Reads ranges below `limit`; anything unreadable is no mark, so that a
     /// damaged record runs tasks again instead of losing them.
-    pub fn from_text(text: &str, limit: u32) -> Marks {
+    pub fn from_text(text: &str, limit: u32) -> CompletedTasks {
         let mut set = BTreeSet::new();
         for part in text.split(',').filter(|p| !p.is_empty()) {
             let (a, b) = part.split_once('-').unwrap_or((part, part));
@@ -68,6 +68,6 @@
                 set.extend(a..=b.min(limit.saturating_sub(1)));
             }
         }
-        Marks(set)
+        CompletedTasks(set)
     }
 }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,6 +1,6 @@
 //! What foxspur keeps in the state service, and under which keys.
 
-use super::marks::Marks;
+use super::marks::CompletedTasks;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobSpec, JobState};
 use crate::protocol::state::Txn;
@@ -69,7 +69,7 @@
 
 /// Tokens that an owner may give under one term: its term itself and those above it,
 /// up to this many, for single machines (`share`'s owner raises a machine's token
-/// without a write, see `Core::token_of`). The counter passes over all of them, so that
+/// without a write, see `Scheduler::token_of`). The counter passes over all of them, so that
 /// later terms, also those of older programs, are higher than any. One costs a report
 /// and a call that were answered, so this many last for hours; with it and 24 bits for
 /// the count of attempts, a hundred thousand takeovers stay below 2^53.
@@ -77,14 +77,14 @@
 
 /// The counter of terms: the highest token that anyone may have given.
 #[derive(Serialize, Deserialize, Clone, Debug, Default)]
-pub struct Term {
+pub struct TermCounter {
     pub term: u64,
 }
 
-impl Term {
+impl TermCounter {
     /// The counter when this term is taken.
-    pub fn taken(term: u64) -> Term {
-        Term {
+    pub fn taken(term: u64) -> TermCounter {
+        TermCounter {
             term: term + TOKENS - 1,
         }
     }
@@ -92,7 +92,7 @@
 
 /// A controller that is alive; `boot` differs for each start of its process.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Alive {
+pub struct AliveRecord {
     pub boot: u64,
 }
 
@@ -103,13 +103,13 @@
 pub fn alive_write(host: &str, boot: u64, lease: u64, over: u64) -> Txn {
     let key = alive(host);
     let txn = Txn::default().when(&key, over);
-    txn.put_leased(&key, &Alive { boot }, Some(lease))
+    txn.put_leased(&key, &AliveRecord { boot }, Some(lease))
 }
 
 /// A former owner that might still answer workers: until `until_ms` (time of
 /// day), or until its host is seen with another boot.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
-pub struct Prior {
+pub struct FormerLeader {
     pub host: String,
     pub boot: u64,
     pub until_ms: u64,
@@ -117,13 +117,13 @@
 
 /// Who holds a share under which term.
 #[derive(Serialize, Deserialize, Clone, Debug)]
-pub struct Share {
+pub struct ShardRecord {
     pub owner: String,
     pub boot: u64,
     pub term: u64,
     pub teams: Vec<String>,
     #[serde(default)]
-    pub prior: Vec<Prior>,
+    pub prior: Vec<FormerLeader>,
     /// Its owner falls silent when it does not know of cancellations. An older program,
     /// which does not, leaves this out.
     #[serde(default)]
@@ -159,19 +159,19 @@
 impl LiveJob {
     /// How many tasks are done by this record; marks kept apart from it not counted.
     pub fn marked(&self) -> u32 {
-        Marks::from_text(&self.done, self.spec.tasks).len() as u32
+        CompletedTasks::from_text(&self.done, self.spec.tasks).len() as u32
     }
 }
 
 /// Some of a large job's done marks.
 #[derive(Serialize, Deserialize, Clone, Debug, Default)]
-pub struct MarkChunk {
+pub struct CompletedTasksChunk {
     pub done: String,
 }
 
 /// A job's final state.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug)]
-pub struct Final {
+pub struct TerminalRecord {
     pub state: JobState,
     pub tasks: u32,
     pub done: u32,
--- a/src/transport/clients/peers.rs
+++ b/src/transport/clients/peers.rs
@@ -1,6 +1,6 @@
 //! Client of the other controllers.
 
-use crate::protocol::mesh::{self, Answer, Ask};
+use crate::protocol::mesh::{self, PeerRequest, PeerResponse};
 use crate::transport::http::Http;
 use awc::http::Method;
 use std::net::SocketAddr;
@@ -26,12 +26,17 @@
     }
 
     /// Asks a peer; hints are worth no long wait.
-    pub async fn ask(&self, addr: SocketAddr, ask: &Ask) -> Option<Answer> {
+    pub async fn ask(&self, addr: SocketAddr, ask: &PeerRequest) -> Option<PeerResponse> {
         self.ask_within(addr, ask, 0.3).await
     }
 
     /// Asks a peer with this much patience.
-    pub async fn ask_within(&self, addr: SocketAddr, ask: &Ask, wait_s: f64) -> Option<Answer> {
+    pub async fn ask_within(
+        &self,
+        addr: SocketAddr,
+        ask: &PeerRequest,
+        wait_s: f64,
+    ) -> Option<PeerResponse> {
         let body = mesh::encode(ask);
         let response = self
             .http
--- a/tests/answer_cases.rs
+++ b/tests/answer_cases.rs
@@ -8,8 +8,8 @@
 use foxspur::coordination::jobs::lookup::READ_AGE;
 use foxspur::protocol::job::{JobState, Urgency};
 use foxspur::protocol::state::Txn;
-use foxspur::storage::marks::Marks;
-use foxspur::storage::records::{self, Final};
+use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::records::{self, TerminalRecord};
 use simulated::users::{id, submission};
 use simulated::{block_on, Cluster};
 use std::time::Duration;
@@ -61,10 +61,10 @@
             let record = live(spec(&id(1), "vision", Urgency::Standard, 2, 1.0), 0.0);
             let txn = Txn::default().put(&records::live(&id(1)), &record);
             let version = cluster.store.borrow_mut().apply(&txn).expect("free");
-            core.job_added(record, version, Marks::default());
+            core.job_added(record, version, CompletedTasks::default());
             *controllers[0].node.core.borrow_mut() = Some(core);
             if recorded {
-                let last = Final {
+                let last = TerminalRecord {
                     state: JobState::Cancelled,
                     tasks: 2,
                     done: 0,
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -11,7 +11,7 @@
 use foxspur::coordination::jobs::lookup::READ_AGE;
 use foxspur::protocol::job::JobState;
 use foxspur::protocol::state::Txn;
-use foxspur::storage::records::{self, Final};
+use foxspur::storage::records::{self, TerminalRecord};
 use rand::Rng;
 use simulated::users::{id, submission, Told};
 use simulated::{block_on, Cluster, Controller};
@@ -146,7 +146,7 @@
     async fn end(self: &Rc<Self>, job: usize) -> bool {
         let id = id(job);
         let key = records::live(&id);
-        let last = Final {
+        let last = TerminalRecord {
             state: JobState::Done,
             tasks: 2,
             done: 2,
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -6,15 +6,17 @@
 
 use common::*;
 use foxspur::coordination::agents::direct_calls::CallResult;
-use foxspur::coordination::agents::heartbeat::Answer;
-use foxspur::coordination::leadership::cancellation_horizon::{blind_s, Cover, Told};
+use foxspur::coordination::agents::heartbeat::HeartbeatReply;
+use foxspur::coordination::leadership::cancellation_horizon::{
+    blind_s, CancellationHorizon, ConfirmedCancellations,
+};
 use foxspur::coordination::node::Node;
 use foxspur::protocol::job::{JobState, Urgency};
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Settings;
 use foxspur::protocol::worker::{Command, Phase};
-use foxspur::storage::marks::Marks;
-use foxspur::storage::records::Final;
+use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::records::TerminalRecord;
 use foxspur::transport::sockets::Sockets;
 
 /// As of when all cancellations are known: by the watch, never later than the check of
@@ -72,7 +74,7 @@
         ),
     ];
     for (what, watched, confirmed, words, known) in cases {
-        let mut cover = Cover::default();
+        let mut cover = CancellationHorizon::default();
         watched.into_iter().for_each(|t| cover.watched(t));
         for (peer, asked_at, now) in words {
             cover.word(peer, *asked_at, *now);
@@ -80,7 +82,10 @@
         assert_eq!(cover.known(confirmed, &peers), known, "{what}");
     }
     // Alone, there is nobody to tell anything.
-    assert_eq!(Cover::default().known(9.0, &[]), f64::NEG_INFINITY);
+    assert_eq!(
+        CancellationHorizon::default().known(9.0, &[]),
+        f64::NEG_INFINITY
+    );
     // The sum of the bound and a lease stays below `cancel_s`.
     for (cancel_s, lease_s) in [(40.0, 10.0), (51.0, 31.0), (47.5, 17.5)] {
         assert!(blind_s(cancel_s, lease_s) + 1.0006 * lease_s < cancel_s - 1.0);
@@ -91,7 +96,7 @@
 /// its former life, and keeps the latest ones only.
 #[test]
 fn a_word_covers_the_time_asked_for() {
-    let mut told = Told::since(100.0);
+    let mut told = ConfirmedCancellations::since(100.0);
     told.note("run-1", 110.0);
     told.note("run-2", 120.0);
     for (for_s, now, word) in [
@@ -121,15 +126,15 @@
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         assert!(matches!(
             core.hello(&report("m1", 1, 1, 5, &[]), 0.0),
-            Answer::Orders(_)
+            HeartbeatReply::Orders(_)
         ));
         let record = live(spec("run-1", "t", Urgency::Standard, 1, 1.0), 0.0);
         if known_before {
-            core.job_added(record.clone(), 7, Marks::default());
+            core.job_added(record.clone(), 7, CompletedTasks::default());
         }
         core.job_over("run-1");
         core.sweep();
-        core.job_added(record, 7, Marks::default());
+        core.job_added(record, 7, CompletedTasks::default());
         core.place(1.0);
         assert!(core.direct_call(&"m1".into(), 1.0).is_none(), "it starts");
     }
@@ -151,7 +156,7 @@
         core.hello(&report("m1", 1, 1, 5, &[]), 0.0);
         let now = leases * LEASE_S;
         let verdict = core.hello(&report("m1", 1 + further, 97, 5, &[]), now);
-        let taken = matches!(verdict, Answer::Orders(_));
+        let taken = matches!(verdict, HeartbeatReply::Orders(_));
         assert_eq!(taken, can, "{further} further after {leases} leases");
     }
 }
@@ -191,7 +196,7 @@
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
     let mut job = spec("run-1", "t", Urgency::Standard, 1, 1.0);
     (job.checkpoint_s, job.save_s) = (10.0, 5.0);
-    core.job_added(live(job, 0.0), 1, Marks::default());
+    core.job_added(live(job, 0.0), 1, CompletedTasks::default());
     let saving = [("run-1/0", 3, Phase::Saving, None)];
     core.hello(&report("m1", 1, 1, 5, &saving), 0.0);
     core.job_over("run-1");
@@ -203,7 +208,8 @@
     assert!(ends(&call.commands));
     core.called(&"m1".into(), &call, CallResult::Unknown, 1.0);
     for seq in 2..5 {
-        let Answer::Orders(reply) = core.hello(&report("m1", 1, seq, 5, &saving), seq as f64)
+        let HeartbeatReply::Orders(reply) =
+            core.hello(&report("m1", 1, seq, 5, &saving), seq as f64)
         else {
             panic!("refused");
         };
@@ -243,7 +249,7 @@
             0.0,
         );
         *node.core.borrow_mut() = Some(core);
-        let last = Final {
+        let last = TerminalRecord {
             state,
             tasks: 2,
             done: 0,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,13 +4,13 @@
 pub mod digest;
 
 use foxspur::coordination::scheduler::fence::Fence;
-use foxspur::coordination::scheduler::state::{Core, Params};
+use foxspur::coordination::scheduler::state::{Scheduler, SchedulerConfig};
 use foxspur::protocol::cloud::MachineType;
 use foxspur::protocol::job::{JobSpec, Shape, Urgency};
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Team;
 use foxspur::protocol::worker::{Cause, Phase, Report, Shown};
-use foxspur::storage::marks::Marks;
+use foxspur::storage::marks::CompletedTasks;
 use foxspur::storage::records::{LiveJob, MachineInfo};
 
 /// A good settings file.
@@ -66,8 +66,8 @@
     }
 }
 
-pub fn params(teams: Vec<Team>) -> Params {
-    Params {
+pub fn params(teams: Vec<Team>) -> SchedulerConfig {
+    SchedulerConfig {
         lease_s: LEASE_S,
         report_s: 1.0,
         cancel_s: CANCEL_S,
@@ -137,8 +137,8 @@
 }
 
 /// A core with these machines in its record, none of them fenced yet.
-pub fn core(teams: Vec<Team>, term: u64, machines: &[&str]) -> Core {
-    let mut core = Core::new(params(teams), term, Fence::new(term, Some(0.0)), 7);
+pub fn core(teams: Vec<Team>, term: u64, machines: &[&str]) -> Scheduler {
+    let mut core = Scheduler::new(params(teams), term, Fence::new(term, Some(0.0)), 7);
     core.set_types(&types());
     for id in machines {
         core.inherit(machine(id, "a", false), 0.0);
@@ -146,8 +146,8 @@
     core
 }
 
-pub fn add(core: &mut Core, spec: JobSpec, at_s: f64) {
-    core.job_added(live(spec, at_s), 1, Marks::default());
+pub fn add(core: &mut Scheduler, spec: JobSpec, at_s: f64) {
+    core.job_added(live(spec, at_s), 1, CompletedTasks::default());
 }
 
 /// A report; tasks as (name, attempt, phase, cause).
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -5,32 +5,32 @@
 
 use common::*;
 use foxspur::coordination::agents::direct_calls::CallResult;
-use foxspur::coordination::agents::heartbeat::Answer;
+use foxspur::coordination::agents::heartbeat::HeartbeatReply;
 use foxspur::coordination::jobs::completion_batch;
 use foxspur::coordination::scheduler::fence::remaining;
 use foxspur::coordination::scheduler::quota::within_limit;
-use foxspur::coordination::scheduler::state::Core;
+use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::state::Txn;
 use foxspur::protocol::worker::{Cause, Command, Phase, Report};
-use foxspur::storage::marks::Marks;
-use foxspur::storage::records::{self, Prior, Term, TOKENS};
+use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::records::{self, FormerLeader, TermCounter, TOKENS};
 use foxspur::transport::budget::Budget;
 use foxspur_testbed::store::Store;
 
 /// Done and running tasks of a job.
-fn counts(core: &Core, id: &str) -> Option<(u32, u32)> {
+fn counts(core: &Scheduler, id: &str) -> Option<(u32, u32)> {
     core.progress(id).map(|c| (c.done, c.running))
 }
 
-fn answer(core: &mut Core, report: &Report, now: f64) -> (u64, Vec<Command>) {
+fn answer(core: &mut Scheduler, report: &Report, now: f64) -> (u64, Vec<Command>) {
     match core.hello(report, now) {
-        Answer::Orders(reply) => (reply.token, reply.commands),
+        HeartbeatReply::Orders(reply) => (reply.token, reply.commands),
         other => panic!("{other:?}"),
     }
 }
 
-fn orders(core: &mut Core, report: &Report, now: f64) -> Vec<Command> {
+fn orders(core: &mut Scheduler, report: &Report, now: f64) -> Vec<Command> {
     answer(core, report, now).1
 }
 
@@ -94,11 +94,11 @@
     core.tick(11.5, 11.5);
     assert!(matches!(
         core.hello(&report("m1", 1, 2, 5, &[]), 12.0),
-        Answer::Refuse
+        HeartbeatReply::Refuse
     ));
     assert!(matches!(
         core.hello(&report("m1", 2, 3, 5, &[]), 13.0),
-        Answer::Orders(_)
+        HeartbeatReply::Orders(_)
     ));
 }
 
@@ -211,8 +211,8 @@
     // A report under a machine's own token is no sign of another owner, one beyond
     // all of them is, and the next term is above them all.
     let verdict = core.hello(&report("m1", 1, 99, 5 + TOKENS, &[]), 50.0);
-    assert!(matches!(verdict, Answer::Superseded));
-    assert!(Term::taken(5).term + 1 == 5 + TOKENS);
+    assert!(matches!(verdict, HeartbeatReply::Superseded));
+    assert!(TermCounter::taken(5).term + 1 == 5 + TOKENS);
 }
 
 /// Where a machine has had all tokens of a term, the term is raised by a write.
@@ -290,7 +290,7 @@
         Some((0, 0)),
         "not told before it is written"
     );
-    core.marks_written("run-1", &Marks::from_text("1", 2), 2);
+    core.marks_written("run-1", &CompletedTasks::from_text("1", 2), 2);
     let reply = orders(&mut core, &report("m1", 1, 2, 5, &done), 2.0);
     assert!(reply.iter().any(|c| matches!(c, Command::Forget { .. })));
     assert_eq!(counts(&core, "run-1"), Some((1, 0)));
@@ -458,7 +458,7 @@
     let standing = core.machines["m1"].standing;
     assert_eq!(
         standing,
-        foxspur::coordination::scheduler::machine::Standing::Draining
+        foxspur::coordination::scheduler::machine::MachineStatus::Draining
     );
 }
 
@@ -466,7 +466,7 @@
 /// when its time is over by any clock.
 #[test]
 fn former_owners_fall_silent() {
-    let prior = |until_ms| Prior {
+    let prior = |until_ms| FormerLeader {
         host: "h".into(),
         boot: 7,
         until_ms,
@@ -531,7 +531,7 @@
 }
 
 /// Asks these machines for a report; the calls fail at once.
-fn ask(core: &mut Core, names: &[&str], now: f64) {
+fn ask(core: &mut Scheduler, names: &[&str], now: f64) {
     for name in names {
         let name = (*name).into();
         let (_, call) = core.direct_call(&name, now).expect("a probe");
@@ -659,7 +659,7 @@
     ] {
         let mut core = core(free(), 5, &["m1"]);
         core.followed = followed;
-        core.job_added(job(), version, Marks::default());
+        core.job_added(job(), version, CompletedTasks::default());
         if let Some(revision) = listed_at {
             core.jobs_listed(&Default::default(), revision);
         }
@@ -713,7 +713,7 @@
         let added = store
             .apply(&Txn::default().put(&key, &record))
             .expect("new");
-        core.job_added(record, added, Marks::default());
+        core.job_added(record, added, CompletedTasks::default());
         let mut budget = Budget::new(100.0, 100.0, 0.0);
         let mut batches = Vec::new();
         for (n, index) in [3, 150 % tasks].into_iter().enumerate() {
@@ -746,7 +746,7 @@
 fn a_job_of_one_zone_goes_where_it_fits() {
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
     core.inherit(machine("m2", "b", false), 0.0);
-    let both = |core: &mut Core, seq: u64, now: f64| {
+    let both = |core: &mut Scheduler, seq: u64, now: f64| {
         let mut two = report("m2", 1, seq, 5, &[]);
         two.zone = "b".into();
         let first = orders(core, &report("m1", 1, seq, 5, &[]), now);
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -7,11 +7,11 @@
 use foxspur::admin::orders::{check, Refused};
 use foxspur::admin::rolls;
 use foxspur::coordination::agents::direct_calls::CallResult;
-use foxspur::coordination::agents::heartbeat::Answer;
-use foxspur::coordination::fleet::drains::{verdict, Look, Verdict};
-use foxspur::coordination::fleet::rollout::{in_turn, step, Scene};
-use foxspur::coordination::leadership::cluster_view::View;
-use foxspur::coordination::scheduler::state::Core;
+use foxspur::coordination::agents::heartbeat::HeartbeatReply;
+use foxspur::coordination::fleet::drains::{verdict, AttemptOutlook, DrainDecision};
+use foxspur::coordination::fleet::rollout::{in_turn, step, FleetView};
+use foxspur::coordination::leadership::cluster_view::ClusterView;
+use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::admin::{Drain, DrainOrder, DrainState, Drained, Proof, Rest};
 use foxspur::protocol::job::{Shape, Urgency};
 use foxspur::protocol::roll::{
@@ -42,7 +42,7 @@
 }
 
 /// A core whose machines have all reported under its term.
-fn ready(machines: &[&str]) -> Core {
+fn ready(machines: &[&str]) -> Scheduler {
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, machines);
     for id in machines {
         core.hello(&report(id, 1, 1, 5, &[]), 0.1);
@@ -50,9 +50,9 @@
     core
 }
 
-fn told(answer: Answer) -> Vec<Command> {
+fn told(answer: HeartbeatReply) -> Vec<Command> {
     match answer {
-        Answer::Orders(reply) => reply.commands,
+        HeartbeatReply::Orders(reply) => reply.commands,
         other => panic!("{other:?}"),
     }
 }
@@ -61,7 +61,7 @@
 /// operator said otherwise.
 #[test]
 fn what_becomes_of_an_attempt() {
-    let plain = Look {
+    let plain = AttemptOutlook {
         endless: false,
         ran_s: 40.0,
         predicted_s: 100.0,
@@ -73,23 +73,23 @@
         elsewhere: (true, true),
     };
     let short = Some(30.0);
-    let moves = Verdict::Moves {
+    let moves = DrainDecision::Moves {
         lost: 80.0,
         grace_s: 0.0,
     };
     let cases = [
-        ("no deadline", plain, Verdict::Finishes),
+        ("no deadline", plain, DrainDecision::Finishes),
         (
             "in time",
-            Look {
+            AttemptOutlook {
                 left_s: Some(60.0),
                 ..plain
             },
-            Verdict::Finishes,
+            DrainDecision::Finishes,
         ),
         (
             "not in time",
-            Look {
+            AttemptOutlook {
                 left_s: short,
                 ..plain
             },
@@ -97,7 +97,7 @@
         ),
         (
             "outran its prediction, so as long again",
-            Look {
+            AttemptOutlook {
                 ran_s: 110.0,
                 left_s: Some(100.0),
                 ..plain
@@ -106,7 +106,7 @@
         ),
         (
             "a replica",
-            Look {
+            AttemptOutlook {
                 endless: true,
                 ..plain
             },
@@ -114,25 +114,25 @@
         ),
         (
             "would be late elsewhere",
-            Look {
+            AttemptOutlook {
                 left_s: short,
                 due_s: [Some(90.0), None],
                 ..plain
             },
-            Verdict::Stays("would miss its deadline elsewhere"),
+            DrainDecision::Stays("would miss its deadline elsewhere"),
         ),
         (
             "one aim is lost either way, the other only elsewhere",
-            Look {
+            AttemptOutlook {
                 left_s: short,
                 due_s: [Some(50.0), Some(95.0)],
                 ..plain
             },
-            Verdict::Stays("would miss its deadline elsewhere"),
+            DrainDecision::Stays("would miss its deadline elsewhere"),
         ),
         (
             "late anyway",
-            Look {
+            AttemptOutlook {
                 left_s: short,
                 due_s: [Some(50.0), None],
                 ..plain
@@ -141,34 +141,34 @@
         ),
         (
             "nothing else may run it",
-            Look {
+            AttemptOutlook {
                 left_s: short,
                 elsewhere: (false, false),
                 ..plain
             },
-            Verdict::Stays("no other machine may run it"),
+            DrainDecision::Stays("no other machine may run it"),
         ),
         (
             "no room now",
-            Look {
+            AttemptOutlook {
                 left_s: short,
                 elsewhere: (true, false),
                 ..plain
             },
-            Verdict::Stays("waits for room elsewhere"),
+            DrainDecision::Stays("waits for room elsewhere"),
         ),
         (
             "over, and it may stay",
-            Look {
+            AttemptOutlook {
                 left_s: Some(0.0),
                 elsewhere: (false, false),
                 ..plain
             },
-            Verdict::Stays("no other machine may run it"),
+            DrainDecision::Stays("no other machine may run it"),
         ),
         (
             "over, and it is to stop",
-            Look {
+            AttemptOutlook {
                 left_s: Some(0.0),
                 rest: Rest::Stop,
                 elsewhere: (false, false),
@@ -215,7 +215,7 @@
         })
         .collect();
     assert!(run.len() >= 2, "{run:?}");
-    let attempt = |core: &Core, task: &str| {
+    let attempt = |core: &Scheduler, task: &str| {
         let active = &core.machines["m-0"].active;
         active.keys().find(|k| k.0.wire() == task).unwrap().1
     };
@@ -308,7 +308,7 @@
     // It wakes with the same session and says that it is done.
     let done = [("run-1/0", attempt, Phase::Exited, Some(Cause::Done))];
     let late = core.hello(&report(&host, 1, 3, 5, &done), 12.5);
-    assert!(matches!(late, Answer::Refuse), "{late:?}");
+    assert!(matches!(late, HeartbeatReply::Refuse), "{late:?}");
     assert!(core.jobs["run-1"].done.is_empty());
     let second = core.jobs["run-1"].on[&0].1;
     assert!(second > attempt);
@@ -322,7 +322,7 @@
 #[test]
 fn a_takeover_knows_the_drains() {
     for (proven, opens) in [(true, true), (false, false)] {
-        let mut core = Core::new(
+        let mut core = Scheduler::new(
             params(vec![team("t", 0.0, 0.0)]),
             6,
             foxspur::coordination::scheduler::fence::Fence::new(6, Some(0.0)),
@@ -516,7 +516,7 @@
         value: serde_json::value::to_raw_value(&drain("m-0", None, Rest::Leave)).unwrap(),
         version,
     };
-    type Change = fn(&mut View, Entry, Entry);
+    type Change = fn(&mut ClusterView, Entry, Entry);
     let cases: [(&str, Change, Option<u64>); 6] = [
         ("told once", |v, old, _| v.take_entry(&old), Some(3)),
         (
@@ -563,12 +563,12 @@
         ),
     ];
     for (name, change, expected) in cases {
-        let mut view = View::default();
+        let mut view = ClusterView::default();
         change(&mut view, entry(3), entry(5));
         assert_eq!(view.drains.get("m-0").map(|d| d.1), expected, "{name}");
     }
     // What cannot be read sets its machine aside, and is never called drained.
-    let mut view = View::default();
+    let mut view = ClusterView::default();
     view.take_entry(&Entry {
         value: serde_json::value::to_raw_value(&7).unwrap(),
         ..entry(3)
@@ -603,15 +603,15 @@
 }
 
 /// Six machines, three in each zone, of which so many are out of use.
-fn scene(out: (u32, u32)) -> Scene {
+fn scene(out: (u32, u32)) -> FleetView {
     let zone = |n: usize| if n < 3 { "a" } else { "b" };
-    Scene {
+    FleetView {
         now_ms: 100_000,
         zones: (0..6)
             .map(|n| (format!("m-{n}"), zone(n).to_string()))
             .collect(),
         counts: HashMap::from([("a".into(), (3, out.0)), ("b".into(), (3, out.1))]),
-        ..Scene::default()
+        ..FleetView::default()
     }
 }
 
@@ -635,7 +635,7 @@
         };
         (host.to_string(), (drain, 3))
     };
-    type Change = fn(&mut Roll, &mut Scene);
+    type Change = fn(&mut Roll, &mut FleetView);
     type Case<'a> = (
         &'a str,
         (u32, u32),
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::*;
-use foxspur::coordination::agents::heartbeat::Answer;
-use foxspur::coordination::scheduler::fair_share::{Fair, Group};
-use foxspur::coordination::scheduler::state::Core;
+use foxspur::coordination::agents::heartbeat::HeartbeatReply;
+use foxspur::coordination::scheduler::fair_share::{FairShare, FairShareGroup};
+use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Objective;
@@ -16,13 +16,13 @@
 
 /// Reports, and gives the starts and the number of stops of the answer.
 fn hello(
-    core: &mut Core,
+    core: &mut Scheduler,
     id: &str,
     seq: u64,
     seen: &[Seen],
     now: f64,
 ) -> (Vec<(String, u64)>, usize) {
-    let Answer::Orders(reply) = core.hello(&report(id, 1, seq, 5, seen), now) else {
+    let HeartbeatReply::Orders(reply) = core.hello(&report(id, 1, seq, 5, seen), now) else {
         panic!("{id} was not answered");
     };
     let start = |c: &Command| match c {
@@ -67,8 +67,8 @@
         ("recovered", &[(false, 10), (true, 24)], false),
     ];
     for (name, outcomes, owed) in cases {
-        let (class, other) = (Group::Class("c".into()), Group::Team(0));
-        let mut fair = Fair::default();
+        let (class, other) = (FairShareGroup::Class("c".into()), FairShareGroup::Team(0));
+        let mut fair = FairShare::default();
         for &(met, n) in outcomes {
             for _ in 0..n {
                 fair.outcome(&class, met);
@@ -89,10 +89,10 @@
 /// Guards against memory that grows with the names of classes, which users choose.
 #[test]
 fn classes_beyond_what_is_counted_are_left_out() {
-    let mut fair = Fair::default();
+    let mut fair = FairShare::default();
     for n in 0..2000 {
         for _ in 0..10 {
-            fair.outcome(&Group::Class(format!("c-{n}")), false);
+            fair.outcome(&FairShareGroup::Class(format!("c-{n}")), false);
         }
     }
     assert_eq!(fair.owed().len(), 256);
@@ -111,7 +111,7 @@
         }
         hello(&mut core, "m1", 1, &[], age_s);
         core.place(age_s + 0.5);
-        let class = Group::Class("class".into());
+        let class = FairShareGroup::Class("class".into());
         assert_eq!(core.fair.owed().contains(&&class), owed, "{age_s}");
     }
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -5,9 +5,10 @@
 
 use common::*;
 use foxspur::protocol::job::{JobState, Urgency};
-use foxspur::protocol::mesh::{decode, encode, Answer, Ask, Topic};
+use foxspur::protocol::mesh::{decode, encode, PeerRequest, PeerResponse, Topic};
 use foxspur::storage::records::{
-    self, Alive, Final, LiveJob, MachineChunk, MarkChunk, Prior, Share, Term,
+    self, AliveRecord, CompletedTasksChunk, FormerLeader, LiveJob, MachineChunk, ShardRecord,
+    TermCounter, TerminalRecord,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -22,14 +23,14 @@
 
 #[test]
 fn stored_records_keep_their_form() {
-    stored(&Alive { boot: 7 }, r#"{"boot":7}"#);
-    stored(&Term { term: 4096 }, r#"{"term":4096}"#);
-    let prior = Prior {
+    stored(&AliveRecord { boot: 7 }, r#"{"boot":7}"#);
+    stored(&TermCounter { term: 4096 }, r#"{"term":4096}"#);
+    let prior = FormerLeader {
         host: "berth-1".into(),
         boot: 5,
         until_ms: 1700,
     };
-    let share = Share {
+    let share = ShardRecord {
         owner: "berth-0".into(),
         boot: 7,
         term: 1,
@@ -54,8 +55,11 @@
         &job,
         r#"{"spec":{"name_id":"run-000001","queue":"class","owner":"vision","shape":"sweep","urgency":"high","shards":3,"cpus":2.5,"cards":0.0,"memory_gb":1.0,"bundle":"img","image_gb":1.0,"together":false,"scatter":false,"standby":true,"expected_s":20.0,"save_every_s":0.0,"save_cost_s":0.0},"at_ms":1500,"done":"0-1"}"#,
     );
-    stored(&MarkChunk { done: "0-1".into() }, r#"{"done":"0-1"}"#);
-    let last = |state| Final {
+    stored(
+        &CompletedTasksChunk { done: "0-1".into() },
+        r#"{"done":"0-1"}"#,
+    );
+    let last = |state| TerminalRecord {
         state,
         tasks: 3,
         done: 2,
@@ -91,16 +95,16 @@
 fn messages_between_controllers_keep_their_bytes() {
     let id = || "r".to_string();
     let asks = [
-        Ask::Progress(id()),
-        Ask::Overview,
-        Ask::Vouch(300),
-        Ask::Promise(300),
-        Ask::TurnedAway,
-        Ask::Admin(Topic::Jobs(9)),
-        Ask::Admin(Topic::Snapshot),
-        Ask::Contact,
-        Ask::Over(id()),
-        Ask::Told(300, 9),
+        PeerRequest::Progress(id()),
+        PeerRequest::Overview,
+        PeerRequest::Vouch(300),
+        PeerRequest::Promise(300),
+        PeerRequest::TurnedAway,
+        PeerRequest::Admin(Topic::Jobs(9)),
+        PeerRequest::Admin(Topic::Snapshot),
+        PeerRequest::Contact,
+        PeerRequest::Over(id()),
+        PeerRequest::Told(300, 9),
     ];
     let bytes: [&[u8]; 10] = [
         &[0, 1, 114],
@@ -116,20 +120,20 @@
     ];
     for (ask, bytes) in asks.iter().zip(bytes) {
         assert_eq!(encode(ask), bytes, "{ask:?}");
-        assert_eq!(decode::<Ask>(bytes).as_ref(), Some(ask));
+        assert_eq!(decode::<PeerRequest>(bytes).as_ref(), Some(ask));
     }
     let answers = [
-        Answer::Progress {
+        PeerResponse::Progress {
             done: 1,
             running: 2,
         },
-        Answer::Overview(id()),
-        Answer::Agreed,
-        Answer::TurnedAway(9),
-        Answer::Admin(300, id()),
-        Answer::NotMine,
-        Answer::Contact(9),
-        Answer::Told(vec![id()]),
+        PeerResponse::Overview(id()),
+        PeerResponse::Agreed,
+        PeerResponse::TurnedAway(9),
+        PeerResponse::Admin(300, id()),
+        PeerResponse::NotMine,
+        PeerResponse::Contact(9),
+        PeerResponse::Told(vec![id()]),
     ];
     let bytes: [&[u8]; 8] = [
         &[0, 1, 2],
@@ -143,6 +147,6 @@
     ];
     for (answer, bytes) in answers.iter().zip(bytes) {
         assert_eq!(encode(answer), bytes, "{answer:?}");
-        assert_eq!(decode::<Answer>(bytes).as_ref(), Some(answer));
+        assert_eq!(decode::<PeerResponse>(bytes).as_ref(), Some(answer));
     }
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -7,9 +7,9 @@
 use actix::Actor;
 use actix_web::http::Method;
 use common::*;
-use foxspur::coordination::leadership::Member;
+use foxspur::coordination::leadership::LeadershipActor;
 use foxspur::coordination::node::draw_boot;
-use foxspur::storage::records::{self, Share};
+use foxspur::storage::records::{self, ShardRecord};
 use rand::Rng;
 use simulated::users::{id, submission};
 use simulated::{block_on, Cluster, Controller};
@@ -62,7 +62,7 @@
     /// The leader by the state service's record.
     fn recorded_leader(&self) -> Option<usize> {
         let share = self.cluster.store.borrow().get(records::SHARE)?;
-        let owner = share.read::<Share>().expect("a share").owner;
+        let owner = share.read::<ShardRecord>().expect("a share").owner;
         owner.strip_prefix("berth-")?.parse().ok()
     }
 
@@ -220,7 +220,7 @@
     cluster.mesh_loss.set(0.4);
     for controller in &controllers {
         let node = controller.node.clone();
-        Member { node }.start();
+        LeadershipActor { node }.start();
     }
     let day = Rc::new(Day {
         cluster,
