--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -5,22 +5,22 @@
 
 use common::*;
 use foxspur::coordination::agents::direct_calls::CallResult;
-use foxspur::coordination::agents::heartbeat::Answer;
-use foxspur::coordination::readiness::{Health, Peers};
+use foxspur::coordination::agents::heartbeat::HeartbeatReply;
+use foxspur::coordination::readiness::{PeerContacts, Readiness};
 use foxspur::coordination::scheduler::fence::Fence;
-use foxspur::coordination::scheduler::machine::Standing;
-use foxspur::coordination::scheduler::state::Core;
+use foxspur::coordination::scheduler::machine::MachineStatus;
+use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::worker::{Cause, Command, Phase};
 
 /// A core that is placing, its clock beating until `now`.
-fn beat(core: &mut Core, from: u32, to: u32) {
+fn beat(core: &mut Scheduler, from: u32, to: u32) {
     for s in from..=to {
         core.tick(f64::from(s), f64::from(s));
     }
 }
 
-fn doubted(core: &Core, id: &str) -> bool {
+fn doubted(core: &Scheduler, id: &str) -> bool {
     core.machines[id].hearing.doubted()
 }
 
@@ -115,7 +115,7 @@
             spec("run-1", "t", Urgency::Standard, 1, 1.0),
             0.5,
         );
-        let Answer::Orders(reply) = core.hello(&report("m1", 1, 2, 5, &[]), 1.0) else {
+        let HeartbeatReply::Orders(reply) = core.hello(&report("m1", 1, 2, 5, &[]), 1.0) else {
             panic!("refused");
         };
         assert_eq!(reply.commands.len(), 1, "{what}");
@@ -147,7 +147,7 @@
 #[test]
 fn a_deaf_machine_gets_nothing_new() {
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["deaf", "m2"]);
-    let hears = |core: &mut Core, serial: u64, at: f64| {
+    let hears = |core: &mut Scheduler, serial: u64, at: f64| {
         core.hello(&report("m2", 1, serial, 5, &[]), at);
     };
     core.hello(&report("deaf", 1, 1, 5, &[]), 1.0);
@@ -180,7 +180,7 @@
 #[test]
 fn a_takeover_does_not_wait_for_the_deaf_for_ever() {
     let teams = vec![team("t", 0.0, 0.0)];
-    let mut core = Core::new(params(teams), 5, Fence::new(5, Some(0.0)), 7);
+    let mut core = Scheduler::new(params(teams), 5, Fence::new(5, Some(0.0)), 7);
     core.set_types(&types());
     core.inherit(machine("deaf", "a", false), 0.0);
     let mut open_at = None;
@@ -205,7 +205,7 @@
     assert_eq!(core.given_up(80.0), ["deaf"]);
     core.machine_returned("deaf");
     let late = core.hello(&report("deaf", 1, 900, 5, &[]), 200.0);
-    assert!(matches!(late, Answer::Refuse));
+    assert!(matches!(late, HeartbeatReply::Refuse));
     assert!(core.machines.is_empty());
 }
 
@@ -220,7 +220,7 @@
         core.hello(&report("m1", 1, 50, 5, &[]), 1.0);
         beat(&mut core, 1, 1 + after_s);
         let answer = core.hello(&report("m1", 1, 3, 5, &[]), f64::from(1 + after_s));
-        let found = matches!(answer, Answer::Orders(_));
+        let found = matches!(answer, HeartbeatReply::Orders(_));
         assert_eq!(found, answered, "after {after_s} s");
         assert_eq!(doubted(&core, "m1"), !answered);
     }
@@ -233,7 +233,7 @@
         if (8..15).contains(&s) {
             core.hello(&report("m1", 1, u64::from(s) - 7, 5, &[]), f64::from(s));
         }
-        if core.machines["m1"].standing == Standing::Expired {
+        if core.machines["m1"].standing == MachineStatus::Expired {
             expired_at.get_or_insert(s);
         }
     }
@@ -257,7 +257,7 @@
     let name = "m1".into();
     let call = core.direct_call(&name, 1.2).expect("a start").1;
     let late = core.hello(&report("m1", 5, 1, 3, &[]), 1.3);
-    assert!(matches!(late, Answer::Refuse));
+    assert!(matches!(late, HeartbeatReply::Refuse));
     assert_eq!(core.machines["m1"].active.len(), 1, "cleared by a copy");
     let old = CallResult::Executed(report("m1", 1, 3, 5, &[]));
     core.called(&name, &call, old, 1.4);
@@ -293,7 +293,7 @@
         core.called(&name, &start, CallResult::Executed(shows), 1.2);
         // Of the earlier life, sent before it ended, with a later serial.
         core.hello(&report("m1", 2, 69, 5, &[]), 1.3);
-        let known = |core: &Core| {
+        let known = |core: &Scheduler| {
             let known = core.machines["m1"].active.keys();
             known.map(|k| k.1).collect::<Vec<u64>>()
         };
@@ -308,10 +308,10 @@
         assert_eq!(recounts, (session, serial) < (2, 69), "{serial}");
         // From then on reports say nothing until the next session, which ends all.
         let late = core.hello(&report("m1", 2, 90, 5, &[]), 1.6);
-        assert_eq!(matches!(late, Answer::Refuse), recounts, "{serial}");
+        assert_eq!(matches!(late, HeartbeatReply::Refuse), recounts, "{serial}");
         assert_eq!(known(&core).contains(&attempt), (2, 8) == (session, serial));
         let next = core.hello(&report("m1", 3, 91, 5, &[]), 2.0 + LEASE_S);
-        assert!(matches!(next, Answer::Orders(_)) && !core.machines["m1"].recounts);
+        assert!(matches!(next, HeartbeatReply::Orders(_)) && !core.machines["m1"].recounts);
         assert!(!known(&core).contains(&attempt));
     }
 }
@@ -330,7 +330,7 @@
     core.hello(&report("m1", 1, 4, 3, &old), 1.0);
     assert!(!core.gate_open());
     // The machine reports that it is over, and is told to start it again.
-    let Answer::Orders(reply) = core.hello(&report("m1", 1, 9, 5, &[]), 2.0) else {
+    let HeartbeatReply::Orders(reply) = core.hello(&report("m1", 1, 9, 5, &[]), 2.0) else {
         panic!("refused");
     };
     let [Command::Start { attempt, .. }] = reply.commands[..] else {
@@ -350,7 +350,7 @@
 #[test]
 fn who_sends_users_elsewhere() {
     let peers = |with, without| {
-        Some(Peers {
+        Some(PeerContacts {
             all: 4,
             with,
             without,
@@ -363,9 +363,9 @@
         ("for most that answer", peers(0, 2), false),
         ("an island of two", peers(0, 1), true),
         ("nobody answers", peers(0, 0), true),
-        ("there is nobody else", Some(Peers::default()), false),
+        ("there is nobody else", Some(PeerContacts::default()), false),
     ] {
-        let mut health = Health::default();
+        let mut health = Readiness::default();
         health.step(10.0, 9.9, 1.0, None);
         assert_eq!(
             health.step(12.0, 9.9, 1.0, found),
@@ -421,7 +421,7 @@
             if second % 4 == 0 && taken.is_none() {
                 let seen = report("m1", session, 100 + u64::from(second), 5, &[]);
                 match core.hello(&seen, now) {
-                    Answer::Orders(_) => taken = Some(now),
+                    HeartbeatReply::Orders(_) => taken = Some(now),
                     _ => refused += 1,
                 }
             }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -5,18 +5,18 @@
 
 use common::*;
 use foxspur::admin::{of_core, orders, MAX_BODY};
-use foxspur::coordination::agents::heartbeat::Answer;
+use foxspur::coordination::agents::heartbeat::HeartbeatReply;
 use foxspur::coordination::jobs::lookup::TerminalStates;
 use foxspur::coordination::jobs::version_check::RecordCache;
-use foxspur::coordination::leadership::cancellation_horizon::Told;
+use foxspur::coordination::leadership::cancellation_horizon::ConfirmedCancellations;
 use foxspur::coordination::recent::RecentMap;
-use foxspur::coordination::scheduler::state::Core;
+use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::admin::{DrainOrder, Rest};
 use foxspur::protocol::job::{JobState, Urgency};
 use foxspur::protocol::mesh::{self, Topic};
 use foxspur::protocol::worker::Phase;
-use foxspur::storage::marks::Marks;
-use foxspur::storage::records::Final;
+use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::records::TerminalRecord;
 use foxspur::transport::sockets::Sockets;
 use std::rc::Rc;
 
@@ -27,7 +27,7 @@
 }
 
 /// A core whose record lists 6,000 machines.
-fn fleet_core() -> Core {
+fn fleet_core() -> Scheduler {
     let names: Vec<String> = (0..MACHINES).map(machine_name).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     core(vec![team("t", 0.0, 0.0)], 5, &names)
@@ -43,7 +43,10 @@
     }
     for n in 0..MACHINES {
         let late = report(&machine_name(n), 1, 1, 5, &[]);
-        assert!(matches!(core.hello(&late, 1.0), Answer::Refuse), "{n}");
+        assert!(
+            matches!(core.hello(&late, 1.0), HeartbeatReply::Refuse),
+            "{n}"
+        );
     }
     assert!(core.machines.is_empty());
 }
@@ -57,7 +60,7 @@
     }
     for n in 0..MACHINES {
         let job = spec(&format!("run-{n}"), "t", Urgency::Standard, 1, 1.0);
-        core.job_added(live(job, 0.0), 1, Marks::default());
+        core.job_added(live(job, 0.0), 1, CompletedTasks::default());
     }
     assert!(core.jobs.is_empty());
 }
@@ -84,8 +87,8 @@
     }
     for topic in [Topic::Snapshot, Topic::Machines] {
         let text = of_core(&core, topic, 2.5).expect("a view");
-        let answer = mesh::Answer::Admin(5, text);
-        let read = mesh::decode::<mesh::Answer>(&mesh::encode(&answer));
+        let answer = mesh::PeerResponse::Admin(5, text);
+        let read = mesh::decode::<mesh::PeerResponse>(&mesh::encode(&answer));
         assert!(read.as_ref() == Some(&answer), "{topic:?}");
     }
 }
@@ -111,9 +114,9 @@
 #[test]
 fn as_many_jobs_as_machines_are_remembered() {
     let mut terminal = TerminalStates::default();
-    let mut told = Told::default();
+    let mut told = ConfirmedCancellations::default();
     let mut records = RecordCache::default();
-    let done = Final {
+    let done = TerminalRecord {
         state: JobState::Done,
         tasks: 1,
         done: 1,
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::*;
-use foxspur::coordination::scheduler::machine::Standing;
-use foxspur::coordination::scheduler::state::Core;
+use foxspur::coordination::scheduler::machine::MachineStatus;
+use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::worker::{Cause, Phase};
@@ -13,7 +13,7 @@
 type Shown = Vec<(String, u64, Phase, Option<Cause>)>;
 
 /// What a machine shows of what was started there: whether a task of the job fails.
-fn shows(core: &Core, id: &str, fails: impl Fn(&str) -> Option<Cause>) -> Shown {
+fn shows(core: &Scheduler, id: &str, fails: impl Fn(&str) -> Option<Cause>) -> Shown {
     // What was shown as over has been forgotten since.
     let active = core.machines[id].holding().map(|(key, _)| key);
     active
@@ -25,7 +25,7 @@
 }
 
 /// A core that has heard of all these machines.
-fn fleet(names: &[&str]) -> Core {
+fn fleet(names: &[&str]) -> Scheduler {
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, names);
     for name in names {
         tell(&mut core, name, 1, &Vec::new(), 0.5);
@@ -33,7 +33,7 @@
     core
 }
 
-fn tell(core: &mut Core, id: &str, serial: u64, shown: &Shown, at: f64) {
+fn tell(core: &mut Scheduler, id: &str, serial: u64, shown: &Shown, at: f64) {
     let tasks: Vec<_> = shown
         .iter()
         .map(|t| (t.0.as_str(), t.1, t.2, t.3))
@@ -76,7 +76,7 @@
     assert_eq!(most, 1, "tasks on at once");
     assert!((97..130).contains(&tries), "{tries} tries in 200 s");
     for name in &names {
-        assert_eq!(core.machines[*name].standing, Standing::Up, "{name}");
+        assert_eq!(core.machines[*name].standing, MachineStatus::Up, "{name}");
     }
     let text = core.overview(200.0);
     assert!(text.contains("fails on every machine"), "{text}");
@@ -87,7 +87,7 @@
 /// the job stays in use, and four jobs that fail there do not leave it so.
 #[test]
 fn failures_count_by_job() {
-    for (jobs, tasks, standing) in [(1, 4, Standing::Up), (4, 1, Standing::Draining)] {
+    for (jobs, tasks, standing) in [(1, 4, MachineStatus::Up), (4, 1, MachineStatus::Draining)] {
         let mut core = fleet(&["m0"]);
         for n in 0..jobs {
             let id = format!("run-{n}");
@@ -133,7 +133,7 @@
     }
     core.tick(2.0, 2.0);
     for name in names {
-        assert_eq!(core.machines[name].standing, Standing::Up, "{name}");
+        assert_eq!(core.machines[name].standing, MachineStatus::Up, "{name}");
     }
 }
 
@@ -163,9 +163,9 @@
         core.tick(now, now);
         core.place(now + 0.5);
     }
-    assert_eq!(core.machines["m0"].standing, Standing::Draining);
+    assert_eq!(core.machines["m0"].standing, MachineStatus::Draining);
     for name in &names[1..] {
-        assert_eq!(core.machines[*name].standing, Standing::Up, "{name}");
+        assert_eq!(core.machines[*name].standing, MachineStatus::Up, "{name}");
     }
     assert!(core.jobs.values().all(|j| !j.suspect()));
 }
--- a/tests/pause/controller.rs
+++ b/tests/pause/controller.rs
@@ -33,7 +33,7 @@
                 self.look(n);
                 self.seek(n);
                 match rewrite {
-                    Some(rewrite) => self.ask(n, Request::Rewrite(Box::new(rewrite))),
+                    Some(rewrite) => self.ask(n, Request::ShardUpdate(Box::new(rewrite))),
                     None => self.later(n, each, LIFE_S / 10.0),
                 }
             }
@@ -68,7 +68,7 @@
         let (now, wall) = (self.local(n), self.wall_ms(n));
         if let Some(claim) = self.nodes[n].tenure.claim(now, wall) {
             self.nodes[n].claiming = true;
-            self.ask(n, Request::Claim(Box::new(claim)));
+            self.ask(n, Request::TakeoverAttempt(Box::new(claim)));
         }
     }
 
@@ -142,7 +142,7 @@
             (Request::Grant | Request::Write(..) | Request::Renew(..), _) => {
                 self.later(n, Loop::Lease, 0.2);
             }
-            (Request::Claim(claim), Answer::Done(version)) => {
+            (Request::TakeoverAttempt(claim), Answer::Done(version)) => {
                 let holds = tenure.claimed(&claim, version, now);
                 let (start, term) = (self.nodes[n].start, claim.share.term);
                 let s = self.rng.random_range(0.02..2.0);
@@ -153,11 +153,11 @@
                     self.nodes[n].claiming = false;
                 }
             }
-            (Request::Claim(_), _) => {
+            (Request::TakeoverAttempt(_), _) => {
                 self.nodes[n].claiming = false;
                 self.ask(n, Request::Reread);
             }
-            (Request::Rewrite(rewrite), answer) => {
+            (Request::ShardUpdate(rewrite), answer) => {
                 if let Answer::Done(version) = answer {
                     tenure.rewritten(&rewrite, version);
                 } else {
@@ -168,7 +168,7 @@
             (Request::Reread, Answer::Entry(Some(entry))) => {
                 tenure.view.take_entry(&entry);
                 let seen = tenure.view.share_version();
-                let owner = entry.read::<Share>().map(|s| s.owner);
+                let owner = entry.read::<ShardRecord>().map(|s| s.owner);
                 if let Some(owner) = owner.ok().filter(|o| *o != name(n)) {
                     self.ask(n, Request::AliveOf(owner, seen));
                 }
--- a/tests/pause/main.rs
+++ b/tests/pause/main.rs
@@ -3,7 +3,7 @@
 //! take over meanwhile, requests carried out minutes late, cuts, a state service
 //! that is away for all or for one, or first for the owner and then for all while
 //! users cancel and ask, crashes. It drives the controllers' own
-//! `Tenure`; after every event it is checked that
+//! `Leadership`; after every event it is checked that
 //!
 //! - no former owner would answer a worker once a later owner takes it to be
 //!   silent, and
@@ -21,11 +21,11 @@
 
 use common::digest::HistoryDigest;
 use common::{own_seeds, seeds};
-use foxspur::coordination::leadership::cancellation_horizon::Told;
-use foxspur::coordination::leadership::leadership::{LeaseStep, Tenure, Terms};
-use foxspur::coordination::leadership::takeover::{Claim, Rewrite};
+use foxspur::coordination::leadership::cancellation_horizon::ConfirmedCancellations;
+use foxspur::coordination::leadership::leadership::{Leadership, LeadershipConfig, LeaseStep};
+use foxspur::coordination::leadership::takeover::{ShardUpdate, TakeoverAttempt};
 use foxspur::protocol::state::Entry;
-use foxspur::storage::records::{self, Share};
+use foxspur::storage::records::{self, ShardRecord};
 use foxspur_testbed::store::{Logged, Refusal, Store};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -53,8 +53,8 @@
     OwnKey,
     Renew(u64, f64),
     End(u64),
-    Claim(Box<Claim>),
-    Rewrite(Box<Rewrite>),
+    TakeoverAttempt(Box<TakeoverAttempt>),
+    ShardUpdate(Box<ShardUpdate>),
     /// The share record and its owner's alive key, one after the other.
     Reread,
     AliveOf(String, u64),
@@ -103,7 +103,7 @@
 }
 
 struct Controller {
-    tenure: Tenure,
+    tenure: Leadership,
     /// Starts of the process so far: what was meant for an earlier one is void.
     start: usize,
     offset: f64,
@@ -122,7 +122,7 @@
     /// Acting: term of the takeover, and since when no former owner is left.
     core: Option<(u64, Option<f64>)>,
     /// Cancellations that it told users of, and those that its core knows.
-    told: Told,
+    told: ConfirmedCancellations,
     finals: BTreeSet<u64>,
     knows: BTreeSet<u64>,
     /// What a takeover under way has read of them, and when it asked.
@@ -178,9 +178,9 @@
             Request::Write(..) => Some("alive key"),
             Request::Renew(..) => Some("renewal"),
             Request::End(_) => Some("end of a lease"),
-            Request::Claim(_) => Some("claim"),
-            Request::Rewrite(rewrite) if rewrite.raises_term() => Some("raised term"),
-            Request::Rewrite(_) => Some("share written again"),
+            Request::TakeoverAttempt(_) => Some("claim"),
+            Request::ShardUpdate(rewrite) if rewrite.raises_term() => Some("raised term"),
+            Request::ShardUpdate(_) => Some("share written again"),
             Request::Cancel(_) => Some("cancellation"),
             _ => None,
         }
@@ -241,7 +241,7 @@
                 waiting: Vec::new(),
                 boots: 1,
                 core: None,
-                told: Told::since(offset),
+                told: ConfirmedCancellations::since(offset),
                 finals: BTreeSet::new(),
                 knows: BTreeSet::new(),
                 listed: (0.0, BTreeSet::new()),
@@ -265,8 +265,8 @@
     }
 }
 
-fn tenure(n: usize, count: usize, boot: u64, quiet_s: f64, blind_s: f64) -> Tenure {
-    let terms = Terms {
+fn tenure(n: usize, count: usize, boot: u64, quiet_s: f64, blind_s: f64) -> Leadership {
+    let terms = LeadershipConfig {
         me: name(n),
         peers: (0..count).filter(|p| *p != n).map(name).collect(),
         teams: Vec::new(),
@@ -276,7 +276,7 @@
         blind_s,
         bound_ms: BOUND_MS,
     };
-    Tenure::new(terms, boot)
+    Leadership::new(terms, boot)
 }
 
 /// Guards against every way in which a controller that stood still, or whose
--- a/tests/pause/network.rs
+++ b/tests/pause/network.rs
@@ -65,14 +65,14 @@
                 self.store.end(*lease);
                 Answer::Done(0)
             }
-            Request::Claim(claim) => {
+            Request::TakeoverAttempt(claim) => {
                 let answer = done(self.store.apply(&claim.txn));
                 if matches!(answer, Answer::Done(_)) {
                     self.taken.push((claim.share.term, now));
                 }
                 answer
             }
-            Request::Rewrite(rewrite) => done(self.store.apply(&rewrite.txn)),
+            Request::ShardUpdate(rewrite) => done(self.store.apply(&rewrite.txn)),
             Request::Reread => Answer::Entry(self.store.get(records::SHARE)),
             Request::AliveOf(host, _) => Answer::Entry(self.store.get(&records::alive(host))),
             Request::List => Answer::Listed(self.store.list(records::AREA), self.store.revision),
@@ -99,7 +99,7 @@
         let carried_out = !matches!(answer, Answer::Conflict | Answer::NoLease | Answer::Nothing);
         if let Some(kind) = request.write().filter(|_| carried_out && !self.calm) {
             // Others see what was written; who asked gives up after a while.
-            let rare = matches!(request, Request::Rewrite(_) | Request::End(_));
+            let rare = matches!(request, Request::ShardUpdate(_) | Request::End(_));
             if self.rng.random_bool(if rare { 0.5 } else { 0.06 }) {
                 *self.lost.entry(kind).or_default() += 1;
                 return;
--- a/tests/pause/trouble.rs
+++ b/tests/pause/trouble.rs
@@ -110,7 +110,7 @@
         node.waiting.clear();
         node.paused_until = 0.0;
         node.down_until = self.now + down_s;
-        node.told = Told::since(begins);
+        node.told = ConfirmedCancellations::since(begins);
         node.finals.clear();
         node.knows.clear();
         node.tenure = tenure(n, count, 1000 * node.boots + n as u64, quiet_s, blind_s);
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -4,11 +4,11 @@
 
 use common::SETTINGS;
 use foxspur::protocol::job::{parse_submission, peek_id, valid_id};
-use foxspur::protocol::mesh::{decode, encode, Ask};
+use foxspur::protocol::mesh::{decode, encode, PeerRequest};
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Settings;
 use foxspur::protocol::worker::{Cause, Command, Phase, Report};
-use foxspur::storage::marks::Marks;
+use foxspur::storage::marks::CompletedTasks;
 use foxspur::transport::budget::Budget;
 use serde_json::{json, Value};
 
@@ -213,28 +213,28 @@
         (&[9, 8, 1], "1,8-9"),
     ];
     for (tasks, text) in cases {
-        let mut marks = Marks::default();
+        let mut marks = CompletedTasks::default();
         for t in tasks {
             marks.insert(*t);
         }
         assert_eq!(marks.to_text(), text);
-        assert_eq!(Marks::from_text(text, 10), marks);
+        assert_eq!(CompletedTasks::from_text(text, 10), marks);
     }
     // A damaged record must not lose tasks, nor invent ones beyond the job.
     assert_eq!(
-        Marks::from_text("x,2-,5-3,1,8-4000000000", 10).to_text(),
+        CompletedTasks::from_text("x,2-,5-3,1,8-4000000000", 10).to_text(),
         "1,8-9"
     );
-    let marks = Marks::from_text("0-99", 100);
+    let marks = CompletedTasks::from_text("0-99", 100);
     assert_eq!(marks.chunk(1, 30).to_text(), "30-59");
     assert_eq!(marks.chunk(3, 30).to_text(), "90-99");
 }
 
 #[test]
 fn mesh_messages_and_budgets() {
-    let ask = Ask::Progress("run-000412".into());
-    assert_eq!(decode::<Ask>(&encode(&ask)), Some(ask));
-    assert_eq!(decode::<Ask>(&[250, 1, 2]), None);
+    let ask = PeerRequest::Progress("run-000412".into());
+    assert_eq!(decode::<PeerRequest>(&encode(&ask)), Some(ask));
+    assert_eq!(decode::<PeerRequest>(&[250, 1, 2]), None);
     let mut budget = Budget::new(10.0, 10.0, 2.0);
     let taken = (0..20)
         .filter(|_| budget.take(1.0, false, 0.0).is_ok())
--- a/tests/reach.rs
+++ b/tests/reach.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::*;
-use foxspur::coordination::agents::leader_reachability::{out_of_reach, owner_unreached, Tally};
+use foxspur::coordination::agents::leader_reachability::{
+    out_of_reach, owner_unreached, RedirectCounter,
+};
 
 /// Guards against an owner that keeps its share while the leases of all its
 /// workers run out (an incident of the lean deployment), and against giving it
@@ -40,8 +42,8 @@
 /// against holding up a machine that boots or was cut off.
 #[test]
 fn whom_to_keep_from_the_owner() {
-    let mut tally = Tally::default();
-    let held = |tally: &mut Tally, now| owner_unreached(tally.add(now));
+    let mut tally = RedirectCounter::default();
+    let held = |tally: &mut RedirectCounter, now| owner_unreached(tally.add(now));
     assert!((0..7).all(|n| !held(&mut tally, 100.0 + f64::from(n) * 0.1)));
     assert!(held(&mut tally, 101.0));
     assert!(!held(&mut tally, 120.0));
@@ -50,7 +52,7 @@
 /// What was turned away long ago is forgotten.
 #[test]
 fn reports_turned_away_lately() {
-    let mut tally = Tally::default();
+    let mut tally = RedirectCounter::default();
     for at in [100.0, 101.0, 106.0] {
         tally.add(at);
     }
@@ -69,7 +71,7 @@
     for name in names {
         core.hello(&report(name, 1, 1, 5, &[]), 1.0);
     }
-    let judged = |core: &foxspur::coordination::scheduler::state::Core, now: f64| {
+    let judged = |core: &foxspur::coordination::scheduler::state::Scheduler, now: f64| {
         let silent = core.reach(now).1;
         (silent, core.cut_zones(now).len(), core.given_up(now).len())
     };
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -5,15 +5,15 @@
 mod common;
 
 use common::*;
-use foxspur::coordination::agents::heartbeat::Answer;
-use foxspur::coordination::scheduler::state::Core;
+use foxspur::coordination::agents::heartbeat::HeartbeatReply;
+use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::worker::{Cause, Command, Phase, ReportHead};
-use foxspur::storage::chunks::{fitting, plan, txn, Written};
+use foxspur::storage::chunks::{fitting, plan, txn, MachineRecord};
 use foxspur::storage::records::{chunk_of, machines, MachineInfo};
 
-fn starts(core: &mut Core, id: &str, seq: u64, now: f64) -> Vec<String> {
-    let Answer::Orders(reply) = core.hello(&report(id, 1, seq, 5, &[]), now) else {
+fn starts(core: &mut Scheduler, id: &str, seq: u64, now: f64) -> Vec<String> {
+    let HeartbeatReply::Orders(reply) = core.hello(&report(id, 1, seq, 5, &[]), now) else {
         panic!("{id} was not answered");
     };
     let start = |c: &Command| match c {
@@ -34,9 +34,9 @@
     let fleet: Vec<_> = (0..6000)
         .map(|i| machine(&format!("m-{i:06}"), "a", false))
         .collect();
-    let first = plan(&Written::default(), &refs(&fleet), 14_000);
+    let first = plan(&MachineRecord::default(), &refs(&fleet), 14_000);
     assert!(first.len() > 5, "{}", first.len());
-    let mut written = Written::default();
+    let mut written = MachineRecord::default();
     for (at, chunk) in &first {
         assert!(serde_json::to_vec(chunk).unwrap().len() < 16 * 1024);
         written.set(*at, chunk.clone(), 7);
@@ -111,7 +111,7 @@
         let ((task, attempt), _) = core.machines["m1"].active.first_key_value().unwrap();
         let (task, attempt) = (task.wire(), *attempt);
         let done = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Done))];
-        let Answer::Orders(reply) = core.hello(&report("m1", 1, 3, 5, &done), 1.0) else {
+        let HeartbeatReply::Orders(reply) = core.hello(&report("m1", 1, 3, 5, &done), 1.0) else {
             panic!();
         };
         let again = |c: &&Command| matches!(c, Command::Start { .. });
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -18,7 +18,7 @@
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Settings;
 use foxspur::protocol::state::Txn;
-use foxspur::storage::records::{self, Share};
+use foxspur::storage::records::{self, ShardRecord};
 use foxspur::transport::clients::{CloudClient, MeshClient, StateClient, WorkerClient};
 use foxspur::transport::http::{Call, CallError, Exchange, Http, Response};
 use foxspur_testbed::store::Store;
@@ -173,7 +173,7 @@
 
     /// Makes controller `leader` the leader in everyone's view.
     pub fn elect(&self, controllers: &[Controller], leader: usize) {
-        let share = Share {
+        let share = ShardRecord {
             owner: format!("berth-{leader}"),
             boot: 1,
             term: 1,
--- a/tests/simulation/leader.rs
+++ b/tests/simulation/leader.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Simulation {
-    pub(crate) fn owner(&mut self, base: u64) -> Option<&mut Core> {
+    pub(crate) fn owner(&mut self, base: u64) -> Option<&mut Scheduler> {
         self.owners
             .iter_mut()
             .map(|o| &mut o.0)
@@ -238,7 +238,7 @@
         let teams = TEAMS.iter().zip(self.limits);
         let teams = teams.map(|(name, limit)| team(name, 0.0, limit)).collect();
         let fence = Fence::new(self.term, quiet);
-        let mut core = Core::new(params(teams), self.term, fence, self.term);
+        let mut core = Scheduler::new(params(teams), self.term, fence, self.term);
         core.set_types(&types());
         core.set_drains(&self.drains);
         for info in &self.record {
@@ -247,7 +247,7 @@
         for (record, marks, version) in self.live.values() {
             let mut record = record.clone();
             record.done = marks.to_text();
-            core.job_added(record, *version, Marks::default());
+            core.job_added(record, *version, CompletedTasks::default());
         }
         self.owners.push((core, f64::MAX));
     }
@@ -263,7 +263,7 @@
             // Changes come in order: one that is over is not news any more.
             if self.live.contains_key(&record.spec.id) {
                 if let Some(core) = self.owner(base) {
-                    core.job_added(record, version, Marks::default());
+                    core.job_added(record, version, CompletedTasks::default());
                 }
             }
         }
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -13,15 +13,15 @@
 use common::digest::HistoryDigest;
 use common::*;
 use foxspur::coordination::agents::direct_calls::CallResult;
-use foxspur::coordination::agents::heartbeat::Answer;
+use foxspur::coordination::agents::heartbeat::HeartbeatReply;
 use foxspur::coordination::scheduler::fence::Fence;
 use foxspur::coordination::scheduler::job::Name;
-use foxspur::coordination::scheduler::machine::{Active, Standing};
-use foxspur::coordination::scheduler::state::Core;
+use foxspur::coordination::scheduler::machine::{Attempt, MachineStatus};
+use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::admin::{Drain, Rest};
 use foxspur::protocol::job::{JobSpec, Urgency};
 use foxspur::protocol::worker::{Cause, Command, Direct, Phase, Reply, Report, Shown};
-use foxspur::storage::marks::Marks;
+use foxspur::storage::marks::CompletedTasks;
 use foxspur::storage::records::{LiveJob, MachineInfo, TOKENS};
 use met::{Meeting, Met, MEETINGS};
 use rand::rngs::StdRng;
@@ -71,7 +71,7 @@
     rng: StdRng,
     workers: Vec<Worker>,
     /// The store: live jobs with marks, final jobs, machine record, term.
-    live: BTreeMap<String, (LiveJob, Marks, u64)>,
+    live: BTreeMap<String, (LiveJob, CompletedTasks, u64)>,
     over: BTreeMap<String, (f64, bool)>,
     /// What every job asked for.
     specs: BTreeMap<String, JobSpec>,
@@ -79,7 +79,7 @@
     term: u64,
     version: u64,
     /// Owners: the last is the real one, others may linger.
-    owners: Vec<(Core, f64)>,
+    owners: Vec<(Scheduler, f64)>,
     /// Messages: when, what.
     wire: Vec<(f64, Message)>,
     started: usize,
@@ -114,7 +114,7 @@
     at: f64,
     job: String,
     over_version: u64,
-    marks: Marks,
+    marks: CompletedTasks,
     complete: bool,
 }
 
@@ -140,13 +140,13 @@
 
 /// What is kept up with every change must equal a count from the beginning:
 /// limits hang on the one, the fence on the other.
-fn kept_counts_are_right(core: &Core) {
+fn kept_counts_are_right(core: &Scheduler) {
     assert!((core.used().cpus() - core.usage().cpus()).abs() < 1e-6);
     if let Some(awaited) = core.unaccounted() {
         let all = core.machines.values().filter(|m| m.holds_up()).count();
         assert_eq!(awaited, all, "term {}", core.term);
     }
-    let runs = |a: &&Active| a.running.is_some() && !a.exited();
+    let runs = |a: &&Attempt| a.running.is_some() && !a.exited();
     let active = core.machines.values().flat_map(|m| &m.active);
     let running = active.filter(|((task, _), a)| {
         runs(a) && (core.jobs.get(&task.job)).is_some_and(|j| task.index < j.spec.tasks)
@@ -209,9 +209,10 @@
             let record = live(spec, now);
             simulation.version += 1;
             let version = simulation.version;
-            simulation
-                .live
-                .insert(id.clone(), (record.clone(), Marks::default(), version));
+            simulation.live.insert(
+                id.clone(),
+                (record.clone(), CompletedTasks::default(), version),
+            );
             // Each owner hears of it in its own time, a former one perhaps first.
             for (core, _) in &simulation.owners {
                 let at = now + simulation.rng.random_range(0.0..3.0);
@@ -328,7 +329,7 @@
     let expired = simulation.owners.last().map(|(c, _)| {
         c.machines
             .values()
-            .filter(|m| m.standing == Standing::Expired)
+            .filter(|m| m.standing == MachineStatus::Expired)
             .count()
     });
     assert!(
--- a/tests/simulation/trouble.rs
+++ b/tests/simulation/trouble.rs
@@ -153,7 +153,7 @@
             .filter(lost)
             .flat_map(|w| w.tasks.values());
         let lost_tasks = tasks.filter(long).count();
-        let far_apart = |(id, (record, marks, _)): &(&String, &(LiveJob, Marks, u64))| {
+        let far_apart = |(id, (record, marks, _)): &(&String, &(LiveJob, CompletedTasks, u64))| {
             let runs = |w: &Worker| w.tasks.keys().any(|(t, _)| job_of(t) == id.as_str());
             let few = (2..=3).contains(&record.spec.tasks);
             few && !marks.is_empty() && self.workers.iter().any(runs)
--- a/tests/tenure.rs
+++ b/tests/tenure.rs
@@ -1,18 +1,18 @@
 //! What an owner may conclude from answers that come late, one case each; the
 //! simulation in tests/pause.rs looks for the cases that are not here.
 
-use foxspur::coordination::leadership::leadership::{LeaseStep, Tenure, Terms};
-use foxspur::coordination::leadership::takeover::Claim;
+use foxspur::coordination::leadership::leadership::{Leadership, LeadershipConfig, LeaseStep};
+use foxspur::coordination::leadership::takeover::TakeoverAttempt;
 use foxspur::protocol::state::{Entry, Txn};
-use foxspur::storage::records::{self, Alive, Share};
+use foxspur::storage::records::{self, AliveRecord, ShardRecord};
 use foxspur_testbed::store::Store;
 
 const LIFE_S: f64 = 4.0;
 /// The watch of live jobs never falls behind in these cases.
 const WATCHED: f64 = f64::MAX;
 
-fn tenure(me: &str, peers: &[&str], boot: u64) -> Tenure {
-    let terms = Terms {
+fn tenure(me: &str, peers: &[&str], boot: u64) -> Leadership {
+    let terms = LeadershipConfig {
         me: me.into(),
         peers: peers.iter().map(|p| p.to_string()).collect(),
         teams: Vec::new(),
@@ -22,11 +22,11 @@
         blind_s: 24.0,
         bound_ms: 1000,
     };
-    Tenure::new(terms, boot)
+    Leadership::new(terms, boot)
 }
 
 /// Gets a lease and writes the alive key, as the lease loop does.
-fn enlist(t: &mut Tenure, me: &str, store: &mut Store, now: f64) -> u64 {
+fn enlist(t: &mut Leadership, me: &str, store: &mut Store, now: f64) -> u64 {
     let lease = store.grant(LIFE_S, now);
     t.granted(lease);
     let LeaseStep::Write { lease, boot, over } = t.lease_step(now) else {
@@ -38,11 +38,11 @@
     lease
 }
 
-fn read(t: &mut Tenure, store: &Store) {
+fn read(t: &mut Leadership, store: &Store) {
     t.view.take_list(&store.list(records::AREA), store.revision);
 }
 
-fn follow(t: &mut Tenure, store: &Store, since: u64) {
+fn follow(t: &mut Leadership, store: &Store, since: u64) {
     for (version, key, value) in store.log.iter().filter(|l| l.0 > since).cloned() {
         match value {
             Some(value) => t.view.take_entry(&Entry {
@@ -58,8 +58,8 @@
 /// Two controllers; the first owns the share under term 1 since 0.
 struct Pair {
     store: Store,
-    a: Tenure,
-    b: Tenure,
+    a: Leadership,
+    b: Leadership,
     a_lease: u64,
 }
 
@@ -84,7 +84,7 @@
 
 impl Pair {
     /// A's lease ends, b hears of it, and makes its claim.
-    fn lapse(&mut self) -> Claim {
+    fn lapse(&mut self) -> TakeoverAttempt {
         let since = self.store.revision;
         self.store.end(self.a_lease);
         follow(&mut self.b, &self.store, since);
@@ -168,7 +168,7 @@
     for (bounded, silent_s) in [(true, 24.0), (false, 96.0)] {
         let mut p = pair();
         let entry = p.store.get(records::SHARE).expect("taken");
-        let mut share = entry.read::<Share>().expect("reads");
+        let mut share = entry.read::<ShardRecord>().expect("reads");
         assert!(share.bounded);
         share.bounded = bounded;
         let since = p.store.revision;
@@ -181,7 +181,7 @@
     }
     // A record of an older program has no such field.
     let old = r#"{"owner":"a","boot":1,"term":1,"teams":[]}"#;
-    assert!(serde_json::from_str::<Share>(old).is_ok_and(|s| !s.bounded));
+    assert!(serde_json::from_str::<ShardRecord>(old).is_ok_and(|s| !s.bounded));
 }
 
 /// Guards against renewals of a lease got after the share was lost.
@@ -244,7 +244,7 @@
             panic!("the new incarnation is not written");
         };
         let key = records::alive("a");
-        let txn = Txn::default().put_leased(&key, &Alive { boot }, Some(lease));
+        let txn = Txn::default().put_leased(&key, &AliveRecord { boot }, Some(lease));
         let alive = p.store.apply(&txn).expect("written");
         p.a.alive_written(lease, boot, alive);
         let later = p.a.claim(9.0, 9000).expect("b's lease is gone");
@@ -285,7 +285,7 @@
     assert!(p.b.claim(6.0, 6000).is_none(), "its owner is alive");
     // A write of an incarnation before this one comes late, over ours.
     let key = records::alive("a");
-    let txn = Txn::default().put_leased(&key, &Alive { boot: 77 }, Some(p.a_lease));
+    let txn = Txn::default().put_leased(&key, &AliveRecord { boot: 77 }, Some(p.a_lease));
     let version = p.store.apply(&txn).expect("the lease lives");
     assert!(matches!(p.a.lease_step(7.0), LeaseStep::Renew(_)));
     p.a.view.see_alive("a".into(), 77, version);
--- a/tests/vouch.rs
+++ b/tests/vouch.rs
@@ -2,7 +2,9 @@
 //! takes its machines for empty: by cases, and by many random courses of who
 //! reaches whom.
 
-use foxspur::coordination::leadership::lease_extension::{may_answer, quiet_from, Round, Spans};
+use foxspur::coordination::leadership::lease_extension::{
+    may_answer, quiet_from, LeaseSpans, QuorumRound,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -10,7 +12,7 @@
 
 #[test]
 fn how_long_an_owner_answers_without_contact() {
-    let spans = Spans::new(LIFE_S, 60.0);
+    let spans = LeaseSpans::new(LIFE_S, 60.0);
     // (controllers, vouches as (peer, asked at), now, may answer); last check at 0.
     type Case<'a> = (usize, &'a [(&'a str, f64)], f64, bool);
     let cases: [Case; 8] = [
@@ -24,7 +26,7 @@
         (5, &[("a", 60.0), ("b", 60.0)], 60.1, false),
     ];
     for (nodes, given, now, answers) in cases {
-        let mut vouches = Round::default();
+        let mut vouches = QuorumRound::default();
         vouches.about(7);
         for (peer, asked_at) in given {
             vouches.agreed(7, peer, *asked_at, *asked_at, nodes);
@@ -40,7 +42,7 @@
 /// still keeps them alive with the vouches of a majority.
 #[test]
 fn a_former_owner_is_silent_before_it_is_taken_to_be() {
-    let spans = Spans::new(LIFE_S, 60.0);
+    let spans = LeaseSpans::new(LIFE_S, 60.0);
     let (mut settled, mut extended) = (0, 0);
     for seed in 0..400 {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -48,8 +50,8 @@
         // 0 is the former owner, 1 the new one; its lease ended before it took over.
         let taken: f64 = LIFE_S + rng.random_range(0.0..20.0);
         let mut promised = vec![false; nodes];
-        let mut vouches = Round::default();
-        let mut promises = Round::default();
+        let mut vouches = QuorumRound::default();
+        let mut promises = QuorumRound::default();
         vouches.about(1);
         promises.about(2);
         let reach = rng.random_range(0.2..1.0);
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::*;
-use foxspur::coordination::agents::heartbeat::Answer;
-use foxspur::coordination::scheduler::state::Core;
+use foxspur::coordination::agents::heartbeat::HeartbeatReply;
+use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::worker::{Command, Phase, Report};
-use foxspur::storage::marks::Marks;
+use foxspur::storage::marks::CompletedTasks;
 
 /// A report of a machine in this zone that shows these tasks running.
 fn running(machine: &str, zone: &str, seq: u64, tasks: &[(&str, u64)]) -> Report {
@@ -22,7 +22,7 @@
 }
 
 /// The machines on which the core starts tasks when it places them and is heard of again.
-fn starts(core: &mut Core, now: f64) -> Vec<String> {
+fn starts(core: &mut Scheduler, now: f64) -> Vec<String> {
     core.place(now);
     let mut found = Vec::new();
     for machine in ["m-a", "m-b", "m-c"] {
@@ -46,14 +46,14 @@
     core.inherit(machine("m-c", "b", false), 0.0);
     let mut job = spec("run-1", "t", Urgency::Standard, 3, 1.0);
     job.one_zone = true;
-    core.job_added(live(job, 0.0), 1, Marks::default());
+    core.job_added(live(job, 0.0), 1, CompletedTasks::default());
     let reports = [
         running("m-a", "a", 1, &[("run-1/0", 1)]),
         running("m-b", "b", 1, &[("run-1/1", 2)]),
         running("m-c", "b", 1, &[]),
     ];
     for report in &reports {
-        assert!(matches!(core.hello(report, 1.0), Answer::Orders(_)));
+        assert!(matches!(core.hello(report, 1.0), HeartbeatReply::Orders(_)));
     }
     assert!(core.gate_open());
     assert_eq!(starts(&mut core, 1.1), Vec::<String>::new());
