--- a/crates/plan/src/sim.rs
+++ b/crates/plan/src/sim.rs
@@ -83,7 +83,7 @@
                 return;
             }
             let report = m.report();
-            let HeartbeatReply::Orders(reply) = self.core.hello(&report, now) else {
+            let HeartbeatReply::Orders(reply) = self.core.handle_heartbeat(&report, now) else {
                 return;
             };
             let m = &mut self.machines[at];
@@ -109,17 +109,17 @@
 
     /// The ledger: marks are written at once, and a complete job is over.
     fn write_marks(&mut self, now: f64) {
-        for id in self.core.marks_due(usize::MAX) {
+        for id in self.core.completions_due(usize::MAX) {
             let Some(job) = self.core.jobs.get(&id) else {
                 continue;
             };
-            let (done, complete) = (job.done.clone(), job.complete());
+            let (done, complete) = (job.completed.clone(), job.is_complete());
             self.version += 1;
-            self.core.marks_written(&id, &done, self.version);
+            self.core.completions_written(&id, &done, self.version);
             if complete {
                 let end = self.outcome.jobs.entry(id.to_string()).or_default();
                 end.done_s = Some(now);
-                self.core.job_over(&id);
+                self.core.finish_job(&id);
             }
         }
     }
@@ -132,7 +132,7 @@
                 return;
             }
             for name in names {
-                let Some((_, call)) = self.core.direct_call(&name, now) else {
+                let Some((_, call)) = self.core.next_direct_call(&name, now) else {
                     continue;
                 };
                 let Some(&at) = self.by_name.get(&*name) else {
@@ -140,7 +140,8 @@
                 };
                 let m = &mut self.machines[at];
                 if m.dead {
-                    self.core.called(&name, &call, CallResult::NotSent, now);
+                    self.core
+                        .direct_call_finished(&name, &call, CallResult::NotSent, now);
                     continue;
                 }
                 m.token = m.token.max(call.token);
@@ -148,7 +149,7 @@
                 m.pass(now, &mut self.book);
                 let report = m.report();
                 self.core
-                    .called(&name, &call, CallResult::Executed(report), now);
+                    .direct_call_finished(&name, &call, CallResult::Executed(report), now);
                 self.schedule(at);
             }
         }
@@ -166,7 +167,7 @@
                 done: String::new(),
             };
             self.core
-                .job_added(record, self.version, CompletedTasks::default());
+                .add_job(record, self.version, CompletedTasks::default());
             let known = self.core.jobs.get(spec.id.as_str());
             let facts = JobFacts {
                 predicted_s: known.map_or(0.0, |known| self.core.predict(known)),
@@ -195,24 +196,29 @@
     fn beat(&mut self, now: f64) {
         for m in self.machines.iter().filter(|m| !m.dead) {
             if let Some(known) = self.core.machines.get_mut(m.info.id.as_str()) {
-                known.heard = now;
-                known.answered = Some(now);
+                known.heard_at = now;
+                known.answered_at = Some(now);
             }
         }
         self.core.tick(now, now);
-        self.core.place(now);
+        self.core.place_all(now);
         self.send(now);
         for at in 0..self.machines.len() {
             if self.machines[at].ended() {
                 self.report(at, now);
             }
         }
-        if self.core.record_dirty {
-            self.core.record_dirty = false;
-            let wanted: Vec<_> = self.core.wanted_record().into_iter().cloned().collect();
-            self.core.record_written(&wanted);
+        if self.core.machine_record_dirty {
+            self.core.machine_record_dirty = false;
+            let wanted: Vec<_> = self
+                .core
+                .wanted_machine_record()
+                .into_iter()
+                .cloned()
+                .collect();
+            self.core.machine_record_written(&wanted);
         }
-        for (drain, version) in self.core.drains_proven(micros(now) / 1000, usize::MAX) {
+        for (drain, version) in self.core.proven_drains(micros(now) / 1000, usize::MAX) {
             let known = self.wishes.get(&drain.host);
             if known.is_some_and(|w| w.1 == version) {
                 self.outcome.drained_s.insert(drain.host.clone(), now);
@@ -337,11 +343,11 @@
         return;
     };
     for task in &machine.tasks {
-        let found = m.active.iter_mut().find(|((t, attempt), _)| {
+        let found = m.attempts.iter_mut().find(|((t, attempt), _)| {
             *t.job == *task.job && t.index == task.index && *attempt == task.attempt
         });
         if let (Some((_, active)), Some(ran_s)) = (found, task.ran_s) {
-            active.running = active.running.map(|_| -ran_s);
+            active.running_since = active.running_since.map(|_| -ran_s);
         }
     }
 }
--- a/examples/owner.rs
+++ b/examples/owner.rs
@@ -97,15 +97,15 @@
     let Ok(head) = serde_json::from_str::<ReportHead>(&text) else {
         return false;
     };
-    if core.repeats(&head, now).is_some() {
+    if core.handle_repeated_heartbeat(&head, now).is_some() {
         return true;
     }
     let tasks = head.tasks;
     let Some(report) = head.read() else {
         return false;
     };
-    if let HeartbeatReply::Orders(reply) = core.hello(&report, now) {
-        core.remember(&report.machine, (report.session, report.seq), tasks.get());
+    if let HeartbeatReply::Orders(reply) = core.handle_heartbeat(&report, now) {
+        core.remember_heartbeat(&report.machine, (report.session, report.seq), tasks.get());
         worker.token = reply.token;
         worker.execute(&reply.commands, now, rng);
     }
@@ -119,7 +119,7 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let fresh = |term: u64| {
         let mut core = core(vec![team("t", 0.0, 0.0)], term, &names);
-        core.params.report_s = args.report_s;
+        core.config.report_s = args.report_s;
         core
     };
     let mut owner = fresh(1);
@@ -144,16 +144,16 @@
             takeover = None;
             owner = fresh(2);
             for record in records.values() {
-                owner.job_added(live(spec_of(record), now), 1, CompletedTasks::default());
+                owner.add_job(live(spec_of(record), now), 1, CompletedTasks::default());
             }
         }
         while f64::from(jobs) < args.jobs * now {
             jobs += 1;
             let id = format!("run-{jobs:06}");
             let record = (id.clone(), rng.random_range(1.0..4.0));
-            owner.job_added(live(spec_of(&record), now), 1, CompletedTasks::default());
+            owner.add_job(live(spec_of(&record), now), 1, CompletedTasks::default());
             records.insert(id, record);
-            owner.place_news(now);
+            owner.place_changed(now);
         }
         for worker in &mut fleet {
             if worker.due <= now {
@@ -164,8 +164,8 @@
         }
         if reports % 5 == 0 {
             owner.tick(now, now);
-            owner.probes(now, 64);
-            owner.place(now);
+            owner.probe_unfenced(now, 64);
+            owner.place_all(now);
         }
         if args.look.is_some_and(|every| now - looked >= every) {
             looked = now;
@@ -174,7 +174,7 @@
             looks_bytes += looks.map(|l| l.len()).sum::<usize>();
         }
         for name in owner.outbox.drain(..).collect::<Vec<_>>() {
-            let Some((_, call)) = owner.direct_call(&name, now) else {
+            let Some((_, call)) = owner.next_direct_call(&name, now) else {
                 continue;
             };
             calls += 1;
@@ -185,18 +185,18 @@
             worker.token = worker.token.max(call.token);
             let read = serde_json::from_str::<Report>(&worker.report(now));
             let result = read.map_or(CallResult::Unknown, CallResult::Executed);
-            owner.called(&name, &call, result, now);
+            owner.direct_call_finished(&name, &call, result, now);
         }
-        for id in owner.marks_due(24) {
+        for id in owner.completions_due(24) {
             let Some(job) = owner.jobs.get(&id) else {
                 continue;
             };
-            let (marks, complete) = (job.done.clone(), job.complete());
-            owner.marks_written(&id, &marks, 2);
+            let (marks, complete) = (job.completed.clone(), job.is_complete());
+            owner.completions_written(&id, &marks, 2);
             if complete {
                 done += 1;
                 records.remove(&*id);
-                owner.job_over(&id);
+                owner.finish_job(&id);
             }
         }
     }
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -83,7 +83,7 @@
         "Machines that hold up placing after a takeover",
         &[],
     )?;
-    let n = core.unaccounted().unwrap_or(0);
+    let n = core.unfenced_count().unwrap_or(0);
     missing.with_label_values::<&str>(&[]).set(n as f64);
     Ok(())
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -157,7 +157,7 @@
             former: former.unwrap_or_default(),
             ours: core.is_some() && tenure.entitled(now),
             confirmed_s: core.as_ref().map(|_| now - tenure.confirmed()),
-            missing: core.as_ref().and_then(|c| c.unaccounted()),
+            missing: core.as_ref().and_then(|c| c.unfenced_count()),
         }
     };
     let term = row.term;
--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -17,36 +17,42 @@
 
 impl Scheduler {
     /// Takes in what came of a direct call with these starts.
-    pub fn called(&mut self, name: &Name, call: &Direct, result: CallResult, now: f64) {
-        self.passes(now);
+    pub fn direct_call_finished(
+        &mut self,
+        name: &Name,
+        call: &Direct,
+        result: CallResult,
+        now: f64,
+    ) {
+        self.advance_clock(now);
         let unknown = matches!(result, CallResult::Unknown);
         if !matches!(result, CallResult::NotSent | CallResult::Rejected(_)) {
-            self.limbo.insert(name.clone());
+            self.unresolved_starts.insert(name.clone());
         }
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        m.calling = false;
+        m.call_in_flight = false;
         // Executed, by a message older than what we know that does not show it: the
         // machine counts anew. Nothing tells what became of the start.
-        let old = |r: &Report| (r.session, r.seq) <= m.seen;
+        let old = |r: &Report| (r.session, r.seq) <= m.last_message;
         let old = matches!(&result, CallResult::Executed(r) if old(r));
         if let CallResult::Executed(report) | CallResult::Rejected(report) = &result {
             let order = (report.session, report.seq);
-            if report.machine == **name && order < m.called_at_seen {
+            if report.machine == **name && order < m.called_at_message {
                 // It answers our call with something older than we knew when we called:
                 // it counts anew. What looked newer was of its earlier life, and in the
                 // same session this answer is the truth. (A report of the earlier life,
                 // held up in a cut, showed an empty machine, and what ran there was
                 // started elsewhere.)
-                m.recounts = true;
-                if order.0 == m.seen.0 && m.seen == m.called_at_seen {
-                    m.seen.1 = order.1.saturating_sub(1);
+                m.renumbers = true;
+                if order.0 == m.last_message.0 && m.last_message == m.called_at_message {
+                    m.last_message.1 = order.1.saturating_sub(1);
                 }
             }
         }
         if matches!(result, CallResult::NotSent | CallResult::Unknown) {
-            m.unanswered += 1;
+            m.unanswered_calls += 1;
         }
         for command in &call.commands {
             let (Command::Start { task, attempt }
@@ -55,13 +61,13 @@
             let Some(task) = TaskId::parse(task) else {
                 continue;
             };
-            if let Some(active) = m.active.get_mut(&(task, *attempt)) {
+            if let Some(active) = m.attempts.get_mut(&(task, *attempt)) {
                 if matches!(command, Command::Start { .. }) {
-                    active.direct = false;
+                    active.call_in_flight = false;
                     // A newer session or term seen meanwhile rules it out.
                     let untold = unknown || old && active.phase.is_none();
-                    if untold && m.seen.0 <= call.session && m.token <= call.token {
-                        active.limbo = Some((call.token, now));
+                    if untold && m.last_message.0 <= call.session && m.seen_token <= call.token {
+                        active.unresolved_call = Some((call.token, now));
                     }
                 }
                 // What was not executed goes with the next report's answer.
@@ -69,39 +75,40 @@
         }
         match result {
             CallResult::Executed(report) | CallResult::Rejected(report) => {
-                let early = m.early_session(report.session, self.params.lease_s, now);
-                let newer =
-                    (report.session, report.seq) > m.seen && report.token >= m.token && !early;
+                let early = m.is_early_session(report.session, self.config.lease_s, now);
+                let newer = (report.session, report.seq) > m.last_message
+                    && report.token >= m.seen_token
+                    && !early;
                 if report.machine == **name && newer {
-                    if m.standing == MachineStatus::Expired {
+                    if m.status == MachineStatus::Expired {
                         // A new session: its own report readmits it. The old
                         // one was proven over: what is late says nothing.
                         return;
                     }
-                    self.take_in(name, &report, ReportSource::Direct, now);
+                    self.reconcile_report(name, &report, ReportSource::Direct, now);
                 }
             }
             CallResult::NotSent | CallResult::Unknown => {}
         }
-        self.settle(name);
+        self.remove_unstarted(name);
     }
 
     /// Removes stopped attempts that were never there once no copy is in flight.
-    pub fn settle(&mut self, name: &Name) {
+    pub fn remove_unstarted(&mut self, name: &Name) {
         let Some(m) = self.machines.get(name) else {
             return;
         };
         let gone: Vec<_> = m
-            .active
+            .attempts
             .iter()
-            .filter(|(_, a)| a.phase.is_none() && a.stop.is_some() && !a.in_flight())
+            .filter(|(_, a)| a.phase.is_none() && a.stop_grace_s.is_some() && !a.is_in_flight())
             .map(|(k, _)| k.clone())
             .collect();
         for key in &gone {
             self.remove_attempt(name, key);
         }
         if !gone.is_empty() {
-            self.reindex(name);
+            self.update_capacity(name);
         }
     }
 }
--- a/src/coordination/agents/dispatcher.rs
+++ b/src/coordination/agents/dispatcher.rs
@@ -24,11 +24,11 @@
         let due = spare.min(core.outbox.len());
         let batch: Vec<Name> = core.outbox.drain(..due).collect();
         for name in batch {
-            if core.machines.get(&name).is_some_and(|m| m.calling) {
+            if core.machines.get(&name).is_some_and(|m| m.call_in_flight) {
                 core.outbox.insert(name);
                 continue;
             }
-            if let Some((addr, call)) = core.direct_call(&name, now) {
+            if let Some((addr, call)) = core.next_direct_call(&name, now) {
                 node.calls.set(node.calls.get() + 1);
                 calls.push((base, name, addr, call));
             }
@@ -50,9 +50,9 @@
             let now = node.now();
             if let Some(core) = node.core.borrow_mut().as_mut() {
                 if core.fence.base_term == base {
-                    core.called(&name, &call, result, now);
-                    if core.dirty {
-                        core.place_news(now);
+                    core.direct_call_finished(&name, &call, result, now);
+                    if core.placement_due {
+                        core.place_changed(now);
                     }
                 }
             }
@@ -80,15 +80,15 @@
             let now = this.node.now();
             if let Some(core) = this.node.core.borrow_mut().as_mut() {
                 core.tick(now, this.node.tenure.borrow().confirmed());
-                core.probes(now, this.node.workers.sockets / 2);
-                core.place(now);
+                core.probe_unfenced(now, this.node.workers.sockets / 2);
+                core.place_all(now);
                 if this.beats % 4 == 0 {
-                    if let Some(missing) = core.unaccounted() {
+                    if let Some(missing) = core.unfenced_count() {
                         tracing::info!(term = core.term, missing, "machines not accounted for yet");
                     }
                 }
                 if this.beats % 32 == 0 {
-                    core.sweep();
+                    core.collect_garbage();
                     let workers = &this.node.workers;
                     let (open, kept) = (workers.share().incoming.get(), workers.kept());
                     tracing::info!(open, kept, "load {}", core.summary());
--- a/src/coordination/agents/failure_detector.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -13,12 +13,12 @@
     /// was still ours after that: a new owner may be keeping it alive, and we
     /// would not know without contact to the state service.
     pub fn tick(&mut self, now: f64, confirmed: f64) {
-        self.passes(now);
-        let lease = with_margin(self.params.lease_s);
+        self.advance_clock(now);
+        let lease = with_margin(self.config.lease_s);
         let mut expired = Vec::new();
         let mut fallen = Vec::new();
         for (name, m) in &self.machines {
-            if m.standing == MachineStatus::Expired {
+            if m.status == MachineStatus::Expired {
                 continue;
             }
             if m.indexed != (self.usable(m, now) && self.types.contains_key(&m.info.kind)) {
@@ -28,12 +28,14 @@
             // on it drops the answers of all earlier owners.
             // A session seen in a direct call's answer runs a lease from its
             // beginning, although no report of it was answered yet.
-            let last = m.answered.map_or(m.session_at, |t| t.max(m.session_at));
-            let last = m.anew_at.map_or(last, |t| last.max(t));
+            let last = m
+                .answered_at
+                .map_or(m.session_seen_at, |t| t.max(m.session_seen_at));
+            let last = m.renumbered_at.map_or(last, |t| last.max(t));
             // A machine that was back at once may have begun to count when the call
             // with a start came, which then lives for a lease.
-            let flying = m.active.values().filter(|a| a.phase.is_none());
-            let last = flying.map(|a| a.sent).fold(last, f64::max);
+            let flying = m.attempts.values().filter(|a| a.phase.is_none());
+            let last = flying.map(|a| a.sent_at).fold(last, f64::max);
             let own = last + lease;
             let from = if m.fenced {
                 Some(own.max(m.fenced_at + lease))
@@ -42,21 +44,21 @@
                 // lease after the last answer of anyone: the session that lives then
                 // began later. (Each session of a machine that hears nobody has a
                 // lease of its own, and so would never prove it empty.)
-                let answered = m.answered.map_or(f64::NEG_INFINITY, |t| t + lease);
+                let answered = m.answered_at.map_or(f64::NEG_INFINITY, |t| t + lease);
                 self.fence.empty_from(lease).map(|t| t.max(answered))
             };
-            if from.is_some_and(|t| now > t && confirmed > t) && !m.may_start_yet() {
+            if from.is_some_and(|t| now > t && confirmed > t) && !m.may_still_start() {
                 expired.push(name.clone());
             }
         }
         for name in fallen {
-            self.reindex(&name);
+            self.update_capacity(&name);
         }
         for name in expired {
             tracing::warn!(machine = %name, term = self.term, "silent for a lease: proven empty");
             self.clear_machine(&name);
             if let Some(m) = self.machines.get_mut(&name) {
-                m.standing = MachineStatus::Expired;
+                m.status = MachineStatus::Expired;
                 m.recorded = false;
                 // No former owner answers any more, and what sessions it knew are
                 // over: the next one holds up nobody. (A machine that hears nothing
@@ -67,27 +69,27 @@
                     m.fenced_at = now;
                 }
             }
-            self.reindex(&name);
+            self.update_capacity(&name);
             self.outbox.swap_remove(&name);
-            self.record_dirty = true;
-            self.dirty = true;
+            self.machine_record_dirty = true;
+            self.placement_due = true;
         }
-        self.ask_doubtful(now);
-        self.heed_notices(now);
-        self.tend_drains(now);
-        self.cordon(now);
+        self.probe_suspects(now);
+        self.handle_termination_notices(now);
+        self.advance_drains(now);
+        self.retire_failing_machines(now);
     }
 
     /// Whether answering the machine any longer is no use: it was told our term again
     /// and again, for a part of a lease, and reports under an older one. As long as it
     /// is answered, its lease may live, with what a former owner started on it, and
     /// the whole share waits for it; so it is left alone until that is over.
-    pub(crate) fn in_vain(&self, name: &str, now: f64) -> bool {
+    pub(crate) fn is_beyond_reach(&self, name: &str, now: f64) -> bool {
         let m = self.machines.get(name);
-        let some_s = self.params.lease_s / 4.0;
+        let some_s = self.config.lease_s / 4.0;
         m.is_some_and(|m| {
-            let long = m.hearing.doubted_s(now).is_some_and(|s| s > some_s);
-            !m.fenced && m.recorded && long && m.hearing.in_vain()
+            let long = m.delivery.doubted_s(now).is_some_and(|s| s > some_s);
+            !m.fenced && m.recorded && long && m.delivery.in_vain()
         })
     }
 
@@ -96,19 +98,19 @@
     /// that died just before a takeover holds up the whole share, and what ran
     /// on a machine taken without notice waits for a lease. Many silent at
     /// once are a cut, not deaths: those are waited for.
-    pub fn given_up(&self, now: f64) -> Vec<String> {
-        let silent_s = self.params.silent_s() + self.params.report_s;
+    pub fn machines_given_up(&self, now: f64) -> Vec<String> {
+        let silent_s = self.config.silent_s() + self.config.report_s;
         // One that an operator set aside and that was proven empty is switched off
         // for a reason, and holds up nobody.
         let recorded = self.machines.values();
-        let recorded = recorded.filter(|m| m.recorded && !self.proven_aside(&m.info.id));
+        let recorded = recorded.filter(|m| m.recorded && !self.is_drained(&m.info.id));
         // One that was asked answers within milliseconds; a tenth of a lease
         // covers a busy owner, which hears from a thousand at once. When all
         // but a few have come the rush is over, and the whole share waits for
         // machines that are most likely dead.
         let few = recorded.clone().count() / 64;
-        let left = self.unaccounted().unwrap_or(usize::MAX);
-        let unanswered_s = self.params.lease_s / if left <= few { 40.0 } else { 10.0 };
+        let left = self.unfenced_count().unwrap_or(usize::MAX);
+        let unanswered_s = self.config.lease_s / if left <= few { 40.0 } else { 10.0 };
         // What counts is that it was asked and did not answer. That it did not come by
         // itself yet says nothing: its worker waits 4 s for an owner that went silent.
         // (Counted from the takeover, an eighth of a healthy fleet was returned at each
@@ -116,15 +118,17 @@
         let unanswered = |m: &Machine, s: f64| {
             // A call may fail since we are busy with all the others; when it is made
             // again most have come.
-            let asked = m.probed_at.filter(|_| left <= few || m.unanswered >= 2);
-            asked.is_some_and(|t| !m.fenced && self.silence(t, now) > s)
+            let asked = m
+                .probed_at
+                .filter(|_| left <= few || m.unanswered_calls >= 2);
+            asked.is_some_and(|t| !m.fenced && self.silent_for(t, now) > s)
         };
         let silent = |m: &&Machine| {
-            m.standing != MachineStatus::Expired
+            m.status != MachineStatus::Expired
                 && if m.fenced {
                     // One that does not hear: past a lease nothing of value runs there.
-                    let deaf_s = m.hearing.doubted_s(now).unwrap_or(0.0);
-                    self.silence(m.heard, now) > silent_s || deaf_s > self.params.lease_s
+                    let deaf_s = m.delivery.doubted_s(now).unwrap_or(0.0);
+                    self.silent_for(m.heard_at, now) > silent_s || deaf_s > self.config.lease_s
                 } else {
                     unanswered(m, unanswered_s)
                 }
@@ -140,7 +144,7 @@
             if self.fence.open || found.len() > all / 4 || self.mostly_one_zone(&found) {
                 return Vec::new();
             }
-            found.retain(|m| unanswered(m, self.params.lease_s / 4.0));
+            found.retain(|m| unanswered(m, self.config.lease_s / 4.0));
         }
         found.iter().map(|m| m.info.id.clone()).collect()
     }
@@ -156,11 +160,12 @@
 
     /// Zones most of whose machines fell silent together: cut off, most likely.
     /// Their machines go on, so they are not replaced, but do not count either.
-    pub fn cut_zones(&self, now: f64) -> Vec<String> {
-        let silent_s = self.params.silent_s() + self.params.report_s;
+    pub fn partitioned_zones(&self, now: f64) -> Vec<String> {
+        let silent_s = self.config.silent_s() + self.config.report_s;
         let mut zones: Vec<(&str, usize, usize)> = Vec::new();
-        for m in self.machines.values().filter(|m| !m.held) {
-            let away = self.silence(m.heard, now) > silent_s || m.deaf(now, silent_s);
+        for m in self.machines.values().filter(|m| !m.cordoned) {
+            let away =
+                self.silent_for(m.heard_at, now) > silent_s || m.is_unreachable(now, silent_s);
             let silent = usize::from(away);
             match zones.iter_mut().find(|z| z.0 == m.info.zone) {
                 Some(z) => {
@@ -176,45 +181,47 @@
     }
 
     /// Spot notice: stop what can save, let the short finish.
-    fn heed_notices(&mut self, now: f64) {
+    fn handle_termination_notices(&mut self, now: f64) {
         let mut stops = Vec::new();
         for (name, m) in &self.machines {
             let Some(at) = m.notice_at else {
                 continue;
             };
-            for (key, active) in m.holding() {
+            for (key, active) in m.live_attempts() {
                 let Some(job) = self.jobs.get(&key.0.job) else {
                     continue;
                 };
-                let ran = active.running.map_or(0.0, |t| now - t);
+                let ran = active.running_since.map_or(0.0, |t| now - t);
                 let left_s = (self.predict(job) - ran).max(0.0);
                 let room = at - now;
                 let saves = job.spec.checkpoint_s > 0.0;
-                if left_s <= room && active.running.is_some() {
+                if left_s <= room && active.running_since.is_some() {
                     continue;
                 }
-                if saves || active.running.is_none() {
+                if saves || active.running_since.is_none() {
                     stops.push((name.clone(), key.clone(), self.save_grace(&key.0.job)));
                 }
             }
         }
         for (name, key, grace) in stops {
-            self.stop(&name, &key, grace);
+            self.stop_attempt(&name, &key, grace);
         }
     }
 
     /// Machines that fail task after task are taken out of use.
-    fn cordon(&mut self, _now: f64) {
-        let limit = self.params.policy.cordon_errors as usize;
+    fn retire_failing_machines(&mut self, _now: f64) {
+        let limit = self.config.policy.cordon_errors as usize;
         let bad: Vec<Name> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.standing == MachineStatus::Up && !m.held && m.errors.len() >= limit)
+            .filter(|(_, m)| {
+                m.status == MachineStatus::Up && !m.cordoned && m.recent_failures.len() >= limit
+            })
             .map(|(n, _)| n.clone())
             .collect();
         for name in bad {
             tracing::warn!(machine = %name, "fails its tasks: cordoned");
-            self.drain(&name);
+            self.retire_machine(&name);
         }
     }
 }
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -42,64 +42,64 @@
     /// Whether the report says just what the one before said and there is
     /// nothing to tell the worker; then it is taken in, and the answer is this
     /// token and no command. Most reports of a large fleet are like this.
-    pub fn repeats(&mut self, head: &ReportHead, now: f64) -> Option<u64> {
+    pub fn handle_repeated_heartbeat(&mut self, head: &ReportHead, now: f64) -> Option<u64> {
         let m = self.machines.get_mut(&*head.machine)?;
         let token = m.token_under(self.term);
-        let same = m.standing == MachineStatus::Up
+        let same = m.status == MachineStatus::Up
             && m.fenced
             && m.recorded
-            && m.strangers == 0
+            && m.unknown_attempts == 0
             && m.indexed
-            && !m.hearing.doubted()
-            && !m.recounts
+            && !m.delivery.doubted()
+            && !m.renumbers
             && m.notice_at.is_none()
             && head.notice_s.is_none()
-            && head.token == m.token
+            && head.token == m.seen_token
             && head.token <= token
-            && head.session == m.seen.0
-            && head.seq > m.seen.1
+            && head.session == m.last_message.0
+            && head.seq > m.last_message.1
             && head.addr == m.info.addr
-            && m.repeated.as_deref() == Some(head.tasks.get());
+            && m.repeatable_tasks.as_deref() == Some(head.tasks.get());
         if same {
-            m.seen.1 = head.seq;
-            m.heard = now;
-            m.answered = Some(now);
-            m.hearing.answered(token);
-            self.passes(now);
+            m.last_message.1 = head.seq;
+            m.heard_at = now;
+            m.answered_at = Some(now);
+            m.delivery.answered(token);
+            self.advance_clock(now);
         }
         same.then_some(token)
     }
 
     /// Remembers the report's task list if the same one again would tell
     /// nothing, and call for no command.
-    pub fn remember(&mut self, machine: &str, order: (u64, u64), tasks: &str) {
+    pub fn remember_heartbeat(&mut self, machine: &str, order: (u64, u64), tasks: &str) {
         if let Some(m) = self.machines.get_mut(machine) {
-            let plain = m.seen == order && m.active.values().all(Attempt::settled);
-            m.repeated = plain.then(|| tasks.into());
+            let plain = m.last_message == order && m.attempts.values().all(Attempt::is_steady);
+            m.repeatable_tasks = plain.then(|| tasks.into());
         }
     }
 
     /// Takes in a report and says what to answer.
-    pub fn hello(&mut self, report: &Report, now: f64) -> HeartbeatReply {
-        self.passes(now);
+    pub fn handle_heartbeat(&mut self, report: &Report, now: f64) -> HeartbeatReply {
+        self.advance_clock(now);
         if report.token >= self.term + TOKENS {
             return HeartbeatReply::Superseded;
         }
         let name: Name = report.machine.as_str().into();
-        if self.returned.contains(&name) {
+        if self.returned_machines.contains(&name) {
             // A late copy: the machine is gone, and its name is never used again.
             return HeartbeatReply::Refuse;
         }
         if !self.machines.contains_key(&name) {
             // Not in our record, so nothing can have been started on it. It
             // becomes usable once the record with it is written.
-            let held = self.wishes.contains_key(&name);
+            let held = self.drains.contains_key(&name);
             let machine = Machine {
-                held,
+                cordoned: held,
                 ..Machine::new(info_of(report), false, now)
             };
             self.machines.insert(name.clone(), machine);
-            self.record_dirty = true;
+            self.machine_record_dirty = true;
         }
         let listening = self.listening_since(now);
         let Some(m) = self.machines.get_mut(&name) else {
@@ -107,105 +107,111 @@
         };
         // An older one that is not a copy is overtaken by a newer message at most while
         // its worker waits for the answer; by then the next one is due.
-        let overtaken_s = PATIENCE_S.max(1.5 * self.params.report_s);
+        let overtaken_s = PATIENCE_S.max(1.5 * self.config.report_s);
         let order = (report.session, report.seq);
-        let early = m.standing != MachineStatus::Expired
-            && m.early_session(report.session, self.params.lease_s, now);
-        if m.standing == MachineStatus::Expired {
-            if report.session <= m.seen.0 {
+        let early = m.status != MachineStatus::Expired
+            && m.is_early_session(report.session, self.config.lease_s, now);
+        if m.status == MachineStatus::Expired {
+            if report.session <= m.last_message.0 {
                 // Answering would renew a lease that was declared over.
                 return HeartbeatReply::Refuse;
             }
-            m.standing = MachineStatus::Up;
+            m.status = MachineStatus::Up;
             m.recorded = false;
-            m.errors.clear();
-            self.record_dirty = true;
+            m.recent_failures.clear();
+            self.machine_record_dirty = true;
         }
-        let stale = order <= m.seen;
+        let stale = order <= m.last_message;
         // A machine keeps the highest term it has seen: newer with a lower one is of
         // an earlier life of a machine that counts anew.
-        let other_life = early || !stale && report.token < m.token;
+        let other_life = early || !stale && report.token < m.seen_token;
         // Known to count anew: whether a report of this session is of its present life
         // or of the one before cannot be told; the next session is.
-        let other_life = other_life || m.recounts && report.session <= m.seen.0;
-        if other_life || stale && now - m.heard.max(listening) > overtaken_s {
+        let other_life = other_life || m.renumbers && report.session <= m.last_message.0;
+        if other_life || stale && now - m.heard_at.max(listening) > overtaken_s {
             // A copy of an old report, or a machine that counts anew: its session is
             // not the one we know, and nothing says what it runs. Its lease must end
             // (an answer might renew it), and until it can have ended, from now on,
             // what calls of ours started meanwhile may run.
-            m.hearing.heard(Evidence::Unheeded, now);
-            m.anew_at.get_or_insert(now);
-            self.doubtful.insert(name.clone());
-            self.reindex(&name);
+            m.delivery.heard(Evidence::Unheeded, now);
+            m.renumbered_at.get_or_insert(now);
+            self.suspects.insert(name.clone());
+            self.update_capacity(&name);
             return HeartbeatReply::Refuse;
         }
         if !stale {
-            self.take_in(&name, report, ReportSource::Hello, now);
+            self.reconcile_report(&name, report, ReportSource::Hello, now);
         }
-        if self.in_vain(&name, now) {
+        if self.is_beyond_reach(&name, now) {
             return HeartbeatReply::Refuse;
         }
         let mut commands = Vec::new();
         if !stale {
-            if self.dirty {
-                self.place_news(now);
+            if self.placement_due {
+                self.place_changed(now);
             }
-            commands = self.orders(&name, order, now);
+            commands = self.heartbeat_commands(&name, order, now);
         }
         let mut token = self.term;
         if let Some(m) = self.machines.get_mut(&name) {
             token = m.token_under(self.term);
-            m.answered = Some(now);
-            m.hearing.answered(token);
-            m.repeated = None;
+            m.answered_at = Some(now);
+            m.delivery.answered(token);
+            m.repeatable_tasks = None;
         }
         HeartbeatReply::Orders(Reply { token, commands })
     }
 
     /// Reconciles a newer message with what we thought.
-    pub(crate) fn take_in(&mut self, name: &Name, report: &Report, via: ReportSource, now: f64) {
+    pub(crate) fn reconcile_report(
+        &mut self,
+        name: &Name,
+        report: &Report,
+        via: ReportSource,
+        now: f64,
+    ) {
         let base_term = self.fence.base_term;
         // What ended while we stood still says nothing of the machine's hearing.
-        let steady = now - self.listening_since(now) > self.params.lease_s;
+        let steady = now - self.listening_since(now) > self.config.lease_s;
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        let newer_session = report.session > m.seen.0;
-        let first = m.seen == (0, 0);
+        let newer_session = report.session > m.last_message.0;
+        let first = m.last_message == (0, 0);
         let mut signs = EvidenceSummary::default();
         if via == ReportSource::Direct {
             signs.note(Evidence::Heeded);
         } else {
             // What it did not hear of before is seen below, from its tasks.
-            let told = m.hearing.told;
+            let told = m.delivery.told;
             if report.token < told {
                 signs.note(Evidence::Unheeded);
-            } else if m.token < told {
+            } else if m.seen_token < told {
                 signs.note(Evidence::Heeded);
             }
-            m.hearing.stays(now - m.heard);
-            if newer_session && m.hearing.session_over() && !first && steady {
+            m.delivery.stays(now - m.heard_at);
+            if newer_session && m.delivery.session_over() && !first && steady {
                 signs.note(Evidence::Unheeded);
             }
         }
-        m.heard = now;
-        m.anew_at = None;
-        m.unanswered = 0;
-        m.repeated = None;
-        m.seen = (report.session, report.seq);
+        m.heard_at = now;
+        m.renumbered_at = None;
+        m.unanswered_calls = 0;
+        m.repeatable_tasks = None;
+        m.last_message = (report.session, report.seq);
         if newer_session {
-            m.session_at = now;
-            m.recounts = false;
+            m.session_seen_at = now;
+            m.renumbers = false;
         }
-        m.token = m.token.max(report.token);
+        m.seen_token = m.seen_token.max(report.token);
         if report.token >= base_term && !m.fenced {
             m.fenced = true;
             m.fenced_at = now;
-            self.dirty = true;
+            self.placement_due = true;
         }
         if m.info.addr != report.addr {
             m.info.addr = report.addr.clone();
-            self.record_dirty = true;
+            self.machine_record_dirty = true;
         }
         m.notice_at = report.notice_s.map(|s| now + s);
         if newer_session && !first {
@@ -228,40 +234,40 @@
             if holds.is_none() && entry.phase != Phase::Exited {
                 strangers += 1;
             }
-            signs.note(self.take_entry(name, &key, entry.phase, entry.cause, holds, now));
+            signs.note(self.reconcile_task(name, &key, entry.phase, entry.cause, holds, now));
         }
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        m.strangers = strangers;
+        m.unknown_attempts = strangers;
         if strangers > 0 {
-            self.awaited.insert(name.clone());
+            self.unfenced.insert(name.clone());
         }
         // Answers to earlier reports were executed or dropped before this one
         // was sent; answers to direct calls say nothing about them.
-        let (token, seen) = (m.token, m.seen);
+        let (token, seen) = (m.seen_token, m.last_message);
         let mut gone = Vec::new();
-        for (key, active) in m.active.iter_mut() {
-            if via == ReportSource::Hello && active.hello.take().is_some() {
+        for (key, active) in m.attempts.iter_mut() {
+            if via == ReportSource::Hello && active.sent_in_reply_to.take().is_some() {
                 // A start in an answer to an earlier report shows by now.
-                signs.note(if active.shown == seen {
+                signs.note(if active.last_shown == seen {
                     Evidence::Heeded
                 } else {
                     Evidence::Unheeded
                 });
             }
-            if active.told && active.shown != seen {
+            if active.told_to_end && active.last_shown != seen {
                 signs.note(Evidence::Heeded);
             }
-            if active.limbo.is_some_and(|(term, _)| term < token) {
-                active.limbo = None;
+            if active.unresolved_call.is_some_and(|(term, _)| term < token) {
+                active.unresolved_call = None;
             }
-            if active.shown == seen {
+            if active.last_shown == seen {
                 continue;
             }
             let was_shown = active.phase.is_some();
-            let unwanted = active.stop.is_some() || !m.recorded;
-            if was_shown && !active.in_flight() || unwanted && !active.in_flight() {
+            let unwanted = active.stop_grace_s.is_some() || !m.recorded;
+            if was_shown && !active.is_in_flight() || unwanted && !active.is_in_flight() {
                 gone.push(key.clone());
             }
         }
@@ -269,31 +275,31 @@
             self.remove_attempt(name, &key);
         }
         if let Some(m) = self.machines.get_mut(name) {
-            if !m.active.is_empty() {
+            if !m.attempts.is_empty() {
                 m.idle_since = now;
             }
-            let doubted = m.hearing.doubted();
-            m.hearing.heard(signs.sum(), now);
-            if m.hearing.doubted() != doubted {
+            let doubted = m.delivery.doubted();
+            m.delivery.heard(signs.sum(), now);
+            if m.delivery.doubted() != doubted {
                 tracing::info!(machine = %name, doubted = !doubted, "does it hear us?");
-                self.doubtful.insert(name.clone());
-                self.dirty = true;
+                self.suspects.insert(name.clone());
+                self.placement_due = true;
             }
         }
-        self.reindex(name);
+        self.update_capacity(name);
     }
 
     /// Forgets an attempt; the machine is to be indexed anew afterwards.
     pub(crate) fn remove_attempt(&mut self, name: &Name, key: &(TaskId, u64)) {
         let mut removed = None;
         if let Some(m) = self.machines.get_mut(name) {
-            removed = m.active.remove(key);
-            m.repeated = None;
+            removed = m.attempts.remove(key);
+            m.repeatable_tasks = None;
             m.idle_since = self.now;
         }
         if let Some(mut active) = removed {
-            self.not_running(key, &mut active);
+            self.uncount_running(key, &mut active);
         }
-        self.off(key);
+        self.release_attempt(key);
     }
 }
--- a/src/coordination/agents/leader_reachability.rs
+++ b/src/coordination/agents/leader_reachability.rs
@@ -59,23 +59,23 @@
 impl Scheduler {
     /// How many machines should report, and how many of them did not for longer
     /// than the longest time between two reports (1.25 `report_s`) and a delay.
-    pub fn reach(&self, now: f64) -> (usize, usize) {
-        let due_s = 1.5 * self.params.report_s;
+    pub fn silent_machines(&self, now: f64) -> (usize, usize) {
+        let due_s = 1.5 * self.config.report_s;
         // What operators switched off is silent for another reason.
         let expected = |m: &&crate::coordination::scheduler::machine::Machine| {
-            m.recorded && !m.held && m.standing == MachineStatus::Up
+            m.recorded && !m.cordoned && m.status == MachineStatus::Up
         };
         let mut sums = (0, 0);
         for m in self.machines.values().filter(expected) {
             sums.0 += 1;
             // One that hears nobody goes from controller to controller: with another
             // owner it would be the same.
-            let due_s = if m.hearing.doubted() {
-                due_s.max(self.params.round_s)
+            let due_s = if m.delivery.doubted() {
+                due_s.max(self.config.round_s)
             } else {
                 due_s
             };
-            sums.1 += usize::from(self.silence(m.heard, now) > due_s);
+            sums.1 += usize::from(self.silent_for(m.heard_at, now) > due_s);
         }
         sums
     }
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -9,7 +9,7 @@
 
 impl Scheduler {
     /// One task of a report; what it takes of the machine if its job is known.
-    pub(crate) fn take_entry(
+    pub(crate) fn reconcile_task(
         &mut self,
         name: &Name,
         key: &(TaskId, u64),
@@ -22,30 +22,30 @@
             return Evidence::Nothing;
         };
         let mut fresh = false;
-        let active = m.active.entry(key.clone()).or_insert_with(|| {
+        let active = m.attempts.entry(key.clone()).or_insert_with(|| {
             fresh = true;
             let mut adopted = Attempt::new(now, Resources::default());
             adopted.unsent = false;
             adopted
         });
-        active.shown = m.seen;
-        active.holds = holds.unwrap_or_default();
-        let was_exited = active.exited();
-        let sign = match std::mem::take(&mut active.told) {
+        active.last_shown = m.last_message;
+        active.resources = holds.unwrap_or_default();
+        let was_exited = active.has_exited();
+        let sign = match std::mem::take(&mut active.told_to_end) {
             true if active.phase == Some(phase) => Evidence::Unheeded,
             true => Evidence::Heeded,
             false => Evidence::Nothing,
         };
         active.phase = Some(phase);
-        if phase == Phase::Running && active.running.is_none() {
-            active.running = Some(now);
+        if phase == Phase::Running && active.running_since.is_none() {
+            active.running_since = Some(now);
         }
-        let started = active.running;
+        let started = active.running_since;
         let job = self.jobs.get_mut(&key.0.job).filter(|_| holds.is_some());
         let Some(job) = job else {
             // Its job is over, or was never accepted: it must go.
-            if phase != Phase::Exited && active.stop.is_none() {
-                active.stop = Some(0.0);
+            if phase != Phase::Exited && active.stop_grace_s.is_none() {
+                active.stop_grace_s = Some(0.0);
                 active.unsent = true;
                 self.outbox.insert(name.clone());
             }
@@ -53,13 +53,14 @@
         };
         let index = key.0.index;
         let runs = phase != Phase::Exited && started.is_some();
-        if runs != active.counted {
-            active.counted = runs;
+        if runs != active.counted_as_running {
+            active.counted_as_running = runs;
             // One that is shown for the first time began before we knew of it.
-            if runs && job.begin() {
-                tracing::info!(job = %key.0.job, waited_s = now - job.at, "begun");
+            if runs && job.note_running() {
+                tracing::info!(job = %key.0.job, waited_s = now - job.accepted_at, "begun");
                 if !fresh {
-                    self.learned.waited(&job.spec.class, now - job.at);
+                    self.predictor
+                        .waited(&job.spec.class, now - job.accepted_at);
                 }
             }
             job.running = if runs {
@@ -69,22 +70,22 @@
             };
         }
         if phase != Phase::Exited {
-            let on = job.on.get(&index).map(|(_, attempt)| *attempt);
+            let on = job.placed.get(&index).map(|(_, attempt)| *attempt);
             let elsewhere = on.is_some_and(|attempt| attempt != key.1);
             if on.is_none() {
                 // A former owner's task: adopted. It need not be the first
                 // report that shows it: a job can become known to us after its
                 // task did, and while that is being stopped it is still on.
-                job.set_on(index, name.clone(), key.1);
-                self.used.add(job.team, &job.spec, 1.0);
+                job.set_placed(index, name.clone(), key.1);
+                self.team_usage.add(job.team, &job.spec, 1.0);
             } else if elsewhere && job.add_copy(index, name.clone(), key.1) {
                 // One of the two reports is older, and we cannot tell which: as
                 // long as either may be on, the task must not start again. (The
                 // one seen first went with its session, the task started a third
                 // time while the other one ran: ran_twice.)
-                self.used.add(job.team, &job.spec, 1.0);
+                self.team_usage.add(job.team, &job.spec, 1.0);
             }
-            let unwanted = elsewhere || job.over || job.done.contains(index);
+            let unwanted = elsewhere || job.finished || job.completed.contains(index);
             if fresh || phase == Phase::Running && started == Some(now) {
                 let spec = &job.spec;
                 let cache = self
@@ -92,21 +93,21 @@
                     .get(&m.info.kind)
                     .map_or(f64::MAX, |t| t.cache_gb);
                 if !m.has_image(&spec.image) {
-                    match self.holders.get_mut(&spec.image) {
+                    match self.image_holders.get_mut(&spec.image) {
                         Some(holders) => holders.push(name.clone()),
                         None => {
                             let first = vec![name.clone()];
-                            self.holders.insert(spec.image.clone(), first);
+                            self.image_holders.insert(spec.image.clone(), first);
                         }
                     }
                 }
                 m.used_image(&spec.image, spec.image_gb, cache);
             }
             if on.is_none() {
-                self.unbind(&key.0);
+                self.dequeue(&key.0);
             }
             if unwanted {
-                self.stop(name, key, 0.0);
+                self.stop_attempt(name, key, 0.0);
             }
             return sign;
         }
@@ -117,14 +118,14 @@
         let spec = job.spec.clone();
         match cause {
             Some(Cause::Done) => {
-                job.set_done(index);
-                self.unwritten.insert(key.0.job.clone());
-                self.unbind(&key.0);
+                job.set_completed(index);
+                self.unsaved_jobs.insert(key.0.job.clone());
+                self.dequeue(&key.0);
                 if let Some(m) = self.machines.get_mut(name) {
-                    m.errors.clear();
+                    m.recent_failures.clear();
                 }
                 if let Some(at) = started {
-                    self.ran(&spec, now - at);
+                    self.record_run_time(&spec, now - at);
                 }
             }
             Some(Cause::Error) => {
@@ -132,10 +133,10 @@
                 job.failures += 1;
                 // A bad job is tried ever more rarely, and with one task, a good one
                 // at once.
-                if job.suspect() {
-                    job.retries += u32::from(job.on.len() <= 1);
+                if job.is_suspect() {
+                    job.retries += u32::from(job.placed.len() <= 1);
                     let tries = f64::from(job.retries + 1);
-                    job.not_before = now + self.params.report_s * tries.powi(2).min(100.0);
+                    job.not_before = now + self.config.report_s * tries.powi(2).min(100.0);
                     if job.retries <= 1 {
                         tracing::warn!(job = %key.0.job, machine = %name, "fails everywhere");
                     }
@@ -143,24 +144,24 @@
                     // would take a part of a healthy fleet out of use.
                     for blamed in job.failed_on.iter() {
                         if let Some(m) = self.machines.get_mut(blamed) {
-                            m.errors.retain(|j| *j != key.0.job);
+                            m.recent_failures.retain(|j| *j != key.0.job);
                         }
                     }
                 } else if let Some(m) = self.machines.get_mut(name) {
-                    if job.has_succeeded() || !m.errors.contains(&key.0.job) {
-                        m.errors.push(key.0.job.clone());
+                    if job.has_succeeded() || !m.recent_failures.contains(&key.0.job) {
+                        m.recent_failures.push(key.0.job.clone());
                     }
                     tracing::info!(job = %key.0.job, task = index, machine = %name, "task failed");
                 }
             }
             Some(Cause::NoRoom | Cause::Busy | Cause::Unknown) => {
                 tracing::info!(task = %key.0.wire(), machine = %name, cause = ?cause, "start refused");
-                job.unknown = cause == Some(Cause::Unknown);
-                job.not_before = now + self.params.report_s / 2.0;
+                job.description_unknown = cause == Some(Cause::Unknown);
+                job.not_before = now + self.config.report_s / 2.0;
             }
             _ => {}
         }
-        self.off(key);
+        self.release_attempt(key);
         sign
     }
 }
--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -116,90 +116,90 @@
 
 impl Scheduler {
     /// Whether the machine is set aside and recorded as proven empty.
-    pub(crate) fn proven_aside(&self, name: &str) -> bool {
-        let wish = self.wishes.get(name);
+    pub(crate) fn is_drained(&self, name: &str) -> bool {
+        let wish = self.drains.get(name);
         wish.is_some_and(|w| w.drain.drained.is_some())
     }
 
     /// Takes in the records of all drains.
     pub fn set_drains(&mut self, wanted: &HashMap<String, (Drain, u64)>) {
         let ended: Vec<Name> = self
-            .wishes
+            .drains
             .keys()
             .filter(|n| !wanted.contains_key(&***n))
             .cloned()
             .collect();
         for name in ended {
-            self.wishes.swap_remove(&name);
+            self.drains.swap_remove(&name);
             if let Some(m) = self.machines.get_mut(&name) {
                 tracing::info!(machine = %name, term = self.term, "back in use");
-                m.held = false;
+                m.cordoned = false;
                 m.idle_since = self.now;
             }
-            self.reindex(&name);
-            self.dirty = true;
+            self.update_capacity(&name);
+            self.placement_due = true;
         }
         let mut hosts: Vec<&String> = wanted.keys().collect();
         hosts.sort();
         for host in hosts {
             let (drain, version) = &wanted[host];
-            let known = self.wishes.get(host.as_str()).map(|w| w.version);
+            let known = self.drains.get(host.as_str()).map(|w| w.version);
             if known == Some(*version) {
                 continue;
             }
             let deadline = drain
                 .deadline_ms
-                .map(|ms| ms as f64 / 1000.0 - self.wall_offset_s);
+                .map(|ms| ms as f64 / 1000.0 - self.wall_clock_offset_s);
             let wish = DrainTarget {
                 drain: drain.clone(),
                 version: *version,
                 deadline,
             };
-            self.wishes.insert(host.as_str().into(), wish);
-            self.set_aside(host);
+            self.drains.insert(host.as_str().into(), wish);
+            self.cordon(host);
         }
     }
 
     /// Nothing new on the machine from now on; what it was told to start but is
     /// not seen to have is stopped, lest a repeated command starts it later.
-    fn set_aside(&mut self, host: &str) {
+    fn cordon(&mut self, host: &str) {
         let Some((name, m)) = self.machines.get_key_value(host) else {
             return;
         };
         let name = name.clone();
         let unseen: Vec<(TaskId, u64)> = m
-            .holding()
+            .live_attempts()
             .filter(|(_, a)| a.phase.is_none())
             .map(|(k, _)| k.clone())
             .collect();
         if let Some(m) = self.machines.get_mut(&name) {
-            if m.held {
+            if m.cordoned {
                 return;
             }
-            m.held = true;
-            m.repeated = None;
+            m.cordoned = true;
+            m.repeatable_tasks = None;
         }
         tracing::info!(machine = %name, term = self.term, "set aside");
-        self.unbind_all(&name);
+        self.clear_queue(&name);
         for key in &unseen {
-            self.stop(&name, key, 0.0);
+            self.stop_attempt(&name, key, 0.0);
         }
-        self.settle(&name);
-        self.dirty = true;
+        self.remove_unstarted(&name);
+        self.placement_due = true;
     }
 
     /// What the verdict on an attempt follows from; `None` for one whose job is
     /// over, which is being stopped anyway.
-    fn look_at(
+    fn attempt_outlook(
         &self,
         m: &Machine,
         wish: &DrainTarget,
         key: &(TaskId, u64),
         a: &Attempt,
     ) -> Option<AttemptOutlook> {
-        let job = self.jobs.get(&key.0.job).filter(|j| !j.over)?;
+        let job = self.jobs.get(&key.0.job).filter(|j| !j.finished)?;
         let now = self.now;
-        let ran_s = a.running.map_or(0.0, |t| now - t);
+        let ran_s = a.running_since.map_or(0.0, |t| now - t);
         let predicted_s = self.predict(job);
         let spec = &job.spec;
         let lost = loss(spec, ran_s, false);
@@ -214,17 +214,20 @@
             0.0
         };
         let again_s = fetch_s + lost.1 + (predicted_s - kept_s).max(0.0);
-        let zones = self.zones(job);
-        let pools = self.index.pools_for(spec, &self.types, |z| zones.allows(z));
+        let zones = self.zone_constraint(job);
+        let pools = self
+            .capacity_index
+            .pools_for(spec, &self.types, |z| zones.allows(z));
         let need = Resources::of_task(spec);
-        let room = self.index.roomy(&pools, spec.cpus) > 0 && !self.index.is_full(&pools, &need);
+        let room = self.capacity_index.roomy(&pools, spec.cpus) > 0
+            && !self.capacity_index.is_full(&pools, &need);
         Some(AttemptOutlook {
             endless: spec.shape == Shape::Service,
             ran_s,
             predicted_s,
             loss: lost,
             again_s,
-            due_s: self.dues(job, now),
+            due_s: self.next_due_times(job, now),
             left_s: wish.deadline.map(|d| d - now),
             rest: wish.drain.rest,
             elsewhere: (!pools.is_empty(), room),
@@ -232,38 +235,45 @@
     }
 
     /// What becomes of each attempt on the machine that is not being stopped.
-    fn verdicts(&self, m: &Machine, wish: &DrainTarget) -> Vec<((TaskId, u64), DrainDecision)> {
-        m.holding()
-            .filter(|(_, a)| a.stop.is_none())
+    fn drain_decisions(
+        &self,
+        m: &Machine,
+        wish: &DrainTarget,
+    ) -> Vec<((TaskId, u64), DrainDecision)> {
+        m.live_attempts()
+            .filter(|(_, a)| a.stop_grace_s.is_none())
             .filter_map(|(key, a)| {
-                let look = self.look_at(m, wish, key, a)?;
+                let look = self.attempt_outlook(m, wish, key, a)?;
                 Some((key.clone(), verdict(&look)))
             })
             .collect()
     }
 
     /// Works off what is on machines that are set aside.
-    pub(crate) fn tend_drains(&mut self, _now: f64) {
-        if self.wishes.is_empty() || !self.fence.open {
+    pub(crate) fn advance_drains(&mut self, _now: f64) {
+        if self.drains.is_empty() || !self.fence.open {
             return;
         }
-        let names: Vec<Name> = self.wishes.keys().cloned().collect();
+        let names: Vec<Name> = self.drains.keys().cloned().collect();
         for name in names {
-            let (Some(m), Some(wish)) = (self.machines.get(&name), self.wishes.get(&name)) else {
+            let (Some(m), Some(wish)) = (self.machines.get(&name), self.drains.get(&name)) else {
                 continue;
             };
-            if m.standing != MachineStatus::Up || !m.fenced || m.active.is_empty() {
+            if m.status != MachineStatus::Up || !m.fenced || m.attempts.is_empty() {
                 continue;
             }
             let over =
                 wish.deadline.is_some_and(|d| self.now >= d) && wish.drain.rest == Rest::Stop;
-            let holding = m.holding().count();
-            let stopping = m.holding().filter(|(_, a)| a.stop.is_some()).count();
+            let holding = m.live_attempts().count();
+            let stopping = m
+                .live_attempts()
+                .filter(|(_, a)| a.stop_grace_s.is_some())
+                .count();
             // A quarter at once: the next ones are weighed with the room that is
             // left when these have found theirs.
             let most = if over { holding } else { holding.div_ceil(4) };
             let mut moves: Vec<(f64, f64, (TaskId, u64))> = self
-                .verdicts(m, wish)
+                .drain_decisions(m, wish)
                 .into_iter()
                 .filter_map(|(key, v)| match v {
                     DrainDecision::Moves { lost, grace_s } => Some((lost, grace_s, key)),
@@ -273,17 +283,17 @@
             moves.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.2.cmp(&b.2)));
             for (lost, grace_s, key) in moves.into_iter().take(most.saturating_sub(stopping)) {
                 tracing::info!(task = %key.0.wire(), machine = %name, lost, "moved off a drained machine");
-                self.stop(&name, &key, grace_s);
+                self.stop_attempt(&name, &key, grace_s);
             }
         }
     }
 
     /// What proves the machine empty now, and its session.
-    fn empty_by(&self, m: &Machine) -> Option<Proof> {
-        if !m.held || !m.active.is_empty() || m.strangers > 0 {
+    fn proof_of_emptiness(&self, m: &Machine) -> Option<Proof> {
+        if !m.cordoned || !m.attempts.is_empty() || m.unknown_attempts > 0 {
             return None;
         }
-        match m.standing {
+        match m.status {
             MachineStatus::Expired => Some(Proof::LeaseOver),
             MachineStatus::Up | MachineStatus::Draining if m.fenced => Some(Proof::Reported),
             _ => None,
@@ -292,18 +302,20 @@
 
     /// Drains whose machine is proven empty while their record does not say so
     /// yet: the record to write, and the version that it replaces.
-    pub fn drains_proven(&self, now_ms: u64, most: usize) -> Vec<(Drain, u64)> {
+    pub fn proven_drains(&self, now_ms: u64, most: usize) -> Vec<(Drain, u64)> {
         if !self.fence.open {
             return Vec::new();
         }
-        let proven = self.wishes.iter().filter_map(|(name, wish)| {
+        let proven = self.drains.iter().filter_map(|(name, wish)| {
             let m = self.machines.get(name)?;
-            let proof = self.empty_by(m).filter(|_| wish.drain.drained.is_none())?;
+            let proof = self
+                .proof_of_emptiness(m)
+                .filter(|_| wish.drain.drained.is_none())?;
             let drained = Some(Drained {
                 at_ms: now_ms,
                 term: self.term,
                 proof,
-                session: m.seen.0,
+                session: m.last_message.0,
             });
             let drain = wish.drain.clone();
             Some((Drain { drained, ..drain }, wish.version))
@@ -318,12 +330,12 @@
     /// All drains with their progress, by machine.
     pub fn drain_rows(&self, now: f64) -> Vec<DrainRow> {
         let mut rows: Vec<DrainRow> = self
-            .wishes
+            .drains
             .iter()
             .map(|(name, wish)| {
                 let m = self.machines.get(name);
-                let tasks = m.map_or(0, |m| m.holding().count() as u32);
-                let stays = m.map_or(Vec::new(), |m| self.verdicts(m, wish));
+                let tasks = m.map_or(0, |m| m.live_attempts().count() as u32);
+                let stays = m.map_or(Vec::new(), |m| self.drain_decisions(m, wish));
                 let stays = stays.into_iter().find_map(|(key, v)| match v {
                     DrainDecision::Stays(why) => Some(format!("{}: {why}", key.0.wire())),
                     _ => None,
@@ -349,7 +361,7 @@
 
     /// Until the job's next aims are due, nearest first: two, since the nearest
     /// is often lost already.
-    fn dues(&self, job: &Job, now: f64) -> [Option<f64>; 2] {
+    fn next_due_times(&self, job: &Job, now: f64) -> [Option<f64>; 2] {
         let mut dues: Vec<f64> = self.due_times(job, now).filter(|d| *d > 0.0).collect();
         dues.sort_by(f64::total_cmp);
         [dues.first().copied(), dues.get(1).copied()]
--- a/src/coordination/fleet/machine_record_writer.rs
+++ b/src/coordination/fleet/machine_record_writer.rs
@@ -18,23 +18,29 @@
         let mut core = node.core.borrow_mut();
         // By the record of another owner we would write into its list.
         let own = node.tenure.borrow().own_version();
-        let (Some(core), Some(version)) = (core.as_mut().filter(|c| c.record_dirty), own) else {
+        let (Some(core), Some(version)) = (core.as_mut().filter(|c| c.machine_record_dirty), own)
+        else {
             return false;
         };
         let written = node.written.borrow();
-        let mut changes = chunks::plan(&written, &core.wanted_record(), value_bytes);
+        let mut changes = chunks::plan(&written, &core.wanted_machine_record(), value_bytes);
         let fitting = chunks::fitting(&changes, limits.txn_ops, txn_bytes);
-        core.record_dirty = changes.len() > fitting;
+        core.machine_record_dirty = changes.len() > fitting;
         changes.truncate(fitting);
         let txn = chunks::txn(&written, &changes, version);
-        (txn, core.fence.base_term, changes, core.record_dirty)
+        (
+            txn,
+            core.fence.base_term,
+            changes,
+            core.machine_record_dirty,
+        )
     };
     if changes.is_empty() {
         // All that is wanted stands there already: a machine whose session ended
         // and began again before that was written, say.
         let stands: Vec<_> = node.written.borrow().machines().cloned().collect();
         if let Some(core) = node.core.borrow_mut().as_mut() {
-            core.record_written(&stands);
+            core.machine_record_written(&stands);
         }
         return false;
     }
@@ -49,7 +55,7 @@
             };
             let mut written = node.written.borrow_mut();
             for (at, machines) in changes {
-                core.record_written(&machines);
+                core.machine_record_written(&machines);
                 written.set(at, machines, version);
             }
             more
@@ -57,7 +63,7 @@
         Err(error) => {
             tracing::debug!(%error, "machine record not written");
             if let Some(core) = node.core.borrow_mut().as_mut().filter(ours) {
-                core.record_dirty = true;
+                core.machine_record_dirty = true;
             }
             if !matches!(error, Failure::Conflict(_)) {
                 let mut written = node.written.borrow_mut();
--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -132,8 +132,8 @@
     let Some(core) = core.as_mut() else {
         return;
     };
-    let lease = core.params.lease_s;
-    let cut = core.cut_zones(now);
+    let lease = core.config.lease_s;
+    let cut = core.partitioned_zones(now);
     for listed in &books.list {
         let boot_s = core.types.get(&listed.kind).map_or(60.0, |t| t.boot_s);
         let machine = core.machines.get(listed.id.as_str());
@@ -149,8 +149,10 @@
                     // Nor where an operator switched it off.
                     // One that hears nobody is as good as silent.
                     let after_s = 2.0 * lease + boot_s;
-                    let silent = m.standing == MachineStatus::Expired && now - m.heard > after_s;
-                    (silent || m.deaf(now, after_s)) && !m.held && !cut.contains(&m.info.zone)
+                    let silent = m.status == MachineStatus::Expired && now - m.heard_at > after_s;
+                    (silent || m.is_unreachable(now, after_s))
+                        && !m.cordoned
+                        && !cut.contains(&m.info.zone)
                 })
             }
         };
@@ -175,14 +177,14 @@
         .machines
         .iter()
         .filter(|(n, m)| {
-            m.standing == MachineStatus::Expired
-                && now - m.heard > 4.0 * node.settings.cluster.cloud.list_lag_s
+            m.status == MachineStatus::Expired
+                && now - m.heard_at > 4.0 * node.settings.cluster.cloud.list_lag_s
                 && !books.list.iter().any(|l| l.id == ***n)
         })
         .map(|(n, _)| n.to_string())
         .collect();
     for name in gone {
-        core.machine_gone(&name);
+        core.remove_machine(&name);
     }
 }
 
@@ -195,16 +197,16 @@
             return;
         };
         retire_idle(node, core, now);
-        books.returning.extend(core.given_up(now));
+        books.returning.extend(core.machines_given_up(now));
         for (name, m) in &core.machines {
             // A draining machine may save first, but not for ever.
-            let empty = m.holding().next().is_none();
-            if m.standing == MachineStatus::Draining && (empty || now - m.idle_since > 60.0) {
+            let empty = m.live_attempts().next().is_none();
+            if m.status == MachineStatus::Draining && (empty || now - m.idle_since > 60.0) {
                 books.returning.insert(name.to_string());
             }
         }
         for name in &books.returning {
-            core.drain(name);
+            core.retire_machine(name);
         }
     }
     if books.returning.is_empty() {
@@ -215,7 +217,7 @@
         tracing::info!(machines = ?names, "returned");
         if let Some(core) = node.core.borrow_mut().as_mut() {
             for name in &names {
-                core.machine_returned(name);
+                core.confirm_machine_returned(name);
             }
         }
         for name in names {
@@ -233,12 +235,12 @@
     core: &mut crate::coordination::scheduler::state::Scheduler,
     now: f64,
 ) {
-    let used: f64 = core.used().cpus();
-    let waiting = core.jobs.values().any(|j| j.waiting() > 0);
+    let used: f64 = core.usage().cpus();
+    let waiting = core.jobs.values().any(|j| j.waiting_tasks() > 0);
     let have: f64 = core
         .machines
         .values()
-        .filter(|m| m.standing == MachineStatus::Up && !m.held)
+        .filter(|m| m.status == MachineStatus::Up && !m.cordoned)
         .filter_map(|m| core.types.get(&m.info.kind))
         .map(|t| t.cpus)
         .sum();
@@ -248,15 +250,15 @@
     let idle = core
         .machines
         .iter()
-        .filter(|(_, m)| m.standing == MachineStatus::Up && !m.held)
-        .filter(|(_, m)| m.active.is_empty() && m.queue.is_empty())
+        .filter(|(_, m)| m.status == MachineStatus::Up && !m.cordoned)
+        .filter(|(_, m)| m.attempts.is_empty() && m.queue.is_empty())
         .find(|(_, m)| {
             let boot_s = core.types.get(&m.info.kind).map_or(60.0, |t| t.boot_s);
             now - m.idle_since > node.policy.idle_boots * boot_s
         })
         .map(|(n, _)| n.clone());
     if let Some(name) = idle {
-        core.drain(&name);
+        core.retire_machine(&name);
     }
 }
 
@@ -278,21 +280,23 @@
             !core.machines.contains_key(id.as_str()) && now - *since < 2.0 * boot_s
         });
         let mut demand = Demand {
-            used_cpus: core.used().cpus(),
+            used_cpus: core.usage().cpus(),
             ..Demand::default()
         };
         for job in core.jobs.values() {
-            let n = job.lacking();
-            if !job.over && n > 0 {
+            let n = job.unplaced_tasks();
+            if !job.finished && n > 0 {
                 demand.waiting.push((job.spec.clone(), n));
             }
         }
-        let cut = core.cut_zones(now);
-        let deaf_s = core.params.silent_s();
+        let cut = core.partitioned_zones(now);
+        let deaf_s = core.config.silent_s();
         demand.have_cpus = core
             .machines
             .values()
-            .filter(|m| m.standing == MachineStatus::Up && !m.held && !m.deaf(now, deaf_s))
+            .filter(|m| {
+                m.status == MachineStatus::Up && !m.cordoned && !m.is_unreachable(now, deaf_s)
+            })
             .map(|m| &m.info)
             .chain(books.booting.values().map(|b| &b.0))
             .filter(|info| !cut.contains(&info.zone))
--- a/src/coordination/fleet/rollout.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -161,12 +161,16 @@
 impl Scheduler {
     /// What rolls look at. Nothing is to be done while a takeover goes on: what is
     /// out of use then is not known.
-    pub fn scene(&self, drains: &HashMap<String, (Drain, u64)>, now: f64) -> Option<FleetView> {
+    pub fn fleet_view(
+        &self,
+        drains: &HashMap<String, (Drain, u64)>,
+        now: f64,
+    ) -> Option<FleetView> {
         if !self.fence.open {
             return None;
         }
         let mut scene = FleetView {
-            now_ms: ((now + self.wall_offset_s) * 1000.0).max(0.0) as u64,
+            now_ms: ((now + self.wall_clock_offset_s) * 1000.0).max(0.0) as u64,
             drains: drains.clone(),
             ..FleetView::default()
         };
@@ -177,16 +181,16 @@
             count.1 += u32::from(!self.usable(m, now));
             scene.zones.insert(name.to_string(), zone);
             let drained = drains.get(&**name).and_then(|d| d.0.drained.as_ref());
-            let newer = drained.is_some_and(|d| m.seen.0 > d.session);
-            let heard = self.silence(m.heard, now) < self.params.silent_s();
-            if newer && m.fenced && m.standing == MachineStatus::Up && heard {
+            let newer = drained.is_some_and(|d| m.last_message.0 > d.session);
+            let heard = self.silent_for(m.heard_at, now) < self.config.silent_s();
+            if newer && m.fenced && m.status == MachineStatus::Up && heard {
                 scene.back.push(name.to_string());
             }
         }
         let late = self
             .jobs
             .values()
-            .filter(|j| !j.over && !self.pressed(j, now));
+            .filter(|j| !j.finished && !self.has_reachable_objective(j, now));
         scene.late = late.count() as u32;
         Some(scene)
     }
--- a/src/coordination/fleet/rollout_writer.rs
+++ b/src/coordination/fleet/rollout_writer.rs
@@ -22,7 +22,7 @@
     }
     let scene = core
         .as_ref()
-        .and_then(|c| c.scene(&tenure.view.drains, node.now()));
+        .and_then(|c| c.fleet_view(&tenure.view.drains, node.now()));
     let Some(scene) = scene else {
         return Vec::new();
     };
--- a/src/coordination/jobs/completion_batch.rs
+++ b/src/coordination/jobs/completion_batch.rs
@@ -28,7 +28,9 @@
 fn record_of(job: &Job, wall_offset_s: f64, done: String) -> LiveJob {
     LiveJob {
         spec: job.spec.clone(),
-        at_ms: ((job.at + wall_offset_s) * 1000.0).round().max(0.0) as u64,
+        at_ms: ((job.accepted_at + wall_offset_s) * 1000.0)
+            .round()
+            .max(0.0) as u64,
         done,
     }
 }
@@ -43,7 +45,7 @@
     partial: &mut Budget,
     now: f64,
 ) -> Option<CompletionBatch> {
-    let due = core.marks_due(txn_ops);
+    let due = core.completions_due(txn_ops);
     if due.is_empty() {
         return None;
     }
@@ -54,7 +56,7 @@
         let Some(job) = core.jobs.get(&id) else {
             continue;
         };
-        if !job.complete() && partial.take(1.0, true, now).is_err() {
+        if !job.is_complete() && partial.take(1.0, true, now).is_err() {
             break;
         }
         // 64 KiB a transaction; half leaves room for the framing.
@@ -64,13 +66,13 @@
         let chunked = job.spec.tasks > chunk_tasks;
         let mut part = JobCompletion {
             id: id.clone(),
-            marks: job.done.clone(),
+            marks: job.completed.clone(),
             last: None,
             chunked,
         };
         let key = records::live(&id);
         txn = txn.when(&key, job.version);
-        if job.complete() {
+        if job.is_complete() {
             let last = TerminalRecord {
                 state: JobState::Done,
                 tasks: job.spec.tasks,
@@ -85,12 +87,12 @@
             // next write rests on, so that one without an answer, carried out late,
             // cannot put older marks in the place of newer ones. (Their workers have
             // forgotten those tasks: after a takeover they would run once more.)
-            let record = record_of(job, core.wall_offset_s, String::new());
+            let record = record_of(job, core.wall_clock_offset_s, String::new());
             bytes += 800;
             txn = txn.put(&key, &record);
             for chunk in 0..job.spec.tasks.div_ceil(chunk_tasks) {
-                let marks = job.done.chunk(chunk, chunk_tasks);
-                if marks == job.written.chunk(chunk, chunk_tasks) {
+                let marks = job.completed.chunk(chunk, chunk_tasks);
+                if marks == job.saved.chunk(chunk, chunk_tasks) {
                     continue;
                 }
                 if txn.changes.len() + 1 > txn_ops || bytes > 32 * 1024 {
@@ -102,7 +104,7 @@
                 part.marks.merge(&marks);
             }
         } else {
-            let record = record_of(job, core.wall_offset_s, job.done.to_text());
+            let record = record_of(job, core.wall_clock_offset_s, job.completed.to_text());
             bytes += record.done.len() + 800;
             txn = txn.put(&key, &record);
         }
--- a/src/coordination/jobs/completion_writer.rs
+++ b/src/coordination/jobs/completion_writer.rs
@@ -84,12 +84,12 @@
     let mut over = Vec::new();
     if let Some(core) = core {
         for part in &parts {
-            core.marks_written(&part.id, &part.marks, version);
+            core.completions_written(&part.id, &part.marks, version);
             if part.last.is_some() {
                 let told = core.jobs.get(&*part.id);
-                let (starts, passed_s) = told.map_or((0, 0.0), |j| (j.starts, j.passed_s));
+                let (starts, passed_s) = told.map_or((0, 0.0), |j| (j.starts, j.longest_wait_s));
                 tracing::info!(job = %part.id, starts, passed_s, "done");
-                core.job_over(&part.id);
+                core.finish_job(&part.id);
             }
         }
     }
@@ -158,10 +158,10 @@
         Some(entry) => {
             if let Ok(record) = entry.read::<LiveJob>() {
                 let done = CompletedTasks::from_text(&record.done, record.spec.tasks);
-                core.job_reread(id, entry.version, &done);
+                core.reload_job(id, entry.version, &done);
             }
         }
-        None => core.job_over(id),
+        None => core.finish_job(id),
     }
 }
 
@@ -176,9 +176,9 @@
     if let Ok(record) = entry.read::<LiveJob>() {
         if let Some(core) = node.core.borrow_mut().as_mut() {
             if core.fence.base_term == term {
-                core.job_added(record, entry.version, CompletedTasks::default());
-                if core.dirty {
-                    core.place_news(now);
+                core.add_job(record, entry.version, CompletedTasks::default());
+                if core.placement_due {
+                    core.place_changed(now);
                 }
             }
         }
@@ -189,7 +189,7 @@
 fn followed(node: &Node, term: u64, revision: u64, asked_at: f64) {
     if let Some(core) = node.core.borrow_mut().as_mut() {
         if core.fence.base_term == term {
-            core.followed = revision;
+            core.watched_revision = revision;
             node.tenure.borrow_mut().watched(asked_at);
         }
     }
@@ -223,7 +223,7 @@
                                 if let Some(id) = key.strip_prefix(records::LIVE) {
                                     if let Some(core) = node.core.borrow_mut().as_mut() {
                                         if core.fence.base_term == term {
-                                            core.job_over(id);
+                                            core.finish_job(id);
                                         }
                                     }
                                 }
@@ -241,7 +241,7 @@
                             if core.fence.base_term == term {
                                 let keys = entries.iter().map(|e| e.key.as_str());
                                 let listed = keys.filter_map(|k| k.strip_prefix(records::LIVE));
-                                core.jobs_listed(&listed.collect(), at);
+                                core.reconcile_live_jobs(&listed.collect(), at);
                             }
                         }
                         for entry in entries {
--- a/src/coordination/leadership/failover.rs
+++ b/src/coordination/leadership/failover.rs
@@ -73,7 +73,7 @@
     let fence = Fence::new(share.term, quiet_since);
     let params = SchedulerConfig::new(&node.settings, &node.policy);
     let mut core = Scheduler::new(params, share.term, fence, share.boot ^ share.term);
-    core.wall_offset_s = node.wall_ms() as f64 / 1000.0 - node.now();
+    core.wall_clock_offset_s = node.wall_ms() as f64 / 1000.0 - node.now();
     // Read after the share was taken, so that no drain ordered under the owner
     // before us is missed: its machines must get nothing new.
     let (drains, seen) = node.state.list(records::DRAINS, Lane::Control).await?;
@@ -83,7 +83,7 @@
     let now = node.now();
     let written = MachineRecord::read(&listed);
     for info in written.machines() {
-        core.inherit(info.clone(), now);
+        core.add_recorded_machine(info.clone(), now);
     }
     let listed_at = node.now();
     let (jobs, revision) = node.state.list(records::LIVE, Lane::Control).await?;
@@ -93,15 +93,15 @@
             continue;
         };
         let extra = completion_writer::marks_apart(node, &record, Lane::Control).await?;
-        core.job_added(record, entry.version, extra);
+        core.add_job(record, entry.version, extra);
     }
-    core.followed = revision;
+    core.watched_revision = revision;
     // Cancellations written meanwhile: of those that users were told of here nobody else
     // could tell, and of others' the watch will tell, which is later.
     let now = node.now();
     for cancellations in [&node.told_over, &node.heard_over] {
         let since = cancellations.borrow().within(now - listed_at, now);
-        since.iter().flatten().for_each(|id| core.job_over(id));
+        since.iter().flatten().for_each(|id| core.finish_job(id));
     }
     // Much may have happened while all this was read, or while we stood still.
     if !node.tenure.borrow_mut().begin(share.term, listed_at) {
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -107,7 +107,7 @@
             };
             // First the knowledge, then what rests on it.
             if let Some(core) = node.core.borrow_mut().as_mut() {
-                jobs.iter().for_each(|id| core.job_over(id));
+                jobs.iter().for_each(|id| core.finish_job(id));
             }
             let now = node.now();
             node.tenure.borrow_mut().word(term, &name, asked_at, now);
@@ -167,7 +167,7 @@
     let most = node.settings.cluster.state.txn_ops;
     let now_ms = node.wall_ms();
     let mut proven = match node.core.borrow().as_ref() {
-        Some(core) if node.certain() => core.drains_proven(now_ms, most),
+        Some(core) if node.certain() => core.proven_drains(now_ms, most),
         _ => return,
     };
     {
@@ -201,7 +201,7 @@
 /// Writes a higher term when starts in limbo must be ruled out.
 async fn raise_term(node: &Rc<Node>) {
     let now = node.now();
-    let wanted = (node.core.borrow_mut().as_mut()).is_some_and(|c| c.wants_new_term(now));
+    let wanted = (node.core.borrow_mut().as_mut()).is_some_and(|c| c.needs_higher_term(now));
     if !wanted {
         return;
     }
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -193,7 +193,11 @@
     loop {
         sleep((report_s / 4.0).clamp(0.25, 1.0)).await;
         let now = node.now();
-        let reach = node.core.borrow().as_ref().map(|c| (c.term, c.reach(now)));
+        let reach = node
+            .core
+            .borrow()
+            .as_ref()
+            .map(|c| (c.term, c.silent_machines(now)));
         // Whether as many machines are silent as it takes, whatever others say.
         let silent = |(_, (all, silent)): &(u64, (usize, usize))| {
             crate::coordination::agents::leader_reachability::out_of_reach(
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -160,7 +160,7 @@
         if self.terminal.borrow_mut().put(id, state) && state.state == JobState::Cancelled {
             self.told_over.borrow_mut().note(id, self.now());
             if let Some(core) = self.core.borrow_mut().as_mut() {
-                core.job_over(id);
+                core.finish_job(id);
             }
         }
     }
--- a/src/coordination/scheduler/job.rs
+++ b/src/coordination/scheduler/job.rs
@@ -60,32 +60,32 @@
     /// Its team's place in the settings; `None` if they name no such team.
     pub team: Option<usize>,
     /// When it was accepted, in our steady time.
-    pub at: f64,
+    pub accepted_at: f64,
     /// Version of its record in the state service.
     pub version: u64,
     /// Done tasks, as reported.
-    pub done: CompletedTasks,
+    pub completed: CompletedTasks,
     /// Done tasks whose mark is written.
-    pub written: CompletedTasks,
+    pub saved: CompletedTasks,
     /// When a mark was last written.
-    pub marked_at: f64,
+    pub saved_at: f64,
     /// The job is over (done or cancelled, recorded): nothing may start.
-    pub over: bool,
+    pub finished: bool,
     /// Tasks from this number on were never touched.
-    next: u32,
+    next_untouched: u32,
     /// Tasks to be run (again) below `next`.
-    back: BTreeSet<u32>,
+    requeued: BTreeSet<u32>,
     /// A task of it was seen running.
-    begun: bool,
+    started: bool,
     /// How many tasks are known to run, for display.
     pub running: u32,
     /// Where each task is that may be on a machine, with its attempt.
-    pub on: BTreeMap<u32, (Name, u64)>,
+    pub placed: BTreeMap<u32, (Name, u64)>,
     /// Further attempts of tasks that are on: reports of different ages can show
     /// one task on two machines, and which of them is gone is known only later.
     copies: Vec<(u32, Name, u64)>,
     /// Tasks bound to a machine's queue, and which machine that is.
-    pub bound: BTreeMap<u32, Name>,
+    pub queued: BTreeMap<u32, Name>,
     /// Machines on which a task of this job failed.
     pub failed_on: Names,
     /// How often tasks of it failed, and how often since it is suspect nothing of it
@@ -95,7 +95,7 @@
     /// Its first task went ahead of others, since it had waited for long.
     pub began_late: bool,
     /// Workers refused its last start since they do not know its description.
-    pub unknown: bool,
+    pub description_unknown: bool,
     /// Not before this time after failures.
     pub not_before: f64,
     /// Whether the job fits into its team's guarantee (see `quota`).
@@ -104,23 +104,23 @@
     pub pools: (u64, Rc<[usize]>),
     /// Tasks began to wait since it was last placed as far as it went; the
     /// order of jobs looks at this without looking for the job.
-    pub fresh: Rc<Cell<bool>>,
+    pub has_new_tasks: Rc<Cell<bool>>,
     /// Whether an aim was in reach when the order was last made (see `order`).
-    pub pressed: bool,
+    pub objective_reachable: bool,
     /// Its first finishing aim is met or lost, and counted.
-    pub judged: bool,
+    pub outcome_recorded: bool,
     /// It goes first, on the floor that its class or team is owed.
-    pub lifted: bool,
+    pub on_floor: bool,
     /// For how long room that comes free by itself is waited for has passed.
-    pub urgent: bool,
+    pub preemption_needed: bool,
     /// Starts under this owner.
     pub starts: u32,
     /// When something of it last started, or began to wait, and the longest time
     /// since then.
     pub served_at: f64,
-    pub passed_s: f64,
+    pub longest_wait_s: f64,
     /// How often tasks of it were stopped to make room for others.
-    pub stops: BTreeMap<u32, u32>,
+    pub preemptions: BTreeMap<u32, u32>,
 }
 
 impl Job {
@@ -135,75 +135,75 @@
         let mut job = Job {
             spec,
             team,
-            at,
+            accepted_at: at,
             version,
-            written: done.clone(),
-            done: CompletedTasks::default(),
-            marked_at: at,
-            over: false,
-            next: 0,
-            back: BTreeSet::new(),
-            begun: false,
+            saved: done.clone(),
+            completed: CompletedTasks::default(),
+            saved_at: at,
+            finished: false,
+            next_untouched: 0,
+            requeued: BTreeSet::new(),
+            started: false,
             running: 0,
-            on: BTreeMap::new(),
+            placed: BTreeMap::new(),
             copies: Vec::new(),
-            bound: BTreeMap::new(),
+            queued: BTreeMap::new(),
             failed_on: Names::default(),
             failures: 0,
             retries: 0,
             began_late: false,
-            unknown: false,
+            description_unknown: false,
             not_before: 0.0,
             guaranteed: false,
             pools: (u64::MAX, Rc::from([])),
-            fresh: Rc::new(Cell::new(true)),
-            pressed: true,
-            judged: false,
-            lifted: false,
-            urgent: true,
+            has_new_tasks: Rc::new(Cell::new(true)),
+            objective_reachable: true,
+            outcome_recorded: false,
+            on_floor: false,
+            preemption_needed: true,
             starts: 0,
             served_at: at,
-            passed_s: 0.0,
-            stops: BTreeMap::new(),
+            longest_wait_s: 0.0,
+            preemptions: BTreeMap::new(),
         };
-        job.merge_done(&done);
+        job.merge_completed(&done);
         job
     }
 
     /// From now on the task is counted one by one. Nothing from `next` on is
     /// done or on a machine, so what waits is known without looking at each.
     fn touch(&mut self, task: u32) {
-        if task >= self.next {
-            self.back.extend(self.next..task);
-            self.next = task + 1;
+        if task >= self.next_untouched {
+            self.requeued.extend(self.next_untouched..task);
+            self.next_untouched = task + 1;
         }
     }
 
     /// A task runs; whether it is the first one of the job.
-    pub fn begin(&mut self) -> bool {
-        self.unknown = false;
-        !std::mem::replace(&mut self.begun, true) && self.done.is_empty()
+    pub fn note_running(&mut self) -> bool {
+        self.description_unknown = false;
+        !std::mem::replace(&mut self.started, true) && self.completed.is_empty()
     }
 
     /// The task is done.
-    pub fn set_done(&mut self, task: u32) {
+    pub fn set_completed(&mut self, task: u32) {
         self.touch(task);
-        self.done.insert(task);
-        self.back.remove(&task);
+        self.completed.insert(task);
+        self.requeued.remove(&task);
     }
 
     /// These tasks are done.
-    pub fn merge_done(&mut self, done: &CompletedTasks) {
+    pub fn merge_completed(&mut self, done: &CompletedTasks) {
         for task in done.iter() {
-            self.set_done(task);
+            self.set_completed(task);
         }
     }
 
     /// The task is on a machine, or may be; whether it was on none before.
-    pub fn set_on(&mut self, task: u32, machine: Name, attempt: u64) -> bool {
+    pub fn set_placed(&mut self, task: u32, machine: Name, attempt: u64) -> bool {
         self.touch(task);
-        self.back.remove(&task);
-        self.on.insert(task, (machine, attempt)).is_none()
+        self.requeued.remove(&task);
+        self.placed.insert(task, (machine, attempt)).is_none()
     }
 
     /// Another attempt of a task that is on is, or may be, on a machine too;
@@ -219,7 +219,7 @@
 
     /// An attempt is not on a machine any more: whether it was counted as on. As
     /// long as another attempt of the task is, the task stays on.
-    pub fn take_off(&mut self, task: u32, attempt: u64) -> bool {
+    pub fn remove_attempt(&mut self, task: u32, attempt: u64) -> bool {
         let copy = self
             .copies
             .iter()
@@ -228,72 +228,72 @@
             self.copies.swap_remove(at);
             return true;
         }
-        if self.on.get(&task).is_none_or(|(_, a)| *a != attempt) {
+        if self.placed.get(&task).is_none_or(|(_, a)| *a != attempt) {
             return false;
         }
         match self.copies.iter().position(|c| c.0 == task) {
             Some(at) => {
                 let (_, machine, attempt) = self.copies.swap_remove(at);
-                self.on.insert(task, (machine, attempt));
+                self.placed.insert(task, (machine, attempt));
             }
             None => {
-                self.on.remove(&task);
-                self.push(task);
+                self.placed.remove(&task);
+                self.requeue(task);
             }
         }
         true
     }
 
     /// How many attempts are on machines, or may be.
-    pub fn attempts_on(&self) -> usize {
-        self.on.len() + self.copies.len()
+    pub fn attempts_placed(&self) -> usize {
+        self.placed.len() + self.copies.len()
     }
 
     /// Takes the next waiting task.
-    pub fn pop(&mut self) -> Option<u32> {
-        if self.over {
+    pub fn take_waiting(&mut self) -> Option<u32> {
+        if self.finished {
             return None;
         }
         loop {
-            let task = match self.back.pop_first() {
+            let task = match self.requeued.pop_first() {
                 Some(task) => task,
-                None if self.next < self.spec.tasks => {
-                    self.next += 1;
-                    self.next - 1
+                None if self.next_untouched < self.spec.tasks => {
+                    self.next_untouched += 1;
+                    self.next_untouched - 1
                 }
                 None => return None,
             };
-            if !self.done.contains(task) && !self.on.contains_key(&task) {
+            if !self.completed.contains(task) && !self.placed.contains_key(&task) {
                 return Some(task);
             }
         }
     }
 
     /// Gives a task back to the waiting ones.
-    pub fn push(&mut self, task: u32) {
-        let known = task < self.next && !self.on.contains_key(&task);
-        if !self.over && known && !self.done.contains(task) {
-            self.fresh.set(true);
-            self.back.insert(task);
+    pub fn requeue(&mut self, task: u32) {
+        let known = task < self.next_untouched && !self.placed.contains_key(&task);
+        if !self.finished && known && !self.completed.contains(task) {
+            self.has_new_tasks.set(true);
+            self.requeued.insert(task);
         }
     }
 
     /// How many tasks wait unbound.
-    pub fn waiting(&self) -> u32 {
-        if self.over {
+    pub fn waiting_tasks(&self) -> u32 {
+        if self.finished {
             return 0;
         }
-        self.spec.tasks - self.next.min(self.spec.tasks) + self.back.len() as u32
+        self.spec.tasks - self.next_untouched.min(self.spec.tasks) + self.requeued.len() as u32
     }
 
     /// How many tasks wait, bound or not.
-    pub fn lacking(&self) -> u32 {
-        self.waiting() + self.bound.len() as u32
+    pub fn unplaced_tasks(&self) -> u32 {
+        self.waiting_tasks() + self.queued.len() as u32
     }
 
     /// Whether all tasks are done, as reported.
-    pub fn complete(&self) -> bool {
-        self.spec.shape == Shape::Sweep && self.done.len() as u32 >= self.spec.tasks
+    pub fn is_complete(&self) -> bool {
+        self.spec.shape == Shape::Sweep && self.completed.len() as u32 >= self.spec.tasks
     }
 
     /// Order of precedence, lowest first: `prod`, `high`, what is within a
@@ -311,23 +311,23 @@
     /// A job that failed on several machines and never succeeded is more likely bad
     /// itself than its machines are; not one of which a few tasks met bad machines
     /// while most of it runs.
-    pub fn suspect(&self) -> bool {
-        let most = self.failures as usize >= self.on.len();
-        self.done.is_empty() && self.failed_on.len() >= 3 && most
+    pub fn is_suspect(&self) -> bool {
+        let most = self.failures as usize >= self.placed.len();
+        self.completed.is_empty() && self.failed_on.len() >= 3 && most
     }
 
     /// Whether a task of it is done.
     pub fn has_succeeded(&self) -> bool {
-        !self.done.is_empty()
+        !self.completed.is_empty()
     }
 
     /// Whether a task of it ran, or is done.
-    pub fn has_begun(&self) -> bool {
-        self.begun || !self.done.is_empty()
+    pub fn has_started(&self) -> bool {
+        self.started || !self.completed.is_empty()
     }
 
     /// Whether stopping what is on would undo a beginning that came late.
-    pub fn only_beginning(&self) -> bool {
-        self.began_late && self.on.len() == 1 && self.done.is_empty()
+    pub fn is_only_late_first_task(&self) -> bool {
+        self.began_late && self.placed.len() == 1 && self.completed.is_empty()
     }
 }
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -71,23 +71,23 @@
 impl Scheduler {
     /// Makes the order anew if jobs came or went, or some time has passed: aims
     /// go out of reach and work left shrinks slowly against a report interval.
-    pub(crate) fn make_order(&mut self, now: f64) {
+    pub(crate) fn refresh_job_order(&mut self, now: f64) {
         // Jobs that come or go by the dozen are taken in together.
-        let age_s = now - self.order.made_at;
-        let settled = age_s < self.params.report_s / 4.0 && !self.order.stale;
-        if settled || (0.0..self.params.report_s / 20.0).contains(&age_s) {
+        let age_s = now - self.job_order.made_at;
+        let settled = age_s < self.config.report_s / 4.0 && !self.job_order.stale;
+        if settled || (0.0..self.config.report_s / 20.0).contains(&age_s) {
             return;
         }
-        if self.order.stale {
-            self.judge_guarantees();
+        if self.job_order.stale {
+            self.update_guarantees();
         }
         let names: Vec<Name> = self
             .jobs
             .iter()
-            .filter(|(_, j)| !j.over && !j.complete())
+            .filter(|(_, j)| !j.finished && !j.is_complete())
             .map(|(n, _)| n.clone())
             .collect();
-        self.judge_aims(now);
+        self.record_outcomes(now);
         let mut order = JobOrder {
             made_at: now,
             ..JobOrder::default()
@@ -96,55 +96,55 @@
             let Some(job) = self.jobs.get(&name) else {
                 continue;
             };
-            let pressed = self.pressed(job, now);
+            let pressed = self.has_reachable_objective(job, now);
             let (rank, within) = self.precedence(job, now);
             order.jobs.push(OrderedJob {
                 rank,
                 within,
                 name: name.clone(),
                 need: Resources::of_task(&job.spec),
-                fresh: job.fresh.clone(),
+                fresh: job.has_new_tasks.clone(),
                 first: false,
             });
             if let Some(job) = self.jobs.get_mut(&name) {
-                job.pressed = pressed;
-                let left = f64::from(job.spec.tasks.saturating_sub(job.done.len() as u32));
+                job.objective_reachable = pressed;
+                let left = f64::from(job.spec.tasks.saturating_sub(job.completed.len() as u32));
                 let work = left * job.spec.estimate_s * job.spec.cpus.max(job.spec.gpus);
                 order.victims.push((dearness(job), work, name));
             }
         }
         order.sort();
-        if self.params.policy.floor_share > 0.0 {
-            self.lift(&mut order);
+        if self.config.policy.floor_share > 0.0 {
+            self.apply_fair_share_floor(&mut order);
             order.sort();
         }
-        if self.params.policy.patience > 0.0 {
-            self.judge_patience(&order, now);
+        if self.config.policy.patience > 0.0 {
+            self.judge_preemption_need(&order, now);
         }
-        self.begin_first(&mut order, now);
+        self.put_first_tasks_first(&mut order, now);
         order.victims.sort_by(|a, b| {
             let by_cost = a.0.total_cmp(&b.0).then(b.1.total_cmp(&a.1));
             by_cost.then_with(|| a.2.cmp(&b.2))
         });
-        self.order = order;
+        self.job_order = order;
     }
 
     /// Counts jobs that met their first finishing aim, or cannot any more.
-    fn judge_aims(&mut self, now: f64) {
+    fn record_outcomes(&mut self, now: f64) {
         let mut outcomes = Vec::new();
         for (name, job) in &self.jobs {
-            if job.judged || job.over && !job.complete() {
+            if job.outcome_recorded || job.finished && !job.is_complete() {
                 continue;
             }
             let first = self.due_times(job, now).min_by(f64::total_cmp);
             let Some(left) = first else { continue };
             let lost = left
-                < if job.complete() {
+                < if job.is_complete() {
                     0.0
                 } else {
                     self.predict(job)
                 };
-            if lost || job.complete() {
+            if lost || job.is_complete() {
                 outcomes.push((name.clone(), !lost));
             }
         }
@@ -152,28 +152,28 @@
             let Some(job) = self.jobs.get_mut(&name) else {
                 continue;
             };
-            job.judged = true;
+            job.outcome_recorded = true;
             let groups = [
                 Some(FairShareGroup::Class(job.spec.class.clone())),
                 job.team.map(FairShareGroup::Team),
             ];
             for group in groups.iter().flatten() {
-                self.fair.outcome(group, met);
+                self.fair_share.outcome(group, met);
             }
         }
     }
 
     /// Lifts the first jobs of each group that is owed room, as far as its floor
     /// goes.
-    fn lift(&mut self, order: &mut JobOrder) {
+    fn apply_fair_share_floor(&mut self, order: &mut JobOrder) {
         for job in self.jobs.values_mut() {
-            job.lifted = false;
+            job.on_floor = false;
         }
-        let owed: Vec<FairShareGroup> = self.fair.owed().into_iter().cloned().collect();
+        let owed: Vec<FairShareGroup> = self.fair_share.owed().into_iter().cloned().collect();
         if owed.is_empty() {
             return;
         }
-        let floor = self.capacity().1 * self.params.policy.floor_share / owed.len() as f64;
+        let floor = self.capacity().1 * self.config.policy.floor_share / owed.len() as f64;
         for group in &owed {
             let of = |j: &Job| match group {
                 FairShareGroup::Class(class) => j.spec.class == *class,
@@ -190,8 +190,8 @@
                 if used >= floor {
                     break;
                 }
-                used += f64::from(job.lacking() + job.on.len() as u32) * job.spec.cpus;
-                job.lifted = true;
+                used += f64::from(job.unplaced_tasks() + job.placed.len() as u32) * job.spec.cpus;
+                job.on_floor = true;
                 entry.rank = entry.rank.min(2);
             }
         }
@@ -200,19 +200,21 @@
     /// Puts the first tasks of jobs of which nothing has begun for long before all
     /// else. Smallest-first, urgency and floors all pass over the largest jobs for as
     /// long as the load lasts; one task each takes little from the others.
-    fn begin_first(&self, order: &mut JobOrder, now: f64) {
-        let begin_s = self.params.policy.begin_s;
+    fn put_first_tasks_first(&self, order: &mut JobOrder, now: f64) {
+        let begin_s = self.config.policy.begin_s;
         if begin_s <= 0.0 {
             return;
         }
         let waits = |e: &&OrderedJob| {
             let job = self.jobs.get(&e.name);
-            job.is_some_and(|j| !j.has_begun() && !j.suspect() && now - j.at > begin_s / 2.0)
+            job.is_some_and(|j| {
+                !j.has_started() && !j.is_suspect() && now - j.accepted_at > begin_s / 2.0
+            })
         };
         let mut firsts: Vec<OrderedJob> = (order.jobs.iter().filter(waits))
             .map(|e| OrderedJob {
                 rank: 0,
-                within: self.jobs.get(&e.name).map_or(0.0, |j| j.at),
+                within: self.jobs.get(&e.name).map_or(0.0, |j| j.accepted_at),
                 name: e.name.clone(),
                 need: e.need,
                 fresh: e.fresh.clone(),
@@ -222,7 +224,7 @@
         firsts.sort_by(|a, b| a.within.total_cmp(&b.within));
         // A sixteenth of the fleet at most: where hundreds of jobs wait, a task of each is
         // what half of a class could have been done with.
-        let beginning = self.jobs.values().filter(|j| j.only_beginning());
+        let beginning = self.jobs.values().filter(|j| j.is_only_late_first_task());
         let mut left = self.capacity().1 / 16.0 - beginning.map(|j| j.spec.cpus).sum::<f64>();
         firsts.retain(|e| {
             let fits = left > 0.0;
@@ -235,11 +237,11 @@
     /// Which jobs need room made: those for which enough of it will not come free
     /// by itself within a part of their slack. Stopping others for the rest wins
     /// nobody's aim and loses what they have done.
-    fn judge_patience(&mut self, order: &JobOrder, now: f64) {
+    fn judge_preemption_need(&mut self, order: &JobOrder, now: f64) {
         // CPUs that come free in a second, by the size of the tasks that free them.
         let mut rates: Vec<(f64, f64)> = Vec::new();
-        for job in self.jobs.values().filter(|j| !j.on.is_empty()) {
-            let rate = job.on.len() as f64 * job.spec.cpus / self.predict(job).max(1.0);
+        for job in self.jobs.values().filter(|j| !j.placed.is_empty()) {
+            let rate = job.placed.len() as f64 * job.spec.cpus / self.predict(job).max(1.0);
             match rates.iter_mut().find(|r| r.0 == job.spec.cpus) {
                 Some(r) => r.1 += rate,
                 None => rates.push((job.spec.cpus, rate)),
@@ -250,22 +252,22 @@
             let Some(job) = self.jobs.get(&entry.name) else {
                 continue;
             };
-            ahead += f64::from(job.lacking()) * job.spec.cpus;
+            ahead += f64::from(job.unplaced_tasks()) * job.spec.cpus;
             let fits = rates.iter().filter(|r| r.0 >= job.spec.cpus);
             let rate: f64 = fits.map(|r| r.1).sum();
             let slack = self.slack_s(job, now).unwrap_or(0.0);
-            let urgent = ahead > rate * slack * self.params.policy.patience;
+            let urgent = ahead > rate * slack * self.config.policy.patience;
             if let Some(job) = self.jobs.get_mut(&entry.name) {
-                job.urgent = urgent;
+                job.preemption_needed = urgent;
             }
         }
     }
 
     /// Seconds until the first aim still in reach is lost, `None` without one.
     pub(crate) fn slack_s(&self, job: &Job, now: f64) -> Option<f64> {
-        let age_s = now - job.at;
+        let age_s = now - job.accepted_at;
         let predicted_s = self.predict(job);
-        self.params
+        self.config
             .objectives
             .iter()
             .filter_map(|o| {
@@ -285,8 +287,8 @@
         job: &'a Job,
         now: f64,
     ) -> impl Iterator<Item = f64> + 'a {
-        let age_s = now - job.at;
-        let aims = self.params.objectives.iter().filter(|o| o.kind != "wait");
+        let age_s = now - job.accepted_at;
+        let aims = self.config.objectives.iter().filter(|o| o.kind != "wait");
         aims.filter_map(move |o| left_s(o, job, age_s, 0.0))
             .chain(job.spec.deadline_s.map(|d| d - age_s))
     }
@@ -294,10 +296,10 @@
     /// Whether stopping others for the job still serves: an aim is in reach, or
     /// it has none to tell by. (Waiting until an aim was close cost reminders
     /// their deadlines and saved riga nothing: see `docs/measurements.md`.)
-    pub(crate) fn pressed(&self, job: &Job, now: f64) -> bool {
+    pub(crate) fn has_reachable_objective(&self, job: &Job, now: f64) -> bool {
         let aimed = job.spec.deadline_s.is_some()
             || self
-                .params
+                .config
                 .objectives
                 .iter()
                 .any(|o| o.class.as_deref() == Some(job.spec.class.as_str()));
@@ -306,10 +308,10 @@
 
     /// Rank, lowest first, and the order within it.
     pub(crate) fn precedence(&self, job: &Job, now: f64) -> (u8, f64) {
-        let age_s = now - job.at;
+        let age_s = now - job.accepted_at;
         let predicted_s = self.predict(job);
         let mut lefts = self
-            .params
+            .config
             .objectives
             .iter()
             .filter_map(|o| left_s(o, job, age_s, predicted_s))
@@ -318,17 +320,17 @@
         let judged = lefts.peek().is_some();
         let late = judged && job.spec.shape == Shape::Sweep && lefts.all(|left| left < 0.0);
         let mut rank = if late { LATE } else { job.rank() };
-        if job.lifted && !late {
+        if job.on_floor && !late {
             rank = rank.min(2);
         }
         // The smallest predicted work left comes first, as in a queue: where not
         // all can be served in time, most are. Those without an aim in reach
         // come after; a longer prediction counts as a later arrival there, so that
         // the smallest goes first and none is passed over for ever.
-        let left = f64::from(job.spec.tasks.saturating_sub(job.done.len() as u32));
+        let left = f64::from(job.spec.tasks.saturating_sub(job.completed.len() as u32));
         let key = match self.slack_s(job, now) {
             Some(_) => left * predicted_s * job.spec.cpus.max(job.spec.gpus),
-            None => 1e12 + job.at + predicted_s,
+            None => 1e12 + job.accepted_at + predicted_s,
         };
         (rank, key)
     }
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -14,32 +14,32 @@
     pub phase: Option<Phase>,
     pub cause: Option<Cause>,
     /// When the start was decided.
-    pub sent: f64,
+    pub sent_at: f64,
     /// When it was first seen running.
-    pub running: Option<f64>,
+    pub running_since: Option<f64>,
     /// It counts among its job's running tasks.
-    pub counted: bool,
+    pub counted_as_running: bool,
     /// The newest message that showed it.
-    pub shown: (u64, u64),
+    pub last_shown: (u64, u64),
     /// A start went out in the answer to this report and may still be executed.
-    pub hello: Option<(u64, u64)>,
+    pub sent_in_reply_to: Option<(u64, u64)>,
     /// A direct call with the start is under way.
-    pub direct: bool,
+    pub call_in_flight: bool,
     /// Highest token of the direct calls with its start so far: as long as the machine
     /// has seen none above, a copy of one starts it again once it is forgotten.
-    pub copies_to: Option<u64>,
+    pub copies_up_to: Option<u64>,
     /// A direct call with the start, under this term, had no answer: it may be
     /// executed until a higher term or a newer session is seen.
-    pub limbo: Option<(u64, f64)>,
+    pub unresolved_call: Option<(u64, f64)>,
     /// A start or stop waits to be sent.
     pub unsent: bool,
     /// An answer told the machine to stop or forget it, and no later message has
     /// shown that it did.
-    pub told: bool,
+    pub told_to_end: bool,
     /// It is to be stopped, with this grace.
-    pub stop: Option<f64>,
+    pub stop_grace_s: Option<f64>,
     /// What it takes of the machine, as far as its job is known.
-    pub holds: Resources,
+    pub resources: Resources,
 }
 
 impl Attempt {
@@ -47,30 +47,30 @@
         Attempt {
             phase: None,
             cause: None,
-            sent: now,
-            running: None,
-            counted: false,
-            shown: (0, 0),
-            hello: None,
-            direct: false,
-            copies_to: None,
-            limbo: None,
+            sent_at: now,
+            running_since: None,
+            counted_as_running: false,
+            last_shown: (0, 0),
+            sent_in_reply_to: None,
+            call_in_flight: false,
+            copies_up_to: None,
+            unresolved_call: None,
             unsent: true,
-            told: false,
-            stop: None,
-            holds,
+            told_to_end: false,
+            stop_grace_s: None,
+            resources: holds,
         }
     }
     /// Whether a report that shows the same again would tell us nothing.
-    pub fn settled(&self) -> bool {
-        let plain = self.phase.is_some() && !self.exited() && self.stop.is_none();
-        plain && !self.unsent && !self.in_flight()
+    pub fn is_steady(&self) -> bool {
+        let plain = self.phase.is_some() && !self.has_exited() && self.stop_grace_s.is_none();
+        plain && !self.unsent && !self.is_in_flight()
     }
     /// Whether a copy of its start may still reach the machine.
-    pub fn in_flight(&self) -> bool {
-        self.hello.is_some() || self.direct || self.limbo.is_some()
+    pub fn is_in_flight(&self) -> bool {
+        self.sent_in_reply_to.is_some() || self.call_in_flight || self.unresolved_call.is_some()
     }
-    pub fn exited(&self) -> bool {
+    pub fn has_exited(&self) -> bool {
         self.phase == Some(Phase::Exited)
     }
 }
@@ -103,63 +103,63 @@
     pub info: MachineInfo,
     /// It stands in the share's written record, so tasks may start on it.
     pub recorded: bool,
-    pub standing: MachineStatus,
+    pub status: MachineStatus,
     /// Set aside by an operator: nothing new starts on it (see `drains`).
-    pub held: bool,
+    pub cordoned: bool,
     /// It was set aside and recorded as empty before we took over, so that it
     /// holds up nobody.
-    pub proven: bool,
+    pub drained: bool,
     /// Newest message seen: session and sequence number.
-    pub seen: (u64, u64),
+    pub last_message: (u64, u64),
     /// Highest token the machine is known to have seen.
-    pub token: u64,
+    pub seen_token: u64,
     /// The token that it gets from us, if that is above our term.
-    pub raised: u64,
+    pub raised_token: u64,
     /// Reported under our term since we took over.
     pub fenced: bool,
     /// When its present session was first seen; a session has a lease of its
     /// own from its beginning, without any answer.
-    pub session_at: f64,
+    pub session_seen_at: f64,
     /// When it first did: until then a former owner may have answered it.
     pub fenced_at: f64,
     /// When a message from it last arrived.
-    pub heard: f64,
+    pub heard_at: f64,
     /// When it reported as if it counted anew, and nothing newer came since.
-    pub anew_at: Option<f64>,
+    pub renumbered_at: Option<f64>,
     /// It answered a call with something older than was known when it was called: it
     /// counts anew, and may come to the session of a start that is still on its way.
-    pub recounts: bool,
+    pub renumbers: bool,
     /// When a report of it was last answered.
-    pub answered: Option<f64>,
+    pub answered_at: Option<f64>,
     /// Whether it hears our answers.
-    pub hearing: Delivery,
+    pub delivery: Delivery,
     /// When the cloud will take it away.
     pub notice_at: Option<f64>,
-    pub active: BTreeMap<(TaskId, u64), Attempt>,
+    pub attempts: BTreeMap<(TaskId, u64), Attempt>,
     /// Attempts of jobs that we do not know, not exited.
-    pub strangers: u32,
+    pub unknown_attempts: u32,
     pub queue: Vec<QueuedTask>,
     /// Room left by what holds it (see `place`).
-    pub free: Resources,
+    pub free_capacity: Resources,
     /// It stands in the index of usable machines.
     pub indexed: bool,
     /// The task list of its newest report, as it came, while a report with the
     /// same list needs no more than an answer.
-    pub repeated: Option<Box<str>>,
+    pub repeatable_tasks: Option<Box<str>>,
     /// Images it has had, most recently used last.
     pub images: Vec<(String, f64)>,
     /// A direct call is under way.
-    pub calling: bool,
+    pub call_in_flight: bool,
     pub called_at: f64,
     /// What was known to be newest of it when that began.
-    pub called_at_seen: (u64, u64),
+    pub called_at_message: (u64, u64),
     /// Calls in a row that ended without an answer.
-    pub unanswered: u32,
+    pub unanswered_calls: u32,
     /// When it was first asked for a report under our term.
     pub probed_at: Option<f64>,
     /// Failures in a row, by their jobs: those of a job that never succeeded count
     /// once, for it may be the job's own fault.
-    pub errors: Vec<Name>,
+    pub recent_failures: Vec<Name>,
     pub idle_since: f64,
 }
 
@@ -168,34 +168,34 @@
         Machine {
             info,
             recorded,
-            standing: MachineStatus::Up,
-            held: false,
-            proven: false,
-            seen: (0, 0),
-            token: 0,
-            raised: 0,
+            status: MachineStatus::Up,
+            cordoned: false,
+            drained: false,
+            last_message: (0, 0),
+            seen_token: 0,
+            raised_token: 0,
             fenced: false,
             fenced_at: now,
-            session_at: now,
-            heard: now,
-            anew_at: None,
-            recounts: false,
-            answered: None,
-            hearing: Delivery::default(),
+            session_seen_at: now,
+            heard_at: now,
+            renumbered_at: None,
+            renumbers: false,
+            answered_at: None,
+            delivery: Delivery::default(),
             notice_at: None,
-            active: BTreeMap::new(),
-            strangers: 0,
+            attempts: BTreeMap::new(),
+            unknown_attempts: 0,
             queue: Vec::new(),
-            free: Resources::default(),
+            free_capacity: Resources::default(),
             indexed: false,
-            repeated: None,
+            repeatable_tasks: None,
             images: Vec::new(),
-            calling: false,
+            call_in_flight: false,
             called_at: f64::NEG_INFINITY,
-            called_at_seen: (0, 0),
-            unanswered: 0,
+            called_at_message: (0, 0),
+            unanswered_calls: 0,
             probed_at: None,
-            errors: Vec::new(),
+            recent_failures: Vec::new(),
             idle_since: now,
         }
     }
@@ -203,7 +203,7 @@
     /// The token of answers and calls to it, under this term of ours. Whatever it was
     /// raised for, one beyond the term's own would be a later owner's.
     pub fn token_under(&self, term: u64) -> u64 {
-        self.raised.clamp(term, term + TOKENS - 1)
+        self.raised_token.clamp(term, term + TOKENS - 1)
     }
 
     pub fn has_image(&self, image: &str) -> bool {
@@ -220,61 +220,67 @@
     }
 
     /// Whether any attempt of the task is known here.
-    pub fn knows(&self, task: &TaskId) -> bool {
-        self.active
+    pub fn has_attempt_of(&self, task: &TaskId) -> bool {
+        self.attempts
             .range((task.clone(), 0)..=(task.clone(), u64::MAX))
             .next()
             .is_some()
     }
 
     /// Whether it holds up placing after a takeover.
-    pub fn holds_up(&self) -> bool {
-        let unknown = self.recorded && !self.fenced && self.standing != MachineStatus::Expired;
-        unknown && !self.proven || self.strangers > 0
+    pub fn blocks_placement(&self) -> bool {
+        let unknown = self.recorded && !self.fenced && self.status != MachineStatus::Expired;
+        unknown && !self.drained || self.unknown_attempts > 0
     }
 
     /// Whether tasks may start on it, if it was heard of less than `silent_s`
     /// ago.
-    pub fn usable(&self, now: f64, silent_s: f64) -> bool {
+    pub fn is_usable(&self, now: f64, silent_s: f64) -> bool {
         self.recorded
             && self.fenced
-            && self.standing == MachineStatus::Up
-            && !self.held
-            && self.strangers == 0
+            && self.status == MachineStatus::Up
+            && !self.cordoned
+            && self.unknown_attempts == 0
             && self.notice_at.is_none()
-            && !self.hearing.doubted()
-            && !self.recounts
-            && now - self.heard < silent_s
+            && !self.delivery.doubted()
+            && !self.renumbers
+            && now - self.heard_at < silent_s
     }
 
     /// Whether it has been in doubt for longer than this whether it hears us.
-    pub fn deaf(&self, now: f64, longer_s: f64) -> bool {
-        self.hearing.doubted_s(now).is_some_and(|s| s > longer_s)
+    pub fn is_unreachable(&self, now: f64, longer_s: f64) -> bool {
+        self.delivery.doubted_s(now).is_some_and(|s| s > longer_s)
     }
 
     /// Whether this session cannot have come after the one we know: each between them
     /// lasts a lease. It is of an earlier life of a machine that counts anew. (A late
     /// answer to a call of a moment before the machine was back looked newer, and what
     /// had just started on it was started elsewhere.)
-    pub fn early_session(&self, session: u64, lease_s: f64, now: f64) -> bool {
-        let between = session.saturating_sub(self.seen.0).saturating_sub(1);
-        self.seen != (0, 0) && now - self.session_at < between as f64 * lease_s * 0.999
+    pub fn is_early_session(&self, session: u64, lease_s: f64, now: f64) -> bool {
+        let between = session
+            .saturating_sub(self.last_message.0)
+            .saturating_sub(1);
+        self.last_message != (0, 0) && now - self.session_seen_at < between as f64 * lease_s * 0.999
     }
 
     /// Whether a start may yet be carried out in a session to come: of a machine that
     /// counts its sessions anew silence proves nothing, only a newer session, a higher
     /// token or its end does. (A start without an answer was held up until the count came
     /// to its session, long after the lease had proven the machine empty: ran_twice.)
-    pub fn may_start_yet(&self) -> bool {
+    pub fn may_still_start(&self) -> bool {
         // That it only looks so is not enough: an owner that heard a late report first takes
         // the sessions since for early, and such a machine would be refused for ever.
-        let copied = |a: &Attempt| a.copies_to.is_some_and(|t| t >= self.token);
-        self.recounts && self.active.values().any(|a| a.in_flight() || copied(a))
+        let copied = |a: &Attempt| a.copies_up_to.is_some_and(|t| t >= self.seen_token);
+        self.renumbers
+            && self
+                .attempts
+                .values()
+                .any(|a| a.is_in_flight() || copied(a))
     }
 
     /// Attempts that hold room.
-    pub fn holding(&self) -> impl Iterator<Item = (&(TaskId, u64), &Attempt)> {
-        self.active.iter().filter(|(_, a)| !a.exited())
+    pub fn live_attempts(&self) -> impl Iterator<Item = (&(TaskId, u64), &Attempt)> {
+        self.attempts.iter().filter(|(_, a)| !a.has_exited())
     }
 }
 
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -46,15 +46,19 @@
 impl Scheduler {
     /// Whether placing is allowed yet. Asked after every report of a takeover,
     /// so each machine that turned out accounted for is looked at once.
-    pub fn gate_open(&mut self) -> bool {
+    pub fn fencing_complete(&mut self) -> bool {
         if self.fence.open {
             return true;
         }
-        while let Some(name) = self.awaited.last() {
-            if self.machines.get(name).is_some_and(Machine::holds_up) {
+        while let Some(name) = self.unfenced.last() {
+            if self
+                .machines
+                .get(name)
+                .is_some_and(Machine::blocks_placement)
+            {
                 return false;
             }
-            self.awaited.pop();
+            self.unfenced.pop();
         }
         tracing::info!(term = self.term, "all machines accounted for: placing");
         self.fence.open = true;
@@ -62,45 +66,45 @@
     }
 
     /// How many machines hold up placing after a takeover, while any do.
-    pub fn unaccounted(&self) -> Option<usize> {
-        let machines = self.awaited.iter().filter_map(|n| self.machines.get(n));
-        (!self.fence.open).then(|| machines.filter(|m| m.holds_up()).count())
+    pub fn unfenced_count(&self) -> Option<usize> {
+        let machines = self.unfenced.iter().filter_map(|n| self.machines.get(n));
+        (!self.fence.open).then(|| machines.filter(|m| m.blocks_placement()).count())
     }
 
     pub(crate) fn usable(&self, m: &Machine, now: f64) -> bool {
-        m.usable(now, self.params.silent_s())
+        m.is_usable(now, self.config.silent_s())
     }
 
     /// Brings a machine's free room and its place in the index up to date.
-    pub(crate) fn reindex(&mut self, name: &str) {
-        let silent_s = self.params.silent_s();
-        let depth = self.params.policy.queue_depth;
+    pub(crate) fn update_capacity(&mut self, name: &str) {
+        let silent_s = self.config.silent_s();
+        let depth = self.config.policy.queue_depth;
         let Some((_, key, m)) = self.machines.get_full_mut(name) else {
-            self.index.remove(name);
+            self.capacity_index.remove(name);
             return;
         };
         let kind = self.types.get(&m.info.kind);
         let mut free = kind.map_or(Resources::default(), Resources::of_type);
         if kind.is_some() {
-            for (_, active) in m.holding() {
-                free.take(&active.holds);
+            for (_, active) in m.live_attempts() {
+                free.take(&active.resources);
             }
         }
-        let usable = kind.is_some() && m.usable(self.now, silent_s);
+        let usable = kind.is_some() && m.is_usable(self.now, silent_s);
         if usable {
             let short = m.queue.len() < depth;
-            self.index.put(key, &m.info, free.cpus, short);
+            self.capacity_index.put(key, &m.info, free.cpus, short);
         } else {
-            self.index.remove(key);
+            self.capacity_index.remove(key);
         }
-        if usable && (!m.indexed || !m.free.holds(&free)) {
-            self.index.grew(&free);
-            self.grown.push(free);
+        if usable && (!m.indexed || !m.free_capacity.holds(&free)) {
+            self.capacity_index.grew(&free);
+            self.grown_capacity.push(free);
             if !m.queue.is_empty() {
-                self.freed.insert(key.clone());
+                self.freed_machines.insert(key.clone());
             }
         }
-        m.free = free;
+        m.free_capacity = free;
         m.indexed = usable;
     }
 
@@ -108,40 +112,40 @@
     /// began to wait, and those that fit where room came free. What was passed
     /// over for other reasons (a limit, no victims) waits for the next full
     /// pass, a part of a report interval later.
-    pub fn place_news(&mut self, now: f64) {
-        self.pass(now, false);
+    pub fn place_changed(&mut self, now: f64) {
+        self.run_pass(now, false);
     }
 
     /// One pass over all that waits.
-    pub fn place(&mut self, now: f64) {
-        self.pass(now, true);
+    pub fn place_all(&mut self, now: f64) {
+        self.run_pass(now, true);
     }
 
-    fn pass(&mut self, now: f64, full: bool) {
+    fn run_pass(&mut self, now: f64, full: bool) {
         self.now = now;
-        if !self.gate_open() {
+        if !self.fencing_complete() {
             // All jobs are news to the first pass.
-            self.grown.clear();
+            self.grown_capacity.clear();
             return;
         }
-        self.dirty = false;
-        self.unbind_aged(now);
-        self.make_order(now);
+        self.placement_due = false;
+        self.expire_queued(now);
+        self.refresh_job_order(now);
         if full {
-            self.used = self.usage();
+            self.team_usage = self.count_usage();
         }
         let mut pass = PlacementPass {
-            usage: self.used.clone(),
+            usage: self.team_usage.clone(),
             ..PlacementPass::default()
         };
-        let freed: Names = std::mem::take(&mut self.freed);
-        let grown = std::mem::take(&mut self.grown);
-        let order = std::mem::take(&mut self.order.jobs);
+        let freed: Names = std::mem::take(&mut self.freed_machines);
+        let grown = std::mem::take(&mut self.grown_capacity);
+        let order = std::mem::take(&mut self.job_order.jobs);
         let mut at = 0;
         let mut again = AGAIN;
         while at < order.len() {
             let rank = order[at].rank;
-            self.start_bound(rank, &freed, &mut pass, now);
+            self.start_reserved(rank, &freed, &mut pass, now);
             while at < order.len() && order[at].rank == rank {
                 let entry = &order[at];
                 let fresh = full || entry.fresh.get();
@@ -150,19 +154,23 @@
                     again -= usize::from(!fresh && again > 0);
                     if !entry.first {
                         self.place_job(&entry.name, u32::MAX, thorough, &mut pass, now);
-                    } else if self.jobs.get(&entry.name).is_some_and(|j| j.on.is_empty()) {
+                    } else if self
+                        .jobs
+                        .get(&entry.name)
+                        .is_some_and(|j| j.placed.is_empty())
+                    {
                         self.place_job(&entry.name, 1, thorough, &mut pass, now);
                     }
                 }
                 at += 1;
             }
         }
-        self.start_bound(u8::MAX, &freed, &mut pass, now);
-        self.order.jobs = order;
+        self.start_reserved(u8::MAX, &freed, &mut pass, now);
+        self.job_order.jobs = order;
     }
 
     /// Starts the task on the machine.
-    pub(crate) fn begin(
+    pub(crate) fn start_task(
         &mut self,
         machine: &Name,
         task: TaskId,
@@ -171,10 +179,10 @@
         now: f64,
     ) {
         tracing::debug!(job = %task.job, task = task.index, machine = %machine, term = self.term, "start");
-        let team = self.team_at(&spec.team);
+        let team = self.team_index(&spec.team);
         pass.usage.add(team, spec, 1.0);
-        self.start(machine, task, now);
-        self.reindex(machine);
+        self.start_attempt(machine, task, now);
+        self.update_capacity(machine);
     }
 
     /// Places what waits of one job, `most` tasks: by room that is free and, if
@@ -194,9 +202,9 @@
             return;
         }
         if most > 1 {
-            job.fresh.set(false);
+            job.has_new_tasks.set(false);
         }
-        if job.lacking() == 0 {
+        if job.unplaced_tasks() == 0 {
             return;
         }
         let (spec, team) = (job.spec.clone(), job.team);
@@ -207,8 +215,8 @@
                 return;
             };
             // One task tells whether a job that fails everywhere still does.
-            let tried = job.suspect() && !job.on.is_empty();
-            if job.lacking() == 0 || placed >= most || tried {
+            let tried = job.is_suspect() && !job.placed.is_empty();
+            if job.unplaced_tasks() == 0 || placed >= most || tried {
                 return;
             }
             let limit = self.team(team);
@@ -219,16 +227,16 @@
             if !allowed && !yields(self, pass) {
                 return;
             }
-            let Some(pools) = self.pools_of(name) else {
+            let Some(pools) = self.pools_for_job(name) else {
                 return;
             };
-            let open = allowed && !self.index.is_full(&pools, &need);
+            let open = allowed && !self.capacity_index.is_full(&pools, &need);
             if !open && !thorough {
                 return;
             }
-            let Some(index) = self.jobs.get_mut(name).and_then(Job::pop) else {
+            let Some(index) = self.jobs.get_mut(name).and_then(Job::take_waiting) else {
                 if open {
-                    self.leave_queues(name, &spec, pass, now);
+                    self.start_queued_elsewhere(name, &spec, pass, now);
                 }
                 return;
             };
@@ -237,54 +245,57 @@
                 job: name.clone(),
             };
             if open {
-                if let Some(machine) = self.draw_open(&spec, &task, &pools, now) {
+                if let Some(machine) = self.sample_with_capacity(&spec, &task, &pools, now) {
                     if most == 1 {
                         if let Some(job) = self.jobs.get_mut(name) {
                             job.began_late = true;
                         }
                     }
-                    self.begin(&machine, task, &spec, pass, now);
+                    self.start_task(&machine, task, &spec, pass, now);
                     placed += 1;
                     continue;
                 }
             }
             let made = thorough
-                .then(|| self.make_room(name, &pools, pass, now))
+                .then(|| self.preempt_for(name, &pools, pass, now))
                 .flatten();
             let reserved = made.is_some();
             let joined = made.or_else(|| {
                 (allowed && thorough)
-                    .then(|| self.draw_short(&task, &pools, now))
+                    .then(|| self.sample_queues(&task, &pools, now))
                     .flatten()
             });
             let Some(machine) = joined else {
                 if let Some(job) = self.jobs.get_mut(name) {
-                    job.push(index);
-                    job.fresh.set(false);
+                    job.requeue(index);
+                    job.has_new_tasks.set(false);
                 }
                 return;
             };
             if reserved {
                 pass.freeing = None;
             }
-            self.bind(&machine, task, reserved, now);
+            self.enqueue(&machine, task, reserved, now);
             placed += 1;
         }
     }
 
     /// The pools that a task of the job may use now.
-    pub(crate) fn pools_of(&mut self, name: &Name) -> Option<Rc<[usize]>> {
+    pub(crate) fn pools_for_job(&mut self, name: &Name) -> Option<Rc<[usize]>> {
         let job = self.jobs.get(name)?;
         let spec = &job.spec;
         let by_zone = spec.one_zone || spec.spread;
-        if !by_zone && job.pools.0 == self.index.version {
+        if !by_zone && job.pools.0 == self.capacity_index.version {
             return Some(job.pools.1.clone());
         }
-        let zones = self.zones(job);
+        let zones = self.zone_constraint(job);
         let zone_ok = |z: &str| zones.allows(z);
-        let pools: Rc<[usize]> = self.index.pools_for(spec, &self.types, zone_ok).into();
+        let pools: Rc<[usize]> = self
+            .capacity_index
+            .pools_for(spec, &self.types, zone_ok)
+            .into();
         if let Some(job) = self.jobs.get_mut(name) {
-            job.pools = (self.index.version, pools.clone());
+            job.pools = (self.capacity_index.version, pools.clone());
         }
         Some(pools)
     }
@@ -299,7 +310,7 @@
         *pass.less_urgent.entry((team, urgency)).or_insert_with(|| {
             self.jobs
                 .values()
-                .any(|j| j.team == team && j.spec.urgency < urgency && !j.on.is_empty())
+                .any(|j| j.team == team && j.spec.urgency < urgency && !j.placed.is_empty())
         })
     }
 
@@ -307,7 +318,7 @@
     /// image, and takes the best of the sample: one that has the image, then
     /// the one with fewer bound waiting tasks, then the tighter one, which
     /// leaves whole machines to large tasks.
-    pub(crate) fn draw_open(
+    pub(crate) fn sample_with_capacity(
         &mut self,
         spec: &JobSpec,
         task: &TaskId,
@@ -315,57 +326,57 @@
         now: f64,
     ) -> Option<Name> {
         let need = Resources::of_task(spec);
-        let n = self.index.roomy(pools, spec.cpus);
+        let n = self.capacity_index.roomy(pools, spec.cpus);
         let mut picks = Vec::new();
         if n > 0 {
-            let holders = self.holders.remove(&spec.image).unwrap_or_default();
+            let holders = self.image_holders.remove(&spec.image).unwrap_or_default();
             picks = self.sample(holders.len(), task, pools, false, |core, at| {
                 let name = holders.get(at)?;
                 let m = core.machines.get(name)?;
-                let pool = core.index.pool_of(name)?;
-                let fits = m.free.holds(&need) && m.has_image(&spec.image);
-                let open = pools.contains(&pool) && core.usable(m, now) && !m.knows(task);
+                let pool = core.capacity_index.pool_of(name)?;
+                let fits = m.free_capacity.holds(&need) && m.has_image(&spec.image);
+                let open = pools.contains(&pool) && core.usable(m, now) && !m.has_attempt_of(task);
                 (fits && open).then(|| name.clone())
             });
             if !holders.is_empty() {
-                self.holders.insert(spec.image.clone(), holders);
+                self.image_holders.insert(spec.image.clone(), holders);
             }
         }
-        if let Some(best) = self.best(picks, spec) {
+        if let Some(best) = self.best_candidate(picks, spec) {
             return Some(best);
         }
         let mut room = false;
         let picks = self.sample(n, task, pools, true, |core, at| {
-            let name = core.index.roomy_at(pools, spec.cpus, at)?;
+            let name = core.capacity_index.roomy_at(pools, spec.cpus, at)?;
             let m = core.machines.get(name)?;
             // An attempt that is not forgotten yet would refuse it.
-            let fits = m.free.holds(&need);
+            let fits = m.free_capacity.holds(&need);
             room |= fits;
-            (fits && core.usable(m, now) && !m.knows(task)).then(|| name.clone())
+            (fits && core.usable(m, now) && !m.has_attempt_of(task)).then(|| name.clone())
         });
         if !room {
             // Every one was looked at: not again before one has more room.
-            self.index.set_full(pools, need);
+            self.capacity_index.set_full(pools, need);
         }
-        self.best(picks, spec)
+        self.best_candidate(picks, spec)
     }
 
-    fn best(&self, picks: Vec<Name>, spec: &JobSpec) -> Option<Name> {
+    fn best_candidate(&self, picks: Vec<Name>, spec: &JobSpec) -> Option<Name> {
         picks.into_iter().min_by(|a, b| {
             let (a, b) = (&self.machines[a], &self.machines[b]);
             b.has_image(&spec.image)
                 .cmp(&a.has_image(&spec.image))
                 .then(a.queue.len().cmp(&b.queue.len()))
-                .then(a.free.cpus.total_cmp(&b.free.cpus))
+                .then(a.free_capacity.cpus.total_cmp(&b.free_capacity.cpus))
         })
     }
 
     /// Samples among the machines with a place in their queue, and takes the
     /// shorter queue.
-    fn draw_short(&mut self, task: &TaskId, pools: &[usize], now: f64) -> Option<Name> {
-        let n = self.index.short(pools);
+    fn sample_queues(&mut self, task: &TaskId, pools: &[usize], now: f64) -> Option<Name> {
+        let n = self.capacity_index.short(pools);
         let picks = self.sample(n, task, pools, true, |core, at| {
-            let name = core.index.short_at(pools, at)?;
+            let name = core.capacity_index.short_at(pools, at)?;
             let m = core.machines.get(name)?;
             core.usable(m, now).then(|| name.clone())
         });
@@ -387,13 +398,16 @@
         all: bool,
         mut accept: impl FnMut(&Scheduler, usize) -> Option<Name>,
     ) -> Vec<Name> {
-        let want = self.params.policy.sample.min(n);
+        let want = self.config.policy.sample.min(n);
         let mut picks: Vec<Name> = Vec::with_capacity(want);
         if want == 0 {
             return picks;
         }
         let failed = self.jobs.get(&task.job).map(|j| &j.failed_on).filter(|f| {
-            let usable: usize = pools.iter().map(|&p| self.index.pool(p).usable()).sum();
+            let usable: usize = pools
+                .iter()
+                .map(|&p| self.capacity_index.pool(p).usable())
+                .sum();
             !f.is_empty() && f.len() < usable
         });
         let mut good = |core: &Scheduler, at: usize, picks: &[Name]| {
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -50,7 +50,7 @@
         Urgency::High => 16.0,
         Urgency::Prod => 64.0,
     };
-    if victim.pressed {
+    if victim.objective_reachable {
         urgency
     } else {
         urgency / 16.0
@@ -59,8 +59,8 @@
 
 impl Scheduler {
     /// Whether `job` may stop a task of `victim`.
-    fn may_stop(&self, job: &Job, victim: &Job, usage: &TeamUsage) -> bool {
-        if victim.lifted && !job.guaranteed && !job.lifted {
+    fn may_preempt(&self, job: &Job, victim: &Job, usage: &TeamUsage) -> bool {
+        if victim.on_floor && !job.guaranteed && !job.on_floor {
             return false;
         }
         if victim.spec.urgency < job.spec.urgency && job.spec.urgency > Urgency::Idle {
@@ -83,13 +83,13 @@
         if lacking {
             victim.team == job.team && victim.spec.urgency < job.spec.urgency
         } else {
-            self.may_stop(job, victim, usage)
+            self.may_preempt(job, victim, usage)
         }
     }
 
     /// Whether the team's limit leaves no room for one more task, counting
     /// what is being stopped as free and what waits for it as taken.
-    fn lacking_quota(&self, team: Option<usize>, spec: &JobSpec, pass: &mut PlacementPass) -> bool {
+    fn is_over_limit(&self, team: Option<usize>, spec: &JobSpec, pass: &mut PlacementPass) -> bool {
         let Some(limit) = self.team(team) else {
             return true;
         };
@@ -97,7 +97,7 @@
             return false;
         }
         if pass.freeing.is_none() {
-            pass.freeing = Some(self.freeing());
+            pass.freeing = Some(self.resources_being_freed());
         }
         let freed = pass
             .freeing
@@ -109,11 +109,14 @@
     }
 
     /// What each team's stopped work will free, less what waits for it.
-    fn freeing(&self) -> HashMap<usize, (f64, f64)> {
+    fn resources_being_freed(&self) -> HashMap<usize, (f64, f64)> {
         let mut sums: HashMap<usize, (f64, f64)> = HashMap::new();
-        let stopped = self.stopping.iter().map(|(_, (task, _))| (task, 1.0));
+        let stopped = self
+            .stopping_attempts
+            .iter()
+            .map(|(_, (task, _))| (task, 1.0));
         let bound = self
-            .queued
+            .machines_with_queue
             .iter()
             .filter_map(|n| self.machines.get(n))
             .flat_map(|m| m.queue.iter().filter(|b| b.reserved))
@@ -132,19 +135,19 @@
     }
 
     /// Forgets stops that have had their effect.
-    pub(crate) fn prune_stopping(&mut self) {
+    pub(crate) fn prune_stopping_attempts(&mut self) {
         let machines = &self.machines;
-        self.stopping.retain(|(machine, key)| {
+        self.stopping_attempts.retain(|(machine, key)| {
             machines
                 .get(machine)
-                .and_then(|m| m.active.get(key))
-                .is_some_and(|a| a.stop.is_some() && !a.exited())
+                .and_then(|m| m.attempts.get(key))
+                .is_some_and(|a| a.stop_grace_s.is_some() && !a.has_exited())
         });
     }
 
     /// Stops tasks on a machine so that a task of the job fits, and names that
     /// machine.
-    pub(crate) fn make_room(
+    pub(crate) fn preempt_for(
         &mut self,
         name: &str,
         pools: &Rc<[usize]>,
@@ -152,7 +155,10 @@
         now: f64,
     ) -> Option<Name> {
         let job = self.jobs.get(name)?;
-        if job.spec.urgency == Urgency::Idle && !job.guaranteed || !job.pressed || !job.urgent {
+        if job.spec.urgency == Urgency::Idle && !job.guaranteed
+            || !job.objective_reachable
+            || !job.preemption_needed
+        {
             return None;
         }
         let (spec, team) = (job.spec.clone(), job.team);
@@ -163,26 +169,26 @@
             return None;
         }
         if !std::mem::replace(&mut pass.pruned, true) {
-            self.prune_stopping();
+            self.prune_stopping_attempts();
         }
-        let lacking = self.lacking_quota(team, &spec, pass);
-        let Some((_, machine, chosen)) = self.cheapest(name, lacking, pass, now) else {
+        let lacking = self.is_over_limit(team, &spec, pass);
+        let Some((_, machine, chosen)) = self.cheapest_preemption(name, lacking, pass, now) else {
             pass.hopeless.push((kind, need));
             return None;
         };
         for (key, grace) in chosen {
             tracing::info!(task = %key.0.wire(), machine = %machine, for_job = name, "stopped to make room");
             if let Some(victim) = self.jobs.get_mut(&key.0.job) {
-                *victim.stops.entry(key.0.index).or_default() += 1;
+                *victim.preemptions.entry(key.0.index).or_default() += 1;
             }
-            self.stop(&machine, &key, grace);
+            self.stop_attempt(&machine, &key, grace);
         }
         pass.freeing = None;
         Some(machine)
     }
 
     /// The cheapest of the plans weighed.
-    fn cheapest(
+    fn cheapest_preemption(
         &mut self,
         name: &str,
         lacking: bool,
@@ -191,7 +197,7 @@
     ) -> Option<PreemptionPlan> {
         let start: usize = self.rng.random_range(0..1 << 16);
         let job = self.jobs.get(name)?;
-        let zones = self.zones(job);
+        let zones = self.zone_constraint(job);
         let mut seen: Vec<Name> = Vec::new();
         let mut best: Option<PreemptionPlan> = None;
         let weigh = |machine: &Name, seen: &mut Vec<Name>, best: &mut Option<PreemptionPlan>| {
@@ -199,14 +205,14 @@
                 return;
             }
             seen.push(machine.clone());
-            let plan = self.plan_at(machine, job, &zones, lacking, pass, now);
+            let plan = self.preemption_on(machine, job, &zones, lacking, pass, now);
             if let Some(plan) = plan {
                 if best.as_ref().is_none_or(|b| plan.0 < b.0) {
                     *best = Some(plan);
                 }
             }
         };
-        for (machine, _) in &self.stopping {
+        for (machine, _) in &self.stopping_attempts {
             if seen.len() >= WEIGHED / 2 {
                 break;
             }
@@ -216,7 +222,7 @@
             return best;
         }
         let mut dear = 0.0;
-        for (dearness, _, victim) in &self.order.victims {
+        for (dearness, _, victim) in &self.job_order.victims {
             // A dearer job is not worth a look once there is a plan.
             if seen.len() >= 2 * WEIGHED || best.is_some() && *dearness > dear {
                 break;
@@ -224,12 +230,15 @@
             let Some(victim) = self.jobs.get(victim) else {
                 continue;
             };
-            if victim.on.is_empty() || !self.yields(job, victim, lacking, &pass.usage) {
+            if victim.placed.is_empty() || !self.yields(job, victim, lacking, &pass.usage) {
                 continue;
             }
             dear = *dearness;
             let from = (start % victim.spec.tasks.max(1) as usize) as u32;
-            let on = victim.on.range(from..).chain(victim.on.range(..from));
+            let on = victim
+                .placed
+                .range(from..)
+                .chain(victim.placed.range(..from));
             for (_, (machine, _)) in on.take(PER_JOB) {
                 weigh(machine, &mut seen, &mut best);
             }
@@ -238,7 +247,7 @@
     }
 
     /// What would have to be stopped on this machine for a task of the job.
-    fn plan_at(
+    fn preemption_on(
         &self,
         machine: &Name,
         job: &Job,
@@ -256,30 +265,30 @@
         let at_once = spec.urgency >= Urgency::High || job.guaranteed;
         let need = Resources::of_task(spec);
         // Room that is being made here is spoken for.
-        let mut room = m.free;
+        let mut room = m.free_capacity;
         for bound in m.queue.iter().filter(|b| b.reserved) {
             if let Some(j) = self.jobs.get(&bound.task.job) {
                 room.take(&Resources::of_task(&j.spec));
             }
         }
         let mut victims = Vec::new();
-        for (key, active) in m.holding() {
+        for (key, active) in m.live_attempts() {
             let Some(victim) = self.jobs.get(&key.0.job) else {
                 continue;
             };
-            if active.stop.is_some() {
-                room.give(&active.holds);
+            if active.stop_grace_s.is_some() {
+                room.give(&active.resources);
                 continue;
             }
-            let stops = victim.stops.get(&key.0.index).copied().unwrap_or(0);
-            if stops >= self.params.policy.max_stops || victim.only_beginning() {
+            let stops = victim.preemptions.get(&key.0.index).copied().unwrap_or(0);
+            if stops >= self.config.policy.max_stops || victim.is_only_late_first_task() {
                 continue;
             }
             if self.yields(job, victim, lacking, &pass.usage) {
-                let ran = active.running.map_or(0.0, |t| now - t);
+                let ran = active.running_since.map_or(0.0, |t| now - t);
                 let (lost, grace) = loss(&victim.spec, ran, at_once);
                 let lost = (lost + victim.spec.cpus) * dearness(victim);
-                victims.push((lost, (key.clone(), grace), active.holds));
+                victims.push((lost, (key.clone(), grace), active.resources));
             }
         }
         victims.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -17,17 +17,17 @@
 impl Scheduler {
     /// Half the age at which a bound task is drawn again.
     fn age_s(&self) -> f64 {
-        self.params.policy.age_reports * self.params.report_s
+        self.config.policy.age_reports * self.config.report_s
     }
 
     /// Puts a task into a machine's queue.
-    pub(crate) fn bind(&mut self, machine: &Name, task: TaskId, reserved: bool, now: f64) {
+    pub(crate) fn enqueue(&mut self, machine: &Name, task: TaskId, reserved: bool, now: f64) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
         let (rank, predicted_s) = (self.precedence(job, now).0, self.predict(job));
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.bound.insert(task.index, machine.clone());
+            job.queued.insert(task.index, machine.clone());
         }
         if let Some(m) = self.machines.get_mut(machine) {
             m.queue.push(QueuedTask {
@@ -38,54 +38,54 @@
                 reserved,
             });
         }
-        self.queued.insert(machine.clone());
-        self.reindex(machine);
+        self.machines_with_queue.insert(machine.clone());
+        self.update_capacity(machine);
     }
 
     /// Takes a task out of whatever queue it is bound to.
-    pub(crate) fn unbind(&mut self, task: &TaskId) {
+    pub(crate) fn dequeue(&mut self, task: &TaskId) {
         let job = self.jobs.get_mut(&task.job);
-        let Some(machine) = job.and_then(|j| j.bound.remove(&task.index)) else {
+        let Some(machine) = job.and_then(|j| j.queued.remove(&task.index)) else {
             return;
         };
         if let Some(m) = self.machines.get_mut(&machine) {
             m.queue.retain(|b| b.task != *task);
         }
-        self.reindex(&machine);
+        self.update_capacity(&machine);
     }
 
     /// Empties a machine's queue; its tasks wait unbound again.
-    pub(crate) fn unbind_all(&mut self, machine: &str) {
+    pub(crate) fn clear_queue(&mut self, machine: &str) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
         for bound in std::mem::take(&mut m.queue) {
             if let Some(job) = self.jobs.get_mut(&bound.task.job) {
-                job.bound.remove(&bound.task.index);
-                job.push(bound.task.index);
+                job.queued.remove(&bound.task.index);
+                job.requeue(bound.task.index);
             }
         }
-        self.queued.swap_remove(machine);
-        self.reindex(machine);
+        self.machines_with_queue.swap_remove(machine);
+        self.update_capacity(machine);
     }
 
     /// Bound tasks that waited past the age limit are drawn again, those at a
     /// machine that fell silent or leaves at once.
-    pub(crate) fn unbind_aged(&mut self, now: f64) {
+    pub(crate) fn expire_queued(&mut self, now: f64) {
         let age = self.age_s();
         // Ages are in report intervals, so a quarter of one is often enough.
-        if now - self.aged_at < self.params.report_s / 4.0 {
+        if now - self.queues_aged_at < self.config.report_s / 4.0 {
             return;
         }
-        self.aged_at = now;
-        for name in self.queued.clone() {
+        self.queues_aged_at = now;
+        for name in self.machines_with_queue.clone() {
             let Some(m) = self.machines.get(&name) else {
-                self.queued.swap_remove(&name);
+                self.machines_with_queue.swap_remove(&name);
                 continue;
             };
             let stuck = !self.usable(m, now);
             // What room is being made for waits for it, while others save.
-            let making = m.holding().any(|(_, a)| a.stop.is_some());
+            let making = m.live_attempts().any(|(_, a)| a.stop_grace_s.is_some());
             let old: Vec<TaskId> = m
                 .queue
                 .iter()
@@ -96,15 +96,15 @@
                 .map(|b| b.task.clone())
                 .collect();
             if m.queue.len() == old.len() {
-                self.queued.swap_remove(&name);
+                self.machines_with_queue.swap_remove(&name);
             } else {
                 // A limit may have got room meanwhile.
-                self.freed.insert(name.clone());
+                self.freed_machines.insert(name.clone());
             }
             for task in old {
-                self.unbind(&task);
+                self.dequeue(&task);
                 if let Some(job) = self.jobs.get_mut(&task.job) {
-                    job.push(task.index);
+                    job.requeue(task.index);
                 }
             }
         }
@@ -112,7 +112,7 @@
 
     /// Starts tasks of the job that wait in queues where there is free room
     /// elsewhere, as far as it goes.
-    pub(crate) fn leave_queues(
+    pub(crate) fn start_queued_elsewhere(
         &mut self,
         name: &Name,
         spec: &JobSpec,
@@ -129,7 +129,7 @@
                 queue.any(|b| b.reserved && b.task.index == task && b.task.job == *name)
             })
         };
-        let bound = job.bound.iter().filter(|(t, m)| !kept(**t, m));
+        let bound = job.queued.iter().filter(|(t, m)| !kept(**t, m));
         let bound: Vec<u32> = bound.map(|(task, _)| *task).collect();
         let team = job.team;
         for index in bound {
@@ -141,20 +141,20 @@
                 job: name.clone(),
             };
             // Each start may close a zone to the rest of the job.
-            let Some(pools) = self.pools_of(name) else {
+            let Some(pools) = self.pools_for_job(name) else {
                 return;
             };
-            let Some(machine) = self.draw_open(spec, &task, &pools, now) else {
+            let Some(machine) = self.sample_with_capacity(spec, &task, &pools, now) else {
                 return;
             };
-            self.unbind(&task);
-            self.begin(&machine, task, spec, pass, now);
+            self.dequeue(&task);
+            self.start_task(&machine, task, spec, pass, now);
         }
     }
 
     /// Starts tasks up to this rank for which room was made, where it came free:
     /// by smallest prediction.
-    pub(crate) fn start_bound(
+    pub(crate) fn start_reserved(
         &mut self,
         rank: u8,
         freed: &Names,
@@ -187,27 +187,27 @@
                 let room = self
                     .machines
                     .get(name)
-                    .is_some_and(|m| m.free.holds(&Resources::of_task(&spec)));
+                    .is_some_and(|m| m.free_capacity.holds(&Resources::of_task(&spec)));
                 if !room
                     || !within_limit(limit, pass.usage.of(team), &spec, 1.0)
-                    || !self.zone_ok(&bound.task.job, name)
+                    || !self.zone_allows(&bound.task.job, name)
                 {
                     continue;
                 }
-                self.unbind(&bound.task);
-                self.begin(name, bound.task, &spec, pass, now);
+                self.dequeue(&bound.task);
+                self.start_task(name, bound.task, &spec, pass, now);
             }
         }
     }
 
-    fn zone_ok(&self, job: &str, machine: &str) -> bool {
+    fn zone_allows(&self, job: &str, machine: &str) -> bool {
         let (Some(job), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else {
             return false;
         };
         // With no task on a machine any zone is right for the first one.
-        if job.spec.one_zone && job.on.is_empty() {
+        if job.spec.one_zone && job.placed.is_empty() {
             return true;
         }
-        self.zones(job).allows(&m.info.zone)
+        self.zone_constraint(job).allows(&m.info.zone)
     }
 }
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -52,29 +52,29 @@
 
 impl Scheduler {
     /// Place of the team of this name in the settings.
-    pub(crate) fn team_at(&self, name: &str) -> Option<usize> {
-        self.params.teams.iter().position(|t| t.name == name)
+    pub(crate) fn team_index(&self, name: &str) -> Option<usize> {
+        self.config.teams.iter().position(|t| t.name == name)
     }
 
     /// The team at this place.
     pub(crate) fn team(&self, at: Option<usize>) -> Option<&Team> {
-        at.and_then(|t| self.params.teams.get(t))
+        at.and_then(|t| self.config.teams.get(t))
     }
 
     /// Everything that is on a machine or may be: sent, fetching, running,
     /// saving, out of sight. Counted anew from the jobs, so that it cannot
     /// wander from them.
-    pub fn usage(&self) -> TeamUsage {
+    pub fn count_usage(&self) -> TeamUsage {
         let mut usage = TeamUsage::default();
-        for job in self.jobs.values().filter(|j| !j.on.is_empty()) {
-            usage.add(job.team, &job.spec, job.attempts_on() as f64);
+        for job in self.jobs.values().filter(|j| !j.placed.is_empty()) {
+            usage.add(job.team, &job.spec, job.attempts_placed() as f64);
         }
         usage
     }
 
     /// The same, as it is kept up between full passes.
-    pub fn used(&self) -> &TeamUsage {
-        &self.used
+    pub fn usage(&self) -> &TeamUsage {
+        &self.team_usage
     }
 
     /// Machines in use, their CPUs, and how many of these are free.
@@ -83,7 +83,7 @@
         for m in self.machines.values().filter(|m| m.indexed) {
             sum.0 += 1;
             sum.1 += self.types.get(&m.info.kind).map_or(0.0, |t| t.cpus);
-            sum.2 += m.free.cpus;
+            sum.2 += m.free_capacity.cpus;
         }
         sum
     }
@@ -91,10 +91,10 @@
     /// One line on load: machines, CPUs held by class, what waits.
     pub fn summary(&self) -> String {
         let mut held: std::collections::BTreeMap<&str, (f64, u32)> = Default::default();
-        for job in self.jobs.values().filter(|j| !j.over) {
+        for job in self.jobs.values().filter(|j| !j.finished) {
             let entry = held.entry(&job.spec.class).or_default();
-            entry.0 += job.attempts_on() as f64 * job.spec.cpus;
-            entry.1 += job.lacking();
+            entry.0 += job.attempts_placed() as f64 * job.spec.cpus;
+            entry.1 += job.unplaced_tasks();
         }
         let (usable, all, free) = self.capacity();
         let mut line = format!(
@@ -109,16 +109,16 @@
 
     /// A job is within its team's guarantee if it fits into it together with
     /// the team's earlier unfinished jobs.
-    pub(crate) fn judge_guarantees(&mut self) {
+    pub(crate) fn update_guarantees(&mut self) {
         let none = |t: &Team| t.cpus <= 0.0 && t.gpus <= 0.0;
-        if self.params.teams.iter().all(none) {
+        if self.config.teams.iter().all(none) {
             return;
         }
         let mut order: Vec<(f64, Name)> = self
             .jobs
             .iter()
-            .filter(|(_, j)| !j.over)
-            .map(|(n, j)| (j.at, n.clone()))
+            .filter(|(_, j)| !j.finished)
+            .map(|(n, j)| (j.accepted_at, n.clone()))
             .collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(&b.1)));
         let mut sums = TeamUsage::default();
@@ -128,7 +128,7 @@
             };
             sums.add(job.team, &job.spec, f64::from(job.spec.tasks));
             let sum = sums.of(job.team);
-            let team = job.team.and_then(|t| self.params.teams.get(t));
+            let team = job.team.and_then(|t| self.config.teams.get(t));
             job.guaranteed =
                 team.is_some_and(|t| !none(t) && sum.0 <= t.cpus + 1e-6 && sum.1 <= t.gpus + 1e-6);
         }
--- a/src/coordination/scheduler/run_time_predictor.rs
+++ b/src/coordination/scheduler/run_time_predictor.rs
@@ -81,20 +81,20 @@
             return job.spec.estimate_s;
         }
         let median = |class: &str| {
-            let recent = self.learned.run_ms.of(class)?;
+            let recent = self.predictor.run_ms.of(class)?;
             Some(recent.value_at_quantile(0.5) as f64 / 1000.0)
         };
         median(&job.spec.class)
             .or_else(|| median(""))
-            .unwrap_or(self.params.lease_s)
+            .unwrap_or(self.config.lease_s)
     }
 
     /// Remembers how long a task ran.
-    pub(crate) fn ran(&mut self, spec: &JobSpec, run_s: f64) {
-        self.learned.run_ms.add(&spec.class, run_s * 1000.0);
+    pub(crate) fn record_run_time(&mut self, spec: &JobSpec, run_s: f64) {
+        self.predictor.run_ms.add(&spec.class, run_s * 1000.0);
         if spec.estimate_s > 0.0 {
             let ratio = run_s / spec.estimate_s;
-            self.learned.ratio.add(&spec.class, ratio * 1000.0);
+            self.predictor.ratio.add(&spec.class, ratio * 1000.0);
         }
     }
 }
--- a/src/coordination/scheduler/snapshot.rs
+++ b/src/coordination/scheduler/snapshot.rs
@@ -81,28 +81,28 @@
     /// The share as it is now.
     pub fn snapshot(&self, now: f64) -> Snapshot {
         let machines = self.machines.values();
-        let up = machines.filter(|m| m.standing != MachineStatus::Expired);
+        let up = machines.filter(|m| m.status != MachineStatus::Expired);
         let machines = up.map(|m| {
-            let tasks = m.holding().map(|((task, attempt), a)| SnapTask {
+            let tasks = m.live_attempts().map(|((task, attempt), a)| SnapTask {
                 job: task.job.to_string(),
                 index: task.index,
                 attempt: *attempt,
-                ran_s: a.running.map(|t| now - t),
+                ran_s: a.running_since.map(|t| now - t),
             });
             SnapMachine {
                 info: m.info.clone(),
-                alive: m.fenced && self.silence(m.heard, now) < self.params.silent_s(),
-                session: m.seen.0,
+                alive: m.fenced && self.silent_for(m.heard_at, now) < self.config.silent_s(),
+                session: m.last_message.0,
                 tasks: tasks.collect(),
             }
         });
-        let jobs = self.jobs.values().filter(|j| !j.over);
+        let jobs = self.jobs.values().filter(|j| !j.finished);
         let jobs = jobs.map(|j| SnapJob {
             spec: (*j.spec).clone(),
-            age_s: now - j.at,
-            done: j.done.to_text(),
+            age_s: now - j.accepted_at,
+            done: j.completed.to_text(),
         });
-        let errors = self.learned.ratio.classes().into_iter();
+        let errors = self.predictor.ratio.classes().into_iter();
         let errors = errors.map(|(class, h)| {
             let at = |i: usize| (i as f64 + 0.5) / POINTS as f64;
             let ratio = |i| h.value_at_quantile(at(i)) as f64 / 1000.0;
@@ -116,19 +116,19 @@
         types.sort_by(|a, b| a.name.cmp(&b.name));
         Snapshot {
             term: self.term,
-            revision: self.followed,
-            at_ms: ((now + self.wall_offset_s) * 1000.0).max(0.0) as u64,
-            report_s: self.params.report_s,
-            lease_s: self.params.lease_s,
-            cancel_s: self.params.cancel_s,
-            teams: self.params.teams.clone(),
-            objectives: self.params.objectives.clone(),
-            policy: self.params.policy.clone(),
+            revision: self.watched_revision,
+            at_ms: ((now + self.wall_clock_offset_s) * 1000.0).max(0.0) as u64,
+            report_s: self.config.report_s,
+            lease_s: self.config.lease_s,
+            cancel_s: self.config.cancel_s,
+            teams: self.config.teams.clone(),
+            objectives: self.config.objectives.clone(),
+            policy: self.config.policy.clone(),
             types,
             machines: machines.collect(),
             jobs: jobs.collect(),
             errors: errors.collect(),
-            drains: self.wishes.values().map(|w| w.drain.clone()).collect(),
+            drains: self.drains.values().map(|w| w.drain.clone()).collect(),
         }
     }
 
@@ -150,7 +150,7 @@
         let mut core = Scheduler::new(params, term, Fence::new(term, Some(0.0)), seed);
         core.set_types(&snapshot.types);
         for machine in snapshot.machines.iter().filter(|m| m.alive) {
-            core.inherit(machine.info.clone(), 0.0);
+            core.add_recorded_machine(machine.info.clone(), 0.0);
         }
         for job in &snapshot.jobs {
             let record = LiveJob {
@@ -158,9 +158,9 @@
                 at_ms: 0,
                 done: job.done.clone(),
             };
-            core.job_added(record, 1, CompletedTasks::default());
+            core.add_job(record, 1, CompletedTasks::default());
             if let Some(made) = core.jobs.get_mut(job.spec.id.as_str()) {
-                made.at = -job.age_s;
+                made.accepted_at = -job.age_s;
             }
         }
         core
--- a/src/coordination/scheduler/views.rs
+++ b/src/coordination/scheduler/views.rs
@@ -35,16 +35,16 @@
         if !self.fence.open {
             return "waits until all machines are accounted for after a takeover".into();
         }
-        if job.suspect() {
+        if job.is_suspect() {
             let (tries, on) = (job.failures, job.failed_on.len());
             return format!(
                 "fails on every machine it was tried on ({tries} failures on {on} machines): look at the job"
             );
         }
-        if job.lacking() == 0 {
+        if job.unplaced_tasks() == 0 {
             return "all tasks are on machines".into();
         }
-        if job.unknown {
+        if job.description_unknown {
             return "workers do not know its description: was it uploaded?".into();
         }
         if job.not_before > now {
@@ -54,13 +54,13 @@
             return "its team is at its limit".into();
         }
         if !self
-            .index
+            .capacity_index
             .pools_for(&job.spec, &self.types, |_| true)
             .is_empty()
         {
             return "waits for room".into();
         }
-        let aside = |m: &Machine| m.held && self.may_use(&job.spec, m);
+        let aside = |m: &Machine| m.cordoned && self.may_use(&job.spec, m);
         if self.machines.values().any(aside) {
             "every machine that it may use is drained".into()
         } else {
@@ -71,12 +71,13 @@
     /// How the job stands: nothing of it runs although several leases passed, it
     /// only fails, or every aim is out of reach.
     fn standing(&self, job: &Job, now: f64) -> Standing {
-        let age_s = now - job.at;
-        if job.suspect() {
+        let age_s = now - job.accepted_at;
+        if job.is_suspect() {
             Standing::Failing
-        } else if job.running == 0 && job.lacking() > 0 && age_s > 3.0 * self.params.lease_s {
+        } else if job.running == 0 && job.unplaced_tasks() > 0 && age_s > 3.0 * self.config.lease_s
+        {
             Standing::Stuck
-        } else if !self.pressed(job, now) {
+        } else if !self.has_reachable_objective(job, now) {
             Standing::Late
         } else {
             Standing::Ok
@@ -85,12 +86,12 @@
 
     /// Live jobs, the worst first, and at most so many of them.
     pub fn job_rows(&self, now: f64, most: usize) -> Jobs {
-        let usage = self.usage();
+        let usage = self.count_usage();
         let mut ranked: Vec<(Standing, f64, &str, &Job)> = self
             .jobs
             .iter()
-            .filter(|(_, j)| !j.over)
-            .map(|(id, j)| (self.standing(j, now), j.at, &**id, j))
+            .filter(|(_, j)| !j.finished)
+            .map(|(id, j)| (self.standing(j, now), j.accepted_at, &**id, j))
             .collect();
         ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(b.2)));
         let count = |s: Standing| ranked.iter().filter(|r| r.0 == s).count();
@@ -104,9 +105,9 @@
             age_s: now - at,
             slack_s: self.slack_s(job, now),
             tasks: job.spec.tasks,
-            done: job.written.len() as u32,
+            done: job.saved.len() as u32,
             running: job.running,
-            waiting: job.lacking(),
+            waiting: job.unplaced_tasks(),
         };
         Jobs {
             live: ranked.len(),
@@ -119,8 +120,8 @@
 
     /// Teams against their guarantees and limits.
     pub fn team_rows(&self) -> Vec<TeamRow> {
-        let usage = self.usage();
-        let teams = self.params.teams.iter().enumerate();
+        let usage = self.count_usage();
+        let teams = self.config.teams.iter().enumerate();
         teams
             .map(|(at, team)| {
                 let used = usage.of(Some(at));
@@ -136,11 +137,11 @@
                     waiting_tasks: 0,
                     waiting_cpus: 0.0,
                 };
-                let own = |j: &&Job| j.team == Some(at) && !j.over;
+                let own = |j: &&Job| j.team == Some(at) && !j.finished;
                 for job in self.jobs.values().filter(own) {
                     row.jobs += 1;
-                    row.waiting_tasks += job.lacking();
-                    row.waiting_cpus += f64::from(job.lacking()) * job.spec.cpus;
+                    row.waiting_tasks += job.unplaced_tasks();
+                    row.waiting_cpus += f64::from(job.unplaced_tasks()) * job.spec.cpus;
                 }
                 row
             })
@@ -149,16 +150,19 @@
 
     /// A machine's state, and what that rests on.
     fn machine_state(&self, m: &Machine, now: f64) -> (MachineState, String) {
-        let silent_s = self.silence(m.heard, now);
-        let wish = self.wishes.get(&*m.info.id);
+        let silent_s = self.silent_for(m.heard_at, now);
+        let wish = self.drains.get(&*m.info.id);
         let aside = |w: &crate::coordination::fleet::drains::DrainTarget| {
             format!("by {}: {}", w.drain.by, w.drain.why)
         };
-        match (m.standing, wish) {
+        match (m.status, wish) {
             (_, Some(w)) if w.drain.drained.is_some() => (MachineState::Drained, aside(w)),
             (_, Some(w)) => (MachineState::Draining, aside(w)),
             (MachineStatus::Draining, _) => {
-                let why = format!("taken out of use; {} failures in a row", m.errors.len());
+                let why = format!(
+                    "taken out of use; {} failures in a row",
+                    m.recent_failures.len()
+                );
                 (MachineState::Returning, why)
             }
             (MachineStatus::Expired, _) => {
@@ -173,8 +177,11 @@
                 let why = format!("no report under term {} yet", self.term);
                 (MachineState::Unproven, why)
             }
-            _ if m.strangers > 0 => {
-                let why = format!("runs {} tasks of jobs that we do not know", m.strangers);
+            _ if m.unknown_attempts > 0 => {
+                let why = format!(
+                    "runs {} tasks of jobs that we do not know",
+                    m.unknown_attempts
+                );
                 (MachineState::Unproven, why)
             }
             _ if m.notice_at.is_some() => {
@@ -184,7 +191,7 @@
                     format!("the cloud takes it in {left:.0} s"),
                 )
             }
-            _ if silent_s >= self.params.silent_s() => {
+            _ if silent_s >= self.config.silent_s() => {
                 (MachineState::Silent, format!("silent for {silent_s:.0} s"))
             }
             _ => (MachineState::Usable, String::new()),
@@ -205,10 +212,10 @@
                     spot: m.info.spot,
                     state,
                     why,
-                    silent_s: self.silence(m.heard, now).max(0.0),
-                    tasks: m.holding().count() as u32,
+                    silent_s: self.silent_for(m.heard_at, now).max(0.0),
+                    tasks: m.live_attempts().count() as u32,
                     bound: m.queue.len() as u32,
-                    free_cpus: m.free.cpus,
+                    free_cpus: m.free_capacity.cpus,
                 }
             })
             .collect();
@@ -233,7 +240,7 @@
     /// Waits of jobs for their first task.
     pub fn waits(&self) -> Waits {
         Waits {
-            first_start: spreads(&self.learned.wait_ms),
+            first_start: spreads(&self.predictor.wait_ms),
             acceptance: None,
         }
     }
--- a/src/coordination/scheduler/zone_constraint.rs
+++ b/src/coordination/scheduler/zone_constraint.rs
@@ -39,13 +39,13 @@
 }
 
 impl Scheduler {
-    pub(crate) fn zones(&self, job: &Job) -> Zones {
+    pub(crate) fn zone_constraint(&self, job: &Job) -> Zones {
         let spec = &job.spec;
         if !spec.one_zone && !spec.spread {
             return Zones::default();
         }
         let mut count: Vec<(String, u32)> = Vec::new();
-        for (machine, _) in job.on.values() {
+        for (machine, _) in job.placed.values() {
             if let Some(m) = self.machines.get(machine) {
                 match count.iter_mut().find(|(z, _)| *z == m.info.zone) {
                     Some(c) => c.1 += 1,
@@ -73,12 +73,12 @@
     fn roomiest_zone(&self, spec: &JobSpec) -> Option<String> {
         let mut room: Vec<(&str, f64)> = Vec::new();
         let need = Resources::of_task(spec);
-        for p in self.index.pools_for(spec, &self.types, |_| true) {
-            let zone = self.index.pool(p).zone.as_str();
-            let roomy = self.index.with_cpus(p, spec.cpus).iter();
+        for p in self.capacity_index.pools_for(spec, &self.types, |_| true) {
+            let zone = self.capacity_index.pool(p).zone.as_str();
+            let roomy = self.capacity_index.with_cpus(p, spec.cpus).iter();
             let fits = |name: &Name| {
                 let m = self.machines.get(name);
-                m.is_some_and(|m| m.free.holds(&need))
+                m.is_some_and(|m| m.free_capacity.holds(&need))
             };
             let free: f64 = roomy.filter(|(_, n)| fits(n)).map(|(cpus, _)| cpus).sum();
             match room.iter_mut().find(|(z, _)| *z == zone) {
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -101,8 +101,8 @@
     let read = Rc::new(record.clone());
     node.records.borrow_mut().insert(&read, version);
     if let Some(core) = node.core.borrow_mut().as_mut() {
-        core.job_added(record, version, CompletedTasks::default());
-        core.place_news(node.now());
+        core.add_job(record, version, CompletedTasks::default());
+        core.place_changed(node.now());
     }
     dispatcher::drain(node);
 }
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -53,7 +53,7 @@
     // already, and its core, which is not there yet, would start it.
     node.heard_over.borrow_mut().note(id, node.now());
     if let Some(core) = node.core.borrow_mut().as_mut() {
-        core.job_over(id);
+        core.finish_job(id);
     }
     dispatcher::drain(node);
 }
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -32,7 +32,7 @@
     };
     let now = node.now();
     if let Some(core) = node.core.borrow_mut().as_mut() {
-        if let Some(token) = core.repeats(&head, now) {
+        if let Some(token) = core.handle_repeated_heartbeat(&head, now) {
             let commands = Vec::new();
             return json_response(StatusCode::OK, &Reply { token, commands });
         }
@@ -43,9 +43,9 @@
     };
     let verdict = match node.core.borrow_mut().as_mut() {
         Some(core) => {
-            let verdict = core.hello(&report, now);
+            let verdict = core.handle_heartbeat(&report, now);
             let order = (report.session, report.seq);
-            core.remember(&report.machine, order, tasks.get());
+            core.remember_heartbeat(&report.machine, order, tasks.get());
             verdict
         }
         None => HeartbeatReply::Refuse,
--- a/tests/answer_cases.rs
+++ b/tests/answer_cases.rs
@@ -61,7 +61,7 @@
             let record = live(spec(&id(1), "vision", Urgency::Standard, 2, 1.0), 0.0);
             let txn = Txn::default().put(&records::live(&id(1)), &record);
             let version = cluster.store.borrow_mut().apply(&txn).expect("free");
-            core.job_added(record, version, CompletedTasks::default());
+            core.add_job(record, version, CompletedTasks::default());
             *controllers[0].node.core.borrow_mut() = Some(core);
             if recorded {
                 let last = TerminalRecord {
@@ -80,7 +80,7 @@
             assert_eq!(status, 200);
             assert!(begun.elapsed() < READ_AGE, "{:?}", begun.elapsed());
             let core = controllers[0].node.core.borrow();
-            let over = core.as_ref().map(|c| c.jobs[id(1).as_str()].over);
+            let over = core.as_ref().map(|c| c.jobs[id(1).as_str()].finished);
             assert_eq!(over, Some(reachable));
         });
     }
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -125,18 +125,21 @@
     for known_before in [true, false] {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         assert!(matches!(
-            core.hello(&report("m1", 1, 1, 5, &[]), 0.0),
+            core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0),
             HeartbeatReply::Orders(_)
         ));
         let record = live(spec("run-1", "t", Urgency::Standard, 1, 1.0), 0.0);
         if known_before {
-            core.job_added(record.clone(), 7, CompletedTasks::default());
+            core.add_job(record.clone(), 7, CompletedTasks::default());
         }
-        core.job_over("run-1");
-        core.sweep();
-        core.job_added(record, 7, CompletedTasks::default());
-        core.place(1.0);
-        assert!(core.direct_call(&"m1".into(), 1.0).is_none(), "it starts");
+        core.finish_job("run-1");
+        core.collect_garbage();
+        core.add_job(record, 7, CompletedTasks::default());
+        core.place_all(1.0);
+        assert!(
+            core.next_direct_call(&"m1".into(), 1.0).is_none(),
+            "it starts"
+        );
     }
 }
 
@@ -153,9 +156,9 @@
         (3, 2.1, true),
     ] {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.hello(&report("m1", 1, 1, 5, &[]), 0.0);
+        core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0);
         let now = leases * LEASE_S;
-        let verdict = core.hello(&report("m1", 1 + further, 97, 5, &[]), now);
+        let verdict = core.handle_heartbeat(&report("m1", 1 + further, 97, 5, &[]), now);
         let taken = matches!(verdict, HeartbeatReply::Orders(_));
         assert_eq!(taken, can, "{further} further after {leases} leases");
     }
@@ -171,20 +174,20 @@
         (0.1, LEASE_S + 1.0, true),
     ] {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.hello(&report("m1", 1, 1, 5, &[]), 0.0);
+        core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0);
         let job = spec("run-1", "t", Urgency::Standard, 1, 1.0);
         add(&mut core, job, 0.0);
-        core.place(started_at);
+        core.place_all(started_at);
         let name = "m1".into();
-        let (_, call) = core.direct_call(&name, started_at).expect("a start");
+        let (_, call) = core.next_direct_call(&name, started_at).expect("a start");
         assert!(matches!(call.commands[..], [Command::Start { .. }]));
-        core.called(&name, &call, CallResult::Unknown, started_at + 0.5);
+        core.direct_call_finished(&name, &call, CallResult::Unknown, started_at + 0.5);
         // Ticks as they come, so that our own silence is none of the machine's.
         for n in 0..=(at * 2.0) as u32 {
             core.tick(f64::from(n) / 2.0, f64::from(n) / 2.0);
         }
         core.tick(at, at);
-        let gone = core.machines["m1"].active.is_empty();
+        let gone = core.machines["m1"].attempts.is_empty();
         assert_eq!(gone, empty, "started at {started_at}, looked at {at}");
     }
 }
@@ -196,20 +199,20 @@
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
     let mut job = spec("run-1", "t", Urgency::Standard, 1, 1.0);
     (job.checkpoint_s, job.save_s) = (10.0, 5.0);
-    core.job_added(live(job, 0.0), 1, CompletedTasks::default());
+    core.add_job(live(job, 0.0), 1, CompletedTasks::default());
     let saving = [("run-1/0", 3, Phase::Saving, None)];
-    core.hello(&report("m1", 1, 1, 5, &saving), 0.0);
-    core.job_over("run-1");
+    core.handle_heartbeat(&report("m1", 1, 1, 5, &saving), 0.0);
+    core.finish_job("run-1");
     let ends = |commands: &[Command]| {
         let end = |c: &Command| matches!(c, Command::Stop { grace_s, .. } if *grace_s == 0.0);
         commands.len() == 1 && commands.iter().all(end)
     };
-    let (_, call) = core.direct_call(&"m1".into(), 0.1).expect("a stop");
+    let (_, call) = core.next_direct_call(&"m1".into(), 0.1).expect("a stop");
     assert!(ends(&call.commands));
-    core.called(&"m1".into(), &call, CallResult::Unknown, 1.0);
+    core.direct_call_finished(&"m1".into(), &call, CallResult::Unknown, 1.0);
     for seq in 2..5 {
         let HeartbeatReply::Orders(reply) =
-            core.hello(&report("m1", 1, seq, 5, &saving), seq as f64)
+            core.handle_heartbeat(&report("m1", 1, seq, 5, &saving), seq as f64)
         else {
             panic!("refused");
         };
@@ -258,7 +261,7 @@
         node.learnt_final("run-1", last);
         let core = node.core.borrow();
         let job = core.as_ref().and_then(|c| c.jobs.get("run-1"));
-        assert_eq!(job.map(|j| j.over), Some(over), "{state:?}");
+        assert_eq!(job.map(|j| j.finished), Some(over), "{state:?}");
         let told = node.told_over.borrow().within(0.0, 0.0).map(|t| t.len());
         assert_eq!(told.is_some_and(|n| n > 0), over, "{state:?}");
     }
@@ -277,19 +280,19 @@
     ];
     for (what, session, proven) in cases {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.hello(&report("m1", 3, 4, 5, &[]), 0.0);
+        core.handle_heartbeat(&report("m1", 3, 4, 5, &[]), 0.0);
         add(
             &mut core,
             spec("run-1", "t", Urgency::Standard, 1, 1.0),
             0.0,
         );
-        core.place(0.1);
+        core.place_all(0.1);
         let name = "m1".into();
-        let (_, start) = core.direct_call(&name, 0.1).expect("a start");
+        let (_, start) = core.next_direct_call(&name, 0.1).expect("a start");
         let [Command::Start { attempt, .. }] = start.commands[..] else {
             panic!("{what}: {start:?}");
         };
-        core.called(&name, &start, CallResult::Unknown, 4.1);
+        core.direct_call_finished(&name, &start, CallResult::Unknown, 4.1);
         let asked = foxspur::protocol::worker::Direct {
             token: 5,
             session: 3,
@@ -301,15 +304,15 @@
                 3 => CallResult::Executed(seen),
                 _ => CallResult::Rejected(seen),
             };
-            core.called(&name, &asked, result, 4.2);
+            core.direct_call_finished(&name, &asked, result, 4.2);
         }
         let later = 5.0 + 2.0 * LEASE_S;
         core.tick(later, later);
-        let empty = core.machines["m1"].active.is_empty();
+        let empty = core.machines["m1"].attempts.is_empty();
         assert_eq!(empty, proven, "{what}");
         // A session past the one called rules the start out.
-        core.hello(&report("m1", 4, 1, 5, &[]), later + 1.0);
-        let known = core.machines["m1"].active.keys();
+        core.handle_heartbeat(&report("m1", 4, 1, 5, &[]), later + 1.0);
+        let known = core.machines["m1"].attempts.keys();
         let attempts: Vec<u64> = known.map(|k| k.1).collect();
         assert!(!attempts.contains(&attempt), "{what}: {attempts:?}");
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -141,13 +141,13 @@
     let mut core = Scheduler::new(params(teams), term, Fence::new(term, Some(0.0)), 7);
     core.set_types(&types());
     for id in machines {
-        core.inherit(machine(id, "a", false), 0.0);
+        core.add_recorded_machine(machine(id, "a", false), 0.0);
     }
     core
 }
 
 pub fn add(core: &mut Scheduler, spec: JobSpec, at_s: f64) {
-    core.job_added(live(spec, at_s), 1, CompletedTasks::default());
+    core.add_job(live(spec, at_s), 1, CompletedTasks::default());
 }
 
 /// A report; tasks as (name, attempt, phase, cause).
