--- a/tests/core.rs
+++ b/tests/core.rs
@@ -24,7 +24,7 @@
 }
 
 fn answer(core: &mut Scheduler, report: &Report, now: f64) -> (u64, Vec<Command>) {
-    match core.hello(report, now) {
+    match core.handle_heartbeat(report, now) {
         HeartbeatReply::Orders(reply) => (reply.token, reply.commands),
         other => panic!("{other:?}"),
     }
@@ -59,10 +59,10 @@
     // The first answer only brings the term to the machine.
     assert!(orders(&mut core, &report("m1", 1, 1, 4, &[]), 1.0).is_empty());
     assert!(orders(&mut core, &report("m1", 1, 2, 5, &[]), 2.0).is_empty());
-    assert!(!core.gate_open());
+    assert!(!core.fencing_complete());
     let seen = [("run-1/0", 9, Phase::Running, None)];
     assert!(orders(&mut core, &report("m2", 1, 7, 5, &seen), 3.0).is_empty());
-    assert!(core.gate_open());
+    assert!(core.fencing_complete());
     // It runs on m2, so m1 gets nothing.
     assert!(orders(&mut core, &report("m1", 1, 3, 5, &[]), 4.0).is_empty());
     assert_eq!(counts(&core, "run-1"), Some((0, 1)));
@@ -81,7 +81,7 @@
         let mut core = core(free(), 5, &["m1"]);
         core.fence.quiet_since = quiet;
         core.tick(at, at);
-        assert_eq!(core.gate_open(), open, "quiet {quiet:?} at {at}");
+        assert_eq!(core.fencing_complete(), open, "quiet {quiet:?} at {at}");
     }
 }
 
@@ -93,11 +93,11 @@
     orders(&mut core, &report("m1", 1, 1, 5, &[]), 1.0);
     core.tick(11.5, 11.5);
     assert!(matches!(
-        core.hello(&report("m1", 1, 2, 5, &[]), 12.0),
+        core.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 12.0),
         HeartbeatReply::Refuse
     ));
     assert!(matches!(
-        core.hello(&report("m1", 2, 3, 5, &[]), 13.0),
+        core.handle_heartbeat(&report("m1", 2, 3, 5, &[]), 13.0),
         HeartbeatReply::Orders(_)
     ));
 }
@@ -111,7 +111,11 @@
         let mut core = core(free(), 5, &["m1"]);
         orders(&mut core, &report("m1", 1, 1, 5, &[]), 1.0);
         core.tick(30.0, confirmed);
-        assert_eq!(core.wanted_record().is_empty(), given_up, "{confirmed}");
+        assert_eq!(
+            core.wanted_machine_record().is_empty(),
+            given_up,
+            "{confirmed}"
+        );
     }
 }
 
@@ -123,7 +127,7 @@
     orders(&mut core, &report("m1", 1, 1, 4, &[]), 1.0);
     orders(&mut core, &report("m1", 1, 2, 5, &[]), 8.0);
     core.tick(11.5, 11.5);
-    assert!(core.wanted_record().iter().any(|m| m.id == "m1"));
+    assert!(core.wanted_machine_record().iter().any(|m| m.id == "m1"));
 }
 
 /// A start that had no answer holds its task until it is ruled out.
@@ -137,11 +141,11 @@
         spec("run-1", "t", Urgency::Standard, 1, 1.0),
         0.0,
     );
-    core.place(0.1);
+    core.place_all(0.1);
     let name = "m1".into();
-    let (_, call) = core.direct_call(&name, 0.1).expect("a direct call");
+    let (_, call) = core.next_direct_call(&name, 0.1).expect("a direct call");
     let (task, attempt) = starts(&call.commands)[0].clone();
-    core.called(&name, &call, CallResult::Unknown, 1.0);
+    core.direct_call_finished(&name, &call, CallResult::Unknown, 1.0);
     // The report does not show it: offered again, the same attempt.
     let again = orders(&mut core, &report("m1", 1, 2, 5, &[]), 1.5);
     assert_eq!(starts(&again), vec![(task.clone(), attempt)]);
@@ -156,7 +160,7 @@
     // own, for which nothing is written.
     let late = 2.0 + CANCEL_S / 8.0;
     orders(&mut core, &report("m1", 1, 4, 5, &failed), late);
-    assert!(!core.wants_new_term(late));
+    assert!(!core.needs_higher_term(late));
     let (token, _) = answer(&mut core, &report("m1", 1, 5, 5, &failed), late + 0.5);
     assert_eq!(token, 6);
     let reply = orders(&mut core, &report("m1", 1, 6, 6, &failed), late + 1.0);
@@ -179,27 +183,27 @@
         seq += 1;
         orders(&mut core, &report("m1", 1, seq, token, &[]), now);
         add(&mut core, spec(&id, "t", Urgency::Standard, 1, 1.0), now);
-        core.place(now);
-        let (_, call) = core.direct_call(&name, now).expect("a direct call");
+        core.place_all(now);
+        let (_, call) = core.next_direct_call(&name, now).expect("a direct call");
         let (task, attempt) = starts(&call.commands)[0].clone();
         assert_eq!(call.token, token);
         let failed = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Error))];
-        core.job_over(&id);
+        core.finish_job(&id);
         let mut next = || {
             seq += 1;
             report("m1", 1, seq, token, &failed)
         };
-        core.called(&name, &call, CallResult::Executed(next()), now + 0.5);
+        core.direct_call_finished(&name, &call, CallResult::Executed(next()), now + 0.5);
         if other_call {
             // Another one is under way: the machine would refuse it under a higher token.
             let other = spec(&format!("run-{}", n + 1), "t", Urgency::Standard, 1, 1.0);
             add(&mut core, other, now);
-            core.place(now + 0.6);
-            let (_, call) = core.direct_call(&name, now + 0.6).expect("a call");
+            core.place_all(now + 0.6);
+            let (_, call) = core.next_direct_call(&name, now + 0.6).expect("a call");
             let early = answer(&mut core, &next(), now + 0.7);
             assert!(early.0 == call.token && early.1.is_empty(), "{early:?}");
-            core.job_over(&format!("run-{}", n + 1));
-            core.called(&name, &call, CallResult::NotSent, now + 1.0);
+            core.finish_job(&format!("run-{}", n + 1));
+            core.direct_call_finished(&name, &call, CallResult::NotSent, now + 1.0);
         }
         let (told, commands) = answer(&mut core, &next(), now + 2.0);
         assert!(matches!(commands[..], [Command::Forget { .. }]));
@@ -210,7 +214,7 @@
     }
     // A report under a machine's own token is no sign of another owner, one beyond
     // all of them is, and the next term is above them all.
-    let verdict = core.hello(&report("m1", 1, 99, 5 + TOKENS, &[]), 50.0);
+    let verdict = core.handle_heartbeat(&report("m1", 1, 99, 5 + TOKENS, &[]), 50.0);
     assert!(matches!(verdict, HeartbeatReply::Superseded));
     assert!(TermCounter::taken(5).term + 1 == 5 + TOKENS);
 }
@@ -227,15 +231,15 @@
         seq += 1;
         token = answer(&mut core, &report("m1", 1, seq, token, &[]), now).0;
         add(&mut core, spec(&id, "t", Urgency::Standard, 1, 1.0), now);
-        core.place(now);
-        let (_, call) = core.direct_call(&name, now).expect("a direct call");
+        core.place_all(now);
+        let (_, call) = core.next_direct_call(&name, now).expect("a direct call");
         let (task, attempt) = starts(&call.commands)[0].clone();
         let failed = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Error))];
-        core.job_over(&id);
+        core.finish_job(&id);
         seq += 1;
         let result = CallResult::Executed(report("m1", 1, seq, token, &failed));
-        core.called(&name, &call, result, now + 0.1);
-        if core.wants_new_term(now) {
+        core.direct_call_finished(&name, &call, result, now + 0.1);
+        if core.needs_higher_term(now) {
             raised += 1;
             core.raise_term(5 + TOKENS);
         }
@@ -245,7 +249,7 @@
         token = told;
         seq += 1;
         orders(&mut core, &report("m1", 1, seq, token, &[]), now + 0.3);
-        core.sweep();
+        core.collect_garbage();
     }
     assert!(raised == 1 && token > 5 + TOKENS, "{raised} {token}");
 }
@@ -290,7 +294,7 @@
         Some((0, 0)),
         "not told before it is written"
     );
-    core.marks_written("run-1", &CompletedTasks::from_text("1", 2), 2);
+    core.completions_written("run-1", &CompletedTasks::from_text("1", 2), 2);
     let reply = orders(&mut core, &report("m1", 1, 2, 5, &done), 2.0);
     assert!(reply.iter().any(|c| matches!(c, Command::Forget { .. })));
     assert_eq!(counts(&core, "run-1"), Some((1, 0)));
@@ -308,7 +312,7 @@
     );
     let started = starts(&orders(&mut core, &report("m1", 1, 2, 5, &[]), 1.0));
     assert_eq!(started.len(), 3);
-    core.job_over("run-1");
+    core.finish_job("run-1");
     let shown: Vec<_> = started
         .iter()
         .map(|(t, a)| (t.as_str(), *a, Phase::Running, None))
@@ -318,7 +322,7 @@
     assert_eq!(stops.count(), 3);
     assert!(starts(&reply).is_empty());
     orders(&mut core, &report("m1", 1, 4, 5, &[]), 3.0);
-    core.sweep();
+    core.collect_garbage();
     assert!(core.jobs.is_empty());
 }
 
@@ -378,7 +382,7 @@
         let started = starts(&orders(&mut core, &report("m1", 1, 2, 5, &[]), 1.0));
         assert_eq!(started.len(), 4, "case {i}");
         add(&mut core, spec("run-2", team_name, urgency, 1, 2.0), 1.0);
-        core.place(1.5);
+        core.place_all(1.5);
         let shown: Vec<_> = started
             .iter()
             .map(|(t, a)| (t.as_str(), *a, Phase::Running, None))
@@ -407,7 +411,7 @@
         let mut waiting = spec(&format!("run-{}", i + 2), "t", Urgency::Standard, 1, 8.0);
         waiting.estimate_s = estimate;
         add(&mut core, waiting, 0.2 + 0.1 * i as f64);
-        core.place(0.2 + 0.1 * i as f64);
+        core.place_all(0.2 + 0.1 * i as f64);
     }
     let done = [(
         first[0].0.as_str(),
@@ -455,7 +459,7 @@
         orders(&mut core, &report("m1", 1, seq, 5, &failed), seq as f64);
     }
     core.tick(6.0, 6.0);
-    let standing = core.machines["m1"].standing;
+    let standing = core.machines["m1"].status;
     assert_eq!(
         standing,
         foxspur::coordination::scheduler::machine::MachineStatus::Draining
@@ -534,8 +538,8 @@
 fn ask(core: &mut Scheduler, names: &[&str], now: f64) {
     for name in names {
         let name = (*name).into();
-        let (_, call) = core.direct_call(&name, now).expect("a probe");
-        core.called(&name, &call, CallResult::NotSent, now);
+        let (_, call) = core.next_direct_call(&name, now).expect("a probe");
+        core.direct_call_finished(&name, &call, CallResult::NotSent, now);
     }
 }
 
@@ -552,12 +556,16 @@
         }
         // That they did not come yet says nothing; that they do not answer does.
         core.tick(2.0, 0.0);
-        assert!(core.given_up(2.4).is_empty());
+        assert!(core.machines_given_up(2.4).is_empty());
         ask(&mut core, &names[..silent], 2.5);
         core.tick(3.0, 0.0);
-        assert!(core.given_up(3.6).is_empty());
+        assert!(core.machines_given_up(3.6).is_empty());
         ask(&mut core, &names[..silent], 3.7);
-        assert_eq!(core.given_up(3.8).len(), given_up, "{silent} silent");
+        assert_eq!(
+            core.machines_given_up(3.8).len(),
+            given_up,
+            "{silent} silent"
+        );
     }
 }
 
@@ -582,25 +590,25 @@
             } else {
                 "a"
             };
-            core.inherit(machine(&format!("m{i}"), zone, false), 0.0);
+            core.add_recorded_machine(machine(&format!("m{i}"), zone, false), 0.0);
         }
         for i in silent..16 {
             orders(&mut core, &report(&format!("m{i}"), 1, 1, 5, &[]), 0.5);
         }
-        core.probes(1.0, 64);
-        core.probes(1.2, 64);
+        core.probe_unfenced(1.0, 64);
+        core.probe_unfenced(1.2, 64);
         let names: Vec<String> = (0..silent).map(|i| format!("m{i}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         ask(&mut core, &names, 1.2);
         ask(&mut core, &names, 1.3);
         for (now, given_up) in [(2.3, early), (3.0, early), (3.8, late)] {
             core.tick(now, 0.0);
-            let found = core.given_up(now).len();
+            let found = core.machines_given_up(now).len();
             assert_eq!(found, given_up, "{silent} silent, {zone_b} in b, at {now}");
         }
         // Once placing has begun they are waited for.
         core.fence.open = true;
-        assert!(core.given_up(3.8).len() <= 2);
+        assert!(core.machines_given_up(3.8).len() <= 2);
     }
 }
 
@@ -611,11 +619,11 @@
 fn a_new_session_has_a_lease_of_its_own() {
     let mut core = core(free(), 5, &["m1"]);
     orders(&mut core, &report("m1", 1, 1, 5, &[]), 1.0);
-    core.probes(9.0, 9);
+    core.probe_unfenced(9.0, 9);
     let name = "m1".into();
     core.machines.get_mut("m1").unwrap().fenced = false;
-    let (_, call) = core.direct_call(&name, 9.0).expect("a probe");
-    core.called(
+    let (_, call) = core.next_direct_call(&name, 9.0).expect("a probe");
+    core.direct_call_finished(
         &name,
         &call,
         CallResult::Rejected(report("m1", 2, 2, 5, &[])),
@@ -623,7 +631,7 @@
     );
     for (at, listed) in [(11.5, true), (19.5, true), (19.7, false)] {
         core.tick(at, at);
-        assert_eq!(!core.wanted_record().is_empty(), listed, "{at}");
+        assert_eq!(!core.wanted_machine_record().is_empty(), listed, "{at}");
     }
 }
 
@@ -633,13 +641,13 @@
 fn a_machine_that_just_came_up_is_not_given_up() {
     let mut core = core(free(), 5, &[]);
     orders(&mut core, &report("m1", 1, 1, 0, &[]), 100.0);
-    core.record_written(&[machine("m1", "a", false)]);
+    core.machine_record_written(&[machine("m1", "a", false)]);
     core.tick(101.5, 0.0);
-    assert!(core.given_up(103.0).is_empty());
+    assert!(core.machines_given_up(103.0).is_empty());
     ask(&mut core, &["m1"], 103.0);
     ask(&mut core, &["m1"], 103.1);
     core.tick(103.5, 0.0);
-    assert_eq!(core.given_up(104.1).len(), 1);
+    assert_eq!(core.machines_given_up(104.1).len(), 1);
 }
 
 /// Guards against a job revived by an answer that comes after the watch told of
@@ -658,12 +666,12 @@
         (9, 10, Some(10), false),
     ] {
         let mut core = core(free(), 5, &["m1"]);
-        core.followed = followed;
-        core.job_added(job(), version, CompletedTasks::default());
+        core.watched_revision = followed;
+        core.add_job(job(), version, CompletedTasks::default());
         if let Some(revision) = listed_at {
-            core.jobs_listed(&Default::default(), revision);
+            core.reconcile_live_jobs(&Default::default(), revision);
         }
-        let known = core.jobs.get("run-1").is_some_and(|j| !j.over);
+        let known = core.jobs.get("run-1").is_some_and(|j| !j.finished);
         assert_eq!(known, lives, "{followed} {version} {listed_at:?}");
     }
 }
@@ -683,19 +691,19 @@
     orders(&mut core, &report("m1", 1, 1, 5, &on(7)), 1.0);
     orders(&mut core, &report("m2", 1, 1, 5, &on(8)), 1.1);
     orders(&mut core, &report("m3", 1, 1, 5, &[]), 1.2);
-    assert_eq!(core.used().cpus(), 4.0, "both count for the team's limit");
+    assert_eq!(core.usage().cpus(), 4.0, "both count for the team's limit");
     let mut started = Vec::new();
     for (machine, session, seq, now) in [("m1", 2, 1, 2.0), ("m3", 1, 2, 2.1)] {
         let orders = orders(&mut core, &report(machine, session, seq, 5, &[]), now);
         started.extend(starts(&orders));
-        core.place(now);
+        core.place_all(now);
     }
     assert!(started.is_empty() && core.outbox.iter().all(|n| **n == *"m2"));
-    assert_eq!(core.used().cpus(), 2.0);
+    assert_eq!(core.usage().cpus(), 2.0);
     let gone = [("run-1/0", 8, Phase::Exited, Some(Cause::Stopped))];
     orders(&mut core, &report("m2", 1, 2, 5, &gone), 3.0);
-    core.place(3.0);
-    let now_on = core.jobs.get("run-1").and_then(|j| j.on.get(&0));
+    core.place_all(3.0);
+    let now_on = core.jobs.get("run-1").and_then(|j| j.placed.get(&0));
     assert!(now_on.is_some_and(|(_, attempt)| *attempt > 8));
 }
 
@@ -713,13 +721,13 @@
         let added = store
             .apply(&Txn::default().put(&key, &record))
             .expect("new");
-        core.job_added(record, added, CompletedTasks::default());
+        core.add_job(record, added, CompletedTasks::default());
         let mut budget = Budget::new(100.0, 100.0, 0.0);
         let mut batches = Vec::new();
         for (n, index) in [3, 150 % tasks].into_iter().enumerate() {
             let job = core.jobs.get_mut("run-1").expect("known");
-            job.set_done(index);
-            core.unwritten.insert("run-1".into());
+            job.set_completed(index);
+            core.unsaved_jobs.insert("run-1".into());
             let at = 100.0 * n as f64;
             core.tick(at, at);
             let batch = completion_batch::plan(&core, 32, 128, &mut budget, at).expect("due");
@@ -731,7 +739,7 @@
             }
             let version = store.apply(&batches[n].txn).expect("written");
             let marks = batches[n].parts[0].marks.clone();
-            core.marks_written("run-1", &marks, version);
+            core.completions_written("run-1", &marks, version);
         }
         let before = store.list("fx/").len();
         assert!(store.apply(&batches[0].txn).is_err(), "{tasks} tasks");
@@ -745,7 +753,7 @@
 #[test]
 fn a_job_of_one_zone_goes_where_it_fits() {
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-    core.inherit(machine("m2", "b", false), 0.0);
+    core.add_recorded_machine(machine("m2", "b", false), 0.0);
     let both = |core: &mut Scheduler, seq: u64, now: f64| {
         let mut two = report("m2", 1, seq, 5, &[]);
         two.zone = "b".into();
@@ -764,8 +772,8 @@
     let mut job = spec("run-3", "t", Urgency::Standard, 2, 1.0);
     (job.memory_gb, job.one_zone) = (4.0, true);
     add(&mut core, job, 2.0);
-    core.place(2.5);
-    let on: Vec<&str> = (core.jobs["run-3"].on.values())
+    core.place_all(2.5);
+    let on: Vec<&str> = (core.jobs["run-3"].placed.values())
         .map(|(m, _)| &**m)
         .collect();
     assert_eq!(on, ["m2", "m2"]);
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -45,7 +45,7 @@
 fn ready(machines: &[&str]) -> Scheduler {
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, machines);
     for id in machines {
-        core.hello(&report(id, 1, 1, 5, &[]), 0.1);
+        core.handle_heartbeat(&report(id, 1, 1, 5, &[]), 0.1);
     }
     core
 }
@@ -193,11 +193,11 @@
         spec("run-1", "t", Urgency::Standard, 10, 1.0),
         0.0,
     );
-    core.place(0.2);
-    assert_eq!(core.jobs["run-1"].bound.len(), 2);
+    core.place_all(0.2);
+    assert_eq!(core.jobs["run-1"].queued.len(), 2);
     core.set_drains(&wanted(&[drain("m-0", None, Rest::Leave)]));
     assert!(
-        core.jobs["run-1"].bound.is_empty(),
+        core.jobs["run-1"].queued.is_empty(),
         "its queue is drawn again"
     );
     let mut core = ready(&["m-0", "m-1"]);
@@ -206,8 +206,8 @@
         spec("run-1", "t", Urgency::Standard, 16, 1.0),
         0.0,
     );
-    core.place(0.2);
-    let run: Vec<String> = told(core.hello(&report("m-0", 1, 2, 5, &[]), 0.3))
+    core.place_all(0.2);
+    let run: Vec<String> = told(core.handle_heartbeat(&report("m-0", 1, 2, 5, &[]), 0.3))
         .iter()
         .filter_map(|c| match c {
             Command::Start { task, .. } => Some(task.clone()),
@@ -216,7 +216,7 @@
         .collect();
     assert!(run.len() >= 2, "{run:?}");
     let attempt = |core: &Scheduler, task: &str| {
-        let active = &core.machines["m-0"].active;
+        let active = &core.machines["m-0"].attempts;
         active.keys().find(|k| k.0.wire() == task).unwrap().1
     };
     core.set_drains(&wanted(&[drain("m-0", None, Rest::Leave)]));
@@ -228,23 +228,23 @@
     let one = (run[0].as_str(), attempt(&core, &run[0]));
     let shown = |phase, cause| [(one.0, one.1, phase, cause)];
     let running = shown(Phase::Running, None);
-    core.hello(&report("m-0", 1, 3, 5, &running), 1.0);
-    core.place(1.1);
-    assert_eq!(core.machines["m-0"].holding().count(), 1);
-    assert!(core.drains_proven(0, 9).is_empty(), "a task runs");
+    core.handle_heartbeat(&report("m-0", 1, 3, 5, &running), 1.0);
+    core.place_all(1.1);
+    assert_eq!(core.machines["m-0"].live_attempts().count(), 1);
+    assert!(core.proven_drains(0, 9).is_empty(), "a task runs");
     let done = shown(Phase::Exited, Some(Cause::Done));
-    core.hello(&report("m-0", 1, 4, 5, &done), 2.0);
+    core.handle_heartbeat(&report("m-0", 1, 4, 5, &done), 2.0);
     assert!(
-        core.drains_proven(0, 9).is_empty(),
+        core.proven_drains(0, 9).is_empty(),
         "its end is not in the books"
     );
-    let marks = core.jobs["run-1"].done.clone();
-    core.marks_written("run-1", &marks, 2);
-    let told = told(core.hello(&report("m-0", 1, 5, 5, &done), 3.0));
+    let marks = core.jobs["run-1"].completed.clone();
+    core.completions_written("run-1", &marks, 2);
+    let told = told(core.handle_heartbeat(&report("m-0", 1, 5, 5, &done), 3.0));
     assert!(matches!(told[..], [Command::Forget { .. }]), "{told:?}");
-    core.hello(&report("m-0", 1, 6, 5, &[]), 4.0);
-    core.place(4.1);
-    let proven = core.drains_proven(9000, 9);
+    core.handle_heartbeat(&report("m-0", 1, 6, 5, &[]), 4.0);
+    core.place_all(4.1);
+    let proven = core.proven_drains(9000, 9);
     let proof = Drained {
         at_ms: 9000,
         term: 5,
@@ -258,9 +258,9 @@
     assert_eq!(core.drain_rows(5.0)[0].state, DrainState::Drained);
     // Back in use: it takes tasks again.
     core.set_drains(&HashMap::new());
-    core.hello(&report("m-0", 1, 7, 5, &[]), 5.0);
-    core.place(5.1);
-    assert!(core.machines["m-0"].holding().count() > 0);
+    core.handle_heartbeat(&report("m-0", 1, 7, 5, &[]), 5.0);
+    core.place_all(5.1);
+    assert!(core.machines["m-0"].live_attempts().count() > 0);
 }
 
 /// The wish's second case: a drained machine's job ends after it was started
@@ -274,30 +274,30 @@
         spec("run-1", "t", Urgency::Standard, 1, 8.0),
         0.0,
     );
-    core.place(0.2);
-    let (host, attempt) = core.jobs["run-1"].on[&0].clone();
+    core.place_all(0.2);
+    let (host, attempt) = core.jobs["run-1"].placed[&0].clone();
     let other = if &*host == "m-0" { "m-1" } else { "m-0" };
     let running = [("run-1/0", attempt, Phase::Running, None)];
-    core.hello(&report(&host, 1, 2, 5, &running), 0.5);
+    core.handle_heartbeat(&report(&host, 1, 2, 5, &running), 0.5);
     core.set_drains(&wanted(&[drain(&host, Some(1.0), Rest::Stop)]));
     // It hangs: the stop is sent, no answer comes.
     for n in 0..9 {
         let now = 1.5 + f64::from(n);
-        core.hello(&report(other, 1, 2 + n as u64, 5, &[]), now);
+        core.handle_heartbeat(&report(other, 1, 2 + n as u64, 5, &[]), now);
         core.tick(now, now);
-        core.place(now);
+        core.place_all(now);
         assert_eq!(
-            *core.jobs["run-1"].on[&0].0, *host,
+            *core.jobs["run-1"].placed[&0].0, *host,
             "not elsewhere at {now}"
         );
-        assert!(core.drains_proven(0, 9).is_empty());
+        assert!(core.proven_drains(0, 9).is_empty());
     }
-    core.hello(&report(other, 1, 20, 5, &[]), 12.0);
+    core.handle_heartbeat(&report(other, 1, 20, 5, &[]), 12.0);
     core.tick(12.0, 12.0);
-    core.place(12.0);
-    assert_eq!(*core.jobs["run-1"].on[&0].0, *other);
+    core.place_all(12.0);
+    assert_eq!(*core.jobs["run-1"].placed[&0].0, *other);
     assert_eq!(
-        core.drains_proven(0, 9)[0]
+        core.proven_drains(0, 9)[0]
             .0
             .drained
             .as_ref()
@@ -307,14 +307,14 @@
     );
     // It wakes with the same session and says that it is done.
     let done = [("run-1/0", attempt, Phase::Exited, Some(Cause::Done))];
-    let late = core.hello(&report(&host, 1, 3, 5, &done), 12.5);
+    let late = core.handle_heartbeat(&report(&host, 1, 3, 5, &done), 12.5);
     assert!(matches!(late, HeartbeatReply::Refuse), "{late:?}");
-    assert!(core.jobs["run-1"].done.is_empty());
-    let second = core.jobs["run-1"].on[&0].1;
+    assert!(core.jobs["run-1"].completed.is_empty());
+    let second = core.jobs["run-1"].placed[&0].1;
     assert!(second > attempt);
     let done = [("run-1/0", second, Phase::Exited, Some(Cause::Done))];
-    core.hello(&report(other, 1, 21, 5, &done), 13.0);
-    assert_eq!(core.jobs["run-1"].done.len(), 1);
+    core.handle_heartbeat(&report(other, 1, 21, 5, &done), 13.0);
+    assert_eq!(core.jobs["run-1"].completed.len(), 1);
 }
 
 /// Guards against a takeover that waits for a machine that was switched off after
@@ -338,32 +338,35 @@
         });
         core.set_drains(&wanted(&[aside]));
         for id in ["m-0", "m-1"] {
-            core.inherit(machine(id, "a", false), 0.0);
+            core.add_recorded_machine(machine(id, "a", false), 0.0);
         }
         add(
             &mut core,
             spec("run-1", "t", Urgency::Standard, 4, 8.0),
             0.0,
         );
-        core.hello(&report("m-0", 1, 1, 6, &[]), 0.5);
-        core.place(0.6);
+        core.handle_heartbeat(&report("m-0", 1, 1, 6, &[]), 0.5);
+        core.place_all(0.6);
         assert_eq!(core.fence.open, opens, "proven: {proven}");
         // Silent for long: not given back as long as its drain stands.
         for n in 2..9 {
-            core.hello(&report("m-0", 1, n, 6, &[]), n as f64);
+            core.handle_heartbeat(&report("m-0", 1, n, 6, &[]), n as f64);
             core.tick(n as f64, n as f64);
             let name = "m-1".into();
-            if let Some((_, call)) = core.direct_call(&name, n as f64) {
-                core.called(&name, &call, CallResult::NotSent, n as f64);
+            if let Some((_, call)) = core.next_direct_call(&name, n as f64) {
+                core.direct_call_finished(&name, &call, CallResult::NotSent, n as f64);
             }
         }
-        assert_eq!(core.given_up(8.0).contains(&"m-1".to_string()), !proven);
-        core.hello(&report("m-1", 1, 1, 6, &[]), 9.5);
-        core.hello(&report("m-0", 1, 9, 6, &[]), 9.5);
-        core.place(9.6);
+        assert_eq!(
+            core.machines_given_up(8.0).contains(&"m-1".to_string()),
+            !proven
+        );
+        core.handle_heartbeat(&report("m-1", 1, 1, 6, &[]), 9.5);
+        core.handle_heartbeat(&report("m-0", 1, 9, 6, &[]), 9.5);
+        core.place_all(9.6);
         assert!(core.fence.open);
         assert!(
-            core.machines["m-1"].active.is_empty(),
+            core.machines["m-1"].attempts.is_empty(),
             "set aside from the start"
         );
     }
@@ -378,11 +381,11 @@
     service.shape = Shape::Service;
     service.estimate_s = 0.0;
     add(&mut core, service, 0.0);
-    core.place(0.2);
-    let (host, attempt) = core.jobs["run-1"].on[&0].clone();
+    core.place_all(0.2);
+    let (host, attempt) = core.jobs["run-1"].placed[&0].clone();
     let other = if &*host == "m-0" { "m-1" } else { "m-0" };
     let running = [("run-1/0", attempt, Phase::Running, None)];
-    core.hello(&report(&host, 1, 2, 5, &running), 0.5);
+    core.handle_heartbeat(&report(&host, 1, 2, 5, &running), 0.5);
     // Everything is drained: the replica has nowhere to go and stays.
     let all = wanted(&[
         drain("m-0", None, Rest::Leave),
@@ -406,7 +409,7 @@
         spec("run-2", "t", Urgency::Standard, 1, 1.0),
         1.0,
     );
-    core.place(1.1);
+    core.place_all(1.1);
     let why = core
         .job_rows(1.2, 9)
         .rows
@@ -419,27 +422,27 @@
     // The other one is back: the replica moves, and starts there only after it is
     // gone from here. A notice of the cloud meanwhile changes nothing.
     core.set_drains(&wanted(&[drain(&host, None, Rest::Leave)]));
-    core.hello(&report(other, 1, 2, 5, &[]), 1.5);
-    core.place(1.6);
+    core.handle_heartbeat(&report(other, 1, 2, 5, &[]), 1.5);
+    core.place_all(1.6);
     core.tick(1.7, 1.7);
     let mut noticed = report(&host, 1, 3, 5, &running);
     noticed.notice_s = Some(30.0);
-    let told = told(core.hello(&noticed, 2.0));
+    let told = told(core.handle_heartbeat(&noticed, 2.0));
     assert!(matches!(told[..], [Command::Stop { .. }]), "{told:?}");
-    assert_eq!(*core.jobs["run-1"].on[&0].0, *host);
+    assert_eq!(*core.jobs["run-1"].placed[&0].0, *host);
     let stopped = [("run-1/0", attempt, Phase::Exited, Some(Cause::Stopped))];
-    core.hello(&report(&host, 1, 4, 5, &stopped), 2.5);
-    core.place(2.6);
-    assert_eq!(*core.jobs["run-1"].on[&0].0, *other);
+    core.handle_heartbeat(&report(&host, 1, 4, 5, &stopped), 2.5);
+    core.place_all(2.6);
+    assert_eq!(*core.jobs["run-1"].placed[&0].0, *other);
     // The cloud takes the drained machine away: its drain says so.
-    core.machine_gone(&host);
+    core.remove_machine(&host);
     assert_eq!(core.drain_rows(3.0)[0].state, DrainState::Gone);
     // Undrained while something moves, then the second one fails: what it had is
     // on until the lease is over, as ever.
     core.set_drains(&HashMap::new());
     core.tick(13.0, 13.0);
-    core.place(13.1);
-    assert!(core.jobs["run-1"].on.is_empty());
+    core.place_all(13.1);
+    assert!(core.jobs["run-1"].placed.is_empty());
 }
 
 /// Guards against orders that are taken although they make no sense; the answer
@@ -574,10 +577,10 @@
         ..entry(3)
     });
     let mut core = ready(&["m-0"]);
-    core.hello(&report("m-0", 1, 2, 5, &[]), 0.5);
-    core.place(0.6);
+    core.handle_heartbeat(&report("m-0", 1, 2, 5, &[]), 0.5);
+    core.place_all(0.6);
     core.set_drains(&view.drains);
-    assert!(core.machines["m-0"].held && core.drains_proven(0, 9).is_empty());
+    assert!(core.machines["m-0"].cordoned && core.proven_drains(0, 9).is_empty());
 }
 
 fn roll(hosts: &[&str], at_most: AtMost) -> Roll {
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -22,7 +22,8 @@
     seen: &[Seen],
     now: f64,
 ) -> (Vec<(String, u64)>, usize) {
-    let HeartbeatReply::Orders(reply) = core.hello(&report(id, 1, seq, 5, seen), now) else {
+    let HeartbeatReply::Orders(reply) = core.handle_heartbeat(&report(id, 1, seq, 5, seen), now)
+    else {
         panic!("{id} was not answered");
     };
     let start = |c: &Command| match c {
@@ -104,15 +105,15 @@
 fn who_starved_before_a_takeover_is_owed_at_once() {
     for (age_s, owed) in [(10.0, false), (90.0, true)] {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.params.objectives = vec![aim("class", 100.0)];
+        core.config.objectives = vec![aim("class", 100.0)];
         for n in 0..12 {
             let job = spec(&format!("run-{n}"), "t", Urgency::Idle, 4, 8.0);
             add(&mut core, job, 0.0);
         }
         hello(&mut core, "m1", 1, &[], age_s);
-        core.place(age_s + 0.5);
+        core.place_all(age_s + 0.5);
         let class = FairShareGroup::Class("class".into());
-        assert_eq!(core.fair.owed().contains(&&class), owed, "{age_s}");
+        assert_eq!(core.fair_share.owed().contains(&&class), owed, "{age_s}");
     }
 }
 
@@ -131,18 +132,18 @@
             spec("run-1", "t", Urgency::Standard, 2, 8.0),
             0.0,
         );
-        core.place(0.1);
+        core.place_all(0.1);
         let on = ["m1", "m2"].map(|id| hello(&mut core, id, 2, &[], 0.2).0);
         assert_eq!(on.concat().len(), 2);
         // A large job fills the queues, a small one comes to wait after it.
         let mut large = spec("run-2", "t", Urgency::Standard, 3, 8.0);
         large.estimate_s = 60.0;
         add(&mut core, large, 0.3);
-        core.place(0.4);
+        core.place_all(0.4);
         let mut small = spec("run-3", "t", Urgency::Standard, 1, 8.0);
         small.estimate_s = 2.0;
         add(&mut core, small, 0.5);
-        core.place(0.8);
+        core.place_all(0.8);
         // Wherever room comes free, the small one is next.
         let at = usize::from(!small_on_m1);
         let ended: Vec<Seen> = (on[at].iter())
@@ -160,8 +161,8 @@
 fn no_task_gives_way_more_often_than_the_policy_says() {
     for cap in [1, 3] {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.params.policy.max_stops = cap;
-        core.params.policy.patience = 0.0;
+        core.config.policy.max_stops = cap;
+        core.config.policy.patience = 0.0;
         hello(&mut core, "m1", 1, &[], 0.0);
         add(&mut core, spec("run-1", "t", Urgency::Idle, 1, 8.0), 0.0);
         let mut stopped = 0;
@@ -170,7 +171,7 @@
         for round in 0..6u64 {
             let id = format!("run-{}", round + 2);
             add(&mut core, spec(&id, "t", Urgency::High, 1, 8.0), now);
-            core.place(now);
+            core.place_all(now);
             let (_, stops) = hello(&mut core, "m1", 10 * round + 10, &running(&on), now + 0.1);
             if stops == 0 {
                 break;
@@ -206,7 +207,7 @@
     // How long what runs is predicted to take, the aim of what waits; stopped.
     for (runs_s, within_s, stopped) in [(4.0, 200.0, 0), (400.0, 200.0, 1), (4.0, 21.0, 1)] {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.params.objectives = vec![aim("urgent", within_s)];
+        core.config.objectives = vec![aim("urgent", within_s)];
         hello(&mut core, "m1", 1, &[], 0.0);
         let mut idle = spec("run-1", "t", Urgency::Idle, 4, 2.0);
         idle.estimate_s = runs_s;
@@ -216,7 +217,7 @@
         let mut urgent = spec("run-2", "t", Urgency::Standard, 1, 2.0);
         urgent.class = "urgent".into();
         add(&mut core, urgent, 1.0);
-        core.place(1.5);
+        core.place_all(1.5);
         let (_, stops) = hello(&mut core, "m1", 3, &running(&on), 2.0);
         assert_eq!(stops, stopped, "{runs_s} {within_s}");
     }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -138,7 +138,7 @@
             let Some(core) = core.as_ref() else {
                 continue;
             };
-            let runs = |id: &str| core.jobs.get(id).is_some_and(|j| !j.over);
+            let runs = |id: &str| core.jobs.get(id).is_some_and(|j| !j.finished);
             for known in [&node.told_over, &node.heard_over] {
                 let ids = known
                     .borrow()
--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -21,7 +21,7 @@
 }
 
 fn doubted(core: &Scheduler, id: &str) -> bool {
-    core.machines[id].hearing.doubted()
+    core.machines[id].delivery.doubted()
 }
 
 /// What says that a machine does not hear us, and what that it does. Guards against
@@ -66,7 +66,7 @@
         for (now, session, serial, term, doubt) in rows {
             beat(&mut core, at, *now);
             at = *now;
-            core.hello(
+            core.handle_heartbeat(
                 &report("m1", *session, *serial, *term, &[]),
                 f64::from(*now),
             );
@@ -109,22 +109,23 @@
     ];
     for (what, rows) in cases {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.hello(&report("m1", 1, 1, 5, &[]), 0.5);
+        core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.5);
         add(
             &mut core,
             spec("run-1", "t", Urgency::Standard, 1, 1.0),
             0.5,
         );
-        let HeartbeatReply::Orders(reply) = core.hello(&report("m1", 1, 2, 5, &[]), 1.0) else {
+        let HeartbeatReply::Orders(reply) = core.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 1.0)
+        else {
             panic!("refused");
         };
         assert_eq!(reply.commands.len(), 1, "{what}");
         for (serial, (ends, tasks, doubt)) in rows.iter().enumerate() {
             if *ends {
-                core.job_over("run-1");
+                core.finish_job("run-1");
             }
             let serial = serial as u64 + 3;
-            core.hello(&report("m1", 1, serial, 5, tasks), serial as f64);
+            core.handle_heartbeat(&report("m1", 1, serial, 5, tasks), serial as f64);
             assert_eq!(doubted(&core, "m1"), *doubt, "{what}, report {serial}");
         }
     }
@@ -134,10 +135,10 @@
 #[test]
 fn our_own_pause_is_no_deafness() {
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-    core.hello(&report("m1", 1, 1, 5, &[]), 1.0);
+    core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 1.0);
     core.tick(1.5, 1.5);
     // 25 s without a beat.
-    core.hello(&report("m1", 2, 9, 5, &[]), 26.5);
+    core.handle_heartbeat(&report("m1", 2, 9, 5, &[]), 26.5);
     assert!(!doubted(&core, "m1"));
 }
 
@@ -148,30 +149,30 @@
 fn a_deaf_machine_gets_nothing_new() {
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["deaf", "m2"]);
     let hears = |core: &mut Scheduler, serial: u64, at: f64| {
-        core.hello(&report("m2", 1, serial, 5, &[]), at);
+        core.handle_heartbeat(&report("m2", 1, serial, 5, &[]), at);
     };
-    core.hello(&report("deaf", 1, 1, 5, &[]), 1.0);
+    core.handle_heartbeat(&report("deaf", 1, 1, 5, &[]), 1.0);
     hears(&mut core, 1, 1.0);
     beat(&mut core, 1, 2);
-    core.hello(&report("deaf", 1, 2, 3, &[]), 3.0);
+    core.handle_heartbeat(&report("deaf", 1, 2, 3, &[]), 3.0);
     hears(&mut core, 2, 3.0);
     add(
         &mut core,
         spec("run-1", "t", Urgency::Standard, 12, 1.0),
         3.0,
     );
-    core.place(3.1);
-    assert!(core.machines["deaf"].active.is_empty());
-    assert_eq!(core.machines["m2"].active.len(), 8);
+    core.place_all(3.1);
+    assert!(core.machines["deaf"].attempts.is_empty());
+    assert_eq!(core.machines["m2"].attempts.len(), 8);
     assert_eq!(core.capacity().0, 1);
     beat(&mut core, 4, 6);
     assert!(core.outbox.contains("deaf"), "it is not asked");
-    let (_, call) = core.direct_call(&"deaf".into(), 6.0).expect("a call");
+    let (_, call) = core.next_direct_call(&"deaf".into(), 6.0).expect("a call");
     assert!(call.commands.is_empty());
     let heard = CallResult::Executed(report("deaf", 1, 3, 5, &[]));
-    core.called(&"deaf".into(), &call, heard, 6.1);
-    core.place(6.1);
-    assert_eq!(core.machines["deaf"].active.len(), 4);
+    core.direct_call_finished(&"deaf".into(), &call, heard, 6.1);
+    core.place_all(6.1);
+    assert_eq!(core.machines["deaf"].attempts.len(), 4);
 }
 
 /// Guards against a takeover that waits for ever for a machine that hears nobody:
@@ -182,7 +183,7 @@
     let teams = vec![team("t", 0.0, 0.0)];
     let mut core = Scheduler::new(params(teams), 5, Fence::new(5, Some(0.0)), 7);
     core.set_types(&types());
-    core.inherit(machine("deaf", "a", false), 0.0);
+    core.add_recorded_machine(machine("deaf", "a", false), 0.0);
     let mut open_at = None;
     let mut session = 1;
     for s in 0..80u32 {
@@ -191,20 +192,20 @@
         if s % 5 == 0 {
             // Its lease ends every ten seconds.
             session = 1 + u64::from(s) / 10;
-            core.hello(&report("deaf", session, u64::from(s) + 1, 3, &[]), now);
-            let written: Vec<_> = core.wanted_record().into_iter().cloned().collect();
-            core.record_written(&written);
+            core.handle_heartbeat(&report("deaf", session, u64::from(s) + 1, 3, &[]), now);
+            let written: Vec<_> = core.wanted_machine_record().into_iter().cloned().collect();
+            core.machine_record_written(&written);
         }
-        if core.gate_open() {
+        if core.fencing_complete() {
             open_at.get_or_insert(now);
         }
     }
     assert!(session > 6);
     assert!(open_at.is_some_and(|t| t <= 35.0), "open at {open_at:?}");
     // It goes back to the cloud, and what comes of it then is old.
-    assert_eq!(core.given_up(80.0), ["deaf"]);
-    core.machine_returned("deaf");
-    let late = core.hello(&report("deaf", 1, 900, 5, &[]), 200.0);
+    assert_eq!(core.machines_given_up(80.0), ["deaf"]);
+    core.confirm_machine_returned("deaf");
+    let late = core.handle_heartbeat(&report("deaf", 1, 900, 5, &[]), 200.0);
     assert!(matches!(late, HeartbeatReply::Refuse));
     assert!(core.machines.is_empty());
 }
@@ -217,23 +218,23 @@
 fn older_reports() {
     for (after_s, answered) in [(1, true), (3, true), (8, false)] {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.hello(&report("m1", 1, 50, 5, &[]), 1.0);
+        core.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
         beat(&mut core, 1, 1 + after_s);
-        let answer = core.hello(&report("m1", 1, 3, 5, &[]), f64::from(1 + after_s));
+        let answer = core.handle_heartbeat(&report("m1", 1, 3, 5, &[]), f64::from(1 + after_s));
         let found = matches!(answer, HeartbeatReply::Orders(_));
         assert_eq!(found, answered, "after {after_s} s");
         assert_eq!(doubted(&core, "m1"), !answered);
     }
     // What was started by calls after it came back runs until its own lease ends.
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-    core.hello(&report("m1", 1, 50, 5, &[]), 1.0);
+    core.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
     let mut expired_at = None;
     for s in 1..40u32 {
         core.tick(f64::from(s), f64::from(s));
         if (8..15).contains(&s) {
-            core.hello(&report("m1", 1, u64::from(s) - 7, 5, &[]), f64::from(s));
+            core.handle_heartbeat(&report("m1", 1, u64::from(s) - 7, 5, &[]), f64::from(s));
         }
-        if core.machines["m1"].standing == MachineStatus::Expired {
+        if core.machines["m1"].status == MachineStatus::Expired {
             expired_at.get_or_insert(s);
         }
     }
@@ -247,25 +248,29 @@
 #[test]
 fn other_lives_of_a_machine() {
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-    core.hello(&report("m1", 1, 50, 5, &[]), 1.0);
+    core.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
     add(
         &mut core,
         spec("run-1", "t", Urgency::Standard, 1, 1.0),
         1.0,
     );
-    core.place(1.2);
+    core.place_all(1.2);
     let name = "m1".into();
-    let call = core.direct_call(&name, 1.2).expect("a start").1;
-    let late = core.hello(&report("m1", 5, 1, 3, &[]), 1.3);
+    let call = core.next_direct_call(&name, 1.2).expect("a start").1;
+    let late = core.handle_heartbeat(&report("m1", 5, 1, 3, &[]), 1.3);
     assert!(matches!(late, HeartbeatReply::Refuse));
-    assert_eq!(core.machines["m1"].active.len(), 1, "cleared by a copy");
+    assert_eq!(core.machines["m1"].attempts.len(), 1, "cleared by a copy");
     let old = CallResult::Executed(report("m1", 1, 3, 5, &[]));
-    core.called(&name, &call, old, 1.4);
-    core.job_over("run-1");
-    core.settle(&name);
-    assert_eq!(core.machines["m1"].active.len(), 1, "taken for never sent");
-    core.hello(&report("m1", 2, 1, 5, &[]), 20.0);
-    assert!(core.machines["m1"].active.is_empty());
+    core.direct_call_finished(&name, &call, old, 1.4);
+    core.finish_job("run-1");
+    core.remove_unstarted(&name);
+    assert_eq!(
+        core.machines["m1"].attempts.len(),
+        1,
+        "taken for never sent"
+    );
+    core.handle_heartbeat(&report("m1", 2, 1, 5, &[]), 20.0);
+    assert!(core.machines["m1"].attempts.is_empty());
 }
 
 /// A machine that counts anew can be in the very session that its earlier life was in
@@ -276,42 +281,42 @@
 fn an_answer_to_a_call_outweighs_a_report_of_an_earlier_life() {
     for (session, serial, believed) in [(2, 8, true), (2, 70, true), (1, 80, false)] {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.hello(&report("m1", 2, 5, 5, &[]), 1.0);
+        core.handle_heartbeat(&report("m1", 2, 5, 5, &[]), 1.0);
         add(
             &mut core,
             spec("run-1", "t", Urgency::Standard, 1, 1.0),
             1.0,
         );
-        core.place(1.1);
+        core.place_all(1.1);
         let name = "m1".into();
-        let (_, start) = core.direct_call(&name, 1.1).expect("a start");
+        let (_, start) = core.next_direct_call(&name, 1.1).expect("a start");
         let [Command::Start { attempt, .. }] = start.commands[..] else {
             panic!("{start:?}");
         };
         let runs = [("run-1/0", attempt, Phase::Running, None)];
         let shows = report("m1", 2, 6, 5, &runs);
-        core.called(&name, &start, CallResult::Executed(shows), 1.2);
+        core.direct_call_finished(&name, &start, CallResult::Executed(shows), 1.2);
         // Of the earlier life, sent before it ended, with a later serial.
-        core.hello(&report("m1", 2, 69, 5, &[]), 1.3);
+        core.handle_heartbeat(&report("m1", 2, 69, 5, &[]), 1.3);
         let known = |core: &Scheduler| {
-            let known = core.machines["m1"].active.keys();
+            let known = core.machines["m1"].attempts.keys();
             known.map(|k| k.1).collect::<Vec<u64>>()
         };
         assert!(!known(&core).contains(&attempt), "{session} {serial}");
         // A start that it drew since is not the matter here.
-        core.job_over("run-1");
-        let (_, ask) = core.direct_call(&name, 1.4).expect("asked");
+        core.finish_job("run-1");
+        let (_, ask) = core.next_direct_call(&name, 1.4).expect("asked");
         let shows = report("m1", session, serial, 5, &runs);
-        core.called(&name, &ask, CallResult::Executed(shows), 1.5);
+        core.direct_call_finished(&name, &ask, CallResult::Executed(shows), 1.5);
         assert_eq!(known(&core).contains(&attempt), believed, "{serial}");
-        let recounts = core.machines["m1"].recounts;
+        let recounts = core.machines["m1"].renumbers;
         assert_eq!(recounts, (session, serial) < (2, 69), "{serial}");
         // From then on reports say nothing until the next session, which ends all.
-        let late = core.hello(&report("m1", 2, 90, 5, &[]), 1.6);
+        let late = core.handle_heartbeat(&report("m1", 2, 90, 5, &[]), 1.6);
         assert_eq!(matches!(late, HeartbeatReply::Refuse), recounts, "{serial}");
         assert_eq!(known(&core).contains(&attempt), (2, 8) == (session, serial));
-        let next = core.hello(&report("m1", 3, 91, 5, &[]), 2.0 + LEASE_S);
-        assert!(matches!(next, HeartbeatReply::Orders(_)) && !core.machines["m1"].recounts);
+        let next = core.handle_heartbeat(&report("m1", 3, 91, 5, &[]), 2.0 + LEASE_S);
+        assert!(matches!(next, HeartbeatReply::Orders(_)) && !core.machines["m1"].renumbers);
         assert!(!known(&core).contains(&attempt));
     }
 }
@@ -327,20 +332,21 @@
         0.0,
     );
     let old = [("run-1/0", 9, Phase::Running, None)];
-    core.hello(&report("m1", 1, 4, 3, &old), 1.0);
-    assert!(!core.gate_open());
+    core.handle_heartbeat(&report("m1", 1, 4, 3, &old), 1.0);
+    assert!(!core.fencing_complete());
     // The machine reports that it is over, and is told to start it again.
-    let HeartbeatReply::Orders(reply) = core.hello(&report("m1", 1, 9, 5, &[]), 2.0) else {
+    let HeartbeatReply::Orders(reply) = core.handle_heartbeat(&report("m1", 1, 9, 5, &[]), 2.0)
+    else {
         panic!("refused");
     };
     let [Command::Start { attempt, .. }] = reply.commands[..] else {
         panic!("{:?}", reply.commands);
     };
     let runs = [("run-1/0", attempt, Phase::Running, None)];
-    core.hello(&report("m1", 1, 10, 5, &runs), 2.8);
+    core.handle_heartbeat(&report("m1", 1, 10, 5, &runs), 2.8);
     for serial in [4, 9] {
-        core.hello(&report("m1", 1, serial, 3, &old), 3.0);
-        let known: Vec<u64> = core.machines["m1"].active.keys().map(|k| k.1).collect();
+        core.handle_heartbeat(&report("m1", 1, serial, 3, &old), 3.0);
+        let known: Vec<u64> = core.machines["m1"].attempts.keys().map(|k| k.1).collect();
         assert_eq!(known, [attempt], "after a copy of {serial}");
     }
 }
@@ -400,17 +406,17 @@
 fn a_machine_first_heard_of_by_a_late_report_is_taken_back() {
     for unanswered in [false, true] {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.hello(&report("m1", 3, 4, 5, &[]), 1.0);
+        core.handle_heartbeat(&report("m1", 3, 4, 5, &[]), 1.0);
         if unanswered {
             add(
                 &mut core,
                 spec("run-1", "t", Urgency::Standard, 1, 1.0),
                 1.0,
             );
-            core.place(1.1);
+            core.place_all(1.1);
             let name = "m1".into();
-            let (_, start) = core.direct_call(&name, 1.1).expect("a start");
-            core.called(&name, &start, CallResult::Unknown, 5.1);
+            let (_, start) = core.next_direct_call(&name, 1.1).expect("a start");
+            core.direct_call_finished(&name, &start, CallResult::Unknown, 5.1);
         }
         let (mut refused, mut taken) = (0, None);
         for second in 2..60u32 {
@@ -420,7 +426,7 @@
             let session = 8 + u64::from(second) / LEASE_S as u64;
             if second % 4 == 0 && taken.is_none() {
                 let seen = report("m1", session, 100 + u64::from(second), 5, &[]);
-                match core.hello(&seen, now) {
+                match core.handle_heartbeat(&seen, now) {
                     HeartbeatReply::Orders(_) => taken = Some(now),
                     _ => refused += 1,
                 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -39,12 +39,12 @@
 fn every_returned_machine_of_a_fleet_stays_returned() {
     let mut core = fleet_core();
     for n in 0..MACHINES {
-        core.machine_returned(&machine_name(n));
+        core.confirm_machine_returned(&machine_name(n));
     }
     for n in 0..MACHINES {
         let late = report(&machine_name(n), 1, 1, 5, &[]);
         assert!(
-            matches!(core.hello(&late, 1.0), HeartbeatReply::Refuse),
+            matches!(core.handle_heartbeat(&late, 1.0), HeartbeatReply::Refuse),
             "{n}"
         );
     }
@@ -56,11 +56,11 @@
 fn as_many_jobs_as_machines_stay_over() {
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &[]);
     for n in 0..MACHINES {
-        core.job_over(&format!("run-{n}"));
+        core.finish_job(&format!("run-{n}"));
     }
     for n in 0..MACHINES {
         let job = spec(&format!("run-{n}"), "t", Urgency::Standard, 1, 1.0);
-        core.job_added(live(job, 0.0), 1, CompletedTasks::default());
+        core.add_job(live(job, 0.0), 1, CompletedTasks::default());
     }
     assert!(core.jobs.is_empty());
 }
@@ -83,7 +83,7 @@
             .iter()
             .map(|t| (t.as_str(), 83_886_080, Phase::Running, None));
         let shown: Vec<_> = shown.collect();
-        core.hello(&report(&machine_name(n), 1, 1, 5, &shown), 1.0);
+        core.handle_heartbeat(&report(&machine_name(n), 1, 1, 5, &shown), 1.0);
     }
     for topic in [Topic::Snapshot, Topic::Machines] {
         let text = of_core(&core, topic, 2.5).expect("a view");
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -15,7 +15,7 @@
 /// What a machine shows of what was started there: whether a task of the job fails.
 fn shows(core: &Scheduler, id: &str, fails: impl Fn(&str) -> Option<Cause>) -> Shown {
     // What was shown as over has been forgotten since.
-    let active = core.machines[id].holding().map(|(key, _)| key);
+    let active = core.machines[id].live_attempts().map(|(key, _)| key);
     active
         .map(|(task, attempt)| match fails(&task.job) {
             Some(cause) => (task.wire(), *attempt, Phase::Exited, Some(cause)),
@@ -38,7 +38,7 @@
         .iter()
         .map(|t| (t.0.as_str(), t.1, t.2, t.3))
         .collect();
-    core.hello(&report(id, 1, serial, 5, &tasks), at);
+    core.handle_heartbeat(&report(id, 1, serial, 5, &tasks), at);
 }
 
 /// Guards against blaming machines for a job's mistake: its tasks failed at once all
@@ -54,8 +54,8 @@
         spec("run-1", "t", Urgency::Standard, 96, 1.0),
         0.5,
     );
-    core.place(1.0);
-    assert_eq!(core.jobs["run-1"].on.len(), 96);
+    core.place_all(1.0);
+    assert_eq!(core.jobs["run-1"].placed.len(), 96);
     let mut most = 0;
     let mut tries = 0;
     for s in 2..200u64 {
@@ -66,9 +66,9 @@
             tell(&mut core, name, s, &shown, now);
         }
         core.tick(now, now);
-        core.place(now + 0.5);
+        core.place_all(now + 0.5);
         most = most.max(if s > 3 {
-            core.jobs["run-1"].on.len()
+            core.jobs["run-1"].placed.len()
         } else {
             0
         });
@@ -76,7 +76,7 @@
     assert_eq!(most, 1, "tasks on at once");
     assert!((97..130).contains(&tries), "{tries} tries in 200 s");
     for name in &names {
-        assert_eq!(core.machines[*name].standing, MachineStatus::Up, "{name}");
+        assert_eq!(core.machines[*name].status, MachineStatus::Up, "{name}");
     }
     let text = core.overview(200.0);
     assert!(text.contains("fails on every machine"), "{text}");
@@ -97,12 +97,12 @@
                 0.5,
             );
         }
-        core.place(1.0);
+        core.place_all(1.0);
         let shown = shows(&core, "m0", |_| Some(Cause::Error));
         assert_eq!(shown.len(), 4);
         tell(&mut core, "m0", 2, &shown, 2.0);
         core.tick(2.0, 2.0);
-        assert_eq!(core.machines["m0"].standing, standing, "{jobs} jobs");
+        assert_eq!(core.machines["m0"].status, standing, "{jobs} jobs");
     }
 }
 
@@ -133,7 +133,7 @@
     }
     core.tick(2.0, 2.0);
     for name in names {
-        assert_eq!(core.machines[name].standing, MachineStatus::Up, "{name}");
+        assert_eq!(core.machines[name].status, MachineStatus::Up, "{name}");
     }
 }
 
@@ -150,7 +150,7 @@
             0.5,
         );
     }
-    core.place(1.0);
+    core.place_all(1.0);
     for s in 2..9u64 {
         let now = s as f64;
         let next = spec(&format!("run-{}", s + 2), "t", Urgency::Standard, 2, 1.0);
@@ -161,13 +161,13 @@
             tell(&mut core, name, s, &shown, now);
         }
         core.tick(now, now);
-        core.place(now + 0.5);
+        core.place_all(now + 0.5);
     }
-    assert_eq!(core.machines["m0"].standing, MachineStatus::Draining);
+    assert_eq!(core.machines["m0"].status, MachineStatus::Draining);
     for name in &names[1..] {
-        assert_eq!(core.machines[*name].standing, MachineStatus::Up, "{name}");
+        assert_eq!(core.machines[*name].status, MachineStatus::Up, "{name}");
     }
-    assert!(core.jobs.values().all(|j| !j.suspect()));
+    assert!(core.jobs.values().all(|j| !j.is_suspect()));
 }
 
 /// Guards against the largest job that smallest-first passes over for as long as small
@@ -183,7 +183,7 @@
             ..Policy::default()
         };
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.params = params;
+        core.config = params;
         tell(&mut core, "m1", 1, &Vec::new(), 0.1);
         // With a deadline, so that smallest-first holds.
         let due = |mut s: foxspur::protocol::job::JobSpec| {
@@ -212,8 +212,8 @@
             });
             tell(&mut core, "m1", s + 1, &shown, now);
             core.tick(now, now);
-            core.place(now + 0.5);
-            let on = core.jobs["run-9999"].on.len();
+            core.place_all(now + 0.5);
+            let on = core.jobs["run-9999"].placed.len();
             assert!(on <= 1, "{on} of it at {s}");
             if on > 0 {
                 began.get_or_insert(s);
@@ -223,11 +223,11 @@
         assert_eq!(began, begins, "begin-s {begin_s}");
         // Urgent work takes the rest of the machine, not what has just begun.
         add(&mut core, spec("run-1", "t", Urgency::Prod, 8, 1.0), 230.0);
-        core.place(231.0);
+        core.place_all(231.0);
         let stopped = core.machines["m1"]
-            .active
+            .attempts
             .iter()
-            .any(|(key, a)| &*key.0.job == "run-9999" && a.stop.is_some());
+            .any(|(key, a)| &*key.0.job == "run-9999" && a.stop_grace_s.is_some());
         assert!(!stopped, "stopped for others");
     }
 }
--- a/tests/reach.rs
+++ b/tests/reach.rs
@@ -31,10 +31,10 @@
 #[test]
 fn whom_we_should_hear() {
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1", "m2", "m3"]);
-    core.hello(&report("m1", 1, 1, 5, &[]), 1.2);
-    core.hello(&report("new", 1, 1, 5, &[]), 1.2);
+    core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 1.2);
+    core.handle_heartbeat(&report("new", 1, 1, 5, &[]), 1.2);
     for (now, silent) in [(1.3, 0), (2.0, 2), (2.6, 2), (2.8, 3)] {
-        assert_eq!(core.reach(now), (3, silent), "at {now}");
+        assert_eq!(core.silent_machines(now), (3, silent), "at {now}");
     }
 }
 
@@ -69,22 +69,26 @@
     let names = ["m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &names);
     for name in names {
-        core.hello(&report(name, 1, 1, 5, &[]), 1.0);
+        core.handle_heartbeat(&report(name, 1, 1, 5, &[]), 1.0);
     }
     let judged = |core: &foxspur::coordination::scheduler::state::Scheduler, now: f64| {
-        let silent = core.reach(now).1;
-        (silent, core.cut_zones(now).len(), core.given_up(now).len())
+        let silent = core.silent_machines(now).1;
+        (
+            silent,
+            core.partitioned_zones(now).len(),
+            core.machines_given_up(now).len(),
+        )
     };
     // Asked before the clock's first beat after the pause, and after it.
     assert_eq!(judged(&core, 9.0), (0, 0, 0));
     core.tick(9.0, 0.0);
-    core.hello(&report("m1", 1, 2, 5, &[]), 9.1);
+    core.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 9.1);
     assert_eq!(judged(&core, 9.5), (0, 0, 0));
     for beat in [10.0, 11.0, 12.0] {
         core.tick(beat, 0.0);
     }
     for name in &names[1..] {
-        core.hello(&report(name, 1, 2, 5, &[]), 12.5);
+        core.handle_heartbeat(&report(name, 1, 2, 5, &[]), 12.5);
     }
     core.tick(13.0, 0.0);
     assert_eq!(judged(&core, 13.5), (1, 0, 1));
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -13,7 +13,8 @@
 use foxspur::storage::records::{chunk_of, machines, MachineInfo};
 
 fn starts(core: &mut Scheduler, id: &str, seq: u64, now: f64) -> Vec<String> {
-    let HeartbeatReply::Orders(reply) = core.hello(&report(id, 1, seq, 5, &[]), now) else {
+    let HeartbeatReply::Orders(reply) = core.handle_heartbeat(&report(id, 1, seq, 5, &[]), now)
+    else {
         panic!("{id} was not answered");
     };
     let start = |c: &Command| match c {
@@ -96,22 +97,24 @@
     for (cpus, memory_gb) in [(1.4, 20.0), (8.0, 1.0), (0.3, 31.0)] {
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1", "m2"]);
         // A task that waits in a queue would start from there.
-        core.params.policy.queue_depth = 0;
+        core.config.policy.queue_depth = 0;
         for id in ["m1", "m2"] {
             starts(&mut core, id, 1, 0.0);
         }
         let mut job = spec("run-1", "t", Urgency::Standard, 3, cpus);
         job.memory_gb = memory_gb;
         add(&mut core, job, 0.0);
-        core.place(0.1);
+        core.place_all(0.1);
         let on = ["m1", "m2"].map(|id| starts(&mut core, id, 2, 0.5));
         assert_eq!(on.concat().len(), 2, "one on each machine");
-        core.place(0.6);
-        core.place(0.7);
-        let ((task, attempt), _) = core.machines["m1"].active.first_key_value().unwrap();
+        core.place_all(0.6);
+        core.place_all(0.7);
+        let ((task, attempt), _) = core.machines["m1"].attempts.first_key_value().unwrap();
         let (task, attempt) = (task.wire(), *attempt);
         let done = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Done))];
-        let HeartbeatReply::Orders(reply) = core.hello(&report("m1", 1, 3, 5, &done), 1.0) else {
+        let HeartbeatReply::Orders(reply) =
+            core.handle_heartbeat(&report("m1", 1, 3, 5, &done), 1.0)
+        else {
             panic!();
         };
         let again = |c: &&Command| matches!(c, Command::Start { .. });
@@ -152,19 +155,19 @@
             0.0,
         );
         let running = [("run-1/0", 7, Phase::Running, None)];
-        core.hello(&report("m1", 1, 1, 5, &running), 0.5);
-        core.hello(&report("m1", 1, 2, 5, &running), 1.0);
-        core.remember("m1", (1, 2), tasks);
+        core.handle_heartbeat(&report("m1", 1, 1, 5, &running), 0.5);
+        core.handle_heartbeat(&report("m1", 1, 2, 5, &running), 1.0);
+        core.remember_heartbeat("m1", (1, 2), tasks);
         if stopped {
-            core.job_over("run-1");
+            core.finish_job("run-1");
         }
         let head: ReportHead = serde_json::from_str(&text).unwrap();
         assert_eq!(
-            core.repeats(&head, 2.0).is_some(),
+            core.handle_repeated_heartbeat(&head, 2.0).is_some(),
             repeats,
             "{text} {stopped}"
         );
-        let answered = core.machines["m1"].answered;
+        let answered = core.machines["m1"].answered_at;
         assert_eq!(answered, Some(if repeats { 2.0 } else { 1.0 }));
     }
 }
@@ -177,19 +180,19 @@
     let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1", "m2"]);
     starts(&mut core, "m2", 1, 0.0);
     let running = [("run-1/0", 7, Phase::Running, None)];
-    core.hello(&report("m1", 1, 1, 5, &running), 0.1);
+    core.handle_heartbeat(&report("m1", 1, 1, 5, &running), 0.1);
     add(
         &mut core,
         spec("run-1", "t", Urgency::Standard, 1, 1.0),
         0.2,
     );
     // It is still there, though it was told to stop.
-    core.hello(&report("m1", 1, 2, 5, &running), 0.3);
-    core.place(0.4);
-    assert!(core.gate_open());
+    core.handle_heartbeat(&report("m1", 1, 2, 5, &running), 0.3);
+    core.place_all(0.4);
+    assert!(core.fencing_complete());
     assert!(starts(&mut core, "m2", 2, 0.5).is_empty());
-    core.hello(&report("m1", 1, 3, 5, &[]), 0.6);
-    core.place(0.7);
+    core.handle_heartbeat(&report("m1", 1, 3, 5, &[]), 0.6);
+    core.place_all(0.7);
     let on = starts(&mut core, "m2", 3, 0.8).len() + starts(&mut core, "m1", 4, 0.9).len();
     assert_eq!(on, 1);
 }
@@ -205,8 +208,12 @@
             core.tick(f64::from(beat), 0.0);
         }
         for name in &names[silent..] {
-            core.hello(&report(name, 1, 1, 5, &[]), 100.0);
+            core.handle_heartbeat(&report(name, 1, 1, 5, &[]), 100.0);
         }
-        assert_eq!(!core.cut_zones(101.0).is_empty(), cut, "{silent} silent");
+        assert_eq!(
+            !core.partitioned_zones(101.0).is_empty(),
+            cut,
+            "{silent} silent"
+        );
     }
 }
--- a/tests/simulation/leader.rs
+++ b/tests/simulation/leader.rs
@@ -24,11 +24,11 @@
                 let core = &mut self.owners[o].0;
                 let confirmed = if o == last { now } else { core_lost };
                 core.tick(now, confirmed);
-                core.probes(now, 64);
-                core.place(now);
+                core.probe_unfenced(now, 64);
+                core.place_all(now);
             }
             for name in std::mem::take(&mut self.owners[o].0.outbox) {
-                let Some((_, call)) = self.owners[o].0.direct_call(&name, now) else {
+                let Some((_, call)) = self.owners[o].0.next_direct_call(&name, now) else {
                     continue;
                 };
                 let Some(w) = self.workers.iter().position(|w| *w.id == *name) else {
@@ -43,7 +43,7 @@
                     }
                     self.owners[o]
                         .0
-                        .called(&name, &call, CallResult::Unknown, now);
+                        .direct_call_finished(&name, &call, CallResult::Unknown, now);
                 } else {
                     if self.rng.random_bool(0.1) {
                         // Carried out, and once more from seconds to several leases later.
@@ -55,14 +55,14 @@
                 }
             }
             // Only the real owner's conditional writes succeed; marks do anyway.
-            for id in self.owners[o].0.marks_due(9) {
+            for id in self.owners[o].0.completions_due(9) {
                 let fate = self.fate();
                 self.write_marks(o, &id, fate);
             }
             if o == last {
                 self.write_record(o);
                 let core = &mut self.owners[o].0;
-                for (drain, version) in core.drains_proven(0, 9) {
+                for (drain, version) in core.proven_drains(0, 9) {
                     let (host, known) = (drain.host.clone(), self.drains.get(&drain.host));
                     if self.rng.random_bool(0.5) && known.is_some_and(|d| d.1 == version) {
                         self.version += 1;
@@ -79,7 +79,7 @@
                 if now >= self.hears_at {
                     core.set_drains(&self.drains);
                 }
-                if core.wants_new_term(now) {
+                if core.needs_higher_term(now) {
                     self.term += TOKENS;
                     core.raise_term(self.term);
                 }
@@ -114,22 +114,22 @@
         }
         let core = &mut self.owners[o].0;
         let Some((_, marks, version)) = self.live.get(&**id) else {
-            core.job_over(id);
+            core.finish_job(id);
             return;
         };
         let Some(job) = core.jobs.get(id) else {
             return;
         };
         if job.version != *version {
-            core.job_reread(id, *version, &marks.clone());
+            core.reload_job(id, *version, &marks.clone());
             return;
         }
         let write = LateMarks {
             at: self.now + self.rng.random_range(2.0..12.0),
             job: id.to_string(),
             over_version: *version,
-            marks: job.done.clone(),
-            complete: job.complete(),
+            marks: job.completed.clone(),
+            complete: job.is_complete(),
         };
         if fate == Fate::Late {
             if self.rng.random_bool(0.2) {
@@ -147,9 +147,9 @@
         }
         let version = self.version;
         let core = &mut self.owners[o].0;
-        core.marks_written(id, &done, version);
+        core.completions_written(id, &done, version);
         if complete {
-            core.job_over(id);
+            core.finish_job(id);
         }
     }
 
@@ -191,16 +191,16 @@
         let lags = self.record_lags_until > self.now && self.rng.random_bool(0.97);
         let fate = self.fate();
         let core = &mut self.owners[o].0;
-        if !core.record_dirty || lags || matches!(fate, Fate::Refused | Fate::Late) {
+        if !core.machine_record_dirty || lags || matches!(fate, Fate::Refused | Fate::Late) {
             return;
         }
-        self.record = core.wanted_record().into_iter().cloned().collect();
+        self.record = core.wanted_machine_record().into_iter().cloned().collect();
         if fate == Fate::AnswerLost {
             self.met.add(Meeting::RecordAnswerLost, 1);
             return;
         }
-        core.record_dirty = false;
-        core.record_written(&self.record);
+        core.machine_record_dirty = false;
+        core.machine_record_written(&self.record);
     }
 
     /// Old reports arrive at a new owner: before and after newer ones of their machines.
@@ -242,12 +242,12 @@
         core.set_types(&types());
         core.set_drains(&self.drains);
         for info in &self.record {
-            core.inherit(info.clone(), self.now);
+            core.add_recorded_machine(info.clone(), self.now);
         }
         for (record, marks, version) in self.live.values() {
             let mut record = record.clone();
             record.done = marks.to_text();
-            core.job_added(record, *version, CompletedTasks::default());
+            core.add_job(record, *version, CompletedTasks::default());
         }
         self.owners.push((core, f64::MAX));
     }
@@ -263,7 +263,7 @@
             // Changes come in order: one that is over is not news any more.
             if self.live.contains_key(&record.spec.id) {
                 if let Some(core) = self.owner(base) {
-                    core.job_added(record, version, CompletedTasks::default());
+                    core.add_job(record, version, CompletedTasks::default());
                 }
             }
         }
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -141,18 +141,22 @@
 /// What is kept up with every change must equal a count from the beginning:
 /// limits hang on the one, the fence on the other.
 fn kept_counts_are_right(core: &Scheduler) {
-    assert!((core.used().cpus() - core.usage().cpus()).abs() < 1e-6);
-    if let Some(awaited) = core.unaccounted() {
-        let all = core.machines.values().filter(|m| m.holds_up()).count();
+    assert!((core.usage().cpus() - core.count_usage().cpus()).abs() < 1e-6);
+    if let Some(awaited) = core.unfenced_count() {
+        let all = core
+            .machines
+            .values()
+            .filter(|m| m.blocks_placement())
+            .count();
         assert_eq!(awaited, all, "term {}", core.term);
     }
-    let runs = |a: &&Attempt| a.running.is_some() && !a.exited();
-    let active = core.machines.values().flat_map(|m| &m.active);
+    let runs = |a: &&Attempt| a.running_since.is_some() && !a.has_exited();
+    let active = core.machines.values().flat_map(|m| &m.attempts);
     let running = active.filter(|((task, _), a)| {
         runs(a) && (core.jobs.get(&task.job)).is_some_and(|j| task.index < j.spec.tasks)
     });
     let kept: u32 = core.jobs.values().map(|j| j.running).sum();
-    let strangers = core.machines.values().any(|m| m.strangers > 0);
+    let strangers = core.machines.values().any(|m| m.unknown_attempts > 0);
     assert!(strangers || running.count() == kept as usize);
 }
 
@@ -329,7 +333,7 @@
     let expired = simulation.owners.last().map(|(c, _)| {
         c.machines
             .values()
-            .filter(|m| m.standing == MachineStatus::Expired)
+            .filter(|m| m.status == MachineStatus::Expired)
             .count()
     });
     assert!(
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -142,7 +142,7 @@
                         self.note_old_report(w, base, &report);
                     }
                     let answer = match self.owner(base) {
-                        Some(core) => core.hello(&report, now),
+                        Some(core) => core.handle_heartbeat(&report, now),
                         None => continue,
                     };
                     if let (HeartbeatReply::Orders(reply), true) = (answer, sent != COPY) {
@@ -203,7 +203,7 @@
                 Message::Called(w, base, call, result) => {
                     let name = self.workers[w].id.as_str().into();
                     if let Some(core) = self.owner(base) {
-                        core.called(&name, &call, result, now);
+                        core.direct_call_finished(&name, &call, result, now);
                     }
                 }
             }
@@ -214,7 +214,7 @@
     fn note_old_report(&mut self, w: usize, base: u64, report: &Report) {
         let known = self.owners.iter().find(|o| o.0.fence.base_term == base);
         let machine = known.and_then(|(core, _)| core.machines.get(&*report.machine));
-        let first = machine.is_some_and(|m| m.seen == (0, 0));
+        let first = machine.is_some_and(|m| m.last_message == (0, 0));
         let worker = &self.workers[w];
         let gone = |t: &Shown| !worker.tasks.contains_key(&(t.task.clone(), t.attempt));
         let earlier = report.session < worker.session;
--- a/tests/simulation/trouble.rs
+++ b/tests/simulation/trouble.rs
@@ -26,7 +26,7 @@
     /// Whether the owner changed and does not know of all machines yet, or stands still.
     pub(crate) fn owner_changes(&self) -> bool {
         let owner = self.owners.last();
-        let fresh = owner.is_some_and(|(c, _)| c.unaccounted() != Some(0));
+        let fresh = owner.is_some_and(|(c, _)| c.unfenced_count() != Some(0));
         fresh || !self.paused.is_empty()
     }
 
@@ -64,7 +64,7 @@
         self.live.remove(id);
         self.over.insert(id.to_string(), (now, true));
         if let Some((core, _)) = self.owners.last_mut() {
-            core.job_over(id);
+            core.finish_job(id);
         }
     }
 
