--- a/crates/plan/src/sim.rs
+++ b/crates/plan/src/sim.rs
@@ -83,7 +83,7 @@
                 return;
             }
             let report = m.report();
-            let HeartbeatReply::Orders(reply) = self.core.handle_heartbeat(&report, now) else {
+            let HeartbeatReply::Commands(reply) = self.core.handle_heartbeat(&report, now) else {
                 return;
             };
             let m = &mut self.machines[at];
--- a/examples/owner.rs
+++ b/examples/owner.rs
@@ -104,7 +104,7 @@
     let Some(report) = head.read() else {
         return false;
     };
-    if let HeartbeatReply::Orders(reply) = core.handle_heartbeat(&report, now) {
+    if let HeartbeatReply::Commands(reply) = core.handle_heartbeat(&report, now) {
         core.remember_heartbeat(&report.machine, (report.session, report.seq), tasks.get());
         worker.token = reply.token;
         worker.execute(&reply.commands, now, rng);
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -98,7 +98,7 @@
         &[],
     )?;
     owns.with_label_values::<&str>(&[])
-        .set(f64::from(u8::from(node.entitled())));
+        .set(f64::from(u8::from(node.may_answer_workers())));
     let term = gauges(
         &registry,
         "foxspur_term",
@@ -106,10 +106,10 @@
         &[],
     )?;
     let known = node
-        .tenure
+        .leadership
         .borrow()
         .view
-        .share
+        .shard
         .as_ref()
         .map_or(0, |(s, _)| s.term);
     term.with_label_values::<&str>(&[]).set(known as f64);
@@ -127,7 +127,7 @@
             .with_label_values(&[row.name.as_str(), "failed"])
             .set(row.failed as f64);
     }
-    if let Some(core) = node.core.borrow().as_ref() {
+    if let Some(core) = node.scheduler.borrow().as_ref() {
         of_share(&registry, core, node.now())?;
     }
     TextEncoder::new().encode_to_string(&registry.gather())
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -67,32 +67,32 @@
 /// A view of the share: term, age, JSON.
 async fn look(node: &Rc<Node>, topic: Topic) -> Option<(u64, f64, String)> {
     let now = node.now();
-    if let Some(core) = node.core.borrow().as_ref() {
+    if let Some(core) = node.scheduler.borrow().as_ref() {
         return Some((core.term, 0.0, of_core(core, topic, now)?));
     }
-    let owner = node.other_owner().and_then(|o| node.peer(&o));
+    let owner = node.other_leader().and_then(|o| node.peer_address(&o));
     if let Some(addr) = owner {
-        let ask = PeerRequest::Admin(topic);
+        let ask = PeerRequest::View(topic);
         let asked = node.mesh.ask_within(addr, &ask, PATIENCE_S).await;
-        if let Some(mesh::PeerResponse::Admin(term, text)) = asked {
+        if let Some(mesh::PeerResponse::View(term, text)) = asked {
             // A plan must not be made from a state that is over.
             if topic != Topic::Snapshot {
                 let told = (node.now(), term, text.clone());
-                node.told.borrow_mut().insert(topic, told);
+                node.last_views.borrow_mut().insert(topic, told);
             }
             return Some((term, 0.0, text));
         }
     }
-    let told = node.told.borrow();
+    let told = node.last_views.borrow();
     let (at, term, text) = told.get(&topic)?;
     Some((*term, now - at, text.clone()))
 }
 
 fn owner(node: &Node) -> Option<String> {
-    if node.core.borrow().is_some() {
+    if node.scheduler.borrow().is_some() {
         return Some(node.settings.host_name.clone());
     }
-    node.other_owner()
+    node.other_leader()
 }
 
 fn answer<T: Serialize>(node: &Node, term: u64, age_s: f64, data: T) -> HttpResponse {
@@ -142,21 +142,21 @@
 
 async fn shares(node: Shared) -> HttpResponse {
     let now = node.now();
-    let core = node.core.borrow();
+    let core = node.scheduler.borrow();
     let row = {
-        let tenure = node.tenure.borrow();
-        let share = tenure.view.share.as_ref().map(|(s, _)| s);
+        let tenure = node.leadership.borrow();
+        let share = tenure.view.shard.as_ref().map(|(s, _)| s);
         let mut alive: Vec<String> = tenure.view.alive.keys().cloned().collect();
         alive.sort();
-        let former = share.map(|s| s.prior.iter().map(|p| p.host.clone()).collect());
+        let former = share.map(|s| s.former_leaders.iter().map(|p| p.host.clone()).collect());
         ShareRow {
             share: 0,
-            owner: share.map(|s| s.owner.clone()),
+            owner: share.map(|s| s.leader.clone()),
             term: share.map_or(0, |s| s.term),
             alive,
             former: former.unwrap_or_default(),
-            ours: core.is_some() && tenure.entitled(now),
-            confirmed_s: core.as_ref().map(|_| now - tenure.confirmed()),
+            ours: core.is_some() && tenure.may_answer_workers(now),
+            confirmed_s: core.as_ref().map(|_| now - tenure.confirmed_at()),
             missing: core.as_ref().and_then(|c| c.unfenced_count()),
         }
     };
@@ -195,7 +195,7 @@
     let Ok(mut waits) = serde_json::from_str::<Waits>(&text) else {
         return problem(503, None, "the owner's answer cannot be read");
     };
-    let accept = node.accept_ms.borrow();
+    let accept = node.acceptance_ms.borrow();
     waits.acceptance = accept.as_ref().map(|h| spread("accepted", h));
     answer(&node, term, age_s, waits)
 }
--- a/src/admin/orders.rs
+++ b/src/admin/orders.rs
@@ -111,9 +111,10 @@
 
 /// Drains as they stand, each with its version.
 async fn standing(node: &Node) -> Result<BTreeMap<String, (Option<Drain>, u64)>, Refused> {
-    let (listed, _) = (node.state.list(records::DRAINS, Lane::Data).await).map_err(|_| NOT_NOW)?;
+    let (listed, _) =
+        (node.state.list(records::DRAINS_PREFIX, Lane::Data).await).map_err(|_| NOT_NOW)?;
     let drains = listed.iter().filter_map(|entry| {
-        let host = entry.key.strip_prefix(records::DRAINS)?;
+        let host = entry.key.strip_prefix(records::DRAINS_PREFIX)?;
         Some((host.to_string(), (entry.read().ok(), entry.version)))
     });
     Ok(drains.collect())
@@ -121,7 +122,7 @@
 
 /// Version and term of the share's record.
 pub(super) async fn share(node: &Node) -> Result<(u64, u64), Refused> {
-    let entry = node.state.get(records::SHARE, Lane::Data).await;
+    let entry = node.state.get(records::SHARD_KEY, Lane::Data).await;
     let entry = entry.map_err(|_| NOT_NOW)?;
     let entry = entry.ok_or(Refused::Later("nobody has owned the share yet"))?;
     let share: records::ShardRecord = entry.read().map_err(|_| NOT_NOW)?;
@@ -138,7 +139,7 @@
                 format!("the plan was made under term {planned}, now it is {term}: plan anew");
             return Err(Refused::Against(why));
         }
-        let machines = node.state.list(records::MACHINES, Lane::Data).await;
+        let machines = node.state.list(records::MACHINES_PREFIX, Lane::Data).await;
         let machines = MachineRecord::read(&machines.map_err(|_| NOT_NOW)?.0);
         let known: HashSet<&str> = machines.machines().map(|m| m.id.as_str()).collect();
         if let Some(host) = wanted.iter().find(|h| !known.contains(h.as_str())) {
@@ -165,7 +166,7 @@
         let now_ms = node.wall_ms();
         let mut again = false;
         for batch in left.chunks(node.settings.cluster.state.txn_ops) {
-            let mut txn = Txn::default().when(records::SHARE, version);
+            let mut txn = Txn::default().when(records::SHARD_KEY, version);
             for host in batch {
                 let drain = Drain {
                     host: host.to_string(),
@@ -178,7 +179,7 @@
                     drained: None,
                     roll: None,
                 };
-                let key = records::drain(host);
+                let key = records::drain_key(host);
                 txn = txn.when(&key, 0).put(&key, &drain);
             }
             match node.state.txn(&txn, Lane::Data).await {
@@ -215,9 +216,9 @@
         let left: Vec<&String> = wanted.iter().filter(|h| drains.contains_key(*h)).collect();
         let mut again = false;
         for batch in left.chunks(node.settings.cluster.state.txn_ops) {
-            let mut txn = Txn::default().when(records::SHARE, version);
+            let mut txn = Txn::default().when(records::SHARD_KEY, version);
             for host in batch {
-                let key = records::drain(host);
+                let key = records::drain_key(host);
                 txn = txn.when(&key, drains[*host].1).delete(&key);
             }
             match node.state.txn(&txn, Lane::Data).await {
--- a/src/admin/rolls.rs
+++ b/src/admin/rolls.rs
@@ -74,7 +74,10 @@
 }
 
 async fn standing(node: &Node, name: &str) -> Result<Option<(Roll, u64)>, Refused> {
-    let entry = node.state.get(&records::roll(name), Lane::Data).await;
+    let entry = node
+        .state
+        .get(&records::rollout_key(name), Lane::Data)
+        .await;
     let Some(entry) = entry.map_err(|_| NOT_NOW)? else {
         return Ok(None);
     };
@@ -96,10 +99,10 @@
             let why = format!("a roll {} stands already, by {}", roll.name, roll.by);
             return Err(Refused::Against(why));
         }
-        if node.tenure.borrow().view.rolls.len() >= MOST {
+        if node.leadership.borrow().view.rolls.len() >= MOST {
             return Err(Refused::Against(format!("{MOST} rolls stand already")));
         }
-        let machines = node.state.list(records::MACHINES, Lane::Data).await;
+        let machines = node.state.list(records::MACHINES_PREFIX, Lane::Data).await;
         let machines = MachineRecord::read(&machines.map_err(|_| NOT_NOW)?.0);
         let machines: Vec<&MachineInfo> = machines.machines().collect();
         let roll = Roll {
@@ -125,9 +128,9 @@
                 "too many machines for one record: roll zone by zone",
             );
         }
-        let key = records::roll(&roll.name);
+        let key = records::rollout_key(&roll.name);
         let txn = Txn::default()
-            .when(records::SHARE, version)
+            .when(records::SHARD_KEY, version)
             .when(&key, 0)
             .put(&key, &roll);
         match node.state.txn(&txn, Lane::Data).await {
@@ -175,9 +178,9 @@
             return Err(Refused::Unknown(format!("there is no roll {}", order.name)));
         };
         let next = turned(&roll, order)?;
-        let key = records::roll(&order.name);
+        let key = records::rollout_key(&order.name);
         let txn = Txn::default()
-            .when(records::SHARE, version)
+            .when(records::SHARD_KEY, version)
             .when(&key, known);
         let txn = match &next {
             Some(next) => txn.put(&key, next),
@@ -193,10 +196,10 @@
 }
 
 pub(super) async fn list(node: Shared) -> HttpResponse {
-    let tenure = node.tenure.borrow();
+    let tenure = node.leadership.borrow();
     let mut rolls: Vec<Roll> = tenure.view.rolls.values().map(|r| r.0.clone()).collect();
     rolls.sort_by(|a, b| a.name.cmp(&b.name));
-    let term = tenure.view.share.as_ref().map_or(0, |(s, _)| s.term);
+    let term = tenure.view.shard.as_ref().map_or(0, |(s, _)| s.term);
     drop(tenure);
     answer(&node, term, 0.0, rolls)
 }
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -5,7 +5,7 @@
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Cause, Command, Direct, Phase};
-use crate::storage::records::TOKENS;
+use crate::storage::records::TOKENS_PER_TERM;
 
 impl Scheduler {
     /// Whether an exited attempt can be forgotten by its worker: what it says
@@ -50,7 +50,7 @@
                 let above = active.copies_up_to.map_or(token, |t| token.max(t + 1));
                 // A call under way would be refused under the higher token, and beyond
                 // the last one the share's term is raised first.
-                let can = above == token || !m.call_in_flight && above < term + TOKENS;
+                let can = above == token || !m.call_in_flight && above < term + TOKENS_PER_TERM;
                 if can && self.forgettable(key, active) {
                     raised = raised.max(above);
                     forgets.push(key.clone());
@@ -70,7 +70,7 @@
             return Vec::new();
         };
         m.raised_token = raised;
-        if raised + 1 == term + TOKENS {
+        if raised + 1 == term + TOKENS_PER_TERM {
             // All of the term's tokens are used: see `wants_new_term`.
             self.unresolved_starts.insert(name.clone());
         }
@@ -108,7 +108,7 @@
         if m.call_in_flight || m.status == MachineStatus::Expired {
             return None;
         }
-        let probe = m.recorded && !m.fenced || m.delivery.doubted();
+        let probe = m.recorded && !m.fenced || m.delivery.is_doubted();
         let mut commands = Vec::new();
         for (key, active) in m.attempts.iter_mut() {
             if !active.unsent || active.has_exited() {
@@ -150,7 +150,7 @@
     pub(crate) fn probe_suspects(&mut self, now: f64) {
         let machines = &self.machines;
         self.suspects
-            .retain(|n| machines.get(n).is_some_and(|m| m.delivery.doubted()));
+            .retain(|n| machines.get(n).is_some_and(|m| m.delivery.is_doubted()));
         let every = self.config.lease_s / 4.0;
         let due = self.suspects.iter().filter(|n| {
             let m = self.machines.get(*n);
--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -85,7 +85,7 @@
                         // one was proven over: what is late says nothing.
                         return;
                     }
-                    self.reconcile_report(name, &report, ReportSource::Direct, now);
+                    self.reconcile_report(name, &report, ReportSource::DirectCall, now);
                 }
             }
             CallResult::NotSent | CallResult::Unknown => {}
--- a/src/coordination/agents/dispatcher.rs
+++ b/src/coordination/agents/dispatcher.rs
@@ -13,14 +13,14 @@
 pub fn drain(node: &Rc<Node>) {
     let now = node.now();
     let mut calls = Vec::new();
-    if !node.entitled() {
+    if !node.may_answer_workers() {
         return;
     }
-    if let Some(core) = node.core.borrow_mut().as_mut() {
+    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
         let base = core.fence.base_term;
         // More calls than sockets would wait for one and time out unsent,
         // which looks like a lost command.
-        let spare = node.workers.sockets.saturating_sub(node.calls.get());
+        let spare = node.workers.sockets.saturating_sub(node.direct_calls.get());
         let due = spare.min(core.outbox.len());
         let batch: Vec<Name> = core.outbox.drain(..due).collect();
         for name in batch {
@@ -29,7 +29,7 @@
                 continue;
             }
             if let Some((addr, call)) = core.next_direct_call(&name, now) {
-                node.calls.set(node.calls.get() + 1);
+                node.direct_calls.set(node.direct_calls.get() + 1);
                 calls.push((base, name, addr, call));
             }
         }
@@ -46,9 +46,9 @@
                 },
                 Err(_) => CallResult::NotSent,
             };
-            node.calls.set(node.calls.get() - 1);
+            node.direct_calls.set(node.direct_calls.get() - 1);
             let now = node.now();
-            if let Some(core) = node.core.borrow_mut().as_mut() {
+            if let Some(core) = node.scheduler.borrow_mut().as_mut() {
                 if core.fence.base_term == base {
                     core.direct_call_finished(&name, &call, result, now);
                     if core.placement_due {
@@ -78,8 +78,8 @@
         ctx.run_interval(every, |this, _| {
             this.beats += 1;
             let now = this.node.now();
-            if let Some(core) = this.node.core.borrow_mut().as_mut() {
-                core.tick(now, this.node.tenure.borrow().confirmed());
+            if let Some(core) = this.node.scheduler.borrow_mut().as_mut() {
+                core.tick(now, this.node.leadership.borrow().confirmed_at());
                 core.probe_unfenced(now, this.node.workers.sockets / 2);
                 core.place_all(now);
                 if this.beats % 4 == 0 {
--- a/src/coordination/agents/failure_detector.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -88,8 +88,8 @@
         let m = self.machines.get(name);
         let some_s = self.config.lease_s / 4.0;
         m.is_some_and(|m| {
-            let long = m.delivery.doubted_s(now).is_some_and(|s| s > some_s);
-            !m.fenced && m.recorded && long && m.delivery.in_vain()
+            let long = m.delivery.doubted_for(now).is_some_and(|s| s > some_s);
+            !m.fenced && m.recorded && long && m.delivery.is_given_up()
         })
     }
 
@@ -127,7 +127,7 @@
             m.status != MachineStatus::Expired
                 && if m.fenced {
                     // One that does not hear: past a lease nothing of value runs there.
-                    let deaf_s = m.delivery.doubted_s(now).unwrap_or(0.0);
+                    let deaf_s = m.delivery.doubted_for(now).unwrap_or(0.0);
                     self.silent_for(m.heard_at, now) > silent_s || deaf_s > self.config.lease_s
                 } else {
                     unanswered(m, unanswered_s)
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -7,21 +7,21 @@
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Phase, Reply, Report, ReportHead};
-use crate::storage::records::{MachineInfo, TOKENS};
+use crate::storage::records::{MachineInfo, TOKENS_PER_TERM};
 
 /// How a message came to us.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ReportSource {
     /// A report of the worker's own, which our answer keeps alive.
-    Hello,
+    Heartbeat,
     /// The answer to a direct call.
-    Direct,
+    DirectCall,
 }
 
 /// What to answer a worker.
 #[derive(Debug)]
 pub enum HeartbeatReply {
-    Orders(Reply),
+    Commands(Reply),
     /// We must not answer this session.
     Refuse,
     /// The worker has seen a term above ours: we are not the owner any more.
@@ -50,7 +50,7 @@
             && m.recorded
             && m.unknown_attempts == 0
             && m.indexed
-            && !m.delivery.doubted()
+            && !m.delivery.is_doubted()
             && !m.renumbers
             && m.notice_at.is_none()
             && head.notice_s.is_none()
@@ -82,7 +82,7 @@
     /// Takes in a report and says what to answer.
     pub fn handle_heartbeat(&mut self, report: &Report, now: f64) -> HeartbeatReply {
         self.advance_clock(now);
-        if report.token >= self.term + TOKENS {
+        if report.token >= self.term + TOKENS_PER_TERM {
             return HeartbeatReply::Superseded;
         }
         let name: Name = report.machine.as_str().into();
@@ -133,14 +133,14 @@
             // not the one we know, and nothing says what it runs. Its lease must end
             // (an answer might renew it), and until it can have ended, from now on,
             // what calls of ours started meanwhile may run.
-            m.delivery.heard(Evidence::Unheeded, now);
+            m.delivery.message_received(Evidence::Undelivered, now);
             m.renumbered_at.get_or_insert(now);
             self.suspects.insert(name.clone());
             self.update_capacity(&name);
             return HeartbeatReply::Refuse;
         }
         if !stale {
-            self.reconcile_report(&name, report, ReportSource::Hello, now);
+            self.reconcile_report(&name, report, ReportSource::Heartbeat, now);
         }
         if self.is_beyond_reach(&name, now) {
             return HeartbeatReply::Refuse;
@@ -159,7 +159,7 @@
             m.delivery.answered(token);
             m.repeatable_tasks = None;
         }
-        HeartbeatReply::Orders(Reply { token, commands })
+        HeartbeatReply::Commands(Reply { token, commands })
     }
 
     /// Reconciles a newer message with what we thought.
@@ -179,19 +179,19 @@
         let newer_session = report.session > m.last_message.0;
         let first = m.last_message == (0, 0);
         let mut signs = EvidenceSummary::default();
-        if via == ReportSource::Direct {
-            signs.note(Evidence::Heeded);
+        if via == ReportSource::DirectCall {
+            signs.note(Evidence::Delivered);
         } else {
             // What it did not hear of before is seen below, from its tasks.
-            let told = m.delivery.told;
+            let told = m.delivery.told_term;
             if report.token < told {
-                signs.note(Evidence::Unheeded);
+                signs.note(Evidence::Undelivered);
             } else if m.seen_token < told {
-                signs.note(Evidence::Heeded);
+                signs.note(Evidence::Delivered);
             }
-            m.delivery.stays(now - m.heard_at);
-            if newer_session && m.delivery.session_over() && !first && steady {
-                signs.note(Evidence::Unheeded);
+            m.delivery.next_heartbeat_after(now - m.heard_at);
+            if newer_session && m.delivery.session_ended() && !first && steady {
+                signs.note(Evidence::Undelivered);
             }
         }
         m.heard_at = now;
@@ -248,16 +248,16 @@
         let (token, seen) = (m.seen_token, m.last_message);
         let mut gone = Vec::new();
         for (key, active) in m.attempts.iter_mut() {
-            if via == ReportSource::Hello && active.sent_in_reply_to.take().is_some() {
+            if via == ReportSource::Heartbeat && active.sent_in_reply_to.take().is_some() {
                 // A start in an answer to an earlier report shows by now.
                 signs.note(if active.last_shown == seen {
-                    Evidence::Heeded
+                    Evidence::Delivered
                 } else {
-                    Evidence::Unheeded
+                    Evidence::Undelivered
                 });
             }
             if active.told_to_end && active.last_shown != seen {
-                signs.note(Evidence::Heeded);
+                signs.note(Evidence::Delivered);
             }
             if active.unresolved_call.is_some_and(|(term, _)| term < token) {
                 active.unresolved_call = None;
@@ -278,9 +278,9 @@
             if !m.attempts.is_empty() {
                 m.idle_since = now;
             }
-            let doubted = m.delivery.doubted();
-            m.delivery.heard(signs.sum(), now);
-            if m.delivery.doubted() != doubted {
+            let doubted = m.delivery.is_doubted();
+            m.delivery.message_received(signs.conclusion(), now);
+            if m.delivery.is_doubted() != doubted {
                 tracing::info!(machine = %name, doubted = !doubted, "does it hear us?");
                 self.suspects.insert(name.clone());
                 self.placement_due = true;
--- a/src/coordination/agents/leader_reachability.rs
+++ b/src/coordination/agents/leader_reachability.rs
@@ -70,7 +70,7 @@
             sums.0 += 1;
             // One that hears nobody goes from controller to controller: with another
             // owner it would be the same.
-            let due_s = if m.delivery.doubted() {
+            let due_s = if m.delivery.is_doubted() {
                 due_s.max(self.config.round_s)
             } else {
                 due_s
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -19,7 +19,7 @@
         now: f64,
     ) -> Evidence {
         let Some(m) = self.machines.get_mut(name) else {
-            return Evidence::Nothing;
+            return Evidence::Neutral;
         };
         let mut fresh = false;
         let active = m.attempts.entry(key.clone()).or_insert_with(|| {
@@ -32,9 +32,9 @@
         active.resources = holds.unwrap_or_default();
         let was_exited = active.has_exited();
         let sign = match std::mem::take(&mut active.told_to_end) {
-            true if active.phase == Some(phase) => Evidence::Unheeded,
-            true => Evidence::Heeded,
-            false => Evidence::Nothing,
+            true if active.phase == Some(phase) => Evidence::Undelivered,
+            true => Evidence::Delivered,
+            false => Evidence::Neutral,
         };
         active.phase = Some(phase);
         if phase == Phase::Running && active.running_since.is_none() {
--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -27,7 +27,7 @@
     /// Version of its record.
     pub version: u64,
     /// Its deadline in our steady time.
-    deadline: Option<f64>,
+    deadline_at: Option<f64>,
 }
 
 /// What becomes of an attempt on a machine that is set aside.
@@ -52,11 +52,11 @@
     /// What it loses when it is stopped: CPU seconds, and the grace.
     pub loss: (f64, f64),
     /// How much longer it would run elsewhere.
-    pub again_s: f64,
+    pub rerun_s: f64,
     /// Until its aims are due, nearest first.
     pub due_s: [Option<f64>; 2],
     /// Until the drain's deadline.
-    pub left_s: Option<f64>,
+    pub until_deadline_s: Option<f64>,
     pub rest: Rest,
     /// Another machine may run it, and one has room for it now.
     pub elsewhere: (bool, bool),
@@ -79,11 +79,11 @@
         lost: look.loss.0,
         grace_s: look.loss.1,
     };
-    let over = look.left_s.is_some_and(|left| left <= 0.0);
+    let over = look.until_deadline_s.is_some_and(|left| left <= 0.0);
     if over && look.rest == Rest::Stop {
         return moves;
     }
-    if !look.endless && look.left_s.is_none_or(|left| rest_s <= left) {
+    if !look.endless && look.until_deadline_s.is_none_or(|left| rest_s <= left) {
         return DrainDecision::Finishes;
     }
     match look.elsewhere {
@@ -91,7 +91,7 @@
         (_, false) => return DrainDecision::Stays("waits for room elsewhere"),
         _ => {}
     }
-    let kept = |due: &f64| !look.endless && rest_s <= *due && *due < look.again_s;
+    let kept = |due: &f64| !look.endless && rest_s <= *due && *due < look.rerun_s;
     if look.due_s.iter().flatten().any(kept) {
         return DrainDecision::Stays("would miss its deadline elsewhere");
     }
@@ -153,7 +153,7 @@
             let wish = DrainTarget {
                 drain: drain.clone(),
                 version: *version,
-                deadline,
+                deadline_at: deadline,
             };
             self.drains.insert(host.as_str().into(), wish);
             self.cordon(host);
@@ -219,16 +219,16 @@
             .capacity_index
             .pools_for(spec, &self.types, |z| zones.allows(z));
         let need = Resources::of_task(spec);
-        let room = self.capacity_index.roomy(&pools, spec.cpus) > 0
-            && !self.capacity_index.is_full(&pools, &need);
+        let room = self.capacity_index.count_with_cpus(&pools, spec.cpus) > 0
+            && !self.capacity_index.is_exhausted(&pools, &need);
         Some(AttemptOutlook {
             endless: spec.shape == Shape::Service,
             ran_s,
             predicted_s,
             loss: lost,
-            again_s,
+            rerun_s: again_s,
             due_s: self.next_due_times(job, now),
-            left_s: wish.deadline.map(|d| d - now),
+            until_deadline_s: wish.deadline_at.map(|d| d - now),
             rest: wish.drain.rest,
             elsewhere: (!pools.is_empty(), room),
         })
@@ -263,7 +263,7 @@
                 continue;
             }
             let over =
-                wish.deadline.is_some_and(|d| self.now >= d) && wish.drain.rest == Rest::Stop;
+                wish.deadline_at.is_some_and(|d| self.now >= d) && wish.drain.rest == Rest::Stop;
             let holding = m.live_attempts().count();
             let stopping = m
                 .live_attempts()
@@ -340,7 +340,7 @@
                     DrainDecision::Stays(why) => Some(format!("{}: {why}", key.0.wire())),
                     _ => None,
                 });
-                let late = wish.deadline.is_some_and(|d| now > d);
+                let late = wish.deadline_at.is_some_and(|d| now > d);
                 let state = match m {
                     None if self.fence.open => DrainState::Gone,
                     _ if wish.drain.drained.is_some() && tasks == 0 => DrainState::Drained,
--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -23,12 +23,12 @@
     /// Rented and not reporting yet, since when.
     booting: HashMap<String, (MachineInfo, f64)>,
     /// Offers refused: not before this time.
-    closed: HashMap<Offer, (f64, f64)>,
+    sold_out: HashMap<Offer, (f64, f64)>,
     /// To be returned until the cloud says so.
     returning: BTreeSet<String>,
     next_booking: u64,
     listed_at: f64,
-    list: Vec<Listed>,
+    cloud_list: Vec<Listed>,
 }
 
 impl Actor for FleetManager {
@@ -43,13 +43,17 @@
             let mut base = 0;
             loop {
                 // Silent machines hold up all placing after a takeover.
-                let gate = node.core.borrow().as_ref().is_none_or(|c| c.fence.open);
+                let gate = node
+                    .scheduler
+                    .borrow()
+                    .as_ref()
+                    .is_none_or(|c| c.fence.open);
                 let pause = if gate { 1.0 } else { 0.25 };
                 actix_rt::time::sleep(Duration::from_secs_f64(pause)).await;
-                let term = node.core.borrow().as_ref().map(|c| c.fence.base_term);
+                let term = node.scheduler.borrow().as_ref().map(|c| c.fence.base_term);
                 // Only while nobody can have taken the share: a deposed owner
                 // would see all machines go silent and return them.
-                let Some(term) = term.filter(|_| node.certain()) else {
+                let Some(term) = term.filter(|_| node.is_certain_leader()) else {
                     continue;
                 };
                 if term != base {
@@ -68,41 +72,47 @@
 /// Learns the machine types, and keeps them where a restart finds them.
 async fn keep_types(node: Rc<Node>) {
     loop {
-        let known = node.tenure.borrow().view.types.is_some();
-        let owner = node.core.borrow().is_some();
+        let known = node.leadership.borrow().view.types.is_some();
+        let owner = node.scheduler.borrow().is_some();
         if !known || owner {
             if let Ok(list) = node.cloud.types().await {
-                let news = node.tenure.borrow().view.types.as_ref().is_none_or(|old| {
-                    // Prices wander; only what decides a fit is news.
-                    old.len() != list.types.len()
-                        || old.iter().zip(&list.types).any(|(a, b)| {
-                            a.name != b.name
-                                || a.cpus != b.cpus
-                                || a.gpus != b.gpus
-                                || a.memory_gb != b.memory_gb
-                                || a.zones != b.zones
-                        })
-                });
-                node.tenure.borrow_mut().view.types = Some(list.types.clone());
+                let news = node
+                    .leadership
+                    .borrow()
+                    .view
+                    .types
+                    .as_ref()
+                    .is_none_or(|old| {
+                        // Prices wander; only what decides a fit is news.
+                        old.len() != list.types.len()
+                            || old.iter().zip(&list.types).any(|(a, b)| {
+                                a.name != b.name
+                                    || a.cpus != b.cpus
+                                    || a.gpus != b.gpus
+                                    || a.memory_gb != b.memory_gb
+                                    || a.zones != b.zones
+                            })
+                    });
+                node.leadership.borrow_mut().view.types = Some(list.types.clone());
                 if news {
                     let value = TypeList {
                         types: list.types.clone(),
                     };
-                    let txn = Txn::default().put(records::TYPES, &value);
+                    let txn = Txn::default().put(records::TYPES_KEY, &value);
                     if node.state.txn(&txn, Lane::Control).await.is_err() {
-                        node.tenure.borrow_mut().view.types = None;
+                        node.leadership.borrow_mut().view.types = None;
                     }
                 }
             }
         }
-        if let Some(core) = node.core.borrow_mut().as_mut() {
+        if let Some(core) = node.scheduler.borrow_mut().as_mut() {
             if core.types.is_empty() {
-                if let Some(types) = &node.tenure.borrow().view.types {
+                if let Some(types) = &node.leadership.borrow().view.types {
                     core.set_types(types);
                 }
             }
         }
-        let known = node.tenure.borrow().view.types.is_some();
+        let known = node.leadership.borrow().view.types.is_some();
         let pause = if known { 30.0 } else { 1.0 };
         actix_rt::time::sleep(Duration::from_secs_f64(pause)).await;
     }
@@ -110,11 +120,15 @@
 
 async fn round(node: &Rc<Node>, books: &mut FleetState) {
     let lag = node.settings.cluster.cloud.list_lag_s;
-    let gate = node.core.borrow().as_ref().is_some_and(|c| c.fence.open);
+    let gate = node
+        .scheduler
+        .borrow()
+        .as_ref()
+        .is_some_and(|c| c.fence.open);
     if gate && node.now() - books.listed_at > lag / 2.0 {
         if let Ok(list) = node.cloud.machines().await {
             books.listed_at = node.now();
-            books.list = list;
+            books.cloud_list = list;
             compare(node, books);
         }
     }
@@ -128,13 +142,13 @@
 /// Compares the machine list with what we know.
 fn compare(node: &Rc<Node>, books: &mut FleetState) {
     let now = node.now();
-    let mut core = node.core.borrow_mut();
+    let mut core = node.scheduler.borrow_mut();
     let Some(core) = core.as_mut() else {
         return;
     };
     let lease = core.config.lease_s;
     let cut = core.partitioned_zones(now);
-    for listed in &books.list {
+    for listed in &books.cloud_list {
         let boot_s = core.types.get(&listed.kind).map_or(60.0, |t| t.boot_s);
         let machine = core.machines.get(listed.id.as_str());
         let give_up = match listed.state {
@@ -179,7 +193,7 @@
         .filter(|(n, m)| {
             m.status == MachineStatus::Expired
                 && now - m.heard_at > 4.0 * node.settings.cluster.cloud.list_lag_s
-                && !books.list.iter().any(|l| l.id == ***n)
+                && !books.cloud_list.iter().any(|l| l.id == ***n)
         })
         .map(|(n, _)| n.to_string())
         .collect();
@@ -192,7 +206,7 @@
 async fn give_back(node: &Rc<Node>, books: &mut FleetState) {
     let now = node.now();
     {
-        let mut core = node.core.borrow_mut();
+        let mut core = node.scheduler.borrow_mut();
         let Some(core) = core.as_mut() else {
             return;
         };
@@ -215,7 +229,7 @@
     let names: Vec<String> = books.returning.iter().take(100).cloned().collect();
     if node.cloud.give_back(names.clone()).await.is_ok() {
         tracing::info!(machines = ?names, "returned");
-        if let Some(core) = node.core.borrow_mut().as_mut() {
+        if let Some(core) = node.scheduler.borrow_mut().as_mut() {
             for name in &names {
                 core.confirm_machine_returned(name);
             }
@@ -223,7 +237,7 @@
         for name in names {
             books.returning.remove(&name);
             books.booting.remove(&name);
-            books.list.retain(|l| l.id != name);
+            books.cloud_list.retain(|l| l.id != name);
         }
         crate::coordination::agents::dispatcher::drain(node);
     }
@@ -266,7 +280,7 @@
 async fn rent(node: &Rc<Node>, books: &mut FleetState) {
     let now = node.now();
     let plan = {
-        let core = node.core.borrow();
+        let core = node.scheduler.borrow();
         let Some(core) = core.as_ref() else {
             return;
         };
@@ -304,7 +318,7 @@
             .map(|t| t.cpus)
             .sum();
         wanted(&demand, types, node.policy.headroom, |offer| {
-            books.closed.get(offer).is_none_or(|c| now >= c.0) && !cut.contains(&offer.zone)
+            books.sold_out.get(offer).is_none_or(|c| now >= c.0) && !cut.contains(&offer.zone)
         })
     };
     for (offer, count) in plan {
@@ -313,7 +327,7 @@
             request: format!(
                 "{}-{:x}-{}",
                 node.settings.host_name,
-                node.tenure.borrow().boot(),
+                node.leadership.borrow().incarnation(),
                 books.next_booking
             ),
             kind: offer.kind.clone(),
@@ -334,12 +348,12 @@
             // Sold out: ask again after a boot time or so, then more rarely.
             let first = node.settings.cluster.cloud.list_lag_s;
             let pause = books
-                .closed
+                .sold_out
                 .get(&offer)
                 .map_or(first, |c| (c.1 * 1.5).min(first * 4.0));
-            books.closed.insert(offer.clone(), (now + pause, pause));
+            books.sold_out.insert(offer.clone(), (now + pause, pause));
         } else {
-            books.closed.remove(&offer);
+            books.sold_out.remove(&offer);
         }
         if !given.is_empty() {
             tracing::info!(kind = %offer.kind, zone = %offer.zone, spot = offer.spot, asked = count, got = given.len(), "rented");
--- a/src/coordination/fleet/rollout.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -18,9 +18,9 @@
     /// Machines of each zone, and how many of them are out of use.
     pub counts: HashMap<String, (u32, u32)>,
     /// Machines that were restarted since they were drained and are heard of.
-    pub back: Vec<String>,
+    pub restarted: Vec<String>,
     /// Jobs whose aims are out of reach now.
-    pub late: u32,
+    pub late_jobs: u32,
     /// All drains.
     pub drains: HashMap<String, (Drain, u64)>,
 }
@@ -28,7 +28,7 @@
 /// What is to be written: the roll, and drains that begin and end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutStep {
-    pub roll: Roll,
+    pub rollout: Roll,
     pub begin: Vec<String>,
     pub end: Vec<String>,
 }
@@ -43,18 +43,18 @@
 /// Why the roll must halt, if it must.
 fn broken(roll: &Roll, scene: &FleetView, own: &[&Drain]) -> Option<String> {
     let promise = &roll.promise;
-    let before = roll.late_before.unwrap_or(scene.late);
-    if scene.late > before + promise.late {
+    let before = roll.late_before.unwrap_or(scene.late_jobs);
+    if scene.late_jobs > before + promise.late {
         return Some(format!(
             "{} jobs have lost their aims, {before} when it began: {} more were promised at most",
-            scene.late, promise.late
+            scene.late_jobs, promise.late
         ));
     }
     for drain in own {
         let host = &drain.host;
         let (since_ms, limit_s, what) = match &drain.drained {
             None => (drain.at_ms, promise.step_s, "not drained"),
-            Some(d) if !scene.back.contains(host) => (d.at_ms, promise.back_s, "not back"),
+            Some(d) if !scene.restarted.contains(host) => (d.at_ms, promise.back_s, "not back"),
             Some(_) => continue,
         };
         let took_s = scene.now_ms.saturating_sub(since_ms) as f64 / 1000.0;
@@ -86,20 +86,21 @@
             }
         }
         RollState::Running => {
-            next.late_before.get_or_insert(scene.late);
+            next.late_before.get_or_insert(scene.late_jobs);
             if let Some(reason) = broken(roll, scene, &own) {
                 next.state = RollState::Halted;
                 next.reason = reason;
                 return Some(RolloutStep {
-                    roll: next,
+                    rollout: next,
                     begin,
                     end,
                 });
             }
             // Those that are back have had their turn, those that the cloud took
             // are no concern any more.
-            let over =
-                |d: &&&Drain| scene.back.contains(&d.host) || !scene.zones.contains_key(&d.host);
+            let over = |d: &&&Drain| {
+                scene.restarted.contains(&d.host) || !scene.zones.contains_key(&d.host)
+            };
             end.extend(own.iter().filter(over).map(|d| d.host.clone()));
             let mut out: HashMap<&str, u32> = HashMap::new();
             while let Some(host) = roll.hosts.get(next.next) {
@@ -131,11 +132,11 @@
         next.state = RollState::Done;
     }
     let step = RolloutStep {
-        roll: next,
+        rollout: next,
         begin,
         end,
     };
-    let idle = step.begin.is_empty() && step.end.is_empty() && step.roll == *roll;
+    let idle = step.begin.is_empty() && step.end.is_empty() && step.rollout == *roll;
     (!idle).then_some(step)
 }
 
@@ -184,14 +185,14 @@
             let newer = drained.is_some_and(|d| m.last_message.0 > d.session);
             let heard = self.silent_for(m.heard_at, now) < self.config.silent_s();
             if newer && m.fenced && m.status == MachineStatus::Up && heard {
-                scene.back.push(name.to_string());
+                scene.restarted.push(name.to_string());
             }
         }
         let late = self
             .jobs
             .values()
             .filter(|j| !j.finished && !self.has_reachable_objective(j, now));
-        scene.late = late.count() as u32;
+        scene.late_jobs = late.count() as u32;
         Some(scene)
     }
 }
--- a/src/coordination/fleet/rollout_writer.rs
+++ b/src/coordination/fleet/rollout_writer.rs
@@ -13,8 +13,8 @@
 
 /// The steps that are due, each with its roll's version.
 fn due(node: &Node) -> Vec<(RolloutStep, u64)> {
-    let tenure = node.tenure.borrow();
-    let core = node.core.borrow();
+    let tenure = node.leadership.borrow();
+    let core = node.scheduler.borrow();
     let rolls = &tenure.view.rolls;
     let moving = |s: RollState| matches!(s, RollState::Running | RollState::Back);
     if !rolls.values().any(|r| moving(r.0.state)) {
@@ -40,18 +40,18 @@
 
 /// Carries the rolls one step on.
 pub async fn carry_on(node: &Rc<Node>) {
-    let behind = node.tenure.borrow().view.revision < node.rolled.get();
-    if behind || !node.certain() {
+    let behind = node.leadership.borrow().view.revision < node.rollout_revision.get();
+    if behind || !node.is_certain_leader() {
         return;
     }
-    let Some(own) = node.tenure.borrow().own_version() else {
+    let Some(own) = node.leadership.borrow().own_shard_version() else {
         return;
     };
     for (step, version) in due(node) {
-        let roll = &step.roll;
-        let key = records::roll(&roll.name);
+        let roll = &step.rollout;
+        let key = records::rollout_key(&roll.name);
         let mut txn = Txn::default()
-            .when(records::SHARE, own)
+            .when(records::SHARD_KEY, own)
             .when(&key, version)
             .put(&key, roll);
         let now_ms = node.wall_ms();
@@ -67,13 +67,13 @@
                 drained: None,
                 roll: Some(roll.name.clone()),
             };
-            let key = records::drain(host);
+            let key = records::drain_key(host);
             txn = txn.when(&key, 0).put(&key, &drain);
         }
         for host in &step.end {
-            let known = node.tenure.borrow().view.drains.get(host).map(|d| d.1);
+            let known = node.leadership.borrow().view.drains.get(host).map(|d| d.1);
             if let Some(version) = known {
-                let key = records::drain(host);
+                let key = records::drain_key(host);
                 txn = txn.when(&key, version).delete(&key);
             }
         }
@@ -82,7 +82,7 @@
                 tracing::info!(roll = %roll.name, state = ?roll.state, reason = %roll.reason, begin = ?step.begin, end = ?step.end, "roll");
                 // Until the watch has shown it nothing more is worked out: what is
                 // known here does not count those machines as out of use yet.
-                node.rolled.set(written);
+                node.rollout_revision.set(written);
             }
             Err(Failure::Conflict(_)) => reread(node).await,
             Err(_) => {}
--- a/src/coordination/jobs/completion_batch.rs
+++ b/src/coordination/jobs/completion_batch.rs
@@ -12,14 +12,14 @@
 /// A transaction, and what it writes of which job.
 pub struct CompletionBatch {
     pub txn: Txn,
-    pub parts: Vec<JobCompletion>,
+    pub jobs: Vec<JobCompletion>,
 }
 
 /// One job's part of a batch.
 pub struct JobCompletion {
-    pub id: Name,
-    pub marks: CompletedTasks,
-    pub last: Option<TerminalRecord>,
+    pub job: Name,
+    pub completed: CompletedTasks,
+    pub terminal: Option<TerminalRecord>,
     /// The job's marks are kept apart from its record.
     pub chunked: bool,
 }
@@ -65,12 +65,12 @@
         }
         let chunked = job.spec.tasks > chunk_tasks;
         let mut part = JobCompletion {
-            id: id.clone(),
-            marks: job.completed.clone(),
-            last: None,
+            job: id.clone(),
+            completed: job.completed.clone(),
+            terminal: None,
             chunked,
         };
-        let key = records::live(&id);
+        let key = records::live_key(&id);
         txn = txn.when(&key, job.version);
         if job.is_complete() {
             let last = TerminalRecord {
@@ -78,11 +78,11 @@
                 tasks: job.spec.tasks,
                 done: job.spec.tasks,
             };
-            part.last = Some(last);
-            txn = txn.delete(&key).put(&records::fin(&id), &last);
+            part.terminal = Some(last);
+            txn = txn.delete(&key).put(&records::terminal_key(&id), &last);
             bytes += 200;
         } else if chunked {
-            part.marks = CompletedTasks::default();
+            part.completed = CompletedTasks::default();
             // The record is written again with each of them: its version is what the
             // next write rests on, so that one without an answer, carried out late,
             // cannot put older marks in the place of newer ones. (Their workers have
@@ -100,8 +100,11 @@
                 }
                 let done = marks.to_text();
                 bytes += done.len() + 100;
-                txn = txn.put(&records::mark(&id, chunk), &CompletedTasksChunk { done });
-                part.marks.merge(&marks);
+                txn = txn.put(
+                    &records::completed_key(&id, chunk),
+                    &CompletedTasksChunk { done },
+                );
+                part.completed.merge(&marks);
             }
         } else {
             let record = record_of(job, core.wall_clock_offset_s, job.completed.to_text());
@@ -113,5 +116,5 @@
     if parts.is_empty() {
         return None;
     }
-    Some(CompletionBatch { txn, parts })
+    Some(CompletionBatch { txn, jobs: parts })
 }
--- a/src/coordination/jobs/completion_writer.rs
+++ b/src/coordination/jobs/completion_writer.rs
@@ -46,19 +46,19 @@
 /// Writes one batch; true if there may be more.
 async fn flush(node: &Rc<Node>, partial: &mut Budget) -> bool {
     let (batch, term) = {
-        let core = node.core.borrow();
+        let core = node.scheduler.borrow();
         let Some(core) = core.as_ref() else {
             return false;
         };
         let txn_ops = node.settings.cluster.state.txn_ops;
-        let chunk_tasks = node.chunk_tasks();
+        let chunk_tasks = node.tasks_per_record();
         let Some(batch) = completion_batch::plan(core, txn_ops, chunk_tasks, partial, node.now())
         else {
             return false;
         };
         (batch, core.fence.base_term)
     };
-    let CompletionBatch { txn, parts } = batch;
+    let CompletionBatch { txn, jobs: parts } = batch;
     let result = node.state.txn(&txn, Lane::Data).await;
     match result {
         Ok(version) => {
@@ -67,7 +67,7 @@
         }
         Err(Failure::Conflict(keys)) => {
             for key in keys {
-                if let Some(id) = key.strip_prefix(records::LIVE) {
+                if let Some(id) = key.strip_prefix(records::LIVE_PREFIX) {
                     reread(node, id, term).await;
                 }
             }
@@ -79,25 +79,25 @@
 }
 
 fn written(node: &Rc<Node>, parts: Vec<JobCompletion>, version: u64, term: u64) {
-    let mut core = node.core.borrow_mut();
+    let mut core = node.scheduler.borrow_mut();
     let core = core.as_mut().filter(|c| c.fence.base_term == term);
     let mut over = Vec::new();
     if let Some(core) = core {
         for part in &parts {
-            core.completions_written(&part.id, &part.marks, version);
-            if part.last.is_some() {
-                let told = core.jobs.get(&*part.id);
+            core.completions_written(&part.job, &part.completed, version);
+            if part.terminal.is_some() {
+                let told = core.jobs.get(&*part.job);
                 let (starts, passed_s) = told.map_or((0, 0.0), |j| (j.starts, j.longest_wait_s));
-                tracing::info!(job = %part.id, starts, passed_s, "done");
-                core.finish_job(&part.id);
+                tracing::info!(job = %part.job, starts, passed_s, "done");
+                core.finish_job(&part.job);
             }
         }
     }
     for part in parts {
-        if let Some(last) = part.last {
-            node.terminal.borrow_mut().put(&part.id, last);
+        if let Some(last) = part.terminal {
+            node.terminal_states.borrow_mut().put(&part.job, last);
             if part.chunked {
-                over.push((part.id, last.tasks));
+                over.push((part.job, last.tasks));
             }
         }
     }
@@ -114,8 +114,8 @@
     lane: Lane,
 ) -> Result<CompletedTasks, Failure> {
     let mut marks = CompletedTasks::default();
-    if record.spec.tasks > node.chunk_tasks() {
-        let prefix = records::marks(&record.spec.id);
+    if record.spec.tasks > node.tasks_per_record() {
+        let prefix = records::completed_prefix(&record.spec.id);
         for entry in node.state.list(&prefix, lane).await?.0 {
             if let Ok(chunk) = entry.read::<CompletedTasksChunk>() {
                 marks.merge(&CompletedTasks::from_text(&chunk.done, record.spec.tasks));
@@ -130,14 +130,14 @@
 pub fn sweep_marks(node: Rc<Node>, id: Name, tasks: u32) {
     actix_rt::spawn(async move {
         // One that fits into its record has none apart.
-        let size = node.chunk_tasks();
+        let size = node.tasks_per_record();
         let chunks = if tasks > size {
             tasks.div_ceil(size)
         } else {
             0
         };
         for chunk in 0..chunks {
-            let txn = Txn::default().delete(&records::mark(&id, chunk));
+            let txn = Txn::default().delete(&records::completed_key(&id, chunk));
             if node.state.txn(&txn, Lane::Data).await.is_err() {
                 return;
             }
@@ -147,10 +147,10 @@
 
 /// Reads a job's record after a conflict.
 async fn reread(node: &Rc<Node>, id: &str, term: u64) {
-    let Ok(entry) = node.state.get(&records::live(id), Lane::Data).await else {
+    let Ok(entry) = node.state.get(&records::live_key(id), Lane::Data).await else {
         return;
     };
-    let mut core = node.core.borrow_mut();
+    let mut core = node.scheduler.borrow_mut();
     let Some(core) = core.as_mut().filter(|c| c.fence.base_term == term) else {
         return;
     };
@@ -168,13 +168,16 @@
 fn take_entry(node: &Node, term: u64, entry: Entry) {
     let now = node.now();
     // Most changes are marks that we wrote ourselves: they need not be read.
-    let id = entry.key.strip_prefix(records::LIVE).unwrap_or_default();
+    let id = entry
+        .key
+        .strip_prefix(records::LIVE_PREFIX)
+        .unwrap_or_default();
     let known = |c: &Scheduler| c.jobs.get(id).is_some_and(|j| j.version >= entry.version);
-    if node.core.borrow().as_ref().is_some_and(known) {
+    if node.scheduler.borrow().as_ref().is_some_and(known) {
         return;
     }
     if let Ok(record) = entry.read::<LiveJob>() {
-        if let Some(core) = node.core.borrow_mut().as_mut() {
+        if let Some(core) = node.scheduler.borrow_mut().as_mut() {
             if core.fence.base_term == term {
                 core.add_job(record, entry.version, CompletedTasks::default());
                 if core.placement_due {
@@ -187,16 +190,16 @@
 
 /// All changes up to `revision` are known, and all made before `asked_at`.
 fn followed(node: &Node, term: u64, revision: u64, asked_at: f64) {
-    if let Some(core) = node.core.borrow_mut().as_mut() {
+    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
         if core.fence.base_term == term {
             core.watched_revision = revision;
-            node.tenure.borrow_mut().watched(asked_at);
+            node.leadership.borrow_mut().job_watch_answered(asked_at);
         }
     }
 }
 
 fn ours(node: &Node, term: u64) -> bool {
-    node.core
+    node.scheduler
         .borrow()
         .as_ref()
         .is_some_and(|c| c.fence.base_term == term)
@@ -212,7 +215,11 @@
     actix_rt::spawn(async move {
         while ours(&node, term) {
             let asked_at = node.now();
-            match node.state.watch(records::LIVE, revision, wait_s).await {
+            match node
+                .state
+                .watch(records::LIVE_PREFIX, revision, wait_s)
+                .await
+            {
                 Ok(news) => {
                     revision = news.revision;
                     for event in news.events {
@@ -220,8 +227,8 @@
                             Some(Seen::Put(entry)) => take_entry(&node, term, entry),
                             None => {}
                             Some(Seen::Deleted { key, .. }) => {
-                                if let Some(id) = key.strip_prefix(records::LIVE) {
-                                    if let Some(core) = node.core.borrow_mut().as_mut() {
+                                if let Some(id) = key.strip_prefix(records::LIVE_PREFIX) {
+                                    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
                                         if core.fence.base_term == term {
                                             core.finish_job(id);
                                         }
@@ -235,12 +242,15 @@
                 }
                 Err(Failure::Gone) => {
                     // Too far behind: read all again, and drop what is gone.
-                    if let Ok((entries, at)) = node.state.list(records::LIVE, Lane::Control).await {
+                    if let Ok((entries, at)) =
+                        node.state.list(records::LIVE_PREFIX, Lane::Control).await
+                    {
                         revision = at;
-                        if let Some(core) = node.core.borrow_mut().as_mut() {
+                        if let Some(core) = node.scheduler.borrow_mut().as_mut() {
                             if core.fence.base_term == term {
                                 let keys = entries.iter().map(|e| e.key.as_str());
-                                let listed = keys.filter_map(|k| k.strip_prefix(records::LIVE));
+                                let listed =
+                                    keys.filter_map(|k| k.strip_prefix(records::LIVE_PREFIX));
                                 core.reconcile_live_jobs(&listed.collect(), at);
                             }
                         }
--- a/src/coordination/jobs/lookup.rs
+++ b/src/coordination/jobs/lookup.rs
@@ -65,11 +65,11 @@
 /// for before.
 pub async fn find(node: &Rc<Node>, id: &str) -> Result<Found, Failure> {
     for _ in 0..READS {
-        if let Some(state) = node.terminal.borrow().get(id) {
+        if let Some(state) = node.terminal_states.borrow().get(id) {
             return Ok(Found::TerminalRecord(state));
         }
         let (found, sent_at) = read(node, id).await?;
-        if let Some(state) = node.terminal.borrow().get(id) {
+        if let Some(state) = node.terminal_states.borrow().get(id) {
             return Ok(Found::TerminalRecord(state));
         }
         if matches!(found, Found::TerminalRecord(_)) {
@@ -84,7 +84,7 @@
 
 /// A job that this controller accepted while the read was under way is not unknown.
 fn unless_accepted_meanwhile(node: &Node, id: &str, found: Found) -> Found {
-    match (found, node.records.borrow().get(id)) {
+    match (found, node.record_cache.borrow().get(id)) {
         (Found::Nothing, Some(read)) => Found::Live(read.record, read.version),
         (found, _) => found,
     }
@@ -96,7 +96,10 @@
     if let Some((read, sent_at)) = version_check::unchanged(node, id).await? {
         return Ok((Found::Live(read.record, read.version), sent_at));
     }
-    let live = node.state.timed_get(&records::live(id), Lane::Data).await;
+    let live = node
+        .state
+        .timed_get(&records::live_key(id), Lane::Data)
+        .await;
     let sent_at = live.sent_at;
     if let Some(entry) = live.result? {
         let Ok(record) = entry.read() else {
@@ -104,13 +107,19 @@
             return Ok((Found::Unreadable(entry.version), sent_at));
         };
         let record = Rc::new(record);
-        node.records.borrow_mut().insert(&record, entry.version);
+        node.record_cache
+            .borrow_mut()
+            .insert(&record, entry.version);
         return Ok((Found::Live(record, entry.version), sent_at));
     }
-    match node.state.get(&records::fin(id), Lane::Data).await? {
+    match node
+        .state
+        .get(&records::terminal_key(id), Lane::Data)
+        .await?
+    {
         Some(entry) => {
             let state: TerminalRecord = entry.read().map_err(|_| Failure::Unknown)?;
-            node.learnt_final(id, state);
+            node.learn_terminal_state(id, state);
             Ok((Found::TerminalRecord(state), sent_at))
         }
         None => Ok((Found::Nothing, sent_at)),
--- a/src/coordination/jobs/version_check.rs
+++ b/src/coordination/jobs/version_check.rs
@@ -116,12 +116,12 @@
     node: &Rc<Node>,
     id: &str,
 ) -> Result<Option<(VersionedRecord, Instant)>, Failure> {
-    let Some(read) = node.records.borrow().worth_checking(id) else {
+    let Some(read) = node.record_cache.borrow().worth_checking(id) else {
         return Ok(None);
     };
     let (answer, told) = oneshot::channel();
     let start = {
-        let mut records = node.records.borrow_mut();
+        let mut records = node.record_cache.borrow_mut();
         records.waiting.push(Question {
             id: id.to_string(),
             version: read.version,
@@ -141,12 +141,12 @@
 async fn check_until_idle(node: Rc<Node>) {
     let most = 4 * node.settings.cluster.state.txn_ops;
     loop {
-        let pause_s = node.records.borrow().checked_at + INTERVAL_S - node.now();
+        let pause_s = node.record_cache.borrow().checked_at + INTERVAL_S - node.now();
         if pause_s > 0.0 {
             actix_rt::time::sleep(Duration::from_secs_f64(pause_s)).await;
         }
         let batch = {
-            let mut records = node.records.borrow_mut();
+            let mut records = node.record_cache.borrow_mut();
             records.checked_at = node.now();
             let batch = records.take_batch(most);
             records.checking = !batch.is_empty();
@@ -165,16 +165,16 @@
     let mut keys: Vec<(&str, u64)> = batch.iter().map(|q| (&*q.id, q.version)).collect();
     keys.sort_unstable();
     keys.dedup();
-    let when = |txn: Txn, (id, version): (&str, u64)| txn.when(&records::live(id), version);
+    let when = |txn: Txn, (id, version): (&str, u64)| txn.when(&records::live_key(id), version);
     keys.into_iter().fold(Txn::default(), when)
 }
 
 fn answer_batch(node: &Node, batch: Vec<Question>, checked: &Timed<u64>) {
-    let mut records = node.records.borrow_mut();
+    let mut records = node.record_cache.borrow_mut();
     for question in batch {
         let result = match &checked.result {
             Ok(_) => Ok(true),
-            Err(Failure::Conflict(keys)) if keys.contains(&records::live(&question.id)) => {
+            Err(Failure::Conflict(keys)) if keys.contains(&records::live_key(&question.id)) => {
                 Ok(false)
             }
             Err(Failure::Conflict(_)) => {
--- a/src/coordination/leadership/cancellation_horizon.rs
+++ b/src/coordination/leadership/cancellation_horizon.rs
@@ -36,38 +36,41 @@
 #[derive(Debug, Default)]
 pub struct CancellationHorizon {
     /// When the last answer of the watch was asked for.
-    watched: Option<f64>,
+    watched_until: Option<f64>,
     /// When the last word of each peer was asked for.
-    words: HashMap<String, f64>,
+    reported_until: HashMap<String, f64>,
 }
 
 impl CancellationHorizon {
     /// The watch, or a listing, told all until after `asked_at`.
     pub fn watched(&mut self, asked_at: f64) {
-        self.watched = Some(self.watched.map_or(asked_at, |t| t.max(asked_at)));
+        self.watched_until = Some(self.watched_until.map_or(asked_at, |t| t.max(asked_at)));
     }
 
     /// For how long a peer that is asked now must look back to fill the gap.
-    pub fn gap_s(&self, confirmed: f64, now: f64) -> Option<f64> {
-        Some(now - self.seen(confirmed)? + SLACK_S)
+    pub fn lookback_s(&self, confirmed: f64, now: f64) -> Option<f64> {
+        Some(now - self.observed_until(confirmed)? + SLACK_S)
     }
 
     /// The peer told what it told users over the gap, when asked at `asked_at`.
-    pub fn word(&mut self, peer: &str, asked_at: f64, now: f64) {
+    pub fn reported(&mut self, peer: &str, asked_at: f64, now: f64) {
         if now - asked_at < SLACK_S / 2.0 {
-            let at = self.words.entry(peer.to_string()).or_insert(asked_at);
+            let at = self
+                .reported_until
+                .entry(peer.to_string())
+                .or_insert(asked_at);
             *at = at.max(asked_at);
         }
     }
 
-    fn seen(&self, confirmed: f64) -> Option<f64> {
-        self.watched.map(|t| t.min(confirmed))
+    fn observed_until(&self, confirmed: f64) -> Option<f64> {
+        self.watched_until.map(|t| t.min(confirmed))
     }
 
     /// As of when all is known, if these are all the other controllers.
-    pub fn known(&self, confirmed: f64, peers: &[String]) -> f64 {
-        let seen = self.seen(confirmed).unwrap_or(f64::NEG_INFINITY);
-        let words = peers.iter().map(|p| self.words.get(p).copied());
+    pub fn known_until(&self, confirmed: f64, peers: &[String]) -> f64 {
+        let seen = self.observed_until(confirmed).unwrap_or(f64::NEG_INFINITY);
+        let words = peers.iter().map(|p| self.reported_until.get(p).copied());
         let words = words.map(|w| w.unwrap_or(f64::NEG_INFINITY));
         // Without peers nobody else tells anyone anything, but it may have been told
         // by a former life of ours.
@@ -85,7 +88,7 @@
 pub struct ConfirmedCancellations {
     latest: VecDeque<(f64, String)>,
     /// It is complete from here on; the process began at 0.
-    from: f64,
+    complete_from: f64,
 }
 
 /// Most cancellations kept: as many as terminal states.
@@ -95,17 +98,17 @@
     /// Of a process that began at this time by its clock.
     pub fn since(from: f64) -> ConfirmedCancellations {
         ConfirmedCancellations {
-            from,
+            complete_from: from,
             ..ConfirmedCancellations::default()
         }
     }
 
     /// A user is about to be told.
-    pub fn note(&mut self, id: &str, now: f64) {
+    pub fn record(&mut self, id: &str, now: f64) {
         self.latest.push_back((now, id.to_string()));
         if self.latest.len() > MOST {
             if let Some((at, _)) = self.latest.pop_front() {
-                self.from = at;
+                self.complete_from = at;
             }
         }
     }
@@ -114,6 +117,7 @@
     pub fn within(&self, for_s: f64, now: f64) -> Option<Vec<String>> {
         let from = now - for_s;
         let late = self.latest.iter().rev().take_while(|(at, _)| *at >= from);
-        (from >= self.from && for_s.is_finite()).then(|| late.map(|(_, id)| id.clone()).collect())
+        (from >= self.complete_from && for_s.is_finite())
+            .then(|| late.map(|(_, id)| id.clone()).collect())
     }
 }
--- a/src/coordination/leadership/cluster_view.rs
+++ b/src/coordination/leadership/cluster_view.rs
@@ -17,7 +17,7 @@
     pub loaded: bool,
     /// Revision up to which all changes are known.
     pub revision: u64,
-    pub share: Option<(ShardRecord, u64)>,
+    pub shard: Option<(ShardRecord, u64)>,
     pub term: (u64, u64),
     /// Controllers' alive keys: incarnation and version.
     pub alive: HashMap<String, (u64, u64)>,
@@ -27,7 +27,7 @@
     /// Rolls by name, each with its record's version.
     pub rolls: HashMap<String, (Roll, u64)>,
     /// Counts changes of drains.
-    pub drains_seen: u64,
+    pub drains_generation: u64,
 }
 
 impl ClusterView {
@@ -40,31 +40,31 @@
     }
 
     /// Takes in one record of the area, unless a newer one is known.
-    pub fn take_entry(&mut self, entry: &Entry) {
-        if entry.key == records::SHARE {
+    pub fn apply_entry(&mut self, entry: &Entry) {
+        if entry.key == records::SHARD_KEY {
             if let Ok(share) = entry.read::<ShardRecord>() {
-                self.see_share(share, entry.version);
+                self.see_shard(share, entry.version);
             }
-        } else if entry.key == records::TERM {
+        } else if entry.key == records::TERM_KEY {
             if let Ok(term) = entry.read::<TermCounter>() {
                 if entry.version >= self.term.1 {
                     self.term = (term.term, entry.version);
                 }
             }
-        } else if entry.key == records::TYPES {
+        } else if entry.key == records::TYPES_KEY {
             if let Ok(list) = entry.read::<TypeList>() {
                 self.types = Some(list.types);
             }
-        } else if entry.key.starts_with(records::ROLLS) {
+        } else if entry.key.starts_with(records::ROLLOUTS_PREFIX) {
             // One that cannot be read is left to who wrote it.
             if let Ok(roll) = entry.read::<Roll>() {
                 self.see_roll(roll, entry.version);
             }
-        } else if let Some(host) = entry.key.strip_prefix(records::DRAINS) {
+        } else if let Some(host) = entry.key.strip_prefix(records::DRAINS_PREFIX) {
             self.see_drain(host, entry);
-        } else if let Some(host) = entry.key.strip_prefix(&records::alive("")) {
+        } else if let Some(host) = entry.key.strip_prefix(&records::alive_key("")) {
             if let Ok(alive) = entry.read::<AliveRecord>() {
-                self.see_alive(host.to_string(), alive.boot, entry.version);
+                self.see_alive(host.to_string(), alive.incarnation, entry.version);
             }
         }
     }
@@ -81,7 +81,7 @@
             crate::coordination::fleet::drains::unreadable(host)
         });
         self.drains.insert(host.into(), (drain, entry.version));
-        self.drains_seen += 1;
+        self.drains_generation += 1;
     }
 
     /// A roll at this version.
@@ -93,53 +93,53 @@
     }
 
     /// The share record at this version.
-    pub fn see_share(&mut self, share: ShardRecord, version: u64) {
-        let known = self.share.as_ref().map_or(0, |(_, v)| *v);
+    pub fn see_shard(&mut self, share: ShardRecord, version: u64) {
+        let known = self.shard.as_ref().map_or(0, |(_, v)| *v);
         if version >= known {
-            self.share = Some((share, version));
+            self.shard = Some((share, version));
         }
     }
 
     /// Takes in the whole area as of `revision`; who is not in it was not alive
     /// then. What is known from later stays.
-    pub fn take_list(&mut self, entries: &[Entry], revision: u64) {
+    pub fn apply_listing(&mut self, entries: &[Entry], revision: u64) {
         self.alive.retain(|_, (_, version)| *version > revision);
         self.rolls.retain(|_, (_, version)| *version > revision);
-        self.take_drains(entries, revision);
+        self.apply_drain_listing(entries, revision);
         self.loaded = true;
-        self.reached(revision);
+        self.advance_to(revision);
     }
 
     /// Takes in all drains as of `revision`. If we know of later changes there is
     /// nothing to learn: one that was ended since would come back for good.
-    pub fn take_drains(&mut self, entries: &[Entry], revision: u64) {
+    pub fn apply_drain_listing(&mut self, entries: &[Entry], revision: u64) {
         if revision < self.revision {
             return;
         }
         self.drains.retain(|_, (_, version)| *version > revision);
-        self.drains_seen += 1;
+        self.drains_generation += 1;
         for entry in entries {
-            self.take_entry(entry);
+            self.apply_entry(entry);
         }
     }
 
     /// All changes up to this revision are known.
-    pub fn reached(&mut self, revision: u64) {
+    pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
     /// A key of the area was deleted.
-    pub fn take_deletion(&mut self, key: &str, version: u64) {
-        if let Some(name) = key.strip_prefix(records::ROLLS) {
+    pub fn apply_deletion(&mut self, key: &str, version: u64) {
+        if let Some(name) = key.strip_prefix(records::ROLLOUTS_PREFIX) {
             if self.rolls.get(name).is_some_and(|r| r.1 <= version) {
                 self.rolls.remove(name);
             }
-        } else if let Some(host) = key.strip_prefix(records::DRAINS) {
+        } else if let Some(host) = key.strip_prefix(records::DRAINS_PREFIX) {
             if self.drains.get(host).is_some_and(|d| d.1 <= version) {
                 self.drains.remove(host);
-                self.drains_seen += 1;
+                self.drains_generation += 1;
             }
-        } else if let Some(host) = key.strip_prefix(&records::alive("")) {
+        } else if let Some(host) = key.strip_prefix(&records::alive_key("")) {
             if self.alive.get(host).is_some_and(|a| a.1 <= version) {
                 self.alive.remove(host);
             }
@@ -147,15 +147,15 @@
     }
 
     /// Version of the share record that we know.
-    pub fn share_version(&self) -> u64 {
-        self.share.as_ref().map_or(0, |(_, v)| *v)
+    pub fn shard_version(&self) -> u64 {
+        self.shard.as_ref().map_or(0, |(_, v)| *v)
     }
 
     /// A look begun while the share record had this version showed no alive key
     /// of its owner. If the record has changed since, the answer is too old: the
     /// owner may be back.
-    pub fn not_alive(&mut self, host: &str, share_version: u64) {
-        if self.share_version() == share_version {
+    pub fn leader_not_alive(&mut self, host: &str, share_version: u64) {
+        if self.shard_version() == share_version {
             self.alive.remove(host);
         }
     }
--- a/src/coordination/leadership/failover.rs
+++ b/src/coordination/leadership/failover.rs
@@ -15,9 +15,13 @@
 pub async fn carry_out(node: &Rc<Node>, claim: TakeoverAttempt) {
     match node.state.txn(&claim.txn, Lane::Control).await {
         Ok(version) => {
-            let share = &claim.share;
+            let share = &claim.shard;
             let (now, term) = (node.now(), share.term);
-            if !node.tenure.borrow_mut().claimed(&claim, version, now) {
+            if !node
+                .leadership
+                .borrow_mut()
+                .takeover_written(&claim, version, now)
+            {
                 tracing::warn!(term, "share taken and lost again");
                 return;
             }
@@ -25,7 +29,7 @@
             while let Err(error) = load(node, share).await {
                 tracing::warn!(%error, "share not read yet");
                 crate::coordination::leadership::sleep(0.2).await;
-                if !node.tenure.borrow().holds(term) {
+                if !node.leadership.borrow().holds_term(term) {
                     return;
                 }
             }
@@ -42,51 +46,64 @@
 
 /// Reads share and term afresh.
 pub async fn reread(node: &Rc<Node>) {
-    for key in [records::SHARE, records::TERM] {
+    for key in [records::SHARD_KEY, records::TERM_KEY] {
         if let Ok(Some(entry)) = node.state.get(key, Lane::Control).await {
-            node.tenure.borrow_mut().view.take_entry(&entry);
+            node.leadership.borrow_mut().view.apply_entry(&entry);
         }
     }
     let me = &node.settings.host_name;
     let (owner, seen) = {
-        let tenure = node.tenure.borrow();
-        let owner = tenure.view.share.as_ref().map(|(s, _)| s.owner.clone());
-        (owner, tenure.view.share_version())
+        let tenure = node.leadership.borrow();
+        let owner = tenure.view.shard.as_ref().map(|(s, _)| s.leader.clone());
+        (owner, tenure.view.shard_version())
     };
     // The owner's alive key too: a watch may be behind.
     if let Some(owner) = owner.filter(|o| o != me) {
-        let key = records::alive(&owner);
+        let key = records::alive_key(&owner);
         match node.state.get(&key, Lane::Control).await {
-            Ok(Some(entry)) => node.tenure.borrow_mut().view.take_entry(&entry),
-            Ok(None) => node.tenure.borrow_mut().view.not_alive(&owner, seen),
+            Ok(Some(entry)) => node.leadership.borrow_mut().view.apply_entry(&entry),
+            Ok(None) => node
+                .leadership
+                .borrow_mut()
+                .view
+                .leader_not_alive(&owner, seen),
             Err(_) => {}
         }
     }
-    if node.tenure.borrow().deposed() {
+    if node.leadership.borrow().is_deposed() {
         crate::coordination::leadership::step_down(node);
     }
 }
 
 /// Builds the core from the records of the share.
 async fn load(node: &Rc<Node>, share: &ShardRecord) -> Result<(), Failure> {
-    let quiet_since = share.prior.is_empty().then(|| node.now());
+    let quiet_since = share.former_leaders.is_empty().then(|| node.now());
     let fence = Fence::new(share.term, quiet_since);
     let params = SchedulerConfig::new(&node.settings, &node.policy);
-    let mut core = Scheduler::new(params, share.term, fence, share.boot ^ share.term);
+    let mut core = Scheduler::new(params, share.term, fence, share.incarnation ^ share.term);
     core.wall_clock_offset_s = node.wall_ms() as f64 / 1000.0 - node.now();
     // Read after the share was taken, so that no drain ordered under the owner
     // before us is missed: its machines must get nothing new.
-    let (drains, seen) = node.state.list(records::DRAINS, Lane::Control).await?;
-    node.tenure.borrow_mut().view.take_drains(&drains, seen);
-    core.set_drains(&node.tenure.borrow().view.drains);
-    let (listed, _) = node.state.list(records::MACHINES, Lane::Control).await?;
+    let (drains, seen) = node
+        .state
+        .list(records::DRAINS_PREFIX, Lane::Control)
+        .await?;
+    node.leadership
+        .borrow_mut()
+        .view
+        .apply_drain_listing(&drains, seen);
+    core.set_drains(&node.leadership.borrow().view.drains);
+    let (listed, _) = node
+        .state
+        .list(records::MACHINES_PREFIX, Lane::Control)
+        .await?;
     let now = node.now();
     let written = MachineRecord::read(&listed);
     for info in written.machines() {
         core.add_recorded_machine(info.clone(), now);
     }
     let listed_at = node.now();
-    let (jobs, revision) = node.state.list(records::LIVE, Lane::Control).await?;
+    let (jobs, revision) = node.state.list(records::LIVE_PREFIX, Lane::Control).await?;
     for entry in jobs {
         let Ok(record) = entry.read::<LiveJob>() else {
             tracing::error!(key = %entry.key, "unreadable job record");
@@ -99,12 +116,16 @@
     // Cancellations written meanwhile: of those that users were told of here nobody else
     // could tell, and of others' the watch will tell, which is later.
     let now = node.now();
-    for cancellations in [&node.told_over, &node.heard_over] {
+    for cancellations in [&node.confirmed_cancellations, &node.relayed_cancellations] {
         let since = cancellations.borrow().within(now - listed_at, now);
         since.iter().flatten().for_each(|id| core.finish_job(id));
     }
     // Much may have happened while all this was read, or while we stood still.
-    if !node.tenure.borrow_mut().begin(share.term, listed_at) {
+    if !node
+        .leadership
+        .borrow_mut()
+        .begin_term(share.term, listed_at)
+    {
         tracing::warn!(term = share.term, "share lost while it was read");
         return Ok(());
     }
@@ -117,11 +138,11 @@
     // After the last wait: types that became known while the records were read
     // would else be missed until the cloud is asked again, half a minute in which
     // nothing is placed (see `fleet::keep_types`).
-    if let Some(types) = &node.tenure.borrow().view.types {
+    if let Some(types) = &node.leadership.borrow().view.types {
         core.set_types(types);
     }
-    *node.written.borrow_mut() = written;
-    *node.core.borrow_mut() = Some(core);
+    *node.machine_record.borrow_mut() = written;
+    *node.scheduler.borrow_mut() = Some(core);
     completion_writer::follow(node.clone(), share.term, revision);
     Ok(())
 }
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -15,10 +15,10 @@
 /// Takes what became free, and looks after what is ours.
 pub async fn mind_share(node: Rc<Node>) {
     // As often as the lease is renewed: takeovers are decided by its end.
-    let every = (node.life_s() / 10.0).clamp(0.1, 0.5);
+    let every = (node.lease_ttl_s() / 10.0).clamp(0.1, 0.5);
     loop {
         crate::coordination::leadership::sleep(every).await;
-        let rewrite = node.tenure.borrow().reassert(node.now());
+        let rewrite = node.leadership.borrow().reassert(node.now());
         if let Some(rewrite) = rewrite {
             tracing::info!("our lease is new: is the share still ours?");
             carry_out(&node, rewrite).await;
@@ -39,8 +39,11 @@
 async fn carry_out(node: &Rc<Node>, rewrite: ShardUpdate) {
     match node.state.txn(&rewrite.txn, Lane::Control).await {
         Ok(version) => {
-            let term = node.tenure.borrow_mut().rewritten(&rewrite, version);
-            if let (Some(term), Some(core)) = (term, node.core.borrow_mut().as_mut()) {
+            let term = node
+                .leadership
+                .borrow_mut()
+                .shard_record_written(&rewrite, version);
+            if let (Some(term), Some(core)) = (term, node.scheduler.borrow_mut().as_mut()) {
                 core.raise_term(term);
             }
         }
@@ -68,7 +71,13 @@
             let asked_at = node.now();
             if node.mesh.ask(addr, &ask).await == Some(PeerResponse::Agreed) {
                 let now = node.now();
-                note(&mut node.tenure.borrow_mut(), term, &name, asked_at, now);
+                note(
+                    &mut node.leadership.borrow_mut(),
+                    term,
+                    &name,
+                    asked_at,
+                    now,
+                );
             }
         });
     }
@@ -76,13 +85,13 @@
 
 /// Without contact to the state service asks the others to vouch for us.
 fn seek_vouches(node: &Rc<Node>) {
-    let due = node.tenure.borrow_mut().vouch_due(node.now());
+    let due = node.leadership.borrow_mut().extension_due(node.now());
     if let Some(term) = due {
         ask_peers(
             node,
-            PeerRequest::Vouch(term),
+            PeerRequest::ExtendLease(term),
             term,
-            Leadership::vouched,
+            Leadership::extension_acknowledged,
             |_| true,
         );
     }
@@ -90,27 +99,33 @@
 
 /// While we hear nothing of cancellations asks the others what they told users.
 fn seek_words(node: &Rc<Node>) {
-    let due = node.tenure.borrow_mut().words_due(node.now());
+    let due = node
+        .leadership
+        .borrow_mut()
+        .cancellation_query_due(node.now());
     let Some((term, gap_s)) = due else {
         return;
     };
     for peer in &node.settings.peers {
         let (node, ask) = (
             node.clone(),
-            PeerRequest::Told(term, (gap_s * 1000.0).ceil() as u64),
+            PeerRequest::ConfirmedCancellations(term, (gap_s * 1000.0).ceil() as u64),
         );
         let (name, addr) = (peer.name.clone(), peer.addr);
         actix_rt::spawn(async move {
             let asked_at = node.now();
-            let Some(PeerResponse::Told(jobs)) = node.mesh.ask(addr, &ask).await else {
+            let Some(PeerResponse::ConfirmedCancellations(jobs)) = node.mesh.ask(addr, &ask).await
+            else {
                 return;
             };
             // First the knowledge, then what rests on it.
-            if let Some(core) = node.core.borrow_mut().as_mut() {
+            if let Some(core) = node.scheduler.borrow_mut().as_mut() {
                 jobs.iter().for_each(|id| core.finish_job(id));
             }
             let now = node.now();
-            node.tenure.borrow_mut().word(term, &name, asked_at, now);
+            node.leadership
+                .borrow_mut()
+                .cancellations_reported(term, &name, asked_at, now);
             crate::coordination::agents::dispatcher::drain(&node);
         });
     }
@@ -118,18 +133,19 @@
 
 /// After a takeover asks the others never to vouch for an earlier owner.
 fn seek_promises(node: &Rc<Node>) {
-    let seeks =
-        |c: &crate::coordination::scheduler::state::Scheduler| c.fence.quiet_since.is_none();
-    if !node.core.borrow().as_ref().is_some_and(seeks) {
+    let seeks = |c: &crate::coordination::scheduler::state::Scheduler| {
+        c.fence.former_leaders_silent_since.is_none()
+    };
+    if !node.scheduler.borrow().as_ref().is_some_and(seeks) {
         return;
     }
-    let due = node.tenure.borrow_mut().promise_due(node.now());
+    let due = node.leadership.borrow_mut().promise_due(node.now());
     if let Some((term, missing)) = due {
         ask_peers(
             node,
             PeerRequest::Promise(term),
             term,
-            Leadership::has_promised,
+            Leadership::promise_received,
             |name| missing.iter().any(|m| m == name),
         );
     }
@@ -137,26 +153,33 @@
 
 /// Notices that no former owner can answer any more.
 fn learn_quiet(node: &Node) {
-    let mut core = node.core.borrow_mut();
-    let Some(core) = core.as_mut().filter(|c| c.fence.quiet_since.is_none()) else {
+    let mut core = node.scheduler.borrow_mut();
+    let Some(core) = core
+        .as_mut()
+        .filter(|c| c.fence.former_leaders_silent_since.is_none())
+    else {
         return;
     };
     let now = node.now();
-    if node.tenure.borrow().quiet(now, node.wall_ms()) {
+    if node
+        .leadership
+        .borrow()
+        .former_leaders_fenced(now, node.wall_ms())
+    {
         tracing::info!(term = core.term, "no former owner is left");
-        core.fence.quiet_since = Some(now);
+        core.fence.former_leaders_silent_since = Some(now);
     }
 }
 
 /// Tells the core of drains that came, changed or ended.
 pub fn take_drains(node: &Node) {
-    let tenure = node.tenure.borrow();
-    let mut core = node.core.borrow_mut();
+    let tenure = node.leadership.borrow();
+    let mut core = node.scheduler.borrow_mut();
     let Some(core) = core.as_mut() else {
         return;
     };
-    let seen = (core.fence.base_term, tenure.view.drains_seen);
-    if node.drains_taken.replace(seen) != seen {
+    let seen = (core.fence.base_term, tenure.view.drains_generation);
+    if node.applied_drains.replace(seen) != seen {
         core.set_drains(&tenure.view.drains);
     }
 }
@@ -166,22 +189,22 @@
 async fn note_drained(node: &Rc<Node>) {
     let most = node.settings.cluster.state.txn_ops;
     let now_ms = node.wall_ms();
-    let mut proven = match node.core.borrow().as_ref() {
-        Some(core) if node.certain() => core.proven_drains(now_ms, most),
+    let mut proven = match node.scheduler.borrow().as_ref() {
+        Some(core) if node.is_certain_leader() => core.proven_drains(now_ms, most),
         _ => return,
     };
     {
-        let mut noted = node.noted.borrow_mut();
+        let mut noted = node.noted_drains.borrow_mut();
         noted.retain(|version| proven.iter().any(|p| p.1 == *version));
         proven.retain(|p| !noted.contains(&p.1));
     }
-    let own = node.tenure.borrow().own_version();
+    let own = node.leadership.borrow().own_shard_version();
     let (Some(own), false) = (own, proven.is_empty()) else {
         return;
     };
-    let mut txn = Txn::default().when(records::SHARE, own);
+    let mut txn = Txn::default().when(records::SHARD_KEY, own);
     for (drain, version) in &proven {
-        let key = records::drain(&drain.host);
+        let key = records::drain_key(&drain.host);
         txn = txn.when(&key, *version).put(&key, drain);
     }
     match node.state.txn(&txn, Lane::Control).await {
@@ -190,7 +213,9 @@
             tracing::info!(machines = ?hosts, "drained");
             // What is written is known from the watch alone, in its order; until
             // it comes the same is not written again.
-            node.noted.borrow_mut().extend(proven.iter().map(|p| p.1));
+            node.noted_drains
+                .borrow_mut()
+                .extend(proven.iter().map(|p| p.1));
         }
         // Another owner, or the drain ended: the watch tells.
         Err(Failure::Conflict(_)) => reread(node).await,
@@ -201,11 +226,11 @@
 /// Writes a higher term when starts in limbo must be ruled out.
 async fn raise_term(node: &Rc<Node>) {
     let now = node.now();
-    let wanted = (node.core.borrow_mut().as_mut()).is_some_and(|c| c.needs_higher_term(now));
+    let wanted = (node.scheduler.borrow_mut().as_mut()).is_some_and(|c| c.needs_higher_term(now));
     if !wanted {
         return;
     }
-    let rewrite = node.tenure.borrow().raise(now);
+    let rewrite = node.leadership.borrow().raise_term(now);
     if let Some(rewrite) = rewrite {
         tracing::info!("raising the term: lost commands are ruled out");
         carry_out(node, rewrite).await;
--- a/src/coordination/leadership/lease_extension.rs
+++ b/src/coordination/leadership/lease_extension.rs
@@ -15,11 +15,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LeaseSpans {
     /// An owner goes on alone for this long after its last check.
-    pub alone_s: f64,
+    pub unconfirmed_s: f64,
     /// A vouch counts for this long from when it was asked for.
-    pub vouch_s: f64,
+    pub extension_s: f64,
     /// However many vouch, not longer than this.
-    pub most_s: f64,
+    pub longest_s: f64,
 }
 
 impl LeaseSpans {
@@ -27,9 +27,9 @@
     /// taken over, and half of it more covers a slow renewal.
     pub fn new(life_s: f64, most_s: f64) -> LeaseSpans {
         LeaseSpans {
-            alone_s: (1.5 * life_s).min(most_s),
-            vouch_s: life_s / 2.0,
-            most_s,
+            unconfirmed_s: (1.5 * life_s).min(most_s),
+            extension_s: life_s / 2.0,
+            longest_s: most_s,
         }
     }
 }
@@ -39,14 +39,14 @@
 pub struct QuorumRound {
     /// The term that it is about.
     term: u64,
-    asked: HashMap<String, f64>,
+    acknowledged_at: HashMap<String, f64>,
     /// When a majority was there for the first time.
     complete_at: Option<f64>,
 }
 
 impl QuorumRound {
     /// Starts anew if it is about another term.
-    pub fn about(&mut self, term: u64) {
+    pub fn restart_for(&mut self, term: u64) {
         if self.term != term {
             *self = QuorumRound {
                 term,
@@ -56,19 +56,19 @@
     }
 
     /// `peer` agreed for `term` when asked at `asked_at`.
-    pub fn agreed(&mut self, term: u64, peer: &str, asked_at: f64, now: f64, nodes: usize) {
+    pub fn acknowledge(&mut self, term: u64, peer: &str, asked_at: f64, now: f64, nodes: usize) {
         if term != self.term {
             return;
         }
-        self.asked.insert(peer.to_string(), asked_at);
-        if self.complete_at.is_none() && majority(self.asked.len(), nodes) {
+        self.acknowledged_at.insert(peer.to_string(), asked_at);
+        if self.complete_at.is_none() && majority(self.acknowledged_at.len(), nodes) {
             self.complete_at = Some(now);
         }
     }
 
     /// Whether the peer has agreed.
-    pub fn has(&self, peer: &str) -> bool {
-        self.asked.contains_key(peer)
+    pub fn has_acknowledged(&self, peer: &str) -> bool {
+        self.acknowledged_at.contains_key(peer)
     }
 }
 
@@ -87,18 +87,22 @@
     now: f64,
 ) -> bool {
     let alone_s = now - confirmed;
-    if alone_s < spans.alone_s {
+    if alone_s < spans.unconfirmed_s {
         return true;
     }
-    let valid = |at: &&f64| now - **at < spans.vouch_s;
-    alone_s < spans.most_s && majority(vouches.asked.values().filter(valid).count(), nodes)
+    let valid = |at: &&f64| now - **at < spans.extension_s;
+    alone_s < spans.longest_s
+        && majority(
+            vouches.acknowledged_at.values().filter(valid).count(),
+            nodes,
+        )
 }
 
 /// From when on no earlier owner answers, once enough peers have promised;
 /// `taken_at` is when the takeover was known to be done.
 pub fn quiet_from(promises: &QuorumRound, spans: &LeaseSpans, taken_at: f64) -> Option<f64> {
-    let last_vouch = promises.complete_at? + spans.vouch_s;
+    let last_vouch = promises.complete_at? + spans.extension_s;
     // Clocks drift by half a thousandth against each other, timers come late.
-    let margin = 0.002 * (spans.alone_s + spans.vouch_s) + 0.1;
-    Some(last_vouch.max(taken_at + spans.alone_s) + margin)
+    let margin = 0.002 * (spans.unconfirmed_s + spans.extension_s) + 0.1;
+    Some(last_vouch.max(taken_at + spans.unconfirmed_s) + margin)
 }
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -45,37 +45,39 @@
 }
 
 async fn keep_lease(node: Rc<Node>) {
-    let life = node.life_s();
+    let life = node.lease_ttl_s();
     // Five renewals in a life: three may be lost in a row.
     let every = life / 5.0;
     let again = (every / 4.0).min(0.25);
     loop {
         let began = node.now();
-        let step = node.tenure.borrow().lease_step(began);
+        let step = node.leadership.borrow().next_lease_step(began);
         match step {
             LeaseStep::Rest => sleep(every / 4.0).await,
             LeaseStep::End(lease) => {
                 // Without our lease the others may take the share.
                 let _ = node.state.end_lease(lease).await;
-                node.tenure.borrow_mut().lease_over(lease);
+                node.leadership.borrow_mut().lease_ended(lease);
             }
             LeaseStep::Grant => match node.state.grant(life).await {
-                Ok(lease) => node.tenure.borrow_mut().granted(lease),
+                Ok(lease) => node.leadership.borrow_mut().lease_granted(lease),
                 Err(_) => sleep(again).await,
             },
             LeaseStep::Write { lease, boot, over } => {
                 let host = &node.settings.host_name;
-                let txn = records::alive_write(host, boot, lease, over);
+                let txn = records::write_alive(host, boot, lease, over);
                 match node.state.txn(&txn, Lane::Control).await {
                     Ok(version) => {
-                        node.tenure.borrow_mut().alive_written(lease, boot, version);
+                        node.leadership
+                            .borrow_mut()
+                            .alive_written(lease, boot, version);
                         look_after_share(&node);
                     }
-                    Err(Failure::NoLease) => node.tenure.borrow_mut().lease_over(lease),
+                    Err(Failure::NoLease) => node.leadership.borrow_mut().lease_ended(lease),
                     Err(Failure::Conflict(_)) => {
-                        let key = records::alive(host);
+                        let key = records::alive_key(host);
                         match node.state.get(&key, Lane::Control).await {
-                            Ok(found) => node.tenure.borrow_mut().alive_read(found.as_ref()),
+                            Ok(found) => node.leadership.borrow_mut().alive_read(found.as_ref()),
                             Err(_) => sleep(again).await,
                         }
                     }
@@ -87,12 +89,12 @@
             }
             LeaseStep::Renew(lease) => match node.state.renew(lease, life / 3.0).await {
                 Ok(()) => {
-                    node.tenure.borrow_mut().renewed(lease, began);
+                    node.leadership.borrow_mut().lease_renewed(lease, began);
                     sleep(every).await;
                 }
                 Err(Failure::NoLease) => {
                     tracing::warn!("our lease ran out");
-                    node.tenure.borrow_mut().lease_over(lease);
+                    node.leadership.borrow_mut().lease_ended(lease);
                 }
                 Err(_) => sleep(again).await,
             },
@@ -104,28 +106,38 @@
 async fn watch_area(node: Rc<Node>) {
     let wait_s = 20.0;
     loop {
-        let listed = node.state.list(records::AREA, Lane::Control).await;
+        let listed = node
+            .state
+            .list(records::CONTROL_PREFIX, Lane::Control)
+            .await;
         let Ok((entries, mut revision)) = listed else {
             sleep(0.2).await;
             continue;
         };
-        node.tenure.borrow_mut().view.take_list(&entries, revision);
+        node.leadership
+            .borrow_mut()
+            .view
+            .apply_listing(&entries, revision);
         look_after_share(&node);
         loop {
-            match node.state.watch(records::AREA, revision, wait_s).await {
+            match node
+                .state
+                .watch(records::CONTROL_PREFIX, revision, wait_s)
+                .await
+            {
                 Ok(news) => {
                     revision = news.revision;
                     for event in news.events {
-                        let view = &mut node.tenure.borrow_mut().view;
+                        let view = &mut node.leadership.borrow_mut().view;
                         match event.seen() {
-                            Some(Seen::Put(entry)) => view.take_entry(&entry),
+                            Some(Seen::Put(entry)) => view.apply_entry(&entry),
                             Some(Seen::Deleted { key, version }) => {
-                                view.take_deletion(&key, version);
+                                view.apply_deletion(&key, version);
                             }
                             None => {}
                         }
                     }
-                    node.tenure.borrow_mut().view.reached(revision);
+                    node.leadership.borrow_mut().view.advance_to(revision);
                     look_after_share(&node);
                 }
                 Err(Failure::Gone) => break,
@@ -138,21 +150,21 @@
 
 /// Sends users elsewhere where the state service does not answer us alone.
 async fn mind_health(node: Rc<Node>) {
-    let patience_s = node.contact_s();
+    let patience_s = node.contact_timeout_s();
     loop {
         sleep(patience_s / 4.0).await;
-        if node.now() - node.contact_at() > patience_s / 2.0 {
+        if node.now() - node.last_contact_at() > patience_s / 2.0 {
             // Nothing else may be asking at all.
-            let _ = node.state.get(records::SHARE, Lane::Control).await;
+            let _ = node.state.get(records::SHARD_KEY, Lane::Control).await;
         }
-        let lost = node.now() - node.contact_at() > patience_s;
+        let lost = node.now() - node.last_contact_at() > patience_s;
         let peers = if lost {
             Some(ask_contact(&node).await)
         } else {
             None
         };
-        let (now, at) = (node.now(), node.contact_at());
-        let change = node.health.borrow_mut().step(now, at, patience_s, peers);
+        let (now, at) = (node.now(), node.last_contact_at());
+        let change = node.readiness.borrow_mut().step(now, at, patience_s, peers);
         if let Some(away) = change {
             tracing::warn!(
                 away,
@@ -177,10 +189,10 @@
     for answer in answers {
         match answer {
             // One that has just got it back says nothing of our own way.
-            Some(PeerResponse::Contact(ms)) if ms as f64 > node.contact_s() * 1000.0 => {
-                found.with += 1
+            Some(PeerResponse::Contact(ms)) if ms as f64 > node.contact_timeout_s() * 1000.0 => {
+                found.with_contact += 1
             }
-            Some(PeerResponse::Contact(_)) => found.without += 1,
+            Some(PeerResponse::Contact(_)) => found.without_contact += 1,
             _ => {}
         }
     }
@@ -194,7 +206,7 @@
         sleep((report_s / 4.0).clamp(0.25, 1.0)).await;
         let now = node.now();
         let reach = node
-            .core
+            .scheduler
             .borrow()
             .as_ref()
             .map(|c| (c.term, c.silent_machines(now)));
@@ -206,15 +218,20 @@
                 u32::MAX / 8,
             )
         };
-        let Some((term, (all, silent))) = reach.filter(silent).filter(|_| node.certain()) else {
+        let Some((term, (all, silent))) = reach.filter(silent).filter(|_| node.is_certain_leader())
+        else {
             continue;
         };
         let peers: Vec<_> = node.settings.peers.iter().map(|p| p.addr).collect();
         let asked = peers.into_iter().map(|addr| {
             let node = node.clone();
             async move {
-                match node.mesh.ask(addr, &PeerRequest::TurnedAway).await {
-                    Some(PeerResponse::TurnedAway(n)) => n,
+                match node
+                    .mesh
+                    .ask(addr, &PeerRequest::RedirectedHeartbeats)
+                    .await
+                {
+                    Some(PeerResponse::RedirectedHeartbeats(n)) => n,
                     _ => 0,
                 }
             }
@@ -223,7 +240,11 @@
             .await
             .into_iter()
             .sum();
-        let still = node.core.borrow().as_ref().is_some_and(|c| c.term == term);
+        let still = node
+            .scheduler
+            .borrow()
+            .as_ref()
+            .is_some_and(|c| c.term == term);
         if still
             && crate::coordination::agents::leader_reachability::out_of_reach(
                 all, silent, elsewhere,
@@ -236,48 +257,48 @@
                 elsewhere,
                 "workers do not reach us: resigning"
             );
-            *node.core.borrow_mut() = None;
+            *node.scheduler.borrow_mut() = None;
             let boot = crate::coordination::node::draw_boot();
-            node.tenure.borrow_mut().resign(node.now(), boot);
+            node.leadership.borrow_mut().resign(node.now(), boot);
         }
     }
 }
 
 /// Looks after the share when something may have changed.
 fn look_after_share(node: &Rc<Node>) {
-    if node.tenure.borrow().deposed() {
+    if node.leadership.borrow().is_deposed() {
         tracing::warn!("share lost: stepping down");
         step_down(node);
     }
-    let raised = node.tenure.borrow_mut().adopt_raised_term();
-    if let (Some(term), Some(core)) = (raised, node.core.borrow_mut().as_mut()) {
+    let raised = node.leadership.borrow_mut().adopt_raised_term();
+    if let (Some(term), Some(core)) = (raised, node.scheduler.borrow_mut().as_mut()) {
         tracing::info!(term, "the term was raised, and the answer lost");
         core.raise_term(term);
     }
     let term = node
-        .tenure
+        .leadership
         .borrow()
         .view
-        .share
+        .shard
         .as_ref()
         .map_or(0, |(s, _)| s.term);
-    if node.told_term.replace(term) != term {
-        node.claimed.notify_waiters();
+    if node.announced_term.replace(term) != term {
+        node.leadership_changed.notify_waiters();
     }
     // Only now: a drain that ended under a later owner frees nothing for us.
     crate::coordination::leadership::leader_loop::take_drains(node);
     let (now, now_ms) = (node.now(), node.wall_ms());
-    if node.claiming.get() {
+    if node.taking_over.get() {
         return;
     }
-    let claim = node.tenure.borrow_mut().claim(now, now_ms);
+    let claim = node.leadership.borrow_mut().attempt_takeover(now, now_ms);
     if let Some(claim) = claim {
-        node.claiming.set(true);
+        node.taking_over.set(true);
         let node = node.clone();
         actix_rt::spawn(async move {
             crate::coordination::leadership::failover::carry_out(&node, claim).await;
-            node.claiming.set(false);
-            node.claimed.notify_waiters();
+            node.taking_over.set(false);
+            node.leadership_changed.notify_waiters();
         });
     }
 }
@@ -285,8 +306,8 @@
 /// Promises never to vouch for an owner before this term; if that is us, our
 /// time is over. (Our own voice counts in our majority, so it must not stay.)
 pub fn promise(node: &Node, term: u64) {
-    node.tenure.borrow_mut().promise(term);
-    if node.tenure.borrow().deposed() {
+    node.leadership.borrow_mut().promise(term);
+    if node.leadership.borrow().is_deposed() {
         tracing::warn!(term, "another controller took over: stepping down");
         step_down(node);
     }
@@ -295,7 +316,7 @@
 /// A worker saw a term above ours, which only another owner can have told it.
 /// Going on would keep workers and users with us until our time is over.
 pub fn superseded(node: &Node) {
-    if node.core.borrow().is_some() {
+    if node.scheduler.borrow().is_some() {
         tracing::warn!("a worker saw a higher term: stepping down");
         step_down(node);
     }
@@ -303,8 +324,8 @@
 
 /// Stops acting for the share.
 fn step_down(node: &Node) {
-    *node.core.borrow_mut() = None;
-    node.tenure
+    *node.scheduler.borrow_mut() = None;
+    node.leadership
         .borrow_mut()
         .step_down(crate::coordination::node::draw_boot());
 }
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -55,46 +55,46 @@
     pub settings: Settings,
     pub policy: Policy,
     /// A takeover is under way.
-    pub claiming: Cell<bool>,
+    pub taking_over: Cell<bool>,
     /// Told when the takeover is over, and when the share changed hands.
-    pub claimed: Notify,
+    pub leadership_changed: Notify,
     /// Term of the share when that was last told.
-    pub told_term: Cell<u64>,
+    pub announced_term: Cell<u64>,
     start: Instant,
     pub state: StateClient,
     pub cloud: CloudClient,
     pub workers: WorkerClient,
     pub mesh: MeshClient,
-    pub core: RefCell<Option<Scheduler>>,
+    pub scheduler: RefCell<Option<Scheduler>>,
     /// Who owns the share, and what that rests on.
-    pub tenure: RefCell<Leadership>,
+    pub leadership: RefCell<Leadership>,
     /// Terminal states of jobs, as far as they were read or written here.
-    pub terminal: RefCell<TerminalStates>,
+    pub terminal_states: RefCell<TerminalStates>,
     /// Cancellations that users were told of by us.
-    pub told_over: RefCell<ConfirmedCancellations>,
+    pub confirmed_cancellations: RefCell<ConfirmedCancellations>,
     /// Cancellations that other controllers told us of, for a core that is not there yet.
-    pub heard_over: RefCell<ConfirmedCancellations>,
+    pub relayed_cancellations: RefCell<ConfirmedCancellations>,
     /// Our share's machine record as it is written, by chunk.
-    pub written: RefCell<MachineRecord>,
+    pub machine_record: RefCell<MachineRecord>,
     /// Direct calls to workers under way.
-    pub calls: Cell<usize>,
+    pub direct_calls: Cell<usize>,
     /// Term and count of the drains that the core was told of.
-    pub drains_taken: Cell<(u64, u64)>,
+    pub applied_drains: Cell<(u64, u64)>,
     /// Versions of drains that we recorded as carried out and the watch has not
     /// shown yet.
-    pub noted: RefCell<Vec<u64>>,
+    pub noted_drains: RefCell<Vec<u64>>,
     /// Revision of the last step of a roll that we wrote.
-    pub rolled: Cell<u64>,
+    pub rollout_revision: Cell<u64>,
     /// How long submissions took until they were accepted, in milliseconds.
-    pub accept_ms: RefCell<Option<Histogram<u32>>>,
+    pub acceptance_ms: RefCell<Option<Histogram<u32>>>,
     /// What operators were told of the owner's share, for when it is away.
-    pub told: RefCell<HashMap<Topic, (f64, u64, String)>>,
+    pub last_views: RefCell<HashMap<Topic, (f64, u64, String)>>,
     /// Live jobs as they were read, and polls that wait for a check of them.
-    pub records: RefCell<RecordCache>,
+    pub record_cache: RefCell<RecordCache>,
     /// Whether users should be sent here.
-    pub health: RefCell<Readiness>,
+    pub readiness: RefCell<Readiness>,
     /// Workers' reports that came here while another one was the owner.
-    pub turned_away: RefCell<RedirectCounter>,
+    pub redirected_heartbeats: RefCell<RedirectCounter>,
 }
 
 impl Node {
@@ -108,17 +108,17 @@
     pub fn with_clients(settings: Settings, policy: Policy, clients: Clients) -> Rc<Node> {
         let workers = &settings.cluster.workers;
         let terms = LeadershipConfig {
-            me: settings.host_name.clone(),
+            host: settings.host_name.clone(),
             peers: settings.peers.iter().map(|p| p.name.clone()).collect(),
             teams: (settings.cluster.teams.iter().map(|t| t.name.clone())).collect(),
-            life_s: policy.life_s(workers.lease_s),
+            lease_ttl_s: policy.life_s(workers.lease_s),
             // While the state service is away for all, nothing can be taken
             // over, so this is long; after a takeover it bounds how long the
             // former owner lasts if no majority of promises is had.
-            quiet_s: policy.quiet_leases * workers.lease_s,
-            lease_s: workers.lease_s,
-            blind_s: blind_s(workers.cancel_s, workers.lease_s),
-            bound_ms: settings.cluster.time_bound_ms.ceil() as u64,
+            longest_silence_s: policy.quiet_leases * workers.lease_s,
+            worker_lease_s: workers.lease_s,
+            staleness_bound_s: blind_s(workers.cancel_s, workers.lease_s),
+            clock_bound_ms: settings.cluster.time_bound_ms.ceil() as u64,
         };
         Rc::new(Node {
             state: clients.state,
@@ -127,25 +127,25 @@
             mesh: clients.mesh,
             settings,
             policy,
-            claiming: Cell::new(false),
-            claimed: Notify::new(),
-            told_term: Cell::new(0),
+            taking_over: Cell::new(false),
+            leadership_changed: Notify::new(),
+            announced_term: Cell::new(0),
             start: Instant::now(),
-            core: RefCell::new(None),
-            tenure: RefCell::new(Leadership::new(terms, draw_boot())),
-            terminal: RefCell::default(),
-            told_over: RefCell::default(),
-            heard_over: RefCell::default(),
-            written: RefCell::default(),
-            calls: Cell::new(0),
-            drains_taken: Cell::default(),
-            noted: RefCell::default(),
-            rolled: Cell::default(),
-            accept_ms: RefCell::new(Histogram::new_with_bounds(1, 600_000, 2).ok()),
-            told: RefCell::default(),
-            records: RefCell::default(),
-            health: RefCell::default(),
-            turned_away: RefCell::default(),
+            scheduler: RefCell::new(None),
+            leadership: RefCell::new(Leadership::new(terms, draw_boot())),
+            terminal_states: RefCell::default(),
+            confirmed_cancellations: RefCell::default(),
+            relayed_cancellations: RefCell::default(),
+            machine_record: RefCell::default(),
+            direct_calls: Cell::new(0),
+            applied_drains: Cell::default(),
+            noted_drains: RefCell::default(),
+            rollout_revision: Cell::default(),
+            acceptance_ms: RefCell::new(Histogram::new_with_bounds(1, 600_000, 2).ok()),
+            last_views: RefCell::default(),
+            record_cache: RefCell::default(),
+            readiness: RefCell::default(),
+            redirected_heartbeats: RefCell::default(),
         })
     }
 
@@ -156,10 +156,12 @@
     /// a poll here found it and told the user; then the state service went away, and what
     /// the other controllers told users, which is all that an owner asks for, did not
     /// have it: the job's tasks ran on.)
-    pub fn learnt_final(&self, id: &str, state: TerminalRecord) {
-        if self.terminal.borrow_mut().put(id, state) && state.state == JobState::Cancelled {
-            self.told_over.borrow_mut().note(id, self.now());
-            if let Some(core) = self.core.borrow_mut().as_mut() {
+    pub fn learn_terminal_state(&self, id: &str, state: TerminalRecord) {
+        if self.terminal_states.borrow_mut().put(id, state) && state.state == JobState::Cancelled {
+            self.confirmed_cancellations
+                .borrow_mut()
+                .record(id, self.now());
+            if let Some(core) = self.scheduler.borrow_mut().as_mut() {
                 core.finish_job(id);
             }
         }
@@ -171,8 +173,8 @@
     }
 
     /// Remembers how long a submission took until it was accepted.
-    pub fn accepted_in(&self, took_s: f64) {
-        if let Some(histogram) = self.accept_ms.borrow_mut().as_mut() {
+    pub fn record_acceptance(&self, took_s: f64) {
+        if let Some(histogram) = self.acceptance_ms.borrow_mut().as_mut() {
             histogram.saturating_record((took_s * 1000.0).max(1.0) as u64);
         }
     }
@@ -185,44 +187,45 @@
     }
 
     /// Whether we own the share and may answer workers.
-    pub fn entitled(&self) -> bool {
-        self.core.borrow().is_some() && self.tenure.borrow().entitled(self.now())
+    pub fn may_answer_workers(&self) -> bool {
+        self.scheduler.borrow().is_some() && self.leadership.borrow().may_answer_workers(self.now())
     }
 
     /// Waits for a takeover of ours that is under way. A worker turned away now
     /// would connect again and again while the share is being read, and a
     /// thousand of them would keep it from being read.
-    pub async fn settled(&self) {
-        if self.claiming.get() {
+    pub async fn takeover_settled(&self) {
+        if self.taking_over.get() {
             // Half of the time that a worker waits for an answer.
-            let wait = actix_rt::time::timeout(Duration::from_secs(2), self.claimed.notified());
+            let wait =
+                actix_rt::time::timeout(Duration::from_secs(2), self.leadership_changed.notified());
             let _ = wait.await;
         }
     }
 
     /// Waits for the share to change hands, and for a takeover of ours to be over: three
     /// quarters of the time that a worker waits for an answer.
-    pub async fn moved(&self) {
+    pub async fn leader_changed(&self) {
         let change = async {
-            self.claimed.notified().await;
-            self.settled().await;
+            self.leadership_changed.notified().await;
+            self.takeover_settled().await;
         };
         let _ = actix_rt::time::timeout(Duration::from_secs(3), change).await;
     }
 
     /// Whether nobody can have taken the share from us.
-    pub fn certain(&self) -> bool {
-        self.core.borrow().is_some() && self.tenure.borrow().certain(self.now())
+    pub fn is_certain_leader(&self) -> bool {
+        self.scheduler.borrow().is_some() && self.leadership.borrow().is_certain_leader(self.now())
     }
 
     /// Without contact to the state service for this long a controller doubts its own
     /// way to it. Half of its lease's life is two renewals and the time for one more.
-    pub fn contact_s(&self) -> f64 {
-        self.life_s() / 2.0
+    pub fn contact_timeout_s(&self) -> f64 {
+        self.lease_ttl_s() / 2.0
     }
 
     /// When the state service last answered.
-    pub fn contact_at(&self) -> f64 {
+    pub fn last_contact_at(&self) -> f64 {
         let at = self.state.met().answered_at;
         at.map_or(0.0, |at| {
             at.saturating_duration_since(self.start).as_secs_f64()
@@ -230,17 +233,17 @@
     }
 
     /// Life of a controller's lease in the state service, in seconds.
-    pub fn life_s(&self) -> f64 {
+    pub fn lease_ttl_s(&self) -> f64 {
         self.policy.life_s(self.settings.cluster.workers.lease_s)
     }
 
     /// The owner's name, if it is known and not us.
-    pub fn other_owner(&self) -> Option<String> {
-        self.tenure.borrow().other_owner()
+    pub fn other_leader(&self) -> Option<String> {
+        self.leadership.borrow().other_leader()
     }
 
     /// A peer's address.
-    pub fn peer(&self, name: &str) -> Option<SocketAddr> {
+    pub fn peer_address(&self, name: &str) -> Option<SocketAddr> {
         let peers = &self.settings.peers;
         peers.iter().find(|p| p.name == name).map(|p| p.addr)
     }
@@ -248,13 +251,13 @@
     /// Most tasks whose done marks fit into the job's record: a range takes up
     /// to 14 bytes and covers two tasks at worst; half the value is the
     /// description's.
-    pub fn chunk_tasks(&self) -> u32 {
+    pub fn tasks_per_record(&self) -> u32 {
         (self.settings.cluster.state.value_kb * 1024.0 / 16.0).max(64.0) as u32
     }
 
     /// Whether the job can ever run: an error for the user, or `None` while we
     /// cannot tell.
-    pub fn judge(&self, spec: &JobSpec) -> Option<Result<(), String>> {
+    pub fn check_admission(&self, spec: &JobSpec) -> Option<Result<(), String>> {
         let Some(team) = self.settings.team(&spec.team) else {
             return Some(Err(format!("unknown owner {}", spec.team)));
         };
@@ -266,7 +269,7 @@
         {
             return Some(Err("more than the owner's limit".into()));
         }
-        let tenure = self.tenure.borrow();
+        let tenure = self.leadership.borrow();
         let types = tenure.view.types.as_ref()?;
         if types.iter().any(|t| records::fits_type(spec, t)) {
             Some(Ok(()))
--- a/src/coordination/readiness.rs
+++ b/src/coordination/readiness.rs
@@ -8,9 +8,9 @@
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Readiness {
     /// Since when there is contact without a gap.
-    steady_since: f64,
+    contact_since: f64,
     /// Users are sent elsewhere.
-    away: bool,
+    not_ready: bool,
 }
 
 /// What the other controllers say of their contact.
@@ -19,17 +19,17 @@
     /// How many there are.
     pub all: usize,
     /// With contact for some time.
-    pub with: usize,
+    pub with_contact: usize,
     /// Without, by their own word.
-    pub without: usize,
+    pub without_contact: usize,
 }
 
 impl PeerContacts {
     /// Whether this looks like an outage for all: nobody has contact, and most
     /// controllers say so. (Two that are cut off together must not take each other's
     /// word for it.)
-    fn outage(&self) -> bool {
-        self.with == 0 && 2 * (self.without + 1) > self.all + 1
+    fn is_outage(&self) -> bool {
+        self.with_contact == 0 && 2 * (self.without_contact + 1) > self.all + 1
     }
 }
 
@@ -46,26 +46,26 @@
     ) -> Option<bool> {
         let gap_s = now - contact_at;
         if gap_s > patience_s / 2.0 {
-            self.steady_since = now;
+            self.contact_since = now;
         }
-        let before = self.away;
+        let before = self.not_ready;
         if gap_s > patience_s {
             if let Some(peers) = peers {
-                self.away = !peers.outage();
+                self.not_ready = !peers.is_outage();
             }
-        } else if self.steady_s(now) > patience_s {
-            self.away = false;
+        } else if self.contact_for(now) > patience_s {
+            self.not_ready = false;
         }
-        (self.away != before).then_some(self.away)
+        (self.not_ready != before).then_some(self.not_ready)
     }
 
     /// For how long there has been contact without a gap.
-    pub fn steady_s(&self, now: f64) -> f64 {
-        now - self.steady_since
+    pub fn contact_for(&self, now: f64) -> f64 {
+        now - self.contact_since
     }
 
     /// Whether users are sent elsewhere.
-    pub fn away(&self) -> bool {
-        self.away
+    pub fn is_not_ready(&self) -> bool {
+        self.not_ready
     }
 }
--- a/src/coordination/scheduler/capacity.rs
+++ b/src/coordination/scheduler/capacity.rs
@@ -36,18 +36,18 @@
         }
     }
     /// Whether `need` fits into it; sums of decimals are off by a little.
-    pub fn holds(&self, need: &Resources) -> bool {
+    pub fn fits(&self, need: &Resources) -> bool {
         const E: f64 = 1e-6;
         need.cpus <= self.cpus + E
             && need.gpus <= self.gpus + E
             && need.memory_gb <= self.memory_gb + E
     }
-    pub fn take(&mut self, other: &Resources) {
+    pub fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
-    pub fn give(&mut self, other: &Resources) {
+    pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
@@ -63,25 +63,25 @@
     /// Usable machines by free CPUs, least first. Sizes of tasks are any
     /// decimals, so that classes by whole CPUs would hold many that do not fit;
     /// moving a few hundred entries at a change costs less than looking at them.
-    by_room: Vec<(f64, Name)>,
+    by_free_cpus: Vec<(f64, Name)>,
     /// Usable machines with a place in their queue.
-    short: Vec<Name>,
+    short_queue: Vec<Name>,
 }
 
 impl MachinePool {
     pub fn usable(&self) -> usize {
-        self.by_room.len()
+        self.by_free_cpus.len()
     }
 
     /// Where in the order a machine with this much room stands.
     fn place(&self, cpus: f64, name: &str) -> Result<usize, usize> {
-        self.by_room
+        self.by_free_cpus
             .binary_search_by(|(c, n)| c.total_cmp(&cpus).then_with(|| (**n).cmp(name)))
     }
 
     /// The first machine with this many CPUs free; sums are off by a little.
     fn first(&self, cpus: f64) -> usize {
-        self.by_room.partition_point(|(c, _)| *c < cpus - 1e-6)
+        self.by_free_cpus.partition_point(|(c, _)| *c < cpus - 1e-6)
     }
 }
 
@@ -103,7 +103,7 @@
     /// Needs for which no machine of these pools has room, as found by a look
     /// at all of them. Room only comes free one machine at a time, so this
     /// holds until one of them does (see `grew`).
-    full: Vec<(Vec<usize>, Resources)>,
+    exhausted: Vec<(Vec<usize>, Resources)>,
 }
 
 /// Most such needs remembered; any more are looked up again.
@@ -117,14 +117,18 @@
         };
         let pool = &mut self.pools[place.pool];
         if let Ok(at) = pool.place(place.cpus, name) {
-            pool.by_room.remove(at);
+            pool.by_free_cpus.remove(at);
         }
-        if pool.by_room.is_empty() {
+        if pool.by_free_cpus.is_empty() {
             self.version += 1;
         }
         if let Some(at) = place.short {
-            pool.short.swap_remove(at);
-            if let Some(p) = pool.short.get(at).and_then(|n| self.places.get_mut(n)) {
+            pool.short_queue.swap_remove(at);
+            if let Some(p) = pool
+                .short_queue
+                .get(at)
+                .and_then(|n| self.places.get_mut(n))
+            {
                 p.short = Some(at);
             }
         }
@@ -148,25 +152,25 @@
                 kind: info.kind.clone(),
                 zone: info.zone.clone(),
                 spot: info.spot,
-                by_room: Vec::new(),
-                short: Vec::new(),
+                by_free_cpus: Vec::new(),
+                short_queue: Vec::new(),
             });
             self.pools.len() - 1
         });
         let pool = &mut self.pools[at];
         if let Err(to) = pool.place(free_cpus, name) {
-            pool.by_room.insert(to, (free_cpus, name.clone()));
+            pool.by_free_cpus.insert(to, (free_cpus, name.clone()));
         }
-        if pool.by_room.len() == 1 {
+        if pool.by_free_cpus.len() == 1 {
             self.version += 1;
         }
         let place = Place {
             pool: at,
             cpus: free_cpus,
-            short: short.then_some(pool.short.len()),
+            short: short.then_some(pool.short_queue.len()),
         };
         if short {
-            pool.short.push(name.clone());
+            pool.short_queue.push(name.clone());
         }
         self.places.insert(name.clone(), place);
     }
@@ -196,35 +200,35 @@
     }
 
     /// A machine has this much room now, and had less.
-    pub(crate) fn grew(&mut self, free: &Resources) {
-        self.full.retain(|(_, need)| !free.holds(need));
+    pub(crate) fn capacity_grew(&mut self, free: &Resources) {
+        self.exhausted.retain(|(_, need)| !free.fits(need));
     }
 
     /// No machine of the pools has room for this.
-    pub(crate) fn set_full(&mut self, pools: &[usize], need: Resources) {
-        if self.full.len() < FULL {
-            self.full.push((pools.to_vec(), need));
+    pub(crate) fn set_exhausted(&mut self, pools: &[usize], need: Resources) {
+        if self.exhausted.len() < FULL {
+            self.exhausted.push((pools.to_vec(), need));
         }
     }
 
     /// Whether it is known that no machine of the pools has room for this.
-    pub(crate) fn is_full(&self, pools: &[usize], need: &Resources) -> bool {
-        self.full
+    pub(crate) fn is_exhausted(&self, pools: &[usize], need: &Resources) -> bool {
+        self.exhausted
             .iter()
-            .any(|(p, full)| need.holds(full) && p == pools)
+            .any(|(p, full)| need.fits(full) && p == pools)
     }
 
     /// How many machines of the pools have this many CPUs free.
-    pub(crate) fn roomy(&self, pools: &[usize], cpus: f64) -> usize {
-        let roomy = |p: &MachinePool| p.by_room.len() - p.first(cpus);
+    pub(crate) fn count_with_cpus(&self, pools: &[usize], cpus: f64) -> usize {
+        let roomy = |p: &MachinePool| p.by_free_cpus.len() - p.first(cpus);
         pools.iter().map(|&p| roomy(&self.pools[p])).sum()
     }
 
     /// The `n`th of those.
-    pub(crate) fn roomy_at(&self, pools: &[usize], cpus: f64, mut n: usize) -> Option<&Name> {
+    pub(crate) fn nth_with_cpus(&self, pools: &[usize], cpus: f64, mut n: usize) -> Option<&Name> {
         for &p in pools {
             let pool = &self.pools[p];
-            let roomy = &pool.by_room[pool.first(cpus)..];
+            let roomy = &pool.by_free_cpus[pool.first(cpus)..];
             if n < roomy.len() {
                 return roomy.get(n).map(|r| &r.1);
             }
@@ -236,18 +240,18 @@
     /// The pool's machines with as many CPUs free, the fullest first.
     pub(crate) fn with_cpus(&self, pool: usize, cpus: f64) -> &[(f64, Name)] {
         let pool = &self.pools[pool];
-        &pool.by_room[pool.first(cpus)..]
+        &pool.by_free_cpus[pool.first(cpus)..]
     }
 
     /// How many machines of the pools have a place in their queue.
-    pub(crate) fn short(&self, pools: &[usize]) -> usize {
-        pools.iter().map(|&p| self.pools[p].short.len()).sum()
+    pub(crate) fn count_short_queues(&self, pools: &[usize]) -> usize {
+        pools.iter().map(|&p| self.pools[p].short_queue.len()).sum()
     }
 
     /// The `n`th of those.
-    pub(crate) fn short_at(&self, pools: &[usize], mut n: usize) -> Option<&Name> {
+    pub(crate) fn nth_short_queue(&self, pools: &[usize], mut n: usize) -> Option<&Name> {
         for &p in pools {
-            let short = &self.pools[p].short;
+            let short = &self.pools[p].short_queue;
             if n < short.len() {
                 return short.get(n);
             }
--- a/src/coordination/scheduler/delivery.rs
+++ b/src/coordination/scheduler/delivery.rs
@@ -9,33 +9,33 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
     /// Something we told was carried out, or it answered a call.
-    Heeded,
+    Delivered,
     /// Something we told it in an earlier answer had no effect.
-    Unheeded,
+    Undelivered,
     /// Neither.
-    Nothing,
+    Neutral,
 }
 
 /// All that one message says: a single thing that was carried out is proof.
 #[derive(Debug, Default)]
 pub struct EvidenceSummary {
-    heeded: bool,
-    unheeded: bool,
+    delivered: bool,
+    undelivered: bool,
 }
 
 impl EvidenceSummary {
     /// One more.
     pub fn note(&mut self, sign: Evidence) {
-        self.heeded |= sign == Evidence::Heeded;
-        self.unheeded |= sign == Evidence::Unheeded;
+        self.delivered |= sign == Evidence::Delivered;
+        self.undelivered |= sign == Evidence::Undelivered;
     }
 
     /// What they come to.
-    pub fn sum(&self) -> Evidence {
-        match (self.heeded, self.unheeded) {
-            (true, _) => Evidence::Heeded,
-            (false, true) => Evidence::Unheeded,
-            (false, false) => Evidence::Nothing,
+    pub fn conclusion(&self) -> Evidence {
+        match (self.delivered, self.undelivered) {
+            (true, _) => Evidence::Delivered,
+            (false, true) => Evidence::Undelivered,
+            (false, false) => Evidence::Neutral,
         }
     }
 }
@@ -47,13 +47,13 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Delivery {
     /// Signs in a row that it does not hear.
-    unheeded: u32,
+    undelivered: u32,
     /// Since when it is in doubt.
-    since: Option<f64>,
+    doubted_since: Option<f64>,
     /// It was answered in this session, and showed nothing of it yet.
-    unproven: bool,
+    unconfirmed: bool,
     /// Highest term that an answer told it.
-    pub told: u64,
+    pub told_term: u64,
 }
 
 /// Signs in a row after which a machine that did not report under our term is not
@@ -64,53 +64,53 @@
 impl Delivery {
     /// An answer with this term goes out to it.
     pub fn answered(&mut self, term: u64) {
-        self.told = self.told.max(term);
-        self.unproven = true;
+        self.told_term = self.told_term.max(term);
+        self.unconfirmed = true;
     }
 
     /// A newer message came.
-    pub fn heard(&mut self, sign: Evidence, now: f64) {
+    pub fn message_received(&mut self, sign: Evidence, now: f64) {
         match sign {
-            Evidence::Heeded => {
+            Evidence::Delivered => {
                 *self = Delivery {
-                    told: self.told,
+                    told_term: self.told_term,
                     ..Delivery::default()
                 }
             }
-            Evidence::Unheeded => {
-                self.unheeded += 1;
-                self.since.get_or_insert(now);
+            Evidence::Undelivered => {
+                self.undelivered += 1;
+                self.doubted_since.get_or_insert(now);
             }
-            Evidence::Nothing => {}
+            Evidence::Neutral => {}
         }
     }
 
     /// It reports again after this time. Sooner than it would have given the last
     /// report up it must have had the answer.
-    pub fn stays(&mut self, after_s: f64) {
+    pub fn next_heartbeat_after(&mut self, after_s: f64) {
         if after_s < PATIENCE_S {
-            self.unproven = false;
+            self.unconfirmed = false;
         }
     }
 
     /// A newer session began; whether the one before ended although it had been
     /// answered and had shown nothing of it.
-    pub fn session_over(&mut self) -> bool {
-        std::mem::take(&mut self.unproven)
+    pub fn session_ended(&mut self) -> bool {
+        std::mem::take(&mut self.unconfirmed)
     }
 
     /// Whether nothing new may start on it.
-    pub fn doubted(&self) -> bool {
-        self.since.is_some()
+    pub fn is_doubted(&self) -> bool {
+        self.doubted_since.is_some()
     }
 
     /// For how long it has been in doubt.
-    pub fn doubted_s(&self, now: f64) -> Option<f64> {
-        self.since.map(|t| now - t)
+    pub fn doubted_for(&self, now: f64) -> Option<f64> {
+        self.doubted_since.map(|t| now - t)
     }
 
     /// Whether answers to it are in vain.
-    pub fn in_vain(&self) -> bool {
-        self.unheeded >= IN_VAIN
+    pub fn is_given_up(&self) -> bool {
+        self.undelivered >= IN_VAIN
     }
 }
--- a/src/coordination/scheduler/fence.rs
+++ b/src/coordination/scheduler/fence.rs
@@ -9,7 +9,7 @@
     /// The term of the takeover; a report under it or a later one is fenced.
     pub base_term: u64,
     /// Since when no former owner can have answered a worker, once known.
-    pub quiet_since: Option<f64>,
+    pub former_leaders_silent_since: Option<f64>,
     /// All machines were accounted for once; it stays so.
     pub open: bool,
 }
@@ -18,7 +18,7 @@
     pub fn new(base_term: u64, quiet_since: Option<f64>) -> Fence {
         Fence {
             base_term,
-            quiet_since,
+            former_leaders_silent_since: quiet_since,
             open: false,
         }
     }
@@ -26,7 +26,8 @@
     /// From when on a machine that we never answered is empty: the lease after
     /// the last moment that any former owner could have answered it.
     pub fn empty_from(&self, lease_with_margin: f64) -> Option<f64> {
-        self.quiet_since.map(|t| t + lease_with_margin)
+        self.former_leaders_silent_since
+            .map(|t| t + lease_with_margin)
     }
 }
 
@@ -41,7 +42,7 @@
     prior
         .iter()
         .filter(|p| {
-            let replaced = alive(&p.host).is_some_and(|boot| boot != p.boot);
+            let replaced = alive(&p.host).is_some_and(|boot| boot != p.incarnation);
             // Both clocks may be off by the bound, in opposite directions.
             let over = now_ms > p.until_ms + 2 * bound_ms;
             !replaced && !over
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -19,14 +19,14 @@
 pub(crate) struct OrderedJob {
     pub rank: u8,
     /// Order within the rank, lowest first.
-    within: f64,
+    precedence: f64,
     pub name: Name,
     /// What a task takes.
-    pub need: Resources,
+    pub requirements: Resources,
     /// See `Job::fresh`.
-    pub fresh: Rc<Cell<bool>>,
+    pub has_new_tasks: Rc<Cell<bool>>,
     /// Its first task alone.
-    pub first: bool,
+    pub first_task_only: bool,
 }
 
 /// The order of jobs, made anew from time to time.
@@ -35,9 +35,9 @@
     /// Unfinished jobs in the order of precedence.
     pub(crate) jobs: Vec<OrderedJob>,
     /// The same jobs, those first whose stopping is cheapest.
-    pub(crate) victims: Vec<(f64, f64, Name)>,
+    pub(crate) preemption_candidates: Vec<(f64, f64, Name)>,
     /// Jobs came or went since it was made.
-    pub(crate) stale: bool,
+    pub(crate) is_stale: bool,
     made_at: f64,
 }
 
@@ -46,7 +46,7 @@
         self.jobs.sort_by(|a, b| {
             a.rank
                 .cmp(&b.rank)
-                .then(a.within.total_cmp(&b.within))
+                .then(a.precedence.total_cmp(&b.precedence))
                 .then_with(|| a.name.cmp(&b.name))
         });
     }
@@ -74,11 +74,11 @@
     pub(crate) fn refresh_job_order(&mut self, now: f64) {
         // Jobs that come or go by the dozen are taken in together.
         let age_s = now - self.job_order.made_at;
-        let settled = age_s < self.config.report_s / 4.0 && !self.job_order.stale;
+        let settled = age_s < self.config.report_s / 4.0 && !self.job_order.is_stale;
         if settled || (0.0..self.config.report_s / 20.0).contains(&age_s) {
             return;
         }
-        if self.job_order.stale {
+        if self.job_order.is_stale {
             self.update_guarantees();
         }
         let names: Vec<Name> = self
@@ -100,17 +100,19 @@
             let (rank, within) = self.precedence(job, now);
             order.jobs.push(OrderedJob {
                 rank,
-                within,
+                precedence: within,
                 name: name.clone(),
-                need: Resources::of_task(&job.spec),
-                fresh: job.has_new_tasks.clone(),
-                first: false,
+                requirements: Resources::of_task(&job.spec),
+                has_new_tasks: job.has_new_tasks.clone(),
+                first_task_only: false,
             });
             if let Some(job) = self.jobs.get_mut(&name) {
                 job.objective_reachable = pressed;
                 let left = f64::from(job.spec.tasks.saturating_sub(job.completed.len() as u32));
                 let work = left * job.spec.estimate_s * job.spec.cpus.max(job.spec.gpus);
-                order.victims.push((dearness(job), work, name));
+                order
+                    .preemption_candidates
+                    .push((dearness(job), work, name));
             }
         }
         order.sort();
@@ -122,7 +124,7 @@
             self.judge_preemption_need(&order, now);
         }
         self.put_first_tasks_first(&mut order, now);
-        order.victims.sort_by(|a, b| {
+        order.preemption_candidates.sort_by(|a, b| {
             let by_cost = a.0.total_cmp(&b.0).then(b.1.total_cmp(&a.1));
             by_cost.then_with(|| a.2.cmp(&b.2))
         });
@@ -214,21 +216,21 @@
         let mut firsts: Vec<OrderedJob> = (order.jobs.iter().filter(waits))
             .map(|e| OrderedJob {
                 rank: 0,
-                within: self.jobs.get(&e.name).map_or(0.0, |j| j.accepted_at),
+                precedence: self.jobs.get(&e.name).map_or(0.0, |j| j.accepted_at),
                 name: e.name.clone(),
-                need: e.need,
-                fresh: e.fresh.clone(),
-                first: true,
+                requirements: e.requirements,
+                has_new_tasks: e.has_new_tasks.clone(),
+                first_task_only: true,
             })
             .collect();
-        firsts.sort_by(|a, b| a.within.total_cmp(&b.within));
+        firsts.sort_by(|a, b| a.precedence.total_cmp(&b.precedence));
         // A sixteenth of the fleet at most: where hundreds of jobs wait, a task of each is
         // what half of a class could have been done with.
         let beginning = self.jobs.values().filter(|j| j.is_only_late_first_task());
         let mut left = self.capacity().1 / 16.0 - beginning.map(|j| j.spec.cpus).sum::<f64>();
         firsts.retain(|e| {
             let fits = left > 0.0;
-            left -= e.need.cpus;
+            left -= e.requirements.cpus;
             fits
         });
         order.jobs.splice(0..0, firsts);
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -4,7 +4,7 @@
 use crate::coordination::scheduler::delivery::Delivery;
 use crate::coordination::scheduler::job::{Name, TaskId};
 use crate::protocol::worker::{Cause, Phase};
-use crate::storage::records::{MachineInfo, TOKENS};
+use crate::storage::records::{MachineInfo, TOKENS_PER_TERM};
 use std::collections::BTreeMap;
 
 /// An attempt that is on a machine, or may be.
@@ -203,7 +203,7 @@
     /// The token of answers and calls to it, under this term of ours. Whatever it was
     /// raised for, one beyond the term's own would be a later owner's.
     pub fn token_under(&self, term: u64) -> u64 {
-        self.raised_token.clamp(term, term + TOKENS - 1)
+        self.raised_token.clamp(term, term + TOKENS_PER_TERM - 1)
     }
 
     pub fn has_image(&self, image: &str) -> bool {
@@ -242,14 +242,14 @@
             && !self.cordoned
             && self.unknown_attempts == 0
             && self.notice_at.is_none()
-            && !self.delivery.doubted()
+            && !self.delivery.is_doubted()
             && !self.renumbers
             && now - self.heard_at < silent_s
     }
 
     /// Whether it has been in doubt for longer than this whether it hears us.
     pub fn is_unreachable(&self, now: f64, longer_s: f64) -> bool {
-        self.delivery.doubted_s(now).is_some_and(|s| s > longer_s)
+        self.delivery.doubted_for(now).is_some_and(|s| s > longer_s)
     }
 
     /// Whether this session cannot have come after the one we know: each between them
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -34,9 +34,9 @@
     pub usage: TeamUsage,
     /// Kinds of tasks for which no room can be made, and how little they take:
     /// it can't be made for more either.
-    pub hopeless: Vec<(TaskRequirements, Resources)>,
+    pub infeasible: Vec<(TaskRequirements, Resources)>,
     /// Stops that had their effect were forgotten in this pass.
-    pub pruned: bool,
+    pub stops_pruned: bool,
     /// What each team's stopped work will free, less what waits for it.
     pub freeing: Option<HashMap<usize, (f64, f64)>>,
     /// Whether a team has work on machines less urgent than this.
@@ -87,7 +87,7 @@
         let mut free = kind.map_or(Resources::default(), Resources::of_type);
         if kind.is_some() {
             for (_, active) in m.live_attempts() {
-                free.take(&active.resources);
+                free.subtract(&active.resources);
             }
         }
         let usable = kind.is_some() && m.is_usable(self.now, silent_s);
@@ -97,8 +97,8 @@
         } else {
             self.capacity_index.remove(key);
         }
-        if usable && (!m.indexed || !m.free_capacity.holds(&free)) {
-            self.capacity_index.grew(&free);
+        if usable && (!m.indexed || !m.free_capacity.fits(&free)) {
+            self.capacity_index.capacity_grew(&free);
             self.grown_capacity.push(free);
             if !m.queue.is_empty() {
                 self.freed_machines.insert(key.clone());
@@ -148,11 +148,11 @@
             self.start_reserved(rank, &freed, &mut pass, now);
             while at < order.len() && order[at].rank == rank {
                 let entry = &order[at];
-                let fresh = full || entry.fresh.get();
-                if fresh || grown.iter().any(|g| g.holds(&entry.need)) {
+                let fresh = full || entry.has_new_tasks.get();
+                if fresh || grown.iter().any(|g| g.fits(&entry.requirements)) {
                     let thorough = fresh || again > 0;
                     again -= usize::from(!fresh && again > 0);
-                    if !entry.first {
+                    if !entry.first_task_only {
                         self.place_job(&entry.name, u32::MAX, thorough, &mut pass, now);
                     } else if self
                         .jobs
@@ -230,7 +230,7 @@
             let Some(pools) = self.pools_for_job(name) else {
                 return;
             };
-            let open = allowed && !self.capacity_index.is_full(&pools, &need);
+            let open = allowed && !self.capacity_index.is_exhausted(&pools, &need);
             if !open && !thorough {
                 return;
             }
@@ -326,7 +326,7 @@
         now: f64,
     ) -> Option<Name> {
         let need = Resources::of_task(spec);
-        let n = self.capacity_index.roomy(pools, spec.cpus);
+        let n = self.capacity_index.count_with_cpus(pools, spec.cpus);
         let mut picks = Vec::new();
         if n > 0 {
             let holders = self.image_holders.remove(&spec.image).unwrap_or_default();
@@ -334,7 +334,7 @@
                 let name = holders.get(at)?;
                 let m = core.machines.get(name)?;
                 let pool = core.capacity_index.pool_of(name)?;
-                let fits = m.free_capacity.holds(&need) && m.has_image(&spec.image);
+                let fits = m.free_capacity.fits(&need) && m.has_image(&spec.image);
                 let open = pools.contains(&pool) && core.usable(m, now) && !m.has_attempt_of(task);
                 (fits && open).then(|| name.clone())
             });
@@ -347,16 +347,16 @@
         }
         let mut room = false;
         let picks = self.sample(n, task, pools, true, |core, at| {
-            let name = core.capacity_index.roomy_at(pools, spec.cpus, at)?;
+            let name = core.capacity_index.nth_with_cpus(pools, spec.cpus, at)?;
             let m = core.machines.get(name)?;
             // An attempt that is not forgotten yet would refuse it.
-            let fits = m.free_capacity.holds(&need);
+            let fits = m.free_capacity.fits(&need);
             room |= fits;
             (fits && core.usable(m, now) && !m.has_attempt_of(task)).then(|| name.clone())
         });
         if !room {
             // Every one was looked at: not again before one has more room.
-            self.capacity_index.set_full(pools, need);
+            self.capacity_index.set_exhausted(pools, need);
         }
         self.best_candidate(picks, spec)
     }
@@ -374,9 +374,9 @@
     /// Samples among the machines with a place in their queue, and takes the
     /// shorter queue.
     fn sample_queues(&mut self, task: &TaskId, pools: &[usize], now: f64) -> Option<Name> {
-        let n = self.capacity_index.short(pools);
+        let n = self.capacity_index.count_short_queues(pools);
         let picks = self.sample(n, task, pools, true, |core, at| {
-            let name = core.capacity_index.short_at(pools, at)?;
+            let name = core.capacity_index.nth_short_queue(pools, at)?;
             let m = core.machines.get(name)?;
             core.usable(m, now).then(|| name.clone())
         });
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -164,16 +164,16 @@
         let (spec, team) = (job.spec.clone(), job.team);
         let need = Resources::of_task(&spec);
         let kind: TaskRequirements = (team, spec.urgency, job.guaranteed, pools.clone());
-        let hopeless = |(k, least): &(TaskRequirements, Resources)| need.holds(least) && *k == kind;
-        if pools.is_empty() || pass.hopeless.iter().any(hopeless) {
+        let hopeless = |(k, least): &(TaskRequirements, Resources)| need.fits(least) && *k == kind;
+        if pools.is_empty() || pass.infeasible.iter().any(hopeless) {
             return None;
         }
-        if !std::mem::replace(&mut pass.pruned, true) {
+        if !std::mem::replace(&mut pass.stops_pruned, true) {
             self.prune_stopping_attempts();
         }
         let lacking = self.is_over_limit(team, &spec, pass);
         let Some((_, machine, chosen)) = self.cheapest_preemption(name, lacking, pass, now) else {
-            pass.hopeless.push((kind, need));
+            pass.infeasible.push((kind, need));
             return None;
         };
         for (key, grace) in chosen {
@@ -222,7 +222,7 @@
             return best;
         }
         let mut dear = 0.0;
-        for (dearness, _, victim) in &self.job_order.victims {
+        for (dearness, _, victim) in &self.job_order.preemption_candidates {
             // A dearer job is not worth a look once there is a plan.
             if seen.len() >= 2 * WEIGHED || best.is_some() && *dearness > dear {
                 break;
@@ -268,7 +268,7 @@
         let mut room = m.free_capacity;
         for bound in m.queue.iter().filter(|b| b.reserved) {
             if let Some(j) = self.jobs.get(&bound.task.job) {
-                room.take(&Resources::of_task(&j.spec));
+                room.subtract(&Resources::of_task(&j.spec));
             }
         }
         let mut victims = Vec::new();
@@ -277,7 +277,7 @@
                 continue;
             };
             if active.stop_grace_s.is_some() {
-                room.give(&active.resources);
+                room.add(&active.resources);
                 continue;
             }
             let stops = victim.preemptions.get(&key.0.index).copied().unwrap_or(0);
@@ -296,14 +296,14 @@
         let mut chosen = Vec::new();
         let mut freed = Resources::default();
         let enough = |room: &Resources, freed: &Resources| {
-            room.holds(&need) && (!lacking || freed.cpus >= need.cpus && freed.gpus >= need.gpus)
+            room.fits(&need) && (!lacking || freed.cpus >= need.cpus && freed.gpus >= need.gpus)
         };
         for (loss_s, key, held) in victims {
             if enough(&room, &freed) {
                 break;
             }
-            room.give(&held);
-            freed.give(&held);
+            room.add(&held);
+            freed.add(&held);
             cost += loss_s;
             chosen.push(key);
         }
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -187,7 +187,7 @@
                 let room = self
                     .machines
                     .get(name)
-                    .is_some_and(|m| m.free_capacity.holds(&Resources::of_task(&spec)));
+                    .is_some_and(|m| m.free_capacity.fits(&Resources::of_task(&spec)));
                 if !room
                     || !within_limit(limit, pass.usage.of(team), &spec, 1.0)
                     || !self.zone_allows(&bound.task.job, name)
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -14,7 +14,7 @@
 use crate::protocol::policy::Policy;
 use crate::protocol::settings::{Objective, Settings, Team};
 use crate::storage::marks::CompletedTasks;
-use crate::storage::records::{LiveJob, MachineInfo, TOKENS};
+use crate::storage::records::{LiveJob, MachineInfo, TOKENS_PER_TERM};
 use foldhash::fast::RandomState;
 use indexmap::IndexSet;
 use rand::rngs::SmallRng;
@@ -268,7 +268,7 @@
             self.unsaved_jobs.insert(id.clone());
         }
         self.jobs.insert(id, job);
-        self.job_order.stale = true;
+        self.job_order.is_stale = true;
         self.placement_due = true;
     }
 
@@ -297,7 +297,7 @@
             self.stop_attempt(&machine, &(task, attempt), 0.0);
         }
         self.unsaved_jobs.swap_remove(&name);
-        self.job_order.stale = true;
+        self.job_order.is_stale = true;
         self.placement_due = true;
     }
 
@@ -548,7 +548,7 @@
     /// cancellation. True where a machine has had all tokens of our term.
     pub fn needs_higher_term(&mut self, now: f64) -> bool {
         let patience = self.config.cancel_s / 8.0;
-        let (term, last) = (self.term, self.term + TOKENS - 1);
+        let (term, last) = (self.term, self.term + TOKENS_PER_TERM - 1);
         let machines = &mut self.machines;
         let mut used_up = false;
         self.unresolved_starts.retain(|name| {
--- a/src/coordination/scheduler/zone_constraint.rs
+++ b/src/coordination/scheduler/zone_constraint.rs
@@ -78,7 +78,7 @@
             let roomy = self.capacity_index.with_cpus(p, spec.cpus).iter();
             let fits = |name: &Name| {
                 let m = self.machines.get(name);
-                m.is_some_and(|m| m.free_capacity.holds(&need))
+                m.is_some_and(|m| m.free_capacity.fits(&need))
             };
             let free: f64 = roomy.filter(|(_, n)| fits(n)).map(|(cpus, _)| cpus).sum();
             match room.iter_mut().find(|(z, _)| *z == zone) {
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -47,7 +47,7 @@
             };
         }
     };
-    match node.judge(&spec) {
+    match node.check_admission(&spec) {
         Some(Ok(())) => accept(&node, spec, began).await,
         Some(Err(why)) => {
             let refusal = refuse(StatusCode::UNPROCESSABLE_ENTITY, &why);
@@ -60,7 +60,7 @@
 /// Records a valid job and tells the user.
 async fn accept(node: &Rc<Node>, spec: JobSpec, began: f64) -> HttpResponse {
     let id = spec.id.clone();
-    if let Some(last) = node.terminal.borrow().get(&id) {
+    if let Some(last) = node.terminal_states.borrow().get(&id) {
         return accepted(StatusCode::OK, &id, last.state);
     }
     let record = LiveJob {
@@ -69,14 +69,14 @@
         done: String::new(),
     };
     let txn = Txn::default()
-        .when(&records::live(&id), 0)
-        .when(&records::fin(&id), 0)
-        .put(&records::live(&id), &record);
+        .when(&records::live_key(&id), 0)
+        .when(&records::terminal_key(&id), 0)
+        .put(&records::live_key(&id), &record);
     let written = node.state.timed_txn(&txn, Lane::Data).await;
     match written.result {
         Ok(version) => {
             log_accepted(&record.spec);
-            node.accepted_in(node.now() - began);
+            node.record_acceptance(node.now() - began);
             take_job(node, record, version);
         }
         Err(Failure::Conflict(_)) => return known_or(node, &id, try_elsewhere(node)).await,
@@ -84,7 +84,7 @@
     }
     // Guards against an answer that was held up: by now the user may have been told
     // elsewhere that the job is over.
-    let over = node.terminal.borrow().get(&id).is_some();
+    let over = node.terminal_states.borrow().get(&id).is_some();
     if over || written.sent_at.elapsed() > READ_AGE {
         return known_or(node, &id, try_elsewhere(node)).await;
     }
@@ -99,8 +99,8 @@
 /// A job that was just recorded: the core learns of it at once where it is ours.
 fn take_job(node: &Rc<Node>, record: LiveJob, version: u64) {
     let read = Rc::new(record.clone());
-    node.records.borrow_mut().insert(&read, version);
-    if let Some(core) = node.core.borrow_mut().as_mut() {
+    node.record_cache.borrow_mut().insert(&read, version);
+    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
         core.add_job(record, version, CompletedTasks::default());
         core.place_changed(node.now());
     }
@@ -142,13 +142,13 @@
 /// Done and running tasks, from the leader. Asked for before the job is looked up: the
 /// counts are for display, and waiting for them afterwards would age the answer.
 async fn task_counts(node: &Rc<Node>, id: &str) -> Option<TaskCounts> {
-    if node.terminal.borrow().get(id).is_some() {
+    if node.terminal_states.borrow().get(id).is_some() {
         return None;
     }
-    if let Some(core) = node.core.borrow().as_ref() {
+    if let Some(core) = node.scheduler.borrow().as_ref() {
         return core.progress(id);
     }
-    let addr = node.peer(&node.other_owner()?)?;
+    let addr = node.peer_address(&node.other_leader()?)?;
     match node
         .mesh
         .ask(addr, &PeerRequest::Progress(id.to_string()))
@@ -171,7 +171,7 @@
             // Where the leader does not answer, what is in the record. Marks kept apart are
             // hundreds of KiB for the largest jobs; the counts are worth no such read.
             let unknown = TaskCounts {
-                done: record.marked(),
+                done: record.completed_count(),
                 running: 0,
             };
             progress(&id, live_state(counts), counts.unwrap_or(unknown))
@@ -206,7 +206,7 @@
     if !valid_id(&id) {
         return no_such_job();
     }
-    let known = node.terminal.borrow().get(&id).is_some();
+    let known = node.terminal_states.borrow().get(&id).is_some();
     // Done marks written meanwhile change the record's version: look again.
     for _ in 0..CANCEL_ATTEMPTS {
         let (record, version) = match lookup::find(&node, &id).await {
@@ -225,7 +225,7 @@
         let last = TerminalRecord {
             state: JobState::Cancelled,
             tasks: record.as_ref().map_or(0, |r| r.spec.tasks),
-            done: record.as_ref().map_or(0, |r| r.marked()),
+            done: record.as_ref().map_or(0, |r| r.completed_count()),
         };
         match node
             .state
@@ -245,15 +245,15 @@
 
 fn cancellation(id: &str, version: u64, last: &TerminalRecord) -> Txn {
     Txn::default()
-        .when(&records::live(id), version)
-        .delete(&records::live(id))
-        .put(&records::fin(id), last)
+        .when(&records::live_key(id), version)
+        .delete(&records::live_key(id))
+        .put(&records::terminal_key(id), last)
 }
 
 /// A cancellation was recorded, and its user is about to be told.
 async fn cancelled(node: &Rc<Node>, id: &str, last: TerminalRecord) {
     tracing::info!(job = %id, "cancelled");
-    node.learnt_final(id, last);
+    node.learn_terminal_state(id, last);
     dispatcher::drain(node);
     completion_writer::sweep_marks(node.clone(), id.into(), last.tasks);
     tell_leader(node, id).await;
@@ -263,13 +263,13 @@
 /// of the job afterwards. (It learns it from its watch as well, but later.) The message
 /// may be lost: what bounds the time then is `leadership::cover`.
 async fn tell_leader(node: &Rc<Node>, id: &str) {
-    if node.core.borrow().is_some() {
+    if node.scheduler.borrow().is_some() {
         return;
     }
-    let Some(addr) = node.other_owner().and_then(|o| node.peer(&o)) else {
+    let Some(addr) = node.other_leader().and_then(|o| node.peer_address(&o)) else {
         return;
     };
-    let message = PeerRequest::Over(id.to_string());
+    let message = PeerRequest::JobCancelled(id.to_string());
     let told = node.mesh.ask_within(addr, &message, LEADER_HEARS_S);
     if told.await.is_none() {
         tracing::debug!(job = %id, "the leader was not reached with a cancellation");
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -25,25 +25,27 @@
         PeerRequest::Overview => of_core(node, |core| {
             Some(PeerResponse::Overview(core.overview(node.now())))
         }),
-        PeerRequest::Admin(topic) => of_core(node, |core| admin_page(node, core, topic)),
-        PeerRequest::Vouch(term) => agreed_if(node.tenure.borrow().vouches_for(term)),
+        PeerRequest::View(topic) => of_core(node, |core| admin_page(node, core, topic)),
+        PeerRequest::ExtendLease(term) => {
+            agreed_if(node.leadership.borrow().knows_no_later_leader(term))
+        }
         PeerRequest::Promise(term) => {
             leadership::promise(node, term);
             PeerResponse::Agreed
         }
         PeerRequest::Contact => {
-            let steady_s = node.health.borrow().steady_s(node.now());
+            let steady_s = node.readiness.borrow().contact_for(node.now());
             PeerResponse::Contact((steady_s.max(0.0) * 1000.0) as u64)
         }
-        PeerRequest::TurnedAway => {
-            let recent = node.turned_away.borrow_mut().recent(node.now());
-            PeerResponse::TurnedAway(recent)
+        PeerRequest::RedirectedHeartbeats => {
+            let recent = node.redirected_heartbeats.borrow_mut().recent(node.now());
+            PeerResponse::RedirectedHeartbeats(recent)
         }
-        PeerRequest::Over(id) => {
+        PeerRequest::JobCancelled(id) => {
             job_over(node, &id);
             PeerResponse::Agreed
         }
-        PeerRequest::Told(term, for_ms) => told(node, term, for_ms),
+        PeerRequest::ConfirmedCancellations(term, for_ms) => told(node, term, for_ms),
     }
 }
 
@@ -51,8 +53,10 @@
 fn job_over(node: &Rc<Node>, id: &str) {
     // Guards against a share that is being read: the list of live jobs may have the job
     // already, and its core, which is not there yet, would start it.
-    node.heard_over.borrow_mut().note(id, node.now());
-    if let Some(core) = node.core.borrow_mut().as_mut() {
+    node.relayed_cancellations
+        .borrow_mut()
+        .record(id, node.now());
+    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
         core.finish_job(id);
     }
     dispatcher::drain(node);
@@ -60,15 +64,17 @@
 
 /// What the leader's core says, if this controller leads.
 fn of_core(node: &Node, ask: impl FnOnce(&Scheduler) -> Option<PeerResponse>) -> PeerResponse {
-    let core = node.core.borrow();
-    core.as_ref().and_then(ask).unwrap_or(PeerResponse::NotMine)
+    let core = node.scheduler.borrow();
+    core.as_ref()
+        .and_then(ask)
+        .unwrap_or(PeerResponse::NotLeader)
 }
 
 fn agreed_if(agreed: bool) -> PeerResponse {
     if agreed {
         PeerResponse::Agreed
     } else {
-        PeerResponse::NotMine
+        PeerResponse::NotLeader
     }
 }
 
@@ -82,18 +88,22 @@
 
 fn admin_page(node: &Node, core: &Scheduler, topic: Topic) -> Option<PeerResponse> {
     let text = admin::of_core(core, topic, node.now())?;
-    Some(PeerResponse::Admin(core.term, text))
+    Some(PeerResponse::View(core.term, text))
 }
 
 /// The cancellations that this controller told users of, for a leader that has no other
 /// way to learn them.
 fn told(node: &Node, term: u64, for_ms: u64) -> PeerResponse {
-    if !node.tenure.borrow().speaks_to(term) {
-        return PeerResponse::NotMine;
+    if !node.leadership.borrow().may_report_to(term) {
+        return PeerResponse::NotLeader;
     }
     let for_s = for_ms as f64 / 1000.0;
-    match node.told_over.borrow().within(for_s, node.now()) {
-        Some(jobs) => PeerResponse::Told(jobs),
-        None => PeerResponse::NotMine,
+    match node
+        .confirmed_cancellations
+        .borrow()
+        .within(for_s, node.now())
+    {
+        Some(jobs) => PeerResponse::ConfirmedCancellations(jobs),
+        None => PeerResponse::NotLeader,
     }
 }
--- a/src/handlers/reply.rs
+++ b/src/handlers/reply.rs
@@ -38,7 +38,7 @@
 /// controller.
 pub fn try_elsewhere(node: &Node) -> HttpResponse {
     let mut response = unavailable();
-    if node.health.borrow().away() {
+    if node.readiness.borrow().is_not_ready() {
         response
             .head_mut()
             .set_connection_type(ConnectionType::Close);
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -20,8 +20,8 @@
         Err(refusal) => return refusal,
     };
     wait_until_entitled(&node).await;
-    if !node.entitled() {
-        let leader = node.other_owner();
+    if !node.may_answer_workers() {
+        let leader = node.other_leader();
         let redirect = Redirect {
             to: leader.as_deref(),
         };
@@ -31,7 +31,7 @@
         return refuse(StatusCode::BAD_REQUEST, "not a report");
     };
     let now = node.now();
-    if let Some(core) = node.core.borrow_mut().as_mut() {
+    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
         if let Some(token) = core.handle_repeated_heartbeat(&head, now) {
             let commands = Vec::new();
             return json_response(StatusCode::OK, &Reply { token, commands });
@@ -41,7 +41,7 @@
     let Some(report) = head.read() else {
         return refuse(StatusCode::BAD_REQUEST, "not a report");
     };
-    let verdict = match node.core.borrow_mut().as_mut() {
+    let verdict = match node.scheduler.borrow_mut().as_mut() {
         Some(core) => {
             let verdict = core.handle_heartbeat(&report, now);
             let order = (report.session, report.seq);
@@ -51,7 +51,7 @@
         None => HeartbeatReply::Refuse,
     };
     match verdict {
-        HeartbeatReply::Orders(reply) => {
+        HeartbeatReply::Commands(reply) => {
             dispatcher::drain(&node);
             json_response(StatusCode::OK, &reply)
         }
@@ -66,15 +66,15 @@
 /// A takeover may be under way here, or due because workers do not reach the leader: a
 /// worker turned away would connect anew and wait once more.
 async fn wait_until_entitled(node: &Rc<Node>) {
-    if node.entitled() {
+    if node.may_answer_workers() {
         return;
     }
-    node.settled().await;
-    if node.entitled() {
+    node.takeover_settled().await;
+    if node.may_answer_workers() {
         return;
     }
-    let lately = node.turned_away.borrow_mut().add(node.now());
+    let lately = node.redirected_heartbeats.borrow_mut().add(node.now());
     if leader_reachability::owner_unreached(lately) {
-        node.moved().await;
+        node.leader_changed().await;
     }
 }
--- a/src/handlers/status.rs
+++ b/src/handlers/status.rs
@@ -12,8 +12,8 @@
 /// `GET /up`: healthy once the cluster is known, and while the state service does not
 /// refuse this controller alone.
 pub async fn up(node: SharedNode) -> HttpResponse {
-    let loaded = node.tenure.borrow().view.loaded;
-    if loaded && !node.health.borrow().away() {
+    let loaded = node.leadership.borrow().view.loaded;
+    if loaded && !node.readiness.borrow().is_not_ready() {
         json_response(StatusCode::OK, &json!({"up": true}))
     } else {
         unavailable()
@@ -22,7 +22,11 @@
 
 /// `GET /overview`: live jobs as a table, from the leader.
 pub async fn overview(node: SharedNode) -> HttpResponse {
-    let own = node.core.borrow().as_ref().map(|c| c.overview(node.now()));
+    let own = node
+        .scheduler
+        .borrow()
+        .as_ref()
+        .map(|c| c.overview(node.now()));
     let text = match own {
         Some(text) => Some(text),
         None => leaders_overview(&node).await,
@@ -36,7 +40,7 @@
 }
 
 async fn leaders_overview(node: &Rc<Node>) -> Option<String> {
-    let addr = node.peer(&node.other_owner()?)?;
+    let addr = node.peer_address(&node.other_leader()?)?;
     match node.mesh.ask(addr, &PeerRequest::Overview).await? {
         PeerResponse::Overview(text) => Some(text),
         _ => None,
--- a/src/protocol/mesh.rs
+++ b/src/protocol/mesh.rs
@@ -13,20 +13,20 @@
     Overview,
     /// I own the share under this term and have no contact to the state service:
     /// do you know of a later owner?
-    Vouch(u64),
+    ExtendLease(u64),
     /// I took the share over under this term: never vouch for an earlier one.
     Promise(u64),
     /// How many reports of workers did you turn away lately?
-    TurnedAway,
+    RedirectedHeartbeats,
     /// What do operators see of your share?
-    Admin(Topic),
+    View(Topic),
     /// For how long have you had contact to the state service without a gap?
     Contact,
     /// This job's cancellation is written: stop what you run of it.
-    Over(String),
+    JobCancelled(String),
     /// I own the share under this term and hear nothing of cancellations: which did
     /// you tell users of, over so many milliseconds?
-    Told(u64, u64),
+    ConfirmedCancellations(u64, u64),
 }
 
 /// What operators look at.
@@ -55,15 +55,15 @@
     Overview(String),
     /// No later owner is known, or the promise is given.
     Agreed,
-    TurnedAway(u32),
+    RedirectedHeartbeats(u32),
     /// The term and the data, as JSON.
-    Admin(u64, String),
+    View(u64, String),
     /// The asked controller does not own what was asked about.
-    NotMine,
+    NotLeader,
     /// For so many milliseconds.
     Contact(u64),
     /// Cancelled jobs that users were told of: all of the time asked for.
-    Told(Vec<String>),
+    ConfirmedCancellations(Vec<String>),
 }
 
 /// Encodes a message.
--- a/src/storage/chunks.rs
+++ b/src/storage/chunks.rs
@@ -15,7 +15,10 @@
     pub fn read(listed: &[Entry]) -> MachineRecord {
         let mut written = MachineRecord::default();
         for entry in listed {
-            match (records::chunk_of(&entry.key), entry.read::<MachineChunk>()) {
+            match (
+                records::chunk_number(&entry.key),
+                entry.read::<MachineChunk>(),
+            ) {
                 (Some(at), Ok(chunk)) => written.set(at, chunk.machines, entry.version),
                 _ => tracing::error!(key = %entry.key, "unreadable machine record"),
             }
@@ -58,9 +61,9 @@
 /// given up, and is carried out minutes late, would put an old list over a
 /// newer one: tasks would run on machines that no record names.
 pub fn txn(written: &MachineRecord, changes: &[Change], share_version: u64) -> Txn {
-    let mut txn = Txn::default().when(records::SHARE, share_version);
+    let mut txn = Txn::default().when(records::SHARD_KEY, share_version);
     for (at, machines) in changes {
-        let key = records::machines(*at);
+        let key = records::machine_chunk_key(*at);
         let machines = machines.clone();
         txn = txn
             .when(&key, written.version(*at))
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -145,7 +145,7 @@
     /// The leader records that the job is done, as `ledger` does.
     async fn end(self: &Rc<Self>, job: usize) -> bool {
         let id = id(job);
-        let key = records::live(&id);
+        let key = records::live_key(&id);
         let last = TerminalRecord {
             state: JobState::Done,
             tasks: 2,
@@ -158,13 +158,13 @@
         let txn = Txn::default()
             .when(&key, version)
             .delete(&key)
-            .put(&records::fin(&id), &last);
+            .put(&records::terminal_key(&id), &last);
         if self.cluster.store.borrow_mut().apply(&txn).is_err() {
             return false;
         }
         self.ended.borrow_mut().push((job, Instant::now()));
         self.pause(0..40).await;
-        self.controllers[0].node.learnt_final(&id, last);
+        self.controllers[0].node.learn_terminal_state(&id, last);
         true
     }
 
@@ -294,7 +294,7 @@
 /// A core for the leader, which follows the live jobs by its watch.
 fn lead(controller: &Controller) {
     let teams = vec![team("vision", 8.0, 16.0)];
-    *controller.node.core.borrow_mut() = Some(core(teams, 1, &["m-0"]));
+    *controller.node.scheduler.borrow_mut() = Some(core(teams, 1, &["m-0"]));
     completion_writer::follow(controller.node.clone(), 1, 0);
 }
 
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -77,13 +77,13 @@
         let mut cover = CancellationHorizon::default();
         watched.into_iter().for_each(|t| cover.watched(t));
         for (peer, asked_at, now) in words {
-            cover.word(peer, *asked_at, *now);
+            cover.reported(peer, *asked_at, *now);
         }
-        assert_eq!(cover.known(confirmed, &peers), known, "{what}");
+        assert_eq!(cover.known_until(confirmed, &peers), known, "{what}");
     }
     // Alone, there is nobody to tell anything.
     assert_eq!(
-        CancellationHorizon::default().known(9.0, &[]),
+        CancellationHorizon::default().known_until(9.0, &[]),
         f64::NEG_INFINITY
     );
     // The sum of the bound and a lease stays below `cancel_s`.
@@ -97,8 +97,8 @@
 #[test]
 fn a_word_covers_the_time_asked_for() {
     let mut told = ConfirmedCancellations::since(100.0);
-    told.note("run-1", 110.0);
-    told.note("run-2", 120.0);
+    told.record("run-1", 110.0);
+    told.record("run-2", 120.0);
     for (for_s, now, word) in [
         (5.0, 121.0, Some(vec!["run-2"])),
         (15.0, 121.0, Some(vec!["run-2", "run-1"])),
@@ -112,7 +112,7 @@
         assert_eq!(told.within(for_s, now), word, "{for_s}");
     }
     for n in 0..4096 {
-        told.note(&format!("run-x{n}"), 130.0 + f64::from(n));
+        told.record(&format!("run-x{n}"), 130.0 + f64::from(n));
     }
     assert!(told.within(4115.0, 4230.0).is_none(), "some were let go");
     assert!(told.within(100.0, 4230.0).is_some_and(|w| w.len() == 96));
@@ -126,7 +126,7 @@
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         assert!(matches!(
             core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0),
-            HeartbeatReply::Orders(_)
+            HeartbeatReply::Commands(_)
         ));
         let record = live(spec("run-1", "t", Urgency::Standard, 1, 1.0), 0.0);
         if known_before {
@@ -159,7 +159,7 @@
         core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0);
         let now = leases * LEASE_S;
         let verdict = core.handle_heartbeat(&report("m1", 1 + further, 97, 5, &[]), now);
-        let taken = matches!(verdict, HeartbeatReply::Orders(_));
+        let taken = matches!(verdict, HeartbeatReply::Commands(_));
         assert_eq!(taken, can, "{further} further after {leases} leases");
     }
 }
@@ -211,7 +211,7 @@
     assert!(ends(&call.commands));
     core.direct_call_finished(&"m1".into(), &call, CallResult::Unknown, 1.0);
     for seq in 2..5 {
-        let HeartbeatReply::Orders(reply) =
+        let HeartbeatReply::Commands(reply) =
             core.handle_heartbeat(&report("m1", 1, seq, 5, &saving), seq as f64)
         else {
             panic!("refused");
@@ -251,18 +251,22 @@
             spec("run-1", "t", Urgency::Standard, 2, 1.0),
             0.0,
         );
-        *node.core.borrow_mut() = Some(core);
+        *node.scheduler.borrow_mut() = Some(core);
         let last = TerminalRecord {
             state,
             tasks: 2,
             done: 0,
         };
-        node.terminal.take();
-        node.learnt_final("run-1", last);
-        let core = node.core.borrow();
+        node.terminal_states.take();
+        node.learn_terminal_state("run-1", last);
+        let core = node.scheduler.borrow();
         let job = core.as_ref().and_then(|c| c.jobs.get("run-1"));
         assert_eq!(job.map(|j| j.finished), Some(over), "{state:?}");
-        let told = node.told_over.borrow().within(0.0, 0.0).map(|t| t.len());
+        let told = node
+            .confirmed_cancellations
+            .borrow()
+            .within(0.0, 0.0)
+            .map(|t| t.len());
         assert_eq!(told.is_some_and(|n| n > 0), over, "{state:?}");
     }
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -14,7 +14,7 @@
 use foxspur::protocol::state::Txn;
 use foxspur::protocol::worker::{Cause, Command, Phase, Report};
 use foxspur::storage::marks::CompletedTasks;
-use foxspur::storage::records::{self, FormerLeader, TermCounter, TOKENS};
+use foxspur::storage::records::{self, FormerLeader, TermCounter, TOKENS_PER_TERM};
 use foxspur::transport::budget::Budget;
 use foxspur_testbed::store::Store;
 
@@ -25,7 +25,7 @@
 
 fn answer(core: &mut Scheduler, report: &Report, now: f64) -> (u64, Vec<Command>) {
     match core.handle_heartbeat(report, now) {
-        HeartbeatReply::Orders(reply) => (reply.token, reply.commands),
+        HeartbeatReply::Commands(reply) => (reply.token, reply.commands),
         other => panic!("{other:?}"),
     }
 }
@@ -79,7 +79,7 @@
         (Some(60.0), 70.2, true),
     ] {
         let mut core = core(free(), 5, &["m1"]);
-        core.fence.quiet_since = quiet;
+        core.fence.former_leaders_silent_since = quiet;
         core.tick(at, at);
         assert_eq!(core.fencing_complete(), open, "quiet {quiet:?} at {at}");
     }
@@ -98,7 +98,7 @@
     ));
     assert!(matches!(
         core.handle_heartbeat(&report("m1", 2, 3, 5, &[]), 13.0),
-        HeartbeatReply::Orders(_)
+        HeartbeatReply::Commands(_)
     ));
 }
 
@@ -214,9 +214,9 @@
     }
     // A report under a machine's own token is no sign of another owner, one beyond
     // all of them is, and the next term is above them all.
-    let verdict = core.handle_heartbeat(&report("m1", 1, 99, 5 + TOKENS, &[]), 50.0);
+    let verdict = core.handle_heartbeat(&report("m1", 1, 99, 5 + TOKENS_PER_TERM, &[]), 50.0);
     assert!(matches!(verdict, HeartbeatReply::Superseded));
-    assert!(TermCounter::taken(5).term + 1 == 5 + TOKENS);
+    assert!(TermCounter::taken(5).term + 1 == 5 + TOKENS_PER_TERM);
 }
 
 /// Where a machine has had all tokens of a term, the term is raised by a write.
@@ -226,7 +226,7 @@
     orders(&mut core, &report("m1", 1, 1, 5, &[]), 0.0);
     let name = "m1".into();
     let (mut seq, mut token, mut raised) = (1, 5, 0);
-    for n in 0..TOKENS + 9 {
+    for n in 0..TOKENS_PER_TERM + 9 {
         let (id, now) = (format!("run-{n}"), 1.0 + n as f64);
         seq += 1;
         token = answer(&mut core, &report("m1", 1, seq, token, &[]), now).0;
@@ -241,7 +241,7 @@
         core.direct_call_finished(&name, &call, result, now + 0.1);
         if core.needs_higher_term(now) {
             raised += 1;
-            core.raise_term(5 + TOKENS);
+            core.raise_term(5 + TOKENS_PER_TERM);
         }
         seq += 1;
         let (told, commands) = answer(&mut core, &report("m1", 1, seq, token, &failed), now + 0.2);
@@ -251,7 +251,10 @@
         orders(&mut core, &report("m1", 1, seq, token, &[]), now + 0.3);
         core.collect_garbage();
     }
-    assert!(raised == 1 && token > 5 + TOKENS, "{raised} {token}");
+    assert!(
+        raised == 1 && token > 5 + TOKENS_PER_TERM,
+        "{raised} {token}"
+    );
 }
 
 /// Malformed, old or reordered reports change nothing.
@@ -472,7 +475,7 @@
 fn former_owners_fall_silent() {
     let prior = |until_ms| FormerLeader {
         host: "h".into(),
-        boot: 7,
+        incarnation: 7,
         until_ms,
     };
     for (alive, until, now, left) in [
@@ -717,7 +720,7 @@
         let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         let mut store = Store::default();
         let record = live(spec("run-1", "t", Urgency::Standard, tasks, 1.0), 0.0);
-        let key = records::live("run-1");
+        let key = records::live_key("run-1");
         let added = store
             .apply(&Txn::default().put(&key, &record))
             .expect("new");
@@ -731,14 +734,14 @@
             let at = 100.0 * n as f64;
             core.tick(at, at);
             let batch = completion_batch::plan(&core, 32, 128, &mut budget, at).expect("due");
-            assert_eq!(batch.parts[0].chunked, chunked);
+            assert_eq!(batch.jobs[0].chunked, chunked);
             batches.push(batch);
             if n == 0 {
                 // No answer: the owner tries again with what it has by then.
                 continue;
             }
             let version = store.apply(&batches[n].txn).expect("written");
-            let marks = batches[n].parts[0].marks.clone();
+            let marks = batches[n].jobs[0].completed.clone();
             core.completions_written("run-1", &marks, version);
         }
         let before = store.list("fx/").len();
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -52,7 +52,7 @@
 
 fn told(answer: HeartbeatReply) -> Vec<Command> {
     match answer {
-        HeartbeatReply::Orders(reply) => reply.commands,
+        HeartbeatReply::Commands(reply) => reply.commands,
         other => panic!("{other:?}"),
     }
 }
@@ -66,9 +66,9 @@
         ran_s: 40.0,
         predicted_s: 100.0,
         loss: (80.0, 0.0),
-        again_s: 101.0,
+        rerun_s: 101.0,
         due_s: [None, None],
-        left_s: None,
+        until_deadline_s: None,
         rest: Rest::Leave,
         elsewhere: (true, true),
     };
@@ -82,7 +82,7 @@
         (
             "in time",
             AttemptOutlook {
-                left_s: Some(60.0),
+                until_deadline_s: Some(60.0),
                 ..plain
             },
             DrainDecision::Finishes,
@@ -90,7 +90,7 @@
         (
             "not in time",
             AttemptOutlook {
-                left_s: short,
+                until_deadline_s: short,
                 ..plain
             },
             moves,
@@ -99,7 +99,7 @@
             "outran its prediction, so as long again",
             AttemptOutlook {
                 ran_s: 110.0,
-                left_s: Some(100.0),
+                until_deadline_s: Some(100.0),
                 ..plain
             },
             moves,
@@ -115,7 +115,7 @@
         (
             "would be late elsewhere",
             AttemptOutlook {
-                left_s: short,
+                until_deadline_s: short,
                 due_s: [Some(90.0), None],
                 ..plain
             },
@@ -124,7 +124,7 @@
         (
             "one aim is lost either way, the other only elsewhere",
             AttemptOutlook {
-                left_s: short,
+                until_deadline_s: short,
                 due_s: [Some(50.0), Some(95.0)],
                 ..plain
             },
@@ -133,7 +133,7 @@
         (
             "late anyway",
             AttemptOutlook {
-                left_s: short,
+                until_deadline_s: short,
                 due_s: [Some(50.0), None],
                 ..plain
             },
@@ -142,7 +142,7 @@
         (
             "nothing else may run it",
             AttemptOutlook {
-                left_s: short,
+                until_deadline_s: short,
                 elsewhere: (false, false),
                 ..plain
             },
@@ -151,7 +151,7 @@
         (
             "no room now",
             AttemptOutlook {
-                left_s: short,
+                until_deadline_s: short,
                 elsewhere: (true, false),
                 ..plain
             },
@@ -160,7 +160,7 @@
         (
             "over, and it may stay",
             AttemptOutlook {
-                left_s: Some(0.0),
+                until_deadline_s: Some(0.0),
                 elsewhere: (false, false),
                 ..plain
             },
@@ -169,7 +169,7 @@
         (
             "over, and it is to stop",
             AttemptOutlook {
-                left_s: Some(0.0),
+                until_deadline_s: Some(0.0),
                 rest: Rest::Stop,
                 elsewhere: (false, false),
                 ..plain
@@ -515,52 +515,52 @@
 #[test]
 fn news_of_drains_in_any_order() {
     let entry = |version: u64| Entry {
-        key: records::drain("m-0"),
+        key: records::drain_key("m-0"),
         value: serde_json::value::to_raw_value(&drain("m-0", None, Rest::Leave)).unwrap(),
         version,
     };
     type Change = fn(&mut ClusterView, Entry, Entry);
     let cases: [(&str, Change, Option<u64>); 6] = [
-        ("told once", |v, old, _| v.take_entry(&old), Some(3)),
+        ("told once", |v, old, _| v.apply_entry(&old), Some(3)),
         (
             "an old version late",
             |v, old, new| {
-                v.take_entry(&new);
-                v.take_entry(&old);
+                v.apply_entry(&new);
+                v.apply_entry(&old);
             },
             Some(5),
         ),
         (
             "ended",
             |v, old, _| {
-                v.take_entry(&old);
-                v.take_deletion(&old.key, 6);
+                v.apply_entry(&old);
+                v.apply_deletion(&old.key, 6);
             },
             None,
         ),
         (
             "an older one ended",
             |v, _, new| {
-                v.take_entry(&new);
-                v.take_deletion(&new.key, 4);
+                v.apply_entry(&new);
+                v.apply_deletion(&new.key, 4);
             },
             Some(5),
         ),
         (
             "a list from before its end, read after it",
             |v, old, _| {
-                v.take_entry(&old);
-                v.take_deletion(&old.key, 6);
-                v.reached(6);
-                v.take_drains(&[old], 4);
+                v.apply_entry(&old);
+                v.apply_deletion(&old.key, 6);
+                v.advance_to(6);
+                v.apply_drain_listing(&[old], 4);
             },
             None,
         ),
         (
             "a list without it",
             |v, old, _| {
-                v.take_entry(&old);
-                v.take_drains(&[], 9);
+                v.apply_entry(&old);
+                v.apply_drain_listing(&[], 9);
             },
             None,
         ),
@@ -572,7 +572,7 @@
     }
     // What cannot be read sets its machine aside, and is never called drained.
     let mut view = ClusterView::default();
-    view.take_entry(&Entry {
+    view.apply_entry(&Entry {
         value: serde_json::value::to_raw_value(&7).unwrap(),
         ..entry(3)
     });
@@ -710,7 +710,7 @@
             vec![own("m-0", 90_000, Some(95_000))],
             |r, s| {
                 r.next = 2;
-                s.back = vec!["m-0".into()];
+                s.restarted = vec!["m-0".into()];
             },
             &[],
             &["m-0"],
@@ -755,7 +755,7 @@
             vec![],
             |r, s| {
                 r.late_before = Some(2);
-                s.late = 4;
+                s.late_jobs = 4;
             },
             &[],
             &[],
@@ -767,7 +767,7 @@
             vec![],
             |r, s| {
                 r.late_before = Some(2);
-                s.late = 3;
+                s.late_jobs = 3;
             },
             &["m-0", "m-3"],
             &[],
@@ -779,7 +779,7 @@
             vec![own("m-4", 90_000, Some(95_000))],
             |r, s| {
                 r.next = 4;
-                s.back = vec!["m-4".into()];
+                s.restarted = vec!["m-4".into()];
             },
             &[],
             &["m-4"],
@@ -812,8 +812,8 @@
             Some(next) => {
                 assert_eq!(next.begin, begin, "{name}");
                 assert_eq!(next.end, end, "{name}");
-                assert_eq!(next.roll.state, state, "{name}: {}", next.roll.reason);
-                assert_eq!(next.roll.reason.is_empty(), state != Halted, "{name}");
+                assert_eq!(next.rollout.state, state, "{name}: {}", next.rollout.reason);
+                assert_eq!(next.rollout.reason.is_empty(), state != Halted, "{name}");
             }
             None => assert!(
                 begin.is_empty() && end.is_empty() && state == roll.state,
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -22,7 +22,7 @@
     seen: &[Seen],
     now: f64,
 ) -> (Vec<(String, u64)>, usize) {
-    let HeartbeatReply::Orders(reply) = core.handle_heartbeat(&report(id, 1, seq, 5, seen), now)
+    let HeartbeatReply::Commands(reply) = core.handle_heartbeat(&report(id, 1, seq, 5, seen), now)
     else {
         panic!("{id} was not answered");
     };
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -23,20 +23,20 @@
 
 #[test]
 fn stored_records_keep_their_form() {
-    stored(&AliveRecord { boot: 7 }, r#"{"boot":7}"#);
+    stored(&AliveRecord { incarnation: 7 }, r#"{"boot":7}"#);
     stored(&TermCounter { term: 4096 }, r#"{"term":4096}"#);
     let prior = FormerLeader {
         host: "berth-1".into(),
-        boot: 5,
+        incarnation: 5,
         until_ms: 1700,
     };
     let share = ShardRecord {
-        owner: "berth-0".into(),
-        boot: 7,
+        leader: "berth-0".into(),
+        incarnation: 7,
         term: 1,
         teams: vec!["vision".into()],
-        prior: vec![prior],
-        bounded: true,
+        former_leaders: vec![prior],
+        bounded_staleness: true,
     };
     stored(
         &share,
@@ -78,13 +78,13 @@
 #[test]
 fn keys_keep_their_names() {
     for (key, name) in [
-        (records::live("run-1"), "fx/live/run-1"),
-        (records::fin("run-1"), "fx/fin/run-1"),
-        (records::mark("run-1", 3), "fx/mark/run-1/000003"),
-        (records::alive("berth-0"), "fx/a/alive/berth-0"),
-        (records::machines(2), "fx/mach/0/0002"),
-        (records::SHARE.to_string(), "fx/a/share/0"),
-        (records::TERM.to_string(), "fx/a/term"),
+        (records::live_key("run-1"), "fx/live/run-1"),
+        (records::terminal_key("run-1"), "fx/fin/run-1"),
+        (records::completed_key("run-1", 3), "fx/mark/run-1/000003"),
+        (records::alive_key("berth-0"), "fx/a/alive/berth-0"),
+        (records::machine_chunk_key(2), "fx/mach/0/0002"),
+        (records::SHARD_KEY.to_string(), "fx/a/share/0"),
+        (records::TERM_KEY.to_string(), "fx/a/term"),
     ] {
         assert_eq!(key, name);
     }
@@ -97,14 +97,14 @@
     let asks = [
         PeerRequest::Progress(id()),
         PeerRequest::Overview,
-        PeerRequest::Vouch(300),
+        PeerRequest::ExtendLease(300),
         PeerRequest::Promise(300),
-        PeerRequest::TurnedAway,
-        PeerRequest::Admin(Topic::Jobs(9)),
-        PeerRequest::Admin(Topic::Snapshot),
+        PeerRequest::RedirectedHeartbeats,
+        PeerRequest::View(Topic::Jobs(9)),
+        PeerRequest::View(Topic::Snapshot),
         PeerRequest::Contact,
-        PeerRequest::Over(id()),
-        PeerRequest::Told(300, 9),
+        PeerRequest::JobCancelled(id()),
+        PeerRequest::ConfirmedCancellations(300, 9),
     ];
     let bytes: [&[u8]; 10] = [
         &[0, 1, 114],
@@ -129,11 +129,11 @@
         },
         PeerResponse::Overview(id()),
         PeerResponse::Agreed,
-        PeerResponse::TurnedAway(9),
-        PeerResponse::Admin(300, id()),
-        PeerResponse::NotMine,
+        PeerResponse::RedirectedHeartbeats(9),
+        PeerResponse::View(300, id()),
+        PeerResponse::NotLeader,
         PeerResponse::Contact(9),
-        PeerResponse::Told(vec![id()]),
+        PeerResponse::ConfirmedCancellations(vec![id()]),
     ];
     let bytes: [&[u8]; 8] = [
         &[0, 1, 2],
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -61,15 +61,15 @@
 
     /// The leader by the state service's record.
     fn recorded_leader(&self) -> Option<usize> {
-        let share = self.cluster.store.borrow().get(records::SHARE)?;
-        let owner = share.read::<ShardRecord>().expect("a share").owner;
+        let share = self.cluster.store.borrow().get(records::SHARD_KEY)?;
+        let owner = share.read::<ShardRecord>().expect("a share").leader;
         owner.strip_prefix("berth-")?.parse().ok()
     }
 
     /// Whether the controller owns the share by the record and has no core yet.
     fn reads(&self, n: usize) -> bool {
         let node = &self.controllers[n].node;
-        self.recorded_leader() == Some(n) && node.core.borrow().is_none()
+        self.recorded_leader() == Some(n) && node.scheduler.borrow().is_none()
     }
 
     fn any(&self) -> usize {
@@ -78,7 +78,7 @@
 
     /// Whether the controller takes itself for the leader and is not.
     fn is_former(&self, n: usize) -> bool {
-        let acts = self.controllers[n].node.core.borrow().is_some();
+        let acts = self.controllers[n].node.scheduler.borrow().is_some();
         acts && self.recorded_leader() != Some(n)
     }
 
@@ -123,7 +123,7 @@
         met.by_former += usize::from(former);
         let heard = reading.is_some_and(|l| {
             let node = &self.controllers[l].node;
-            let heard = node.heard_over.borrow().within(0.5, node.now());
+            let heard = node.relayed_cancellations.borrow().within(0.5, node.now());
             heard.is_some_and(|h| h.contains(&id(job)))
         });
         met.heard_by_new += usize::from(heard);
@@ -134,12 +134,12 @@
     fn check(&self, seed: u64) {
         for (n, controller) in self.controllers.iter().enumerate() {
             let node = &controller.node;
-            let core = node.core.borrow();
+            let core = node.scheduler.borrow();
             let Some(core) = core.as_ref() else {
                 continue;
             };
             let runs = |id: &str| core.jobs.get(id).is_some_and(|j| !j.finished);
-            for known in [&node.told_over, &node.heard_over] {
+            for known in [&node.confirmed_cancellations, &node.relayed_cancellations] {
                 let ids = known
                     .borrow()
                     .within(LOOK_BACK_S.min(node.now()), node.now());
@@ -168,8 +168,8 @@
         self.met.borrow_mut().handovers += 1;
         let node = &self.controllers[leader].node;
         if self.draw(0..2) == 0 {
-            *node.core.borrow_mut() = None;
-            node.tenure.borrow_mut().resign(node.now(), draw_boot());
+            *node.scheduler.borrow_mut() = None;
+            node.leadership.borrow_mut().resign(node.now(), draw_boot());
         } else {
             self.cluster.refused.set(Some(leader));
             let alone = self.draw(0..3) > 0;
--- a/tests/hearing.rs
+++ b/tests/hearing.rs
@@ -21,7 +21,7 @@
 }
 
 fn doubted(core: &Scheduler, id: &str) -> bool {
-    core.machines[id].delivery.doubted()
+    core.machines[id].delivery.is_doubted()
 }
 
 /// What says that a machine does not hear us, and what that it does. Guards against
@@ -115,7 +115,8 @@
             spec("run-1", "t", Urgency::Standard, 1, 1.0),
             0.5,
         );
-        let HeartbeatReply::Orders(reply) = core.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 1.0)
+        let HeartbeatReply::Commands(reply) =
+            core.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 1.0)
         else {
             panic!("refused");
         };
@@ -221,7 +222,7 @@
         core.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
         beat(&mut core, 1, 1 + after_s);
         let answer = core.handle_heartbeat(&report("m1", 1, 3, 5, &[]), f64::from(1 + after_s));
-        let found = matches!(answer, HeartbeatReply::Orders(_));
+        let found = matches!(answer, HeartbeatReply::Commands(_));
         assert_eq!(found, answered, "after {after_s} s");
         assert_eq!(doubted(&core, "m1"), !answered);
     }
@@ -316,7 +317,7 @@
         assert_eq!(matches!(late, HeartbeatReply::Refuse), recounts, "{serial}");
         assert_eq!(known(&core).contains(&attempt), (2, 8) == (session, serial));
         let next = core.handle_heartbeat(&report("m1", 3, 91, 5, &[]), 2.0 + LEASE_S);
-        assert!(matches!(next, HeartbeatReply::Orders(_)) && !core.machines["m1"].renumbers);
+        assert!(matches!(next, HeartbeatReply::Commands(_)) && !core.machines["m1"].renumbers);
         assert!(!known(&core).contains(&attempt));
     }
 }
@@ -335,7 +336,7 @@
     core.handle_heartbeat(&report("m1", 1, 4, 3, &old), 1.0);
     assert!(!core.fencing_complete());
     // The machine reports that it is over, and is told to start it again.
-    let HeartbeatReply::Orders(reply) = core.handle_heartbeat(&report("m1", 1, 9, 5, &[]), 2.0)
+    let HeartbeatReply::Commands(reply) = core.handle_heartbeat(&report("m1", 1, 9, 5, &[]), 2.0)
     else {
         panic!("refused");
     };
@@ -358,8 +359,8 @@
     let peers = |with, without| {
         Some(PeerContacts {
             all: 4,
-            with,
-            without,
+            with_contact: with,
+            without_contact: without,
         })
     };
     for (what, found, away) in [
@@ -392,7 +393,7 @@
                 1.0,
                 found.filter(|_| now - contact_at > 1.0),
             );
-            assert_eq!(health.away(), away && still, "{what} at {now}");
+            assert_eq!(health.is_not_ready(), away && still, "{what} at {now}");
         }
     }
 }
@@ -427,7 +428,7 @@
             if second % 4 == 0 && taken.is_none() {
                 let seen = report("m1", session, 100 + u64::from(second), 5, &[]);
                 match core.handle_heartbeat(&seen, now) {
-                    HeartbeatReply::Orders(_) => taken = Some(now),
+                    HeartbeatReply::Commands(_) => taken = Some(now),
                     _ => refused += 1,
                 }
             }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -87,7 +87,7 @@
     }
     for topic in [Topic::Snapshot, Topic::Machines] {
         let text = of_core(&core, topic, 2.5).expect("a view");
-        let answer = mesh::PeerResponse::Admin(5, text);
+        let answer = mesh::PeerResponse::View(5, text);
         let read = mesh::decode::<mesh::PeerResponse>(&mesh::encode(&answer));
         assert!(read.as_ref() == Some(&answer), "{topic:?}");
     }
@@ -124,7 +124,7 @@
     for n in 0..MACHINES {
         let id = format!("run-{n}");
         assert!(terminal.put(&id, done));
-        told.note(&id, 1.0 + n as f64 / 1000.0);
+        told.record(&id, 1.0 + n as f64 / 1000.0);
         let job = spec(&id, "t", Urgency::Standard, 1, 1.0);
         records.insert(&Rc::new(live(job, 0.0)), 1);
     }
