--- a/tests/pause/controller.rs
+++ b/tests/pause/controller.rs
@@ -15,7 +15,7 @@
         let now = self.local(n);
         match each {
             Loop::Lease => {
-                let request = match self.nodes[n].tenure.lease_step(now) {
+                let request = match self.nodes[n].tenure.next_lease_step(now) {
                     LeaseStep::Rest => return self.later(n, each, 0.2),
                     LeaseStep::Grant => Request::Grant,
                     LeaseStep::End(lease) => Request::End(lease),
@@ -27,7 +27,9 @@
             Loop::Mind => {
                 let pause = self.rng.random_bool(0.002);
                 let rewrite = match self.nodes[n].tenure.reassert(now) {
-                    None if pause || self.rng.random_bool(0.002) => self.nodes[n].tenure.raise(now),
+                    None if pause || self.rng.random_bool(0.002) => {
+                        self.nodes[n].tenure.raise_term(now)
+                    }
                     other => other,
                 };
                 self.look(n);
@@ -56,7 +58,7 @@
     }
 
     pub(crate) fn look(&mut self, n: usize) {
-        if self.nodes[n].tenure.deposed() {
+        if self.nodes[n].tenure.is_deposed() {
             self.step_down(n);
         }
         if self.nodes[n].tenure.adopt_raised_term().is_some() {
@@ -66,7 +68,7 @@
             return;
         }
         let (now, wall) = (self.local(n), self.wall_ms(n));
-        if let Some(claim) = self.nodes[n].tenure.claim(now, wall) {
+        if let Some(claim) = self.nodes[n].tenure.attempt_takeover(now, wall) {
             self.nodes[n].claiming = true;
             self.ask(n, Request::TakeoverAttempt(Box::new(claim)));
         }
@@ -74,7 +76,7 @@
 
     pub(crate) fn seek(&mut self, n: usize) {
         let now = self.local(n);
-        let vouch = self.nodes[n].tenure.vouch_due(now);
+        let vouch = self.nodes[n].tenure.extension_due(now);
         let seeks = self.nodes[n].core.is_some_and(|c| c.1.is_none());
         let promise = match seeks {
             true => self.nodes[n].tenure.promise_due(now),
@@ -94,7 +96,7 @@
                 }
             }
         }
-        if let Some((term, gap_s)) = self.nodes[n].tenure.words_due(now) {
+        if let Some((term, gap_s)) = self.nodes[n].tenure.cancellation_query_due(now) {
             for peer in (0..self.nodes.len()).filter(|p| *p != n) {
                 let lost = self.now < self.nodes[n].cut_until || self.rng.random_bool(0.1);
                 if !lost {
@@ -103,7 +105,9 @@
                 }
             }
         }
-        let quiet = self.nodes[n].tenure.quiet(now, self.wall_ms(n));
+        let quiet = self.nodes[n]
+            .tenure
+            .former_leaders_fenced(now, self.wall_ms(n));
         let at = self.now;
         if let Some(core) = self.nodes[n].core.as_mut().filter(|_| quiet) {
             core.1.get_or_insert(at);
@@ -115,7 +119,7 @@
         let tenure = &mut self.nodes[n].tenure;
         match (request, answer) {
             (Request::Grant, Answer::Lease(lease)) => {
-                tenure.granted(lease);
+                tenure.lease_granted(lease);
                 self.turn(n, Loop::Lease);
             }
             (Request::Write(lease, boot, _), Answer::Done(version)) => {
@@ -132,19 +136,19 @@
             }
             (Request::Write(lease, ..) | Request::Renew(lease, _), Answer::NoLease)
             | (Request::End(lease), _) => {
-                tenure.lease_over(lease);
+                tenure.lease_ended(lease);
                 self.turn(n, Loop::Lease);
             }
             (Request::Renew(lease, asked_at), Answer::Done(_)) => {
-                tenure.renewed(lease, asked_at);
+                tenure.lease_renewed(lease, asked_at);
                 self.later(n, Loop::Lease, LIFE_S / 5.0);
             }
             (Request::Grant | Request::Write(..) | Request::Renew(..), _) => {
                 self.later(n, Loop::Lease, 0.2);
             }
             (Request::TakeoverAttempt(claim), Answer::Done(version)) => {
-                let holds = tenure.claimed(&claim, version, now);
-                let (start, term) = (self.nodes[n].start, claim.share.term);
+                let holds = tenure.takeover_written(&claim, version, now);
+                let (start, term) = (self.nodes[n].start, claim.shard.term);
                 let s = self.rng.random_range(0.02..2.0);
                 if holds {
                     self.nodes[n].listed = (now, self.written.clone());
@@ -159,28 +163,28 @@
             }
             (Request::ShardUpdate(rewrite), answer) => {
                 if let Answer::Done(version) = answer {
-                    tenure.rewritten(&rewrite, version);
+                    tenure.shard_record_written(&rewrite, version);
                 } else {
                     self.ask(n, Request::Reread);
                 }
                 self.later(n, Loop::Mind, 0.05);
             }
             (Request::Reread, Answer::Entry(Some(entry))) => {
-                tenure.view.take_entry(&entry);
-                let seen = tenure.view.share_version();
-                let owner = entry.read::<ShardRecord>().map(|s| s.owner);
+                tenure.view.apply_entry(&entry);
+                let seen = tenure.view.shard_version();
+                let owner = entry.read::<ShardRecord>().map(|s| s.leader);
                 if let Some(owner) = owner.ok().filter(|o| *o != name(n)) {
                     self.ask(n, Request::AliveOf(owner, seen));
                 }
                 self.look(n);
             }
             (Request::AliveOf(owner, seen), Answer::Entry(found)) => match found {
-                Some(entry) => tenure.view.take_entry(&entry),
-                None => tenure.view.not_alive(&owner, seen),
+                Some(entry) => tenure.view.apply_entry(&entry),
+                None => tenure.view.leader_not_alive(&owner, seen),
             },
             (Request::Reread | Request::AliveOf(..), _) => {}
             (Request::List, Answer::Listed(entries, revision)) => {
-                tenure.view.take_list(&entries, revision);
+                tenure.view.apply_listing(&entries, revision);
                 self.look(n);
                 self.ask(n, Request::Watch(revision));
             }
@@ -189,8 +193,8 @@
                 if let Answer::News(news, revision) = answer {
                     for (version, key, value) in news {
                         match value {
-                            None => tenure.view.take_deletion(&key, version),
-                            Some(value) => tenure.view.take_entry(&Entry {
+                            None => tenure.view.apply_deletion(&key, version),
+                            Some(value) => tenure.view.apply_entry(&Entry {
                                 key,
                                 value,
                                 version,
@@ -208,7 +212,7 @@
                 self.found_late += usize::from(first && matches!(request, Request::Poll(_)));
                 // As `Node::learnt_final`.
                 if self.nodes[n].finals.insert(id) {
-                    self.nodes[n].told.note(&id.to_string(), now);
+                    self.nodes[n].told.record(&id.to_string(), now);
                     self.learns(n, id);
                 }
                 self.told.push((self.now, id));
@@ -217,7 +221,7 @@
             (Request::Cancel(_) | Request::Poll(_), _) => {}
             (Request::Live(asked_at), answer) => {
                 if let Answer::Over(over) = answer {
-                    tenure.watched(asked_at);
+                    tenure.job_watch_answered(asked_at);
                     self.nodes[n].knows.extend(over);
                 }
                 self.later(n, Loop::Live, 0.3);
--- a/tests/pause/events.rs
+++ b/tests/pause/events.rs
@@ -49,7 +49,7 @@
                     return;
                 }
                 let agrees = match vouch {
-                    true => self.nodes[to].tenure.vouches_for(term),
+                    true => self.nodes[to].tenure.knows_no_later_leader(term),
                     false => {
                         self.nodes[to].tenure.promise(term);
                         self.look(to);
@@ -66,15 +66,15 @@
                 // Given up after 0.3 s, unless it stood still just then.
                 let tenure = &mut self.nodes[n].tenure;
                 match vouch {
-                    true => tenure.vouched(term, &name(peer), asked_at, now),
-                    false => tenure.has_promised(term, &name(peer), asked_at, now),
+                    true => tenure.extension_acknowledged(term, &name(peer), asked_at, now),
+                    false => tenure.promise_received(term, &name(peer), asked_at, now),
                 }
             }
             Event::AskTold(from, to, term, gap_s, asked_at) => {
                 let alone = |n: usize| self.now < self.nodes[n].island_until;
                 let now = self.local(to);
                 let node = &self.nodes[to];
-                let speaks = !alone(from) && !alone(to) && node.tenure.speaks_to(term);
+                let speaks = !alone(from) && !alone(to) && node.tenure.may_report_to(term);
                 if let Some(over) = node.told.within(gap_s, now).filter(|_| speaks) {
                     let cut_until = node.cut_until;
                     let way = match self.rng.random_bool(0.05) {
@@ -91,12 +91,13 @@
                 let over: Vec<u64> = over.collect();
                 over.into_iter().for_each(|id| self.learns(n, id));
                 let node = &mut self.nodes[n];
-                node.tenure.word(term, &name(peer), asked_at, now);
+                node.tenure
+                    .cancellations_reported(term, &name(peer), asked_at, now);
             }
             Event::Loaded(n, _, term) => {
                 self.nodes[n].claiming = false;
                 let (listed_at, listed) = std::mem::take(&mut self.nodes[n].listed);
-                if self.nodes[n].tenure.begin(term, listed_at) {
+                if self.nodes[n].tenure.begin_term(term, listed_at) {
                     // What we told users ourselves while we read.
                     let since_s = self.local(n) - listed_at;
                     let ours = self.nodes[n].told.within(since_s, self.local(n));
@@ -104,8 +105,8 @@
                     self.nodes[n].knows = listed;
                     let ours = ours.filter_map(|id| id.parse::<u64>().ok());
                     self.nodes[n].knows.extend(ours);
-                    let quiet = self.nodes[n].tenure.view.share.as_ref();
-                    let alone = quiet.is_some_and(|(s, _)| s.prior.is_empty());
+                    let quiet = self.nodes[n].tenure.view.shard.as_ref();
+                    let alone = quiet.is_some_and(|(s, _)| s.former_leaders.is_empty());
                     self.nodes[n].core = Some((term, alone.then_some(self.now)));
                 }
             }
@@ -120,7 +121,7 @@
             let Some((base, _)) = node.core.filter(|_| awake(&node)) else {
                 continue;
             };
-            let answers = node.tenure.entitled(self.local(n));
+            let answers = node.tenure.may_answer_workers(self.local(n));
             assert!(
                 !answers || settled.is_none_or(|t| t <= base),
                 "seed {seed}, {:.2}: {} answers under term {base}, {settled:?} takes it for silent",
@@ -141,8 +142,8 @@
             // Under an older term than its own record's nobody vouches for it.
             let own = node
                 .tenure
-                .own_version()
-                .and(node.tenure.view.share.as_ref());
+                .own_shard_version()
+                .and(node.tenure.view.shard.as_ref());
             let own = own.map(|(share, _)| share.term);
             assert!(
                 own <= node.tenure.acting_term(),
@@ -153,7 +154,7 @@
             );
             let lost = self.taken.iter().filter(|t| t.0 > base).map(|t| t.1);
             let lost = lost.fold(f64::MAX, f64::min);
-            let confirmed = (node.tenure.confirmed() - node.offset) / (1.0 + node.drift);
+            let confirmed = (node.tenure.confirmed_at() - node.offset) / (1.0 + node.drift);
             assert!(
                 confirmed <= lost + 1e-3,
                 "seed {seed}, {:.2}: {} of term {base} is sure as of {confirmed:.2}, lost at {lost:.2}",
@@ -169,12 +170,12 @@
         self.digest.number(self.events.len() as u64);
         for n in 0..self.nodes.len() {
             let tenure = &self.nodes[n].tenure;
-            let entitled = u64::from(tenure.entitled(self.local(n)));
-            let certain = u64::from(tenure.certain(self.local(n)));
+            let entitled = u64::from(tenure.may_answer_workers(self.local(n)));
+            let certain = u64::from(tenure.is_certain_leader(self.local(n)));
             self.digest.number(2 * entitled + certain);
             self.digest.number(tenure.acting_term().unwrap_or(0));
-            self.digest.number(tenure.boot());
-            self.digest.time(tenure.confirmed());
+            self.digest.number(tenure.incarnation());
+            self.digest.time(tenure.confirmed_at());
         }
     }
 
@@ -200,7 +201,7 @@
                 if away && self.now - self.away_since > self.blind_s {
                     let goes_on = |n: &usize| {
                         let node = &self.nodes[*n];
-                        node.core.is_some() && node.tenure.entitled(self.local(*n))
+                        node.core.is_some() && node.tenure.may_answer_workers(self.local(*n))
                     };
                     self.words += (0..self.nodes.len()).filter(goes_on).count();
                 }
@@ -231,7 +232,8 @@
         }
         let owners = (0..self.nodes.len()).filter(|n| {
             let core = self.nodes[*n].core;
-            core.is_some_and(|c| c.1.is_some()) && self.nodes[*n].tenure.entitled(self.local(*n))
+            core.is_some_and(|c| c.1.is_some())
+                && self.nodes[*n].tenure.may_answer_workers(self.local(*n))
         });
         assert_eq!(owners.count(), 1, "seed {seed}: owners at the end");
     }
--- a/tests/pause/main.rs
+++ b/tests/pause/main.rs
@@ -267,14 +267,14 @@
 
 fn tenure(n: usize, count: usize, boot: u64, quiet_s: f64, blind_s: f64) -> Leadership {
     let terms = LeadershipConfig {
-        me: name(n),
+        host: name(n),
         peers: (0..count).filter(|p| *p != n).map(name).collect(),
         teams: Vec::new(),
-        life_s: LIFE_S,
-        quiet_s,
-        lease_s: LEASE_S,
-        blind_s,
-        bound_ms: BOUND_MS,
+        lease_ttl_s: LIFE_S,
+        longest_silence_s: quiet_s,
+        worker_lease_s: LEASE_S,
+        staleness_bound_s: blind_s,
+        clock_bound_ms: BOUND_MS,
     };
     Leadership::new(terms, boot)
 }
--- a/tests/pause/network.rs
+++ b/tests/pause/network.rs
@@ -53,10 +53,10 @@
         let answer = match &request {
             Request::Grant => Answer::Lease(self.store.grant(LIFE_S, now)),
             Request::Write(lease, boot, over) => {
-                let txn = records::alive_write(&name(n), *boot, *lease, *over);
+                let txn = records::write_alive(&name(n), *boot, *lease, *over);
                 done(self.store.apply(&txn))
             }
-            Request::OwnKey => Answer::Entry(self.store.get(&records::alive(&name(n)))),
+            Request::OwnKey => Answer::Entry(self.store.get(&records::alive_key(&name(n)))),
             Request::Renew(lease, _) => match self.store.extend(*lease, now) {
                 true => Answer::Done(0),
                 false => Answer::NoLease,
@@ -68,14 +68,17 @@
             Request::TakeoverAttempt(claim) => {
                 let answer = done(self.store.apply(&claim.txn));
                 if matches!(answer, Answer::Done(_)) {
-                    self.taken.push((claim.share.term, now));
+                    self.taken.push((claim.shard.term, now));
                 }
                 answer
             }
             Request::ShardUpdate(rewrite) => done(self.store.apply(&rewrite.txn)),
-            Request::Reread => Answer::Entry(self.store.get(records::SHARE)),
-            Request::AliveOf(host, _) => Answer::Entry(self.store.get(&records::alive(host))),
-            Request::List => Answer::Listed(self.store.list(records::AREA), self.store.revision),
+            Request::Reread => Answer::Entry(self.store.get(records::SHARD_KEY)),
+            Request::AliveOf(host, _) => Answer::Entry(self.store.get(&records::alive_key(host))),
+            Request::List => Answer::Listed(
+                self.store.list(records::CONTROL_PREFIX),
+                self.store.revision,
+            ),
             Request::Watch(since) => {
                 let since = *since;
                 let news = self.store.log.iter().filter(|l| l.0 > since).cloned();
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -10,10 +10,10 @@
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::worker::{Cause, Command, Phase, ReportHead};
 use foxspur::storage::chunks::{fitting, plan, txn, MachineRecord};
-use foxspur::storage::records::{chunk_of, machines, MachineInfo};
+use foxspur::storage::records::{chunk_number, machine_chunk_key, MachineInfo};
 
 fn starts(core: &mut Scheduler, id: &str, seq: u64, now: f64) -> Vec<String> {
-    let HeartbeatReply::Orders(reply) = core.handle_heartbeat(&report(id, 1, seq, 5, &[]), now)
+    let HeartbeatReply::Commands(reply) = core.handle_heartbeat(&report(id, 1, seq, 5, &[]), now)
     else {
         panic!("{id} was not answered");
     };
@@ -74,7 +74,7 @@
         } else {
             0
         };
-        let cond = write.conds.iter().find(|c| c.key == machines(*at));
+        let cond = write.conds.iter().find(|c| c.key == machine_chunk_key(*at));
         assert_eq!(cond.map(|c| c.version), Some(version), "chunk {at}");
     }
     let mut after = written;
@@ -85,8 +85,11 @@
     names.sort_by(|a, b| a.id.cmp(&b.id));
     wanted.sort_by(|a, b| a.id.cmp(&b.id));
     assert_eq!(names, wanted);
-    for (key, at) in [(machines(17), Some(17)), ("fx/mach/0/x".into(), None)] {
-        assert_eq!(chunk_of(&key), at, "{key}");
+    for (key, at) in [
+        (machine_chunk_key(17), Some(17)),
+        ("fx/mach/0/x".into(), None),
+    ] {
+        assert_eq!(chunk_number(&key), at, "{key}");
     }
 }
 
@@ -112,7 +115,7 @@
         let ((task, attempt), _) = core.machines["m1"].attempts.first_key_value().unwrap();
         let (task, attempt) = (task.wire(), *attempt);
         let done = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Done))];
-        let HeartbeatReply::Orders(reply) =
+        let HeartbeatReply::Commands(reply) =
             core.handle_heartbeat(&report("m1", 1, 3, 5, &done), 1.0)
         else {
             panic!();
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -161,7 +161,7 @@
             mesh: MeshClient::over(over(Kind::Mesh)),
         };
         let node = Node::with_clients(settings, Policy::default(), clients);
-        node.tenure.borrow_mut().view.types = Some(common::types());
+        node.leadership.borrow_mut().view.types = Some(common::types());
         let data = Data::new(node.clone());
         let app = App::new().app_data(data.clone());
         let front = handler(test::init_service(app.configure(handlers::front)).await);
@@ -174,19 +174,19 @@
     /// Makes controller `leader` the leader in everyone's view.
     pub fn elect(&self, controllers: &[Controller], leader: usize) {
         let share = ShardRecord {
-            owner: format!("berth-{leader}"),
-            boot: 1,
+            leader: format!("berth-{leader}"),
+            incarnation: 1,
             term: 1,
             teams: Vec::new(),
-            prior: Vec::new(),
-            bounded: true,
+            former_leaders: Vec::new(),
+            bounded_staleness: true,
         };
-        let txn = Txn::default().put(records::SHARE, &share);
+        let txn = Txn::default().put(records::SHARD_KEY, &share);
         let version = self.store.borrow_mut().apply(&txn).expect("no condition");
         for controller in controllers {
-            let view = &mut controller.node.tenure.borrow_mut().view;
-            view.see_share(share.clone(), version);
-            view.see_alive(share.owner.clone(), share.boot, version);
+            let view = &mut controller.node.leadership.borrow_mut().view;
+            view.see_shard(share.clone(), version);
+            view.see_alive(share.leader.clone(), share.incarnation, version);
         }
     }
 
--- a/tests/simulated/state.rs
+++ b/tests/simulated/state.rs
@@ -63,7 +63,7 @@
         items.retain(|e| &*e.key > since);
         let more = items.len() > self.page.get();
         items.truncate(self.page.get());
-        if more && under == records::LIVE {
+        if more && under == records::LIVE_PREFIX {
             self.pages.borrow_mut().push((from, Instant::now()));
         }
         let revision = store.revision;
--- a/tests/simulation/leader.rs
+++ b/tests/simulation/leader.rs
@@ -80,7 +80,7 @@
                     core.set_drains(&self.drains);
                 }
                 if core.needs_higher_term(now) {
-                    self.term += TOKENS;
+                    self.term += TOKENS_PER_TERM;
                     core.raise_term(self.term);
                 }
             }
@@ -91,8 +91,8 @@
             .retain(|(c, until)| c.fence.base_term == last_base || now < *until);
         let alone = self.owners.len() == 1;
         if let Some((core, _)) = self.owners.last_mut() {
-            if alone && core.fence.quiet_since.is_none() {
-                core.fence.quiet_since = Some(now);
+            if alone && core.fence.former_leaders_silent_since.is_none() {
+                core.fence.former_leaders_silent_since = Some(now);
             }
         }
     }
@@ -228,7 +228,7 @@
         if self.rng.random_bool(0.5) {
             self.old_reports_arrive();
         }
-        self.term += TOKENS;
+        self.term += TOKENS_PER_TERM;
         if crash {
             self.owners.pop();
         } else if let Some(old) = self.owners.last_mut() {
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -22,7 +22,7 @@
 use foxspur::protocol::job::{JobSpec, Urgency};
 use foxspur::protocol::worker::{Cause, Command, Direct, Phase, Reply, Report, Shown};
 use foxspur::storage::marks::CompletedTasks;
-use foxspur::storage::records::{LiveJob, MachineInfo, TOKENS};
+use foxspur::storage::records::{LiveJob, MachineInfo, TOKENS_PER_TERM};
 use met::{Meeting, Met, MEETINGS};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -145,7 +145,7 @@
                         Some(core) => core.handle_heartbeat(&report, now),
                         None => continue,
                     };
-                    if let (HeartbeatReply::Orders(reply), true) = (answer, sent != COPY) {
+                    if let (HeartbeatReply::Commands(reply), true) = (answer, sent != COPY) {
                         self.note_cut_zone(w, base);
                         self.send(Message::Answer(w, report.session, sent, reply));
                     }
--- a/tests/vouch.rs
+++ b/tests/vouch.rs
@@ -27,11 +27,11 @@
     ];
     for (nodes, given, now, answers) in cases {
         let mut vouches = QuorumRound::default();
-        vouches.about(7);
+        vouches.restart_for(7);
         for (peer, asked_at) in given {
-            vouches.agreed(7, peer, *asked_at, *asked_at, nodes);
+            vouches.acknowledge(7, peer, *asked_at, *asked_at, nodes);
             // About an earlier term: counts for nothing.
-            vouches.agreed(6, "old", now, now, nodes);
+            vouches.acknowledge(6, "old", now, now, nodes);
         }
         let may = may_answer(&vouches, &spans, nodes, 0.0, now);
         assert_eq!(may, answers, "{nodes} {given:?} at {now}");
@@ -52,8 +52,8 @@
         let mut promised = vec![false; nodes];
         let mut vouches = QuorumRound::default();
         let mut promises = QuorumRound::default();
-        vouches.about(1);
-        promises.about(2);
+        vouches.restart_for(1);
+        promises.restart_for(2);
         let reach = rng.random_range(0.2..1.0);
         // The new owner may reach the others late only.
         let promise = rng.random_range(0.002..0.1);
@@ -84,13 +84,13 @@
             for (_, vouch, peer, asked) in due {
                 let name = peer.to_string();
                 if vouch {
-                    vouches.agreed(1, &name, asked, now, nodes);
+                    vouches.acknowledge(1, &name, asked, now, nodes);
                 } else {
-                    promises.agreed(2, &name, asked, now, nodes);
+                    promises.acknowledge(2, &name, asked, now, nodes);
                 }
             }
             let goes_on = !deposed && may_answer(&vouches, &spans, nodes, 0.0, now);
-            extended += usize::from(goes_on && now > spans.alone_s);
+            extended += usize::from(goes_on && now > spans.unconfirmed_s);
             if let Some(quiet) = quiet_from(&promises, &spans, taken) {
                 settled += 1;
                 assert!(!(now >= quiet && goes_on), "seed {seed}, at {now:.1}");
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -55,7 +55,7 @@
     for report in &reports {
         assert!(matches!(
             core.handle_heartbeat(report, 1.0),
-            HeartbeatReply::Orders(_)
+            HeartbeatReply::Commands(_)
         ));
     }
     assert!(core.fencing_complete());
