--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,5 +1,5 @@
 //! Plans of drains. A plan plays the share's present state forward, many times,
-//! with the controllers' own core deciding and stand-in machines that run tasks
+//! with the controllers' own scheduler deciding and stand-in machines that run tasks
 //! for as long as estimates of their class have turned out to be off, once with
 //! the drain and once without, under the same draws. What differs is the drain's.
 //!
--- a/crates/plan/src/sim.rs
+++ b/crates/plan/src/sim.rs
@@ -1,6 +1,6 @@
-//! One run: the controllers' core, made from a snapshot, and stand-in machines,
+//! One run: the controllers' scheduler, made from a snapshot, and stand-in machines,
 //! from event to event. Machines report when something changed on them; that
-//! they are there is told to the core without a report, which would say nothing.
+//! they are there is told to the scheduler without a report, which would say nothing.
 
 use crate::draw::Draws;
 use crate::machine::{Book, JobFacts, Machine};
@@ -60,7 +60,7 @@
 }
 
 struct Run<'a> {
-    core: Scheduler,
+    scheduler: Scheduler,
     book: Book,
     machines: Vec<Machine>,
     by_name: HashMap<String, usize>,
@@ -83,7 +83,8 @@
                 return;
             }
             let report = m.report();
-            let HeartbeatReply::Commands(reply) = self.core.handle_heartbeat(&report, now) else {
+            let HeartbeatReply::Commands(reply) = self.scheduler.handle_heartbeat(&report, now)
+            else {
                 return;
             };
             let m = &mut self.machines[at];
@@ -109,17 +110,17 @@
 
     /// The ledger: marks are written at once, and a complete job is over.
     fn write_marks(&mut self, now: f64) {
-        for id in self.core.completions_due(usize::MAX) {
-            let Some(job) = self.core.jobs.get(&id) else {
+        for id in self.scheduler.completions_due(usize::MAX) {
+            let Some(job) = self.scheduler.jobs.get(&id) else {
                 continue;
             };
             let (done, complete) = (job.completed.clone(), job.is_complete());
             self.version += 1;
-            self.core.completions_written(&id, &done, self.version);
+            self.scheduler.completions_written(&id, &done, self.version);
             if complete {
                 let end = self.outcome.jobs.entry(id.to_string()).or_default();
                 end.done_s = Some(now);
-                self.core.finish_job(&id);
+                self.scheduler.finish_job(&id);
             }
         }
     }
@@ -127,12 +128,12 @@
     /// Commands that are sent straight away.
     fn send(&mut self, now: f64) {
         for _ in 0..64 {
-            let names: Vec<_> = self.core.outbox.drain(..).collect();
+            let names: Vec<_> = self.scheduler.outbox.drain(..).collect();
             if names.is_empty() {
                 return;
             }
             for name in names {
-                let Some((_, call)) = self.core.next_direct_call(&name, now) else {
+                let Some((_, call)) = self.scheduler.next_direct_call(&name, now) else {
                     continue;
                 };
                 let Some(&at) = self.by_name.get(&*name) else {
@@ -140,7 +141,7 @@
                 };
                 let m = &mut self.machines[at];
                 if m.dead {
-                    self.core
+                    self.scheduler
                         .direct_call_finished(&name, &call, CallResult::NotSent, now);
                     continue;
                 }
@@ -148,8 +149,12 @@
                 m.execute(&call.commands, now, &mut self.book);
                 m.pass(now, &mut self.book);
                 let report = m.report();
-                self.core
-                    .direct_call_finished(&name, &call, CallResult::Executed(report), now);
+                self.scheduler.direct_call_finished(
+                    &name,
+                    &call,
+                    CallResult::Executed(report),
+                    now,
+                );
                 self.schedule(at);
             }
         }
@@ -166,11 +171,11 @@
                 at_ms: (at * 1000.0) as u64,
                 done: String::new(),
             };
-            self.core
+            self.scheduler
                 .add_job(record, self.version, CompletedTasks::default());
-            let known = self.core.jobs.get(spec.id.as_str());
+            let known = self.scheduler.jobs.get(spec.id.as_str());
             let facts = JobFacts {
-                predicted_s: known.map_or(0.0, |known| self.core.predict(known)),
+                predicted_s: known.map_or(0.0, |known| self.scheduler.predict(known)),
                 spec: spec.clone(),
             };
             self.book.jobs.insert(spec.id.clone(), facts);
@@ -188,47 +193,47 @@
             }
         }
         if news {
-            self.core.set_drains(&self.wishes);
+            self.scheduler.set_drains(&self.wishes);
         }
     }
 
     /// The owner's part of a beat.
     fn beat(&mut self, now: f64) {
         for m in self.machines.iter().filter(|m| !m.dead) {
-            if let Some(known) = self.core.machines.get_mut(m.info.id.as_str()) {
+            if let Some(known) = self.scheduler.machines.get_mut(m.info.id.as_str()) {
                 known.heard_at = now;
                 known.answered_at = Some(now);
             }
         }
-        self.core.tick(now, now);
-        self.core.place_all(now);
+        self.scheduler.tick(now, now);
+        self.scheduler.place_all(now);
         self.send(now);
         for at in 0..self.machines.len() {
             if self.machines[at].ended() {
                 self.report(at, now);
             }
         }
-        if self.core.machine_record_dirty {
-            self.core.machine_record_dirty = false;
+        if self.scheduler.machine_record_dirty {
+            self.scheduler.machine_record_dirty = false;
             let wanted: Vec<_> = self
-                .core
+                .scheduler
                 .wanted_machine_record()
                 .into_iter()
                 .cloned()
                 .collect();
-            self.core.machine_record_written(&wanted);
+            self.scheduler.machine_record_written(&wanted);
         }
-        for (drain, version) in self.core.proven_drains(micros(now) / 1000, usize::MAX) {
+        for (drain, version) in self.scheduler.proven_drains(micros(now) / 1000, usize::MAX) {
             let known = self.wishes.get(&drain.host);
             if known.is_some_and(|w| w.1 == version) {
                 self.outcome.drained_s.insert(drain.host.clone(), now);
                 self.version += 1;
                 self.wishes
                     .insert(drain.host.clone(), (drain, self.version));
-                self.core.set_drains(&self.wishes);
+                self.scheduler.set_drains(&self.wishes);
             }
         }
-        self.outcome.free.push((now, self.core.capacity().2));
+        self.outcome.free.push((now, self.scheduler.capacity().2));
     }
 }
 
@@ -261,12 +266,12 @@
 
 /// Plays the snapshot forward.
 pub fn run(snapshot: &Snapshot, script: &Script, seed: u64) -> Outcome {
-    let mut core = Scheduler::of_snapshot(snapshot, seed);
+    let mut scheduler = Scheduler::of_snapshot(snapshot, seed);
     let facts = snapshot.jobs.iter().map(|j| {
-        let known = core.jobs.get(j.spec.id.as_str());
+        let known = scheduler.jobs.get(j.spec.id.as_str());
         let facts = JobFacts {
             spec: Rc::new(j.spec.clone()),
-            predicted_s: known.map_or(0.0, |known| core.predict(known)),
+            predicted_s: known.map_or(0.0, |known| scheduler.predict(known)),
         };
         (j.spec.id.clone(), facts)
     });
@@ -289,9 +294,9 @@
         .iter()
         .map(|d| (d.host.clone(), (d.clone(), 1)))
         .collect();
-    core.set_drains(&wishes);
+    scheduler.set_drains(&wishes);
     let mut run = Run {
-        core,
+        scheduler,
         book,
         machines,
         by_name,
@@ -305,7 +310,7 @@
         run.report(at, 0.0);
     }
     for machine in &snapshot.machines {
-        adopt_ages(&mut run.core, machine);
+        adopt_ages(&mut run.scheduler, machine);
     }
     // Twice in a report interval, as the controllers' own clock, within bounds
     // in which neither the count of beats nor what a beat finds grows large.
@@ -333,18 +338,18 @@
     run.end()
 }
 
-/// The core counts what it adopts from its first report on; here it is known for
+/// The scheduler counts what it adopts from its first report on; here it is known for
 /// how long each task has run.
 fn adopt_ages(
-    core: &mut Scheduler,
+    scheduler: &mut Scheduler,
     machine: &foxspur::coordination::scheduler::snapshot::SnapMachine,
 ) {
-    let Some(m) = core.machines.get_mut(machine.info.id.as_str()) else {
+    let Some(m) = scheduler.machines.get_mut(machine.info.id.as_str()) else {
         return;
     };
     for task in &machine.tasks {
-        let found = m.attempts.iter_mut().find(|((t, attempt), _)| {
-            *t.job == *task.job && t.index == task.index && *attempt == task.attempt
+        let found = m.attempts.iter_mut().find(|(id, _)| {
+            *id.task.job == *task.job && id.task.index == task.index && id.number == task.attempt
         });
         if let (Some((_, active)), Some(ran_s)) = (found, task.ran_s) {
             active.running_since = active.running_since.map(|_| -ran_s);
--- a/crates/plan/tests/fair.rs
+++ b/crates/plan/tests/fair.rs
@@ -1,4 +1,4 @@
-//! Nobody starves: random loads, played with the real core, against what a relaxed
+//! Nobody starves: random loads, played with the real scheduler, against what a relaxed
 //! plan could have served.
 
 use foxspur::coordination::scheduler::snapshot::{ClassError, SnapMachine, Snapshot};
--- a/examples/owner.rs
+++ b/examples/owner.rs
@@ -8,10 +8,11 @@
 mod common;
 
 use clap::Parser;
-use common::{core, live, spec, team};
+use common::{live, scheduler, spec, team};
 use foxspur::admin::of_core;
 use foxspur::coordination::agents::direct_calls::CallResult;
 use foxspur::coordination::agents::heartbeat::HeartbeatReply;
+use foxspur::coordination::scheduler::machine::MessageId;
 use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::mesh::Topic;
@@ -91,21 +92,21 @@
     }
 }
 
-/// One report, as the front server hands it to the core; true if it repeats.
-fn hello(core: &mut Scheduler, worker: &mut Worker, now: f64, rng: &mut StdRng) -> bool {
+/// One report, as the front server hands it to the scheduler; true if it repeats.
+fn hello(scheduler: &mut Scheduler, worker: &mut Worker, now: f64, rng: &mut StdRng) -> bool {
     let text = worker.report(now);
     let Ok(head) = serde_json::from_str::<ReportHead>(&text) else {
         return false;
     };
-    if core.handle_repeated_heartbeat(&head, now).is_some() {
+    if scheduler.handle_repeated_heartbeat(&head, now).is_some() {
         return true;
     }
     let tasks = head.tasks;
     let Some(report) = head.read() else {
         return false;
     };
-    if let HeartbeatReply::Commands(reply) = core.handle_heartbeat(&report, now) {
-        core.remember_heartbeat(&report.machine, (report.session, report.seq), tasks.get());
+    if let HeartbeatReply::Commands(reply) = scheduler.handle_heartbeat(&report, now) {
+        scheduler.remember_heartbeat(&report.machine, MessageId::of(&report), tasks.get());
         worker.token = reply.token;
         worker.execute(&reply.commands, now, rng);
     }
@@ -118,9 +119,9 @@
     let names: Vec<String> = (0..args.machines).map(|i| format!("m-{i:06}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let fresh = |term: u64| {
-        let mut core = core(vec![team("t", 0.0, 0.0)], term, &names);
-        core.config.report_s = args.report_s;
-        core
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], term, &names);
+        scheduler.config.report_s = args.report_s;
+        scheduler
     };
     let mut owner = fresh(1);
     let mut fleet: Vec<Worker> = names
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -18,8 +18,8 @@
     Ok(gauges)
 }
 
-fn of_share(registry: &Registry, core: &Scheduler, now: f64) -> prometheus::Result<()> {
-    let jobs = core.job_rows(now, 0);
+fn of_share(registry: &Registry, scheduler: &Scheduler, now: f64) -> prometheus::Result<()> {
+    let jobs = scheduler.job_rows(now, 0);
     let live = gauges(
         registry,
         "foxspur_jobs",
@@ -41,7 +41,7 @@
         "Machines by state",
         &["state"],
     )?;
-    for (state, n) in core.machine_counts(now) {
+    for (state, n) in scheduler.machine_counts(now) {
         let name = format!("{state:?}").to_lowercase();
         fleet.with_label_values(&[&name]).set(n as f64);
     }
@@ -51,7 +51,7 @@
         "CPUs of a team",
         &["team", "what"],
     )?;
-    for team in core.team_rows() {
+    for team in scheduler.team_rows() {
         for (what, value) in [
             ("used", team.cpus),
             ("waiting", team.waiting_cpus),
@@ -68,7 +68,7 @@
         help,
         &["class", "quantile"],
     )?;
-    for class in core.waits().first_start {
+    for class in scheduler.waits().first_start {
         for (quantile, value) in [
             ("0.5", class.p50_s),
             ("0.9", class.p90_s),
@@ -83,7 +83,7 @@
         "Machines that hold up placing after a takeover",
         &[],
     )?;
-    let n = core.unfenced_count().unwrap_or(0);
+    let n = scheduler.unfenced_count().unwrap_or(0);
     missing.with_label_values::<&str>(&[]).set(n as f64);
     Ok(())
 }
@@ -127,8 +127,8 @@
             .with_label_values(&[row.name.as_str(), "failed"])
             .set(row.failed as f64);
     }
-    if let Some(core) = node.scheduler.borrow().as_ref() {
-        of_share(&registry, core, node.now())?;
+    if let Some(scheduler) = node.scheduler.borrow().as_ref() {
+        of_share(&registry, scheduler, node.now())?;
     }
     TextEncoder::new().encode_to_string(&registry.gather())
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,5 +1,5 @@
 //! The operators' API, on an address of its own and only where the operators'
-//! settings name one. Every controller answers: the owner from its core, others
+//! settings name one. Every controller answers: the owner from its scheduler, others
 //! by asking it, and while it is away with what it said last and how old that is.
 
 mod metrics;
@@ -51,24 +51,24 @@
     serde_json::to_string(data).ok()
 }
 
-/// What operators see of the share that this core holds, as JSON.
-pub fn of_core(core: &Scheduler, topic: Topic, now: f64) -> Option<String> {
+/// What operators see of the share that this scheduler holds, as JSON.
+pub fn of_core(scheduler: &Scheduler, topic: Topic, now: f64) -> Option<String> {
     match topic {
-        Topic::Jobs(most) => json(&core.job_rows(now, most.min(JOBS.1) as usize)),
-        Topic::Teams => json(&core.team_rows()),
-        Topic::Machines => json(&core.machine_rows(now)),
-        Topic::Fleet => json(&core.machine_counts(now)),
-        Topic::Waits => json(&core.waits()),
-        Topic::Drains => json(&core.drain_rows(now)),
-        Topic::Snapshot => json(&core.snapshot(now)),
+        Topic::Jobs(most) => json(&scheduler.job_rows(now, most.min(JOBS.1) as usize)),
+        Topic::Teams => json(&scheduler.team_rows()),
+        Topic::Machines => json(&scheduler.machine_rows(now)),
+        Topic::Fleet => json(&scheduler.machine_counts(now)),
+        Topic::Waits => json(&scheduler.waits()),
+        Topic::Drains => json(&scheduler.drain_rows(now)),
+        Topic::Snapshot => json(&scheduler.snapshot(now)),
     }
 }
 
 /// A view of the share: term, age, JSON.
 async fn look(node: &Rc<Node>, topic: Topic) -> Option<(u64, f64, String)> {
     let now = node.now();
-    if let Some(core) = node.scheduler.borrow().as_ref() {
-        return Some((core.term, 0.0, of_core(core, topic, now)?));
+    if let Some(scheduler) = node.scheduler.borrow().as_ref() {
+        return Some((scheduler.term, 0.0, of_core(scheduler, topic, now)?));
     }
     let owner = node.other_leader().and_then(|o| node.peer_address(&o));
     if let Some(addr) = owner {
@@ -142,7 +142,7 @@
 
 async fn shares(node: Shared) -> HttpResponse {
     let now = node.now();
-    let core = node.scheduler.borrow();
+    let scheduler = node.scheduler.borrow();
     let row = {
         let tenure = node.leadership.borrow();
         let share = tenure.view.shard.as_ref().map(|(s, _)| s);
@@ -155,13 +155,13 @@
             term: share.map_or(0, |s| s.term),
             alive,
             former: former.unwrap_or_default(),
-            ours: core.is_some() && tenure.may_answer_workers(now),
-            confirmed_s: core.as_ref().map(|_| now - tenure.confirmed_at()),
-            missing: core.as_ref().and_then(|c| c.unfenced_count()),
+            ours: scheduler.is_some() && tenure.may_answer_workers(now),
+            confirmed_s: scheduler.as_ref().map(|_| now - tenure.confirmed_at()),
+            missing: scheduler.as_ref().and_then(|c| c.unfenced_count()),
         }
     };
     let term = row.term;
-    drop(core);
+    drop(scheduler);
     answer(&node, term, 0.0, vec![row])
 }
 
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -1,8 +1,8 @@
 //! Commands for machines: in answers to their reports, in direct calls, and the
 //! calls that ask for a report.
 
-use crate::coordination::scheduler::job::{Name, TaskId};
-use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
+use crate::coordination::scheduler::job::{AttemptId, Name};
+use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus, MessageId};
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Cause, Command, Direct, Phase};
 use crate::storage::records::TOKENS_PER_TERM;
@@ -10,13 +10,13 @@
 impl Scheduler {
     /// Whether an exited attempt can be forgotten by its worker: what it says
     /// is in the books, and no copy of its start may still come.
-    fn forgettable(&self, key: &(TaskId, u64), active: &Attempt) -> bool {
+    fn forgettable(&self, key: &AttemptId, active: &Attempt) -> bool {
         if active.is_in_flight() {
             return false;
         }
-        match self.jobs.get(&key.0.job) {
+        match self.jobs.get(&key.task.job) {
             Some(job) if active.cause == Some(Cause::Done) => {
-                job.finished || job.saved.contains(key.0.index)
+                job.finished || job.saved.contains(key.task.index)
             }
             _ => true,
         }
@@ -31,7 +31,7 @@
     pub(crate) fn heartbeat_commands(
         &mut self,
         name: &Name,
-        order: (u64, u64),
+        order: MessageId,
         now: f64,
     ) -> Vec<Command> {
         let term = self.term;
@@ -45,7 +45,7 @@
         let mut stops = Vec::new();
         let mut starts = Vec::new();
         for (key, active) in &m.attempts {
-            let (task, attempt) = (key.0.wire(), key.1);
+            let (task, attempt) = (key.task.wire(), key.number);
             if active.has_exited() {
                 let above = active.copies_up_to.map_or(token, |t| token.max(t + 1));
                 // A call under way would be refused under the higher token, and beyond
@@ -82,8 +82,8 @@
             let plain = !matches!(active.phase, None | Some(Phase::Saving | Phase::Exited));
             active.told_to_end = plain && active.stop_grace_s.is_some();
         }
-        for (task, attempt) in forgets {
-            if let Some(active) = m.attempts.get_mut(&(task, attempt)) {
+        for id in forgets {
+            if let Some(active) = m.attempts.get_mut(&id) {
                 active.told_to_end = true;
             }
         }
@@ -115,7 +115,7 @@
                 continue;
             }
             active.unsent = false;
-            let (task, attempt) = (key.0.wire(), key.1);
+            let (task, attempt) = (key.task.wire(), key.number);
             if let Some(grace_s) = active.stop_grace_s {
                 commands.push(Command::Stop {
                     task,
@@ -139,7 +139,7 @@
         }
         let call = Direct {
             token,
-            session: m.last_message.0,
+            session: m.last_message.session,
             commands,
         };
         Some((m.info.addr.clone(), call))
--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -1,12 +1,12 @@
 //! Direct calls to workers: what their results say of a machine.
 
 use crate::coordination::agents::heartbeat::ReportSource;
-use crate::coordination::scheduler::job::{Name, TaskId};
-use crate::coordination::scheduler::machine::MachineStatus;
+use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
+use crate::coordination::scheduler::machine::{MachineStatus, MessageId};
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Command, Direct, Report};
 
-/// What came of a direct call, as far as the core cares.
+/// What came of a direct call, as far as the scheduler cares.
 #[derive(Debug)]
 pub enum CallResult {
     Executed(Report),
@@ -35,10 +35,10 @@
         m.call_in_flight = false;
         // Executed, by a message older than what we know that does not show it: the
         // machine counts anew. Nothing tells what became of the start.
-        let old = |r: &Report| (r.session, r.seq) <= m.last_message;
+        let old = |r: &Report| MessageId::of(r) <= m.last_message;
         let old = matches!(&result, CallResult::Executed(r) if old(r));
         if let CallResult::Executed(report) | CallResult::Rejected(report) = &result {
-            let order = (report.session, report.seq);
+            let order = MessageId::of(report);
             if report.machine == **name && order < m.called_at_message {
                 // It answers our call with something older than we knew when we called:
                 // it counts anew. What looked newer was of its earlier life, and in the
@@ -46,8 +46,9 @@
                 // held up in a cut, showed an empty machine, and what ran there was
                 // started elsewhere.)
                 m.renumbers = true;
-                if order.0 == m.last_message.0 && m.last_message == m.called_at_message {
-                    m.last_message.1 = order.1.saturating_sub(1);
+                if order.session == m.last_message.session && m.last_message == m.called_at_message
+                {
+                    m.last_message.seq = order.seq.saturating_sub(1);
                 }
             }
         }
@@ -61,12 +62,15 @@
             let Some(task) = TaskId::parse(task) else {
                 continue;
             };
-            if let Some(active) = m.attempts.get_mut(&(task, *attempt)) {
+            if let Some(active) = m.attempts.get_mut(&AttemptId::new(task, *attempt)) {
                 if matches!(command, Command::Start { .. }) {
                     active.call_in_flight = false;
                     // A newer session or term seen meanwhile rules it out.
                     let untold = unknown || old && active.phase.is_none();
-                    if untold && m.last_message.0 <= call.session && m.seen_token <= call.token {
+                    if untold
+                        && m.last_message.session <= call.session
+                        && m.seen_token <= call.token
+                    {
                         active.unresolved_call = Some((call.token, now));
                     }
                 }
@@ -76,7 +80,7 @@
         match result {
             CallResult::Executed(report) | CallResult::Rejected(report) => {
                 let early = m.is_early_session(report.session, self.config.lease_s, now);
-                let newer = (report.session, report.seq) > m.last_message
+                let newer = MessageId::of(&report) > m.last_message
                     && report.token >= m.seen_token
                     && !early;
                 if report.machine == **name && newer {
--- a/src/coordination/agents/dispatcher.rs
+++ b/src/coordination/agents/dispatcher.rs
@@ -1,5 +1,5 @@
 //! Sends direct commands: works off the difference between what machines
-//! should do and what they were told. Also drives the core's clock.
+//! should do and what they were told. Also drives the scheduler's clock.
 
 use crate::coordination::agents::direct_calls::CallResult;
 use crate::coordination::node::Node;
@@ -9,26 +9,30 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Sends what the core wants sent straight away.
+/// Sends what the scheduler wants sent straight away.
 pub fn drain(node: &Rc<Node>) {
     let now = node.now();
     let mut calls = Vec::new();
     if !node.may_answer_workers() {
         return;
     }
-    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-        let base = core.fence.base_term;
+    if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+        let base = scheduler.fence.base_term;
         // More calls than sockets would wait for one and time out unsent,
         // which looks like a lost command.
         let spare = node.workers.sockets.saturating_sub(node.direct_calls.get());
-        let due = spare.min(core.outbox.len());
-        let batch: Vec<Name> = core.outbox.drain(..due).collect();
+        let due = spare.min(scheduler.outbox.len());
+        let batch: Vec<Name> = scheduler.outbox.drain(..due).collect();
         for name in batch {
-            if core.machines.get(&name).is_some_and(|m| m.call_in_flight) {
-                core.outbox.insert(name);
+            if scheduler
+                .machines
+                .get(&name)
+                .is_some_and(|m| m.call_in_flight)
+            {
+                scheduler.outbox.insert(name);
                 continue;
             }
-            if let Some((addr, call)) = core.next_direct_call(&name, now) {
+            if let Some((addr, call)) = scheduler.next_direct_call(&name, now) {
                 node.direct_calls.set(node.direct_calls.get() + 1);
                 calls.push((base, name, addr, call));
             }
@@ -48,11 +52,11 @@
             };
             node.direct_calls.set(node.direct_calls.get() - 1);
             let now = node.now();
-            if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-                if core.fence.base_term == base {
-                    core.direct_call_finished(&name, &call, result, now);
-                    if core.placement_due {
-                        core.place_changed(now);
+            if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+                if scheduler.fence.base_term == base {
+                    scheduler.direct_call_finished(&name, &call, result, now);
+                    if scheduler.placement_due {
+                        scheduler.place_changed(now);
                     }
                 }
             }
@@ -61,7 +65,7 @@
     }
 }
 
-/// Drives the core's clock.
+/// Drives the scheduler's clock.
 pub struct Dispatcher {
     pub node: Rc<Node>,
     pub beats: u64,
@@ -78,20 +82,24 @@
         ctx.run_interval(every, |this, _| {
             this.beats += 1;
             let now = this.node.now();
-            if let Some(core) = this.node.scheduler.borrow_mut().as_mut() {
-                core.tick(now, this.node.leadership.borrow().confirmed_at());
-                core.probe_unfenced(now, this.node.workers.sockets / 2);
-                core.place_all(now);
+            if let Some(scheduler) = this.node.scheduler.borrow_mut().as_mut() {
+                scheduler.tick(now, this.node.leadership.borrow().confirmed_at());
+                scheduler.probe_unfenced(now, this.node.workers.sockets / 2);
+                scheduler.place_all(now);
                 if this.beats % 4 == 0 {
-                    if let Some(missing) = core.unfenced_count() {
-                        tracing::info!(term = core.term, missing, "machines not accounted for yet");
+                    if let Some(missing) = scheduler.unfenced_count() {
+                        tracing::info!(
+                            term = scheduler.term,
+                            missing,
+                            "machines not accounted for yet"
+                        );
                     }
                 }
                 if this.beats % 32 == 0 {
-                    core.collect_garbage();
+                    scheduler.collect_garbage();
                     let workers = &this.node.workers;
                     let (open, kept) = (workers.share().incoming.get(), workers.kept());
-                    tracing::info!(open, kept, "load {}", core.summary());
+                    tracing::info!(open, kept, "load {}", scheduler.summary());
                 }
             }
             drain(&this.node);
--- a/src/coordination/agents/failure_detector.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -188,7 +188,7 @@
                 continue;
             };
             for (key, active) in m.live_attempts() {
-                let Some(job) = self.jobs.get(&key.0.job) else {
+                let Some(job) = self.jobs.get(&key.task.job) else {
                     continue;
                 };
                 let ran = active.running_since.map_or(0.0, |t| now - t);
@@ -199,7 +199,7 @@
                     continue;
                 }
                 if saves || active.running_since.is_none() {
-                    stops.push((name.clone(), key.clone(), self.save_grace(&key.0.job)));
+                    stops.push((name.clone(), key.clone(), self.save_grace(&key.task.job)));
                 }
             }
         }
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -3,8 +3,8 @@
 
 use crate::coordination::scheduler::capacity::Resources;
 use crate::coordination::scheduler::delivery::{Evidence, EvidenceSummary, PATIENCE_S};
-use crate::coordination::scheduler::job::{Name, TaskId};
-use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
+use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
+use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus, MessageId};
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Phase, Reply, Report, ReportHead};
 use crate::storage::records::{MachineInfo, TOKENS_PER_TERM};
@@ -56,12 +56,12 @@
             && head.notice_s.is_none()
             && head.token == m.seen_token
             && head.token <= token
-            && head.session == m.last_message.0
-            && head.seq > m.last_message.1
+            && head.session == m.last_message.session
+            && head.seq > m.last_message.seq
             && head.addr == m.info.addr
             && m.repeatable_tasks.as_deref() == Some(head.tasks.get());
         if same {
-            m.last_message.1 = head.seq;
+            m.last_message.seq = head.seq;
             m.heard_at = now;
             m.answered_at = Some(now);
             m.delivery.answered(token);
@@ -72,7 +72,7 @@
 
     /// Remembers the report's task list if the same one again would tell
     /// nothing, and call for no command.
-    pub fn remember_heartbeat(&mut self, machine: &str, order: (u64, u64), tasks: &str) {
+    pub fn remember_heartbeat(&mut self, machine: &str, order: MessageId, tasks: &str) {
         if let Some(m) = self.machines.get_mut(machine) {
             let plain = m.last_message == order && m.attempts.values().all(Attempt::is_steady);
             m.repeatable_tasks = plain.then(|| tasks.into());
@@ -108,11 +108,11 @@
         // An older one that is not a copy is overtaken by a newer message at most while
         // its worker waits for the answer; by then the next one is due.
         let overtaken_s = PATIENCE_S.max(1.5 * self.config.report_s);
-        let order = (report.session, report.seq);
+        let order = MessageId::of(report);
         let early = m.status != MachineStatus::Expired
             && m.is_early_session(report.session, self.config.lease_s, now);
         if m.status == MachineStatus::Expired {
-            if report.session <= m.last_message.0 {
+            if report.session <= m.last_message.session {
                 // Answering would renew a lease that was declared over.
                 return HeartbeatReply::Refuse;
             }
@@ -127,7 +127,7 @@
         let other_life = early || !stale && report.token < m.seen_token;
         // Known to count anew: whether a report of this session is of its present life
         // or of the one before cannot be told; the next session is.
-        let other_life = other_life || m.renumbers && report.session <= m.last_message.0;
+        let other_life = other_life || m.renumbers && report.session <= m.last_message.session;
         if other_life || stale && now - m.heard_at.max(listening) > overtaken_s {
             // A copy of an old report, or a machine that counts anew: its session is
             // not the one we know, and nothing says what it runs. Its lease must end
@@ -176,8 +176,8 @@
         let Some(m) = self.machines.get_mut(name) else {
             return;
         };
-        let newer_session = report.session > m.last_message.0;
-        let first = m.last_message == (0, 0);
+        let newer_session = report.session > m.last_message.session;
+        let first = m.last_message == MessageId::NONE;
         let mut signs = EvidenceSummary::default();
         if via == ReportSource::DirectCall {
             signs.note(Evidence::Delivered);
@@ -198,7 +198,7 @@
         m.renumbered_at = None;
         m.unanswered_calls = 0;
         m.repeatable_tasks = None;
-        m.last_message = (report.session, report.seq);
+        m.last_message = MessageId::of(report);
         if newer_session {
             m.session_seen_at = now;
             m.renumbers = false;
@@ -230,7 +230,7 @@
                 .filter(|(_, j)| index < j.spec.tasks)
                 .map(|(_, j)| Resources::of_task(&j.spec));
             let job = known.map_or_else(|| job.into(), |(name, _)| name.clone());
-            let key = (TaskId { index, job }, entry.attempt);
+            let key = AttemptId::new(TaskId { index, job }, entry.attempt);
             if holds.is_none() && entry.phase != Phase::Exited {
                 strangers += 1;
             }
@@ -290,7 +290,7 @@
     }
 
     /// Forgets an attempt; the machine is to be indexed anew afterwards.
-    pub(crate) fn remove_attempt(&mut self, name: &Name, key: &(TaskId, u64)) {
+    pub(crate) fn remove_attempt(&mut self, name: &Name, key: &AttemptId) {
         let mut removed = None;
         if let Some(m) = self.machines.get_mut(name) {
             removed = m.attempts.remove(key);
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::scheduler::capacity::Resources;
 use crate::coordination::scheduler::delivery::Evidence;
-use crate::coordination::scheduler::job::{Name, TaskId};
+use crate::coordination::scheduler::job::{AttemptId, Name};
 use crate::coordination::scheduler::machine::Attempt;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Cause, Phase};
@@ -12,7 +12,7 @@
     pub(crate) fn reconcile_task(
         &mut self,
         name: &Name,
-        key: &(TaskId, u64),
+        key: &AttemptId,
         phase: Phase,
         cause: Option<Cause>,
         holds: Option<Resources>,
@@ -41,7 +41,7 @@
             active.running_since = Some(now);
         }
         let started = active.running_since;
-        let job = self.jobs.get_mut(&key.0.job).filter(|_| holds.is_some());
+        let job = self.jobs.get_mut(&key.task.job).filter(|_| holds.is_some());
         let Some(job) = job else {
             // Its job is over, or was never accepted: it must go.
             if phase != Phase::Exited && active.stop_grace_s.is_none() {
@@ -51,13 +51,13 @@
             }
             return sign;
         };
-        let index = key.0.index;
+        let index = key.task.index;
         let runs = phase != Phase::Exited && started.is_some();
         if runs != active.counted_as_running {
             active.counted_as_running = runs;
             // One that is shown for the first time began before we knew of it.
             if runs && job.note_running() {
-                tracing::info!(job = %key.0.job, waited_s = now - job.accepted_at, "begun");
+                tracing::info!(job = %key.task.job, waited_s = now - job.accepted_at, "begun");
                 if !fresh {
                     self.predictor
                         .waited(&job.spec.class, now - job.accepted_at);
@@ -71,14 +71,14 @@
         }
         if phase != Phase::Exited {
             let on = job.placed.get(&index).map(|(_, attempt)| *attempt);
-            let elsewhere = on.is_some_and(|attempt| attempt != key.1);
+            let elsewhere = on.is_some_and(|attempt| attempt != key.number);
             if on.is_none() {
                 // A former owner's task: adopted. It need not be the first
                 // report that shows it: a job can become known to us after its
                 // task did, and while that is being stopped it is still on.
-                job.set_placed(index, name.clone(), key.1);
+                job.set_placed(index, name.clone(), key.number);
                 self.team_usage.add(job.team, &job.spec, 1.0);
-            } else if elsewhere && job.add_copy(index, name.clone(), key.1) {
+            } else if elsewhere && job.add_copy(index, name.clone(), key.number) {
                 // One of the two reports is older, and we cannot tell which: as
                 // long as either may be on, the task must not start again. (The
                 // one seen first went with its session, the task started a third
@@ -104,7 +104,7 @@
                 m.used_image(&spec.image, spec.image_gb, cache);
             }
             if on.is_none() {
-                self.dequeue(&key.0);
+                self.dequeue(&key.task);
             }
             if unwanted {
                 self.stop_attempt(name, key, 0.0);
@@ -119,8 +119,8 @@
         match cause {
             Some(Cause::Done) => {
                 job.set_completed(index);
-                self.unsaved_jobs.insert(key.0.job.clone());
-                self.dequeue(&key.0);
+                self.unsaved_jobs.insert(key.task.job.clone());
+                self.dequeue(&key.task);
                 if let Some(m) = self.machines.get_mut(name) {
                     m.recent_failures.clear();
                 }
@@ -138,24 +138,24 @@
                     let tries = f64::from(job.retries + 1);
                     job.not_before = now + self.config.report_s * tries.powi(2).min(100.0);
                     if job.retries <= 1 {
-                        tracing::warn!(job = %key.0.job, machine = %name, "fails everywhere");
+                        tracing::warn!(job = %key.task.job, machine = %name, "fails everywhere");
                     }
                     // It was not the machines' fault: a job of hundreds of tasks
                     // would take a part of a healthy fleet out of use.
                     for blamed in job.failed_on.iter() {
                         if let Some(m) = self.machines.get_mut(blamed) {
-                            m.recent_failures.retain(|j| *j != key.0.job);
+                            m.recent_failures.retain(|j| *j != key.task.job);
                         }
                     }
                 } else if let Some(m) = self.machines.get_mut(name) {
-                    if job.has_succeeded() || !m.recent_failures.contains(&key.0.job) {
-                        m.recent_failures.push(key.0.job.clone());
+                    if job.has_succeeded() || !m.recent_failures.contains(&key.task.job) {
+                        m.recent_failures.push(key.task.job.clone());
                     }
-                    tracing::info!(job = %key.0.job, task = index, machine = %name, "task failed");
+                    tracing::info!(job = %key.task.job, task = index, machine = %name, "task failed");
                 }
             }
             Some(Cause::NoRoom | Cause::Busy | Cause::Unknown) => {
-                tracing::info!(task = %key.0.wire(), machine = %name, cause = ?cause, "start refused");
+                tracing::info!(task = %key.task.wire(), machine = %name, cause = ?cause, "start refused");
                 job.description_unknown = cause == Some(Cause::Unknown);
                 job.not_before = now + self.config.report_s / 2.0;
             }
--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -12,7 +12,7 @@
 //!   up no takeover, and is not given back to the cloud.
 
 use crate::coordination::scheduler::capacity::Resources;
-use crate::coordination::scheduler::job::{Job, Name, TaskId};
+use crate::coordination::scheduler::job::{AttemptId, Job, Name};
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
 use crate::coordination::scheduler::preemption::loss;
 use crate::coordination::scheduler::state::Scheduler;
@@ -167,7 +167,7 @@
             return;
         };
         let name = name.clone();
-        let unseen: Vec<(TaskId, u64)> = m
+        let unseen: Vec<AttemptId> = m
             .live_attempts()
             .filter(|(_, a)| a.phase.is_none())
             .map(|(k, _)| k.clone())
@@ -194,10 +194,10 @@
         &self,
         m: &Machine,
         wish: &DrainTarget,
-        key: &(TaskId, u64),
+        key: &AttemptId,
         a: &Attempt,
     ) -> Option<AttemptOutlook> {
-        let job = self.jobs.get(&key.0.job).filter(|j| !j.finished)?;
+        let job = self.jobs.get(&key.task.job).filter(|j| !j.finished)?;
         let now = self.now;
         let ran_s = a.running_since.map_or(0.0, |t| now - t);
         let predicted_s = self.predict(job);
@@ -235,11 +235,7 @@
     }
 
     /// What becomes of each attempt on the machine that is not being stopped.
-    fn drain_decisions(
-        &self,
-        m: &Machine,
-        wish: &DrainTarget,
-    ) -> Vec<((TaskId, u64), DrainDecision)> {
+    fn drain_decisions(&self, m: &Machine, wish: &DrainTarget) -> Vec<(AttemptId, DrainDecision)> {
         m.live_attempts()
             .filter(|(_, a)| a.stop_grace_s.is_none())
             .filter_map(|(key, a)| {
@@ -272,7 +268,7 @@
             // A quarter at once: the next ones are weighed with the room that is
             // left when these have found theirs.
             let most = if over { holding } else { holding.div_ceil(4) };
-            let mut moves: Vec<(f64, f64, (TaskId, u64))> = self
+            let mut moves: Vec<(f64, f64, AttemptId)> = self
                 .drain_decisions(m, wish)
                 .into_iter()
                 .filter_map(|(key, v)| match v {
@@ -282,7 +278,7 @@
                 .collect();
             moves.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.2.cmp(&b.2)));
             for (lost, grace_s, key) in moves.into_iter().take(most.saturating_sub(stopping)) {
-                tracing::info!(task = %key.0.wire(), machine = %name, lost, "moved off a drained machine");
+                tracing::info!(task = %key.task.wire(), machine = %name, lost, "moved off a drained machine");
                 self.stop_attempt(&name, &key, grace_s);
             }
         }
@@ -315,7 +311,7 @@
                 at_ms: now_ms,
                 term: self.term,
                 proof,
-                session: m.last_message.0,
+                session: m.last_message.session,
             });
             let drain = wish.drain.clone();
             Some((Drain { drained, ..drain }, wish.version))
@@ -337,7 +333,7 @@
                 let tasks = m.map_or(0, |m| m.live_attempts().count() as u32);
                 let stays = m.map_or(Vec::new(), |m| self.drain_decisions(m, wish));
                 let stays = stays.into_iter().find_map(|(key, v)| match v {
-                    DrainDecision::Stays(why) => Some(format!("{}: {why}", key.0.wire())),
+                    DrainDecision::Stays(why) => Some(format!("{}: {why}", key.task.wire())),
                     _ => None,
                 });
                 let late = wish.deadline_at.is_some_and(|d| now > d);
--- a/src/coordination/fleet/machine_record_writer.rs
+++ b/src/coordination/fleet/machine_record_writer.rs
@@ -15,32 +15,33 @@
     let value_bytes = (limits.value_kb * 1024.0 * 0.9) as usize;
     let txn_bytes = records::MAX_TXN_BYTES * 3 / 4;
     let (txn, term, changes, more) = {
-        let mut core = node.scheduler.borrow_mut();
+        let mut scheduler = node.scheduler.borrow_mut();
         // By the record of another owner we would write into its list.
         let own = node.leadership.borrow().own_shard_version();
-        let (Some(core), Some(version)) = (core.as_mut().filter(|c| c.machine_record_dirty), own)
+        let (Some(scheduler), Some(version)) =
+            (scheduler.as_mut().filter(|c| c.machine_record_dirty), own)
         else {
             return false;
         };
         let written = node.machine_record.borrow();
-        let mut changes = chunks::plan(&written, &core.wanted_machine_record(), value_bytes);
+        let mut changes = chunks::plan(&written, &scheduler.wanted_machine_record(), value_bytes);
         let fitting = chunks::fitting(&changes, limits.txn_ops, txn_bytes);
-        core.machine_record_dirty = changes.len() > fitting;
+        scheduler.machine_record_dirty = changes.len() > fitting;
         changes.truncate(fitting);
         let txn = chunks::txn(&written, &changes, version);
         (
             txn,
-            core.fence.base_term,
+            scheduler.fence.base_term,
             changes,
-            core.machine_record_dirty,
+            scheduler.machine_record_dirty,
         )
     };
     if changes.is_empty() {
         // All that is wanted stands there already: a machine whose session ended
         // and began again before that was written, say.
         let stands: Vec<_> = node.machine_record.borrow().machines().cloned().collect();
-        if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-            core.machine_record_written(&stands);
+        if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+            scheduler.machine_record_written(&stands);
         }
         return false;
     }
@@ -49,21 +50,21 @@
         |c: &&mut crate::coordination::scheduler::state::Scheduler| c.fence.base_term == term;
     match result {
         Ok(version) => {
-            let mut core = node.scheduler.borrow_mut();
-            let Some(core) = core.as_mut().filter(ours) else {
+            let mut scheduler = node.scheduler.borrow_mut();
+            let Some(scheduler) = scheduler.as_mut().filter(ours) else {
                 return false;
             };
             let mut written = node.machine_record.borrow_mut();
             for (at, machines) in changes {
-                core.machine_record_written(&machines);
+                scheduler.machine_record_written(&machines);
                 written.set(at, machines, version);
             }
             more
         }
         Err(error) => {
             tracing::debug!(%error, "machine record not written");
-            if let Some(core) = node.scheduler.borrow_mut().as_mut().filter(ours) {
-                core.machine_record_dirty = true;
+            if let Some(scheduler) = node.scheduler.borrow_mut().as_mut().filter(ours) {
+                scheduler.machine_record_dirty = true;
             }
             if !matches!(error, Failure::Conflict(_)) {
                 let mut written = node.machine_record.borrow_mut();
--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -105,10 +105,10 @@
                 }
             }
         }
-        if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-            if core.types.is_empty() {
+        if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+            if scheduler.types.is_empty() {
                 if let Some(types) = &node.leadership.borrow().view.types {
-                    core.set_types(types);
+                    scheduler.set_types(types);
                 }
             }
         }
@@ -142,15 +142,15 @@
 /// Compares the machine list with what we know.
 fn compare(node: &Rc<Node>, books: &mut FleetState) {
     let now = node.now();
-    let mut core = node.scheduler.borrow_mut();
-    let Some(core) = core.as_mut() else {
+    let mut scheduler = node.scheduler.borrow_mut();
+    let Some(scheduler) = scheduler.as_mut() else {
         return;
     };
-    let lease = core.config.lease_s;
-    let cut = core.partitioned_zones(now);
+    let lease = scheduler.config.lease_s;
+    let cut = scheduler.partitioned_zones(now);
     for listed in &books.cloud_list {
-        let boot_s = core.types.get(&listed.kind).map_or(60.0, |t| t.boot_s);
-        let machine = core.machines.get(listed.id.as_str());
+        let boot_s = scheduler.types.get(&listed.kind).map_or(60.0, |t| t.boot_s);
+        let machine = scheduler.machines.get(listed.id.as_str());
         let give_up = match listed.state {
             ListedState::Failed => true,
             // Up to 1.5 times is usual; some take several times as long.
@@ -187,7 +187,7 @@
                 .or_insert((info, now - listed.age_s));
         }
     }
-    let gone: Vec<String> = core
+    let gone: Vec<String> = scheduler
         .machines
         .iter()
         .filter(|(n, m)| {
@@ -198,7 +198,7 @@
         .map(|(n, _)| n.to_string())
         .collect();
     for name in gone {
-        core.remove_machine(&name);
+        scheduler.remove_machine(&name);
     }
 }
 
@@ -206,13 +206,13 @@
 async fn give_back(node: &Rc<Node>, books: &mut FleetState) {
     let now = node.now();
     {
-        let mut core = node.scheduler.borrow_mut();
-        let Some(core) = core.as_mut() else {
+        let mut scheduler = node.scheduler.borrow_mut();
+        let Some(scheduler) = scheduler.as_mut() else {
             return;
         };
-        retire_idle(node, core, now);
-        books.returning.extend(core.machines_given_up(now));
-        for (name, m) in &core.machines {
+        retire_idle(node, scheduler, now);
+        books.returning.extend(scheduler.machines_given_up(now));
+        for (name, m) in &scheduler.machines {
             // A draining machine may save first, but not for ever.
             let empty = m.live_attempts().next().is_none();
             if m.status == MachineStatus::Draining && (empty || now - m.idle_since > 60.0) {
@@ -220,7 +220,7 @@
             }
         }
         for name in &books.returning {
-            core.retire_machine(name);
+            scheduler.retire_machine(name);
         }
     }
     if books.returning.is_empty() {
@@ -229,9 +229,9 @@
     let names: Vec<String> = books.returning.iter().take(100).cloned().collect();
     if node.cloud.give_back(names.clone()).await.is_ok() {
         tracing::info!(machines = ?names, "returned");
-        if let Some(core) = node.scheduler.borrow_mut().as_mut() {
+        if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
             for name in &names {
-                core.confirm_machine_returned(name);
+                scheduler.confirm_machine_returned(name);
             }
         }
         for name in names {
@@ -246,33 +246,33 @@
 /// Drains one machine that has been idle for long while much is free.
 fn retire_idle(
     node: &Rc<Node>,
-    core: &mut crate::coordination::scheduler::state::Scheduler,
+    scheduler: &mut crate::coordination::scheduler::state::Scheduler,
     now: f64,
 ) {
-    let used: f64 = core.usage().cpus();
-    let waiting = core.jobs.values().any(|j| j.waiting_tasks() > 0);
-    let have: f64 = core
+    let used: f64 = scheduler.usage().cpus();
+    let waiting = scheduler.jobs.values().any(|j| j.waiting_tasks() > 0);
+    let have: f64 = scheduler
         .machines
         .values()
         .filter(|m| m.status == MachineStatus::Up && !m.cordoned)
-        .filter_map(|m| core.types.get(&m.info.kind))
+        .filter_map(|m| scheduler.types.get(&m.info.kind))
         .map(|t| t.cpus)
         .sum();
     if waiting || used * (1.0 + 2.0 * node.policy.headroom) > have {
         return;
     }
-    let idle = core
+    let idle = scheduler
         .machines
         .iter()
         .filter(|(_, m)| m.status == MachineStatus::Up && !m.cordoned)
         .filter(|(_, m)| m.attempts.is_empty() && m.queue.is_empty())
         .find(|(_, m)| {
-            let boot_s = core.types.get(&m.info.kind).map_or(60.0, |t| t.boot_s);
+            let boot_s = scheduler.types.get(&m.info.kind).map_or(60.0, |t| t.boot_s);
             now - m.idle_since > node.policy.idle_boots * boot_s
         })
         .map(|(n, _)| n.clone());
     if let Some(name) = idle {
-        core.retire_machine(&name);
+        scheduler.retire_machine(&name);
     }
 }
 
@@ -280,32 +280,32 @@
 async fn rent(node: &Rc<Node>, books: &mut FleetState) {
     let now = node.now();
     let plan = {
-        let core = node.scheduler.borrow();
-        let Some(core) = core.as_ref() else {
+        let scheduler = node.scheduler.borrow();
+        let Some(scheduler) = scheduler.as_ref() else {
             return;
         };
-        if core.types.is_empty() {
+        if scheduler.types.is_empty() {
             return;
         }
-        let types = &core.types;
+        let types = &scheduler.types;
         books.booting.retain(|id, (info, since)| {
             let boot_s = types.get(&info.kind).map_or(60.0, |t| t.boot_s);
             // A machine that takes this long is no help to count on.
-            !core.machines.contains_key(id.as_str()) && now - *since < 2.0 * boot_s
+            !scheduler.machines.contains_key(id.as_str()) && now - *since < 2.0 * boot_s
         });
         let mut demand = Demand {
-            used_cpus: core.usage().cpus(),
+            used_cpus: scheduler.usage().cpus(),
             ..Demand::default()
         };
-        for job in core.jobs.values() {
+        for job in scheduler.jobs.values() {
             let n = job.unplaced_tasks();
             if !job.finished && n > 0 {
                 demand.waiting.push((job.spec.clone(), n));
             }
         }
-        let cut = core.partitioned_zones(now);
-        let deaf_s = core.config.silent_s();
-        demand.have_cpus = core
+        let cut = scheduler.partitioned_zones(now);
+        let deaf_s = scheduler.config.silent_s();
+        demand.have_cpus = scheduler
             .machines
             .values()
             .filter(|m| {
--- a/src/coordination/fleet/rollout.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -182,7 +182,7 @@
             count.1 += u32::from(!self.usable(m, now));
             scene.zones.insert(name.to_string(), zone);
             let drained = drains.get(&**name).and_then(|d| d.0.drained.as_ref());
-            let newer = drained.is_some_and(|d| m.last_message.0 > d.session);
+            let newer = drained.is_some_and(|d| m.last_message.session > d.session);
             let heard = self.silent_for(m.heard_at, now) < self.config.silent_s();
             if newer && m.fenced && m.status == MachineStatus::Up && heard {
                 scene.restarted.push(name.to_string());
--- a/src/coordination/fleet/rollout_writer.rs
+++ b/src/coordination/fleet/rollout_writer.rs
@@ -14,13 +14,13 @@
 /// The steps that are due, each with its roll's version.
 fn due(node: &Node) -> Vec<(RolloutStep, u64)> {
     let tenure = node.leadership.borrow();
-    let core = node.scheduler.borrow();
+    let scheduler = node.scheduler.borrow();
     let rolls = &tenure.view.rolls;
     let moving = |s: RollState| matches!(s, RollState::Running | RollState::Back);
     if !rolls.values().any(|r| moving(r.0.state)) {
         return Vec::new();
     }
-    let scene = core
+    let scene = scheduler
         .as_ref()
         .and_then(|c| c.fleet_view(&tenure.view.drains, node.now()));
     let Some(scene) = scene else {
--- a/src/coordination/jobs/completion_batch.rs
+++ b/src/coordination/jobs/completion_batch.rs
@@ -39,13 +39,13 @@
 /// `chunk_tasks` tasks keep their marks apart. `partial` bounds the writes for jobs that
 /// go on.
 pub fn plan(
-    core: &Scheduler,
+    scheduler: &Scheduler,
     txn_ops: usize,
     chunk_tasks: u32,
     partial: &mut Budget,
     now: f64,
 ) -> Option<CompletionBatch> {
-    let due = core.completions_due(txn_ops);
+    let due = scheduler.completions_due(txn_ops);
     if due.is_empty() {
         return None;
     }
@@ -53,7 +53,7 @@
     let mut parts = Vec::new();
     let mut bytes = 0;
     for id in due {
-        let Some(job) = core.jobs.get(&id) else {
+        let Some(job) = scheduler.jobs.get(&id) else {
             continue;
         };
         if !job.is_complete() && partial.take(1.0, true, now).is_err() {
@@ -87,7 +87,7 @@
             // next write rests on, so that one without an answer, carried out late,
             // cannot put older marks in the place of newer ones. (Their workers have
             // forgotten those tasks: after a takeover they would run once more.)
-            let record = record_of(job, core.wall_clock_offset_s, String::new());
+            let record = record_of(job, scheduler.wall_clock_offset_s, String::new());
             bytes += 800;
             txn = txn.put(&key, &record);
             for chunk in 0..job.spec.tasks.div_ceil(chunk_tasks) {
@@ -107,7 +107,7 @@
                 part.completed.merge(&marks);
             }
         } else {
-            let record = record_of(job, core.wall_clock_offset_s, job.completed.to_text());
+            let record = record_of(job, scheduler.wall_clock_offset_s, job.completed.to_text());
             bytes += record.done.len() + 800;
             txn = txn.put(&key, &record);
         }
--- a/src/coordination/jobs/completion_writer.rs
+++ b/src/coordination/jobs/completion_writer.rs
@@ -46,17 +46,18 @@
 /// Writes one batch; true if there may be more.
 async fn flush(node: &Rc<Node>, partial: &mut Budget) -> bool {
     let (batch, term) = {
-        let core = node.scheduler.borrow();
-        let Some(core) = core.as_ref() else {
+        let scheduler = node.scheduler.borrow();
+        let Some(scheduler) = scheduler.as_ref() else {
             return false;
         };
         let txn_ops = node.settings.cluster.state.txn_ops;
         let chunk_tasks = node.tasks_per_record();
-        let Some(batch) = completion_batch::plan(core, txn_ops, chunk_tasks, partial, node.now())
+        let Some(batch) =
+            completion_batch::plan(scheduler, txn_ops, chunk_tasks, partial, node.now())
         else {
             return false;
         };
-        (batch, core.fence.base_term)
+        (batch, scheduler.fence.base_term)
     };
     let CompletionBatch { txn, jobs: parts } = batch;
     let result = node.state.txn(&txn, Lane::Data).await;
@@ -79,17 +80,17 @@
 }
 
 fn written(node: &Rc<Node>, parts: Vec<JobCompletion>, version: u64, term: u64) {
-    let mut core = node.scheduler.borrow_mut();
-    let core = core.as_mut().filter(|c| c.fence.base_term == term);
+    let mut scheduler = node.scheduler.borrow_mut();
+    let scheduler = scheduler.as_mut().filter(|c| c.fence.base_term == term);
     let mut over = Vec::new();
-    if let Some(core) = core {
+    if let Some(scheduler) = scheduler {
         for part in &parts {
-            core.completions_written(&part.job, &part.completed, version);
+            scheduler.completions_written(&part.job, &part.completed, version);
             if part.terminal.is_some() {
-                let told = core.jobs.get(&*part.job);
+                let told = scheduler.jobs.get(&*part.job);
                 let (starts, passed_s) = told.map_or((0, 0.0), |j| (j.starts, j.longest_wait_s));
                 tracing::info!(job = %part.job, starts, passed_s, "done");
-                core.finish_job(&part.job);
+                scheduler.finish_job(&part.job);
             }
         }
     }
@@ -150,18 +151,18 @@
     let Ok(entry) = node.state.get(&records::live_key(id), Lane::Data).await else {
         return;
     };
-    let mut core = node.scheduler.borrow_mut();
-    let Some(core) = core.as_mut().filter(|c| c.fence.base_term == term) else {
+    let mut scheduler = node.scheduler.borrow_mut();
+    let Some(scheduler) = scheduler.as_mut().filter(|c| c.fence.base_term == term) else {
         return;
     };
     match entry {
         Some(entry) => {
             if let Ok(record) = entry.read::<LiveJob>() {
                 let done = CompletedTasks::from_text(&record.done, record.spec.tasks);
-                core.reload_job(id, entry.version, &done);
+                scheduler.reload_job(id, entry.version, &done);
             }
         }
-        None => core.finish_job(id),
+        None => scheduler.finish_job(id),
     }
 }
 
@@ -177,11 +178,11 @@
         return;
     }
     if let Ok(record) = entry.read::<LiveJob>() {
-        if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-            if core.fence.base_term == term {
-                core.add_job(record, entry.version, CompletedTasks::default());
-                if core.placement_due {
-                    core.place_changed(now);
+        if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+            if scheduler.fence.base_term == term {
+                scheduler.add_job(record, entry.version, CompletedTasks::default());
+                if scheduler.placement_due {
+                    scheduler.place_changed(now);
                 }
             }
         }
@@ -190,9 +191,9 @@
 
 /// All changes up to `revision` are known, and all made before `asked_at`.
 fn followed(node: &Node, term: u64, revision: u64, asked_at: f64) {
-    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-        if core.fence.base_term == term {
-            core.watched_revision = revision;
+    if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+        if scheduler.fence.base_term == term {
+            scheduler.watched_revision = revision;
             node.leadership.borrow_mut().job_watch_answered(asked_at);
         }
     }
@@ -205,7 +206,7 @@
         .is_some_and(|c| c.fence.base_term == term)
 }
 
-/// Follows the live jobs from `revision` on, as long as this core lasts.
+/// Follows the live jobs from `revision` on, as long as this scheduler lasts.
 pub fn follow(node: Rc<Node>, term: u64, mut revision: u64) {
     // Whoever owns the share may answer workers only while it knows of cancellations
     // (`leadership::cover`): eight looks in that time, so that a few may be lost, or wait
@@ -228,9 +229,9 @@
                             None => {}
                             Some(Seen::Deleted { key, .. }) => {
                                 if let Some(id) = key.strip_prefix(records::LIVE_PREFIX) {
-                                    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-                                        if core.fence.base_term == term {
-                                            core.finish_job(id);
+                                    if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+                                        if scheduler.fence.base_term == term {
+                                            scheduler.finish_job(id);
                                         }
                                     }
                                 }
@@ -246,12 +247,12 @@
                         node.state.list(records::LIVE_PREFIX, Lane::Control).await
                     {
                         revision = at;
-                        if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-                            if core.fence.base_term == term {
+                        if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+                            if scheduler.fence.base_term == term {
                                 let keys = entries.iter().map(|e| e.key.as_str());
                                 let listed =
                                     keys.filter_map(|k| k.strip_prefix(records::LIVE_PREFIX));
-                                core.reconcile_live_jobs(&listed.collect(), at);
+                                scheduler.reconcile_live_jobs(&listed.collect(), at);
                             }
                         }
                         for entry in entries {
--- a/src/coordination/leadership/failover.rs
+++ b/src/coordination/leadership/failover.rs
@@ -75,13 +75,13 @@
     }
 }
 
-/// Builds the core from the records of the share.
+/// Builds the scheduler from the records of the share.
 async fn load(node: &Rc<Node>, share: &ShardRecord) -> Result<(), Failure> {
     let quiet_since = share.former_leaders.is_empty().then(|| node.now());
     let fence = Fence::new(share.term, quiet_since);
     let params = SchedulerConfig::new(&node.settings, &node.policy);
-    let mut core = Scheduler::new(params, share.term, fence, share.incarnation ^ share.term);
-    core.wall_clock_offset_s = node.wall_ms() as f64 / 1000.0 - node.now();
+    let mut scheduler = Scheduler::new(params, share.term, fence, share.incarnation ^ share.term);
+    scheduler.wall_clock_offset_s = node.wall_ms() as f64 / 1000.0 - node.now();
     // Read after the share was taken, so that no drain ordered under the owner
     // before us is missed: its machines must get nothing new.
     let (drains, seen) = node
@@ -92,7 +92,7 @@
         .borrow_mut()
         .view
         .apply_drain_listing(&drains, seen);
-    core.set_drains(&node.leadership.borrow().view.drains);
+    scheduler.set_drains(&node.leadership.borrow().view.drains);
     let (listed, _) = node
         .state
         .list(records::MACHINES_PREFIX, Lane::Control)
@@ -100,7 +100,7 @@
     let now = node.now();
     let written = MachineRecord::read(&listed);
     for info in written.machines() {
-        core.add_recorded_machine(info.clone(), now);
+        scheduler.add_recorded_machine(info.clone(), now);
     }
     let listed_at = node.now();
     let (jobs, revision) = node.state.list(records::LIVE_PREFIX, Lane::Control).await?;
@@ -110,15 +110,18 @@
             continue;
         };
         let extra = completion_writer::marks_apart(node, &record, Lane::Control).await?;
-        core.add_job(record, entry.version, extra);
+        scheduler.add_job(record, entry.version, extra);
     }
-    core.watched_revision = revision;
+    scheduler.watched_revision = revision;
     // Cancellations written meanwhile: of those that users were told of here nobody else
     // could tell, and of others' the watch will tell, which is later.
     let now = node.now();
     for cancellations in [&node.confirmed_cancellations, &node.relayed_cancellations] {
         let since = cancellations.borrow().within(now - listed_at, now);
-        since.iter().flatten().for_each(|id| core.finish_job(id));
+        since
+            .iter()
+            .flatten()
+            .for_each(|id| scheduler.finish_job(id));
     }
     // Much may have happened while all this was read, or while we stood still.
     if !node
@@ -131,18 +134,18 @@
     }
     tracing::info!(
         term = share.term,
-        machines = core.machines.len(),
-        jobs = core.jobs.len(),
+        machines = scheduler.machines.len(),
+        jobs = scheduler.jobs.len(),
         "share read"
     );
     // After the last wait: types that became known while the records were read
     // would else be missed until the cloud is asked again, half a minute in which
     // nothing is placed (see `fleet::keep_types`).
     if let Some(types) = &node.leadership.borrow().view.types {
-        core.set_types(types);
+        scheduler.set_types(types);
     }
     *node.machine_record.borrow_mut() = written;
-    *node.scheduler.borrow_mut() = Some(core);
+    *node.scheduler.borrow_mut() = Some(scheduler);
     completion_writer::follow(node.clone(), share.term, revision);
     Ok(())
 }
--- a/src/coordination/leadership/leader_loop.rs
+++ b/src/coordination/leadership/leader_loop.rs
@@ -43,8 +43,8 @@
                 .leadership
                 .borrow_mut()
                 .shard_record_written(&rewrite, version);
-            if let (Some(term), Some(core)) = (term, node.scheduler.borrow_mut().as_mut()) {
-                core.raise_term(term);
+            if let (Some(term), Some(scheduler)) = (term, node.scheduler.borrow_mut().as_mut()) {
+                scheduler.raise_term(term);
             }
         }
         Err(Failure::Conflict(_)) => reread(node).await,
@@ -119,8 +119,8 @@
                 return;
             };
             // First the knowledge, then what rests on it.
-            if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-                jobs.iter().for_each(|id| core.finish_job(id));
+            if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+                jobs.iter().for_each(|id| scheduler.finish_job(id));
             }
             let now = node.now();
             node.leadership
@@ -153,8 +153,8 @@
 
 /// Notices that no former owner can answer any more.
 fn learn_quiet(node: &Node) {
-    let mut core = node.scheduler.borrow_mut();
-    let Some(core) = core
+    let mut scheduler = node.scheduler.borrow_mut();
+    let Some(scheduler) = scheduler
         .as_mut()
         .filter(|c| c.fence.former_leaders_silent_since.is_none())
     else {
@@ -166,21 +166,21 @@
         .borrow()
         .former_leaders_fenced(now, node.wall_ms())
     {
-        tracing::info!(term = core.term, "no former owner is left");
-        core.fence.former_leaders_silent_since = Some(now);
+        tracing::info!(term = scheduler.term, "no former owner is left");
+        scheduler.fence.former_leaders_silent_since = Some(now);
     }
 }
 
-/// Tells the core of drains that came, changed or ended.
+/// Tells the scheduler of drains that came, changed or ended.
 pub fn take_drains(node: &Node) {
     let tenure = node.leadership.borrow();
-    let mut core = node.scheduler.borrow_mut();
-    let Some(core) = core.as_mut() else {
+    let mut scheduler = node.scheduler.borrow_mut();
+    let Some(scheduler) = scheduler.as_mut() else {
         return;
     };
-    let seen = (core.fence.base_term, tenure.view.drains_generation);
+    let seen = (scheduler.fence.base_term, tenure.view.drains_generation);
     if node.applied_drains.replace(seen) != seen {
-        core.set_drains(&tenure.view.drains);
+        scheduler.set_drains(&tenure.view.drains);
     }
 }
 
@@ -190,7 +190,7 @@
     let most = node.settings.cluster.state.txn_ops;
     let now_ms = node.wall_ms();
     let mut proven = match node.scheduler.borrow().as_ref() {
-        Some(core) if node.is_certain_leader() => core.proven_drains(now_ms, most),
+        Some(scheduler) if node.is_certain_leader() => scheduler.proven_drains(now_ms, most),
         _ => return,
     };
     {
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -271,9 +271,9 @@
         step_down(node);
     }
     let raised = node.leadership.borrow_mut().adopt_raised_term();
-    if let (Some(term), Some(core)) = (raised, node.scheduler.borrow_mut().as_mut()) {
+    if let (Some(term), Some(scheduler)) = (raised, node.scheduler.borrow_mut().as_mut()) {
         tracing::info!(term, "the term was raised, and the answer lost");
-        core.raise_term(term);
+        scheduler.raise_term(term);
     }
     let term = node
         .leadership
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -72,13 +72,13 @@
     pub terminal_states: RefCell<TerminalStates>,
     /// Cancellations that users were told of by us.
     pub confirmed_cancellations: RefCell<ConfirmedCancellations>,
-    /// Cancellations that other controllers told us of, for a core that is not there yet.
+    /// Cancellations that other controllers told us of, for a scheduler that is not there yet.
     pub relayed_cancellations: RefCell<ConfirmedCancellations>,
     /// Our share's machine record as it is written, by chunk.
     pub machine_record: RefCell<MachineRecord>,
     /// Direct calls to workers under way.
     pub direct_calls: Cell<usize>,
-    /// Term and count of the drains that the core was told of.
+    /// Term and count of the drains that the scheduler was told of.
     pub applied_drains: Cell<(u64, u64)>,
     /// Versions of drains that we recorded as carried out and the watch has not
     /// shown yet.
@@ -151,7 +151,7 @@
 
     /// Remembers a final state before a user is told of it.
     ///
-    /// Where the share is ours its core learns of it first: by the watch alone it may not
+    /// Where the share is ours its scheduler learns of it first: by the watch alone it may not
     /// for longer than `cancel_s`. (A cancellation without an answer was carried out late,
     /// a poll here found it and told the user; then the state service went away, and what
     /// the other controllers told users, which is all that an owner asks for, did not
@@ -161,8 +161,8 @@
             self.confirmed_cancellations
                 .borrow_mut()
                 .record(id, self.now());
-            if let Some(core) = self.scheduler.borrow_mut().as_mut() {
-                core.finish_job(id);
+            if let Some(scheduler) = self.scheduler.borrow_mut().as_mut() {
+                scheduler.finish_job(id);
             }
         }
     }
--- a/src/coordination/scheduler/job.rs
+++ b/src/coordination/scheduler/job.rs
@@ -53,6 +53,20 @@
     }
 }
 
+/// One attempt to run a task. Numbers only grow, across takeovers too.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct AttemptId {
+    pub task: TaskId,
+    pub number: u64,
+}
+
+impl AttemptId {
+    /// The attempt of this number of the task.
+    pub fn new(task: TaskId, number: u64) -> AttemptId {
+        AttemptId { task, number }
+    }
+}
+
 /// A live job.
 #[derive(Debug)]
 pub struct Job {
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -2,11 +2,32 @@
 
 use crate::coordination::scheduler::capacity::Resources;
 use crate::coordination::scheduler::delivery::Delivery;
-use crate::coordination::scheduler::job::{Name, TaskId};
-use crate::protocol::worker::{Cause, Phase};
+use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
+use crate::protocol::worker::{Cause, Phase, Report};
 use crate::storage::records::{MachineInfo, TOKENS_PER_TERM};
 use std::collections::BTreeMap;
 
+/// A message of a machine: the session it belongs to, and its place in that. Later ones
+/// compare greater.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct MessageId {
+    pub session: u64,
+    pub seq: u64,
+}
+
+impl MessageId {
+    /// Before any message.
+    pub const NONE: MessageId = MessageId { session: 0, seq: 0 };
+
+    /// The message that is this report.
+    pub fn of(report: &Report) -> MessageId {
+        MessageId {
+            session: report.session,
+            seq: report.seq,
+        }
+    }
+}
+
 /// An attempt that is on a machine, or may be.
 #[derive(Debug, Clone)]
 pub struct Attempt {
@@ -20,9 +41,9 @@
     /// It counts among its job's running tasks.
     pub counted_as_running: bool,
     /// The newest message that showed it.
-    pub last_shown: (u64, u64),
+    pub last_shown: MessageId,
     /// A start went out in the answer to this report and may still be executed.
-    pub sent_in_reply_to: Option<(u64, u64)>,
+    pub sent_in_reply_to: Option<MessageId>,
     /// A direct call with the start is under way.
     pub call_in_flight: bool,
     /// Highest token of the direct calls with its start so far: as long as the machine
@@ -50,7 +71,7 @@
             sent_at: now,
             running_since: None,
             counted_as_running: false,
-            last_shown: (0, 0),
+            last_shown: MessageId::NONE,
             sent_in_reply_to: None,
             call_in_flight: false,
             copies_up_to: None,
@@ -110,7 +131,7 @@
     /// holds up nobody.
     pub drained: bool,
     /// Newest message seen: session and sequence number.
-    pub last_message: (u64, u64),
+    pub last_message: MessageId,
     /// Highest token the machine is known to have seen.
     pub seen_token: u64,
     /// The token that it gets from us, if that is above our term.
@@ -135,7 +156,7 @@
     pub delivery: Delivery,
     /// When the cloud will take it away.
     pub notice_at: Option<f64>,
-    pub attempts: BTreeMap<(TaskId, u64), Attempt>,
+    pub attempts: BTreeMap<AttemptId, Attempt>,
     /// Attempts of jobs that we do not know, not exited.
     pub unknown_attempts: u32,
     pub queue: Vec<QueuedTask>,
@@ -152,7 +173,7 @@
     pub call_in_flight: bool,
     pub called_at: f64,
     /// What was known to be newest of it when that began.
-    pub called_at_message: (u64, u64),
+    pub called_at_message: MessageId,
     /// Calls in a row that ended without an answer.
     pub unanswered_calls: u32,
     /// When it was first asked for a report under our term.
@@ -171,7 +192,7 @@
             status: MachineStatus::Up,
             cordoned: false,
             drained: false,
-            last_message: (0, 0),
+            last_message: MessageId::NONE,
             seen_token: 0,
             raised_token: 0,
             fenced: false,
@@ -192,7 +213,7 @@
             images: Vec::new(),
             call_in_flight: false,
             called_at: f64::NEG_INFINITY,
-            called_at_message: (0, 0),
+            called_at_message: MessageId::NONE,
             unanswered_calls: 0,
             probed_at: None,
             recent_failures: Vec::new(),
@@ -222,7 +243,7 @@
     /// Whether any attempt of the task is known here.
     pub fn has_attempt_of(&self, task: &TaskId) -> bool {
         self.attempts
-            .range((task.clone(), 0)..=(task.clone(), u64::MAX))
+            .range(AttemptId::new(task.clone(), 0)..=AttemptId::new(task.clone(), u64::MAX))
             .next()
             .is_some()
     }
@@ -258,9 +279,10 @@
     /// had just started on it was started elsewhere.)
     pub fn is_early_session(&self, session: u64, lease_s: f64, now: f64) -> bool {
         let between = session
-            .saturating_sub(self.last_message.0)
+            .saturating_sub(self.last_message.session)
             .saturating_sub(1);
-        self.last_message != (0, 0) && now - self.session_seen_at < between as f64 * lease_s * 0.999
+        self.last_message != MessageId::NONE
+            && now - self.session_seen_at < between as f64 * lease_s * 0.999
     }
 
     /// Whether a start may yet be carried out in a session to come: of a machine that
@@ -279,7 +301,7 @@
     }
 
     /// Attempts that hold room.
-    pub fn live_attempts(&self) -> impl Iterator<Item = (&(TaskId, u64), &Attempt)> {
+    pub fn live_attempts(&self) -> impl Iterator<Item = (&AttemptId, &Attempt)> {
         self.attempts.iter().filter(|(_, a)| !a.has_exited())
     }
 }
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -221,8 +221,8 @@
             }
             let limit = self.team(team);
             let allowed = within_limit(limit, pass.usage.of(team), &spec, 1.0);
-            let yields = |core: &Scheduler, pass: &mut PlacementPass| {
-                thorough && core.team_has_less_urgent(team, spec.urgency, pass)
+            let yields = |scheduler: &Scheduler, pass: &mut PlacementPass| {
+                thorough && scheduler.team_has_less_urgent(team, spec.urgency, pass)
             };
             if !allowed && !yields(self, pass) {
                 return;
@@ -330,12 +330,13 @@
         let mut picks = Vec::new();
         if n > 0 {
             let holders = self.image_holders.remove(&spec.image).unwrap_or_default();
-            picks = self.sample(holders.len(), task, pools, false, |core, at| {
+            picks = self.sample(holders.len(), task, pools, false, |scheduler, at| {
                 let name = holders.get(at)?;
-                let m = core.machines.get(name)?;
-                let pool = core.capacity_index.pool_of(name)?;
+                let m = scheduler.machines.get(name)?;
+                let pool = scheduler.capacity_index.pool_of(name)?;
                 let fits = m.free_capacity.fits(&need) && m.has_image(&spec.image);
-                let open = pools.contains(&pool) && core.usable(m, now) && !m.has_attempt_of(task);
+                let open =
+                    pools.contains(&pool) && scheduler.usable(m, now) && !m.has_attempt_of(task);
                 (fits && open).then(|| name.clone())
             });
             if !holders.is_empty() {
@@ -346,13 +347,15 @@
             return Some(best);
         }
         let mut room = false;
-        let picks = self.sample(n, task, pools, true, |core, at| {
-            let name = core.capacity_index.nth_with_cpus(pools, spec.cpus, at)?;
-            let m = core.machines.get(name)?;
+        let picks = self.sample(n, task, pools, true, |scheduler, at| {
+            let name = scheduler
+                .capacity_index
+                .nth_with_cpus(pools, spec.cpus, at)?;
+            let m = scheduler.machines.get(name)?;
             // An attempt that is not forgotten yet would refuse it.
             let fits = m.free_capacity.fits(&need);
             room |= fits;
-            (fits && core.usable(m, now) && !m.has_attempt_of(task)).then(|| name.clone())
+            (fits && scheduler.usable(m, now) && !m.has_attempt_of(task)).then(|| name.clone())
         });
         if !room {
             // Every one was looked at: not again before one has more room.
@@ -375,10 +378,10 @@
     /// shorter queue.
     fn sample_queues(&mut self, task: &TaskId, pools: &[usize], now: f64) -> Option<Name> {
         let n = self.capacity_index.count_short_queues(pools);
-        let picks = self.sample(n, task, pools, true, |core, at| {
-            let name = core.capacity_index.nth_short_queue(pools, at)?;
-            let m = core.machines.get(name)?;
-            core.usable(m, now).then(|| name.clone())
+        let picks = self.sample(n, task, pools, true, |scheduler, at| {
+            let name = scheduler.capacity_index.nth_short_queue(pools, at)?;
+            let m = scheduler.machines.get(name)?;
+            scheduler.usable(m, now).then(|| name.clone())
         });
         picks.into_iter().min_by_key(|n| {
             let m = &self.machines[n];
@@ -410,8 +413,9 @@
                 .sum();
             !f.is_empty() && f.len() < usable
         });
-        let mut good = |core: &Scheduler, at: usize, picks: &[Name]| {
-            accept(core, at).filter(|m| !picks.contains(m) && failed.is_none_or(|f| !f.contains(m)))
+        let mut good = |scheduler: &Scheduler, at: usize, picks: &[Name]| {
+            accept(scheduler, at)
+                .filter(|m| !picks.contains(m) && failed.is_none_or(|f| !f.contains(m)))
         };
         let mut rng = self.rng.clone();
         for _ in 0..want * DRAWS {
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -6,7 +6,7 @@
 //! is cheapest.
 
 use crate::coordination::scheduler::capacity::Resources;
-use crate::coordination::scheduler::job::{Job, Name, TaskId};
+use crate::coordination::scheduler::job::{AttemptId, Job, Name};
 use crate::coordination::scheduler::placement::{PlacementPass, TaskRequirements};
 use crate::coordination::scheduler::quota::{within_limit, TeamUsage};
 use crate::coordination::scheduler::state::Scheduler;
@@ -21,7 +21,7 @@
 const PER_JOB: usize = 4;
 
 /// A way to make room: what it loses, the machine, what is stopped.
-type PreemptionPlan = (f64, Name, Vec<((TaskId, u64), f64)>);
+type PreemptionPlan = (f64, Name, Vec<(AttemptId, f64)>);
 
 /// What stopping the attempt would lose, in CPU seconds, and the grace to stop
 /// it with. Work that can save does so unless saving takes longer than what it
@@ -111,10 +111,7 @@
     /// What each team's stopped work will free, less what waits for it.
     fn resources_being_freed(&self) -> HashMap<usize, (f64, f64)> {
         let mut sums: HashMap<usize, (f64, f64)> = HashMap::new();
-        let stopped = self
-            .stopping_attempts
-            .iter()
-            .map(|(_, (task, _))| (task, 1.0));
+        let stopped = self.stopping_attempts.iter().map(|(_, id)| (&id.task, 1.0));
         let bound = self
             .machines_with_queue
             .iter()
@@ -177,9 +174,9 @@
             return None;
         };
         for (key, grace) in chosen {
-            tracing::info!(task = %key.0.wire(), machine = %machine, for_job = name, "stopped to make room");
-            if let Some(victim) = self.jobs.get_mut(&key.0.job) {
-                *victim.preemptions.entry(key.0.index).or_default() += 1;
+            tracing::info!(task = %key.task.wire(), machine = %machine, for_job = name, "stopped to make room");
+            if let Some(victim) = self.jobs.get_mut(&key.task.job) {
+                *victim.preemptions.entry(key.task.index).or_default() += 1;
             }
             self.stop_attempt(&machine, &key, grace);
         }
@@ -273,14 +270,18 @@
         }
         let mut victims = Vec::new();
         for (key, active) in m.live_attempts() {
-            let Some(victim) = self.jobs.get(&key.0.job) else {
+            let Some(victim) = self.jobs.get(&key.task.job) else {
                 continue;
             };
             if active.stop_grace_s.is_some() {
                 room.add(&active.resources);
                 continue;
             }
-            let stops = victim.preemptions.get(&key.0.index).copied().unwrap_or(0);
+            let stops = victim
+                .preemptions
+                .get(&key.task.index)
+                .copied()
+                .unwrap_or(0);
             if stops >= self.config.policy.max_stops || victim.is_only_late_first_task() {
                 continue;
             }
--- a/src/coordination/scheduler/snapshot.rs
+++ b/src/coordination/scheduler/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state of a share at one moment, as plans are made from it, and a core
+//! The state of a share at one moment, as plans are made from it, and a scheduler
 //! made from such a snapshot: the same code decides there as here.
 
 use crate::coordination::scheduler::fence::Fence;
@@ -83,16 +83,16 @@
         let machines = self.machines.values();
         let up = machines.filter(|m| m.status != MachineStatus::Expired);
         let machines = up.map(|m| {
-            let tasks = m.live_attempts().map(|((task, attempt), a)| SnapTask {
-                job: task.job.to_string(),
-                index: task.index,
-                attempt: *attempt,
+            let tasks = m.live_attempts().map(|(id, a)| SnapTask {
+                job: id.task.job.to_string(),
+                index: id.task.index,
+                attempt: id.number,
                 ran_s: a.running_since.map(|t| now - t),
             });
             SnapMachine {
                 info: m.info.clone(),
                 alive: m.fenced && self.silent_for(m.heard_at, now) < self.config.silent_s(),
-                session: m.last_message.0,
+                session: m.last_message.session,
                 tasks: tasks.collect(),
             }
         });
@@ -147,10 +147,10 @@
             policy: snapshot.policy.clone(),
         };
         let term = snapshot.term + 1;
-        let mut core = Scheduler::new(params, term, Fence::new(term, Some(0.0)), seed);
-        core.set_types(&snapshot.types);
+        let mut scheduler = Scheduler::new(params, term, Fence::new(term, Some(0.0)), seed);
+        scheduler.set_types(&snapshot.types);
         for machine in snapshot.machines.iter().filter(|m| m.alive) {
-            core.add_recorded_machine(machine.info.clone(), 0.0);
+            scheduler.add_recorded_machine(machine.info.clone(), 0.0);
         }
         for job in &snapshot.jobs {
             let record = LiveJob {
@@ -158,11 +158,11 @@
                 at_ms: 0,
                 done: job.done.clone(),
             };
-            core.add_job(record, 1, CompletedTasks::default());
-            if let Some(made) = core.jobs.get_mut(job.spec.id.as_str()) {
+            scheduler.add_job(record, 1, CompletedTasks::default());
+            if let Some(made) = scheduler.jobs.get_mut(job.spec.id.as_str()) {
                 made.accepted_at = -job.age_s;
             }
         }
-        core
+        scheduler
     }
 }
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -5,7 +5,9 @@
 use crate::coordination::scheduler::capacity::{CapacityIndex, Resources};
 use crate::coordination::scheduler::fair_share::FairShare;
 use crate::coordination::scheduler::fence::Fence;
-use crate::coordination::scheduler::job::{ByName, Job, Name, Names, TaskCounts, TaskId};
+use crate::coordination::scheduler::job::{
+    AttemptId, ByName, Job, Name, Names, TaskCounts, TaskId,
+};
 use crate::coordination::scheduler::job_order::JobOrder;
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
 use crate::coordination::scheduler::quota::TeamUsage;
@@ -42,7 +44,7 @@
     nodes as f64 * 6.0
 }
 
-/// What the core needs of the settings.
+/// What the scheduler needs of the settings.
 #[derive(Clone, Debug)]
 pub struct SchedulerConfig {
     pub lease_s: f64,
@@ -131,7 +133,7 @@
     /// Machines where a bound task may start now.
     pub(crate) freed_machines: Names,
     /// Attempts being stopped, and some that were.
-    pub(crate) stopping_attempts: IndexSet<(Name, (TaskId, u64)), RandomState>,
+    pub(crate) stopping_attempts: IndexSet<(Name, AttemptId), RandomState>,
     pub(crate) job_order: JobOrder,
     /// Who is served less than half, and owed room for it.
     pub fair_share: FairShare,
@@ -294,7 +296,7 @@
                 index,
                 job: name.clone(),
             };
-            self.stop_attempt(&machine, &(task, attempt), 0.0);
+            self.stop_attempt(&machine, &AttemptId::new(task, attempt), 0.0);
         }
         self.unsaved_jobs.swap_remove(&name);
         self.job_order.is_stale = true;
@@ -321,7 +323,7 @@
         let shown: IndexSet<&Name, RandomState> = self
             .machines
             .values()
-            .flat_map(|m| m.attempts.keys().map(|(task, _)| &task.job))
+            .flat_map(|m| m.attempts.keys().map(|id| &id.task.job))
             .collect();
         self.jobs
             .retain(|name, job| !over(job) || shown.contains(name));
@@ -335,7 +337,7 @@
     }
 
     /// Wants an attempt stopped.
-    pub(crate) fn stop_attempt(&mut self, machine: &str, key: &(TaskId, u64), grace_s: f64) {
+    pub(crate) fn stop_attempt(&mut self, machine: &str, key: &AttemptId, grace_s: f64) {
         let Some((name, m)) = self
             .machines
             .get_key_value(machine)
@@ -373,19 +375,20 @@
         job.longest_wait_s = job.longest_wait_s.max(now - job.served_at);
         job.served_at = now;
         let holds = Resources::of_task(&job.spec);
-        m.attempts.insert((task, attempt), Attempt::new(now, holds));
+        m.attempts
+            .insert(AttemptId::new(task, attempt), Attempt::new(now, holds));
         m.repeatable_tasks = None;
         self.outbox.insert(machine.clone());
     }
 
     /// An attempt is not on its machine any more (or never was).
-    pub(crate) fn release_attempt(&mut self, key: &(TaskId, u64)) {
-        let (task, attempt) = key;
+    pub(crate) fn release_attempt(&mut self, key: &AttemptId) {
+        let AttemptId { task, number } = key;
         if let Some(job) = self.jobs.get_mut(&task.job) {
             if job.unplaced_tasks() == 0 {
                 job.served_at = self.now;
             }
-            if job.remove_attempt(task.index, *attempt) {
+            if job.remove_attempt(task.index, *number) {
                 self.team_usage.add(job.team, &job.spec, -1.0);
             }
         }
@@ -402,7 +405,7 @@
         m.idle_since = self.now;
         let active = std::mem::take(&mut m.attempts);
         let lost = active.iter().filter(|(_, a)| !a.has_exited());
-        let lost: Vec<String> = lost.map(|((task, _), _)| task.wire()).collect();
+        let lost: Vec<String> = lost.map(|(id, _)| id.task.wire()).collect();
         if !lost.is_empty() {
             tracing::info!(
                 machine = name,
@@ -443,11 +446,11 @@
             return;
         }
         m.status = MachineStatus::Draining;
-        let keys: Vec<(TaskId, u64)> = m.live_attempts().map(|(k, _)| k.clone()).collect();
+        let keys: Vec<AttemptId> = m.live_attempts().map(|(k, _)| k.clone()).collect();
         m.repeatable_tasks = None;
         self.clear_queue(name);
         for key in keys {
-            let grace = self.save_grace(&key.0.job);
+            let grace = self.save_grace(&key.task.job);
             self.stop_attempt(name, &key, grace);
         }
         self.placement_due = true;
@@ -490,9 +493,9 @@
     }
 
     /// An attempt does not run any more.
-    pub(crate) fn uncount_running(&mut self, key: &(TaskId, u64), active: &mut Attempt) {
+    pub(crate) fn uncount_running(&mut self, key: &AttemptId, active: &mut Attempt) {
         if std::mem::take(&mut active.counted_as_running) {
-            if let Some(job) = self.jobs.get_mut(&key.0.job) {
+            if let Some(job) = self.jobs.get_mut(&key.task.job) {
                 job.running = job.running.saturating_sub(1);
             }
         }
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -96,13 +96,13 @@
     tracing::info!(job = %spec.id, class = %spec.class, team = %spec.team, tasks = spec.tasks, cpus = spec.cpus, estimate_s = spec.estimate_s, due_s, "accepted");
 }
 
-/// A job that was just recorded: the core learns of it at once where it is ours.
+/// A job that was just recorded: the scheduler learns of it at once where it is ours.
 fn take_job(node: &Rc<Node>, record: LiveJob, version: u64) {
     let read = Rc::new(record.clone());
     node.record_cache.borrow_mut().insert(&read, version);
-    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-        core.add_job(record, version, CompletedTasks::default());
-        core.place_changed(node.now());
+    if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+        scheduler.add_job(record, version, CompletedTasks::default());
+        scheduler.place_changed(node.now());
     }
     dispatcher::drain(node);
 }
@@ -145,8 +145,8 @@
     if node.terminal_states.borrow().get(id).is_some() {
         return None;
     }
-    if let Some(core) = node.scheduler.borrow().as_ref() {
-        return core.progress(id);
+    if let Some(scheduler) = node.scheduler.borrow().as_ref() {
+        return scheduler.progress(id);
     }
     let addr = node.peer_address(&node.other_leader()?)?;
     match node
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -21,11 +21,11 @@
 
 fn answer(node: &Rc<Node>, ask: PeerRequest) -> PeerResponse {
     match ask {
-        PeerRequest::Progress(id) => of_core(node, |core| progress(core, &id)),
-        PeerRequest::Overview => of_core(node, |core| {
-            Some(PeerResponse::Overview(core.overview(node.now())))
+        PeerRequest::Progress(id) => of_core(node, |scheduler| progress(scheduler, &id)),
+        PeerRequest::Overview => of_core(node, |scheduler| {
+            Some(PeerResponse::Overview(scheduler.overview(node.now())))
         }),
-        PeerRequest::View(topic) => of_core(node, |core| admin_page(node, core, topic)),
+        PeerRequest::View(topic) => of_core(node, |scheduler| admin_page(node, scheduler, topic)),
         PeerRequest::ExtendLease(term) => {
             agreed_if(node.leadership.borrow().knows_no_later_leader(term))
         }
@@ -52,20 +52,21 @@
 /// Another controller has recorded a cancellation.
 fn job_over(node: &Rc<Node>, id: &str) {
     // Guards against a share that is being read: the list of live jobs may have the job
-    // already, and its core, which is not there yet, would start it.
+    // already, and its scheduler, which is not there yet, would start it.
     node.relayed_cancellations
         .borrow_mut()
         .record(id, node.now());
-    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-        core.finish_job(id);
+    if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+        scheduler.finish_job(id);
     }
     dispatcher::drain(node);
 }
 
-/// What the leader's core says, if this controller leads.
+/// What the leader's scheduler says, if this controller leads.
 fn of_core(node: &Node, ask: impl FnOnce(&Scheduler) -> Option<PeerResponse>) -> PeerResponse {
-    let core = node.scheduler.borrow();
-    core.as_ref()
+    let scheduler = node.scheduler.borrow();
+    scheduler
+        .as_ref()
         .and_then(ask)
         .unwrap_or(PeerResponse::NotLeader)
 }
@@ -78,17 +79,17 @@
     }
 }
 
-fn progress(core: &Scheduler, id: &str) -> Option<PeerResponse> {
-    let counts = core.progress(id)?;
+fn progress(scheduler: &Scheduler, id: &str) -> Option<PeerResponse> {
+    let counts = scheduler.progress(id)?;
     Some(PeerResponse::Progress {
         done: counts.done,
         running: counts.running,
     })
 }
 
-fn admin_page(node: &Node, core: &Scheduler, topic: Topic) -> Option<PeerResponse> {
-    let text = admin::of_core(core, topic, node.now())?;
-    Some(PeerResponse::View(core.term, text))
+fn admin_page(node: &Node, scheduler: &Scheduler, topic: Topic) -> Option<PeerResponse> {
+    let text = admin::of_core(scheduler, topic, node.now())?;
+    Some(PeerResponse::View(scheduler.term, text))
 }
 
 /// The cancellations that this controller told users of, for a leader that has no other
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -7,6 +7,7 @@
 use crate::coordination::agents::leader_reachability;
 use crate::coordination::leadership;
 use crate::coordination::node::Node;
+use crate::coordination::scheduler::machine::MessageId;
 use crate::protocol::worker::{Redirect, Reply, ReportHead};
 use actix_web::http::StatusCode;
 use actix_web::web;
@@ -31,8 +32,8 @@
         return refuse(StatusCode::BAD_REQUEST, "not a report");
     };
     let now = node.now();
-    if let Some(core) = node.scheduler.borrow_mut().as_mut() {
-        if let Some(token) = core.handle_repeated_heartbeat(&head, now) {
+    if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+        if let Some(token) = scheduler.handle_repeated_heartbeat(&head, now) {
             let commands = Vec::new();
             return json_response(StatusCode::OK, &Reply { token, commands });
         }
@@ -42,10 +43,10 @@
         return refuse(StatusCode::BAD_REQUEST, "not a report");
     };
     let verdict = match node.scheduler.borrow_mut().as_mut() {
-        Some(core) => {
-            let verdict = core.handle_heartbeat(&report, now);
-            let order = (report.session, report.seq);
-            core.remember_heartbeat(&report.machine, order, tasks.get());
+        Some(scheduler) => {
+            let verdict = scheduler.handle_heartbeat(&report, now);
+            let order = MessageId::of(&report);
+            scheduler.remember_heartbeat(&report.machine, order, tasks.get());
             verdict
         }
         None => HeartbeatReply::Refuse,
--- a/src/transport/listen.rs
+++ b/src/transport/listen.rs
@@ -1,6 +1,6 @@
 //! Accepts connections and serves them on this thread. `actix-web`'s own
 //! server would start a thread for accepting and one for serving; on a tenth of
-//! a core each hand-over costs, so its HTTP service is fed by one loop here.
+//! a scheduler each hand-over costs, so its HTTP service is fed by one loop here.
 
 use actix_http::{HttpService, KeepAlive};
 use actix_rt::net::TcpStream;
--- a/tests/answer_cases.rs
+++ b/tests/answer_cases.rs
@@ -57,12 +57,12 @@
     for (reachable, recorded) in [(true, false), (false, false), (true, true)] {
         block_on(async {
             let (cluster, controllers) = Cluster::start(1, 3).await;
-            let mut core = core(vec![team("vision", 8.0, 16.0)], 1, &["m-0"]);
+            let mut scheduler = scheduler(vec![team("vision", 8.0, 16.0)], 1, &["m-0"]);
             let record = live(spec(&id(1), "vision", Urgency::Standard, 2, 1.0), 0.0);
             let txn = Txn::default().put(&records::live_key(&id(1)), &record);
             let version = cluster.store.borrow_mut().apply(&txn).expect("free");
-            core.add_job(record, version, CompletedTasks::default());
-            *controllers[0].node.scheduler.borrow_mut() = Some(core);
+            scheduler.add_job(record, version, CompletedTasks::default());
+            *controllers[0].node.scheduler.borrow_mut() = Some(scheduler);
             if recorded {
                 let last = TerminalRecord {
                     state: JobState::Cancelled,
@@ -79,8 +79,8 @@
             let (status, _) = controllers[1].call(Method::POST, &path, "").await;
             assert_eq!(status, 200);
             assert!(begun.elapsed() < READ_AGE, "{:?}", begun.elapsed());
-            let core = controllers[0].node.scheduler.borrow();
-            let over = core.as_ref().map(|c| c.jobs[id(1).as_str()].finished);
+            let scheduler = controllers[0].node.scheduler.borrow();
+            let over = scheduler.as_ref().map(|c| c.jobs[id(1).as_str()].finished);
             assert_eq!(over, Some(reachable));
         });
     }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -291,10 +291,10 @@
     }
 }
 
-/// A core for the leader, which follows the live jobs by its watch.
+/// A scheduler for the leader, which follows the live jobs by its watch.
 fn lead(controller: &Controller) {
     let teams = vec![team("vision", 8.0, 16.0)];
-    *controller.node.scheduler.borrow_mut() = Some(core(teams, 1, &["m-0"]));
+    *controller.node.scheduler.borrow_mut() = Some(scheduler(teams, 1, &["m-0"]));
     completion_writer::follow(controller.node.clone(), 1, 0);
 }
 
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -123,21 +123,21 @@
 #[test]
 fn what_is_over_stays_over() {
     for known_before in [true, false] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         assert!(matches!(
-            core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0),
+            scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0),
             HeartbeatReply::Commands(_)
         ));
         let record = live(spec("run-1", "t", Urgency::Standard, 1, 1.0), 0.0);
         if known_before {
-            core.add_job(record.clone(), 7, CompletedTasks::default());
+            scheduler.add_job(record.clone(), 7, CompletedTasks::default());
         }
-        core.finish_job("run-1");
-        core.collect_garbage();
-        core.add_job(record, 7, CompletedTasks::default());
-        core.place_all(1.0);
+        scheduler.finish_job("run-1");
+        scheduler.collect_garbage();
+        scheduler.add_job(record, 7, CompletedTasks::default());
+        scheduler.place_all(1.0);
         assert!(
-            core.next_direct_call(&"m1".into(), 1.0).is_none(),
+            scheduler.next_direct_call(&"m1".into(), 1.0).is_none(),
             "it starts"
         );
     }
@@ -155,10 +155,10 @@
         (3, 1.9, false),
         (3, 2.1, true),
     ] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0);
         let now = leases * LEASE_S;
-        let verdict = core.handle_heartbeat(&report("m1", 1 + further, 97, 5, &[]), now);
+        let verdict = scheduler.handle_heartbeat(&report("m1", 1 + further, 97, 5, &[]), now);
         let taken = matches!(verdict, HeartbeatReply::Commands(_));
         assert_eq!(taken, can, "{further} further after {leases} leases");
     }
@@ -173,21 +173,23 @@
         (2.0, LEASE_S + 2.5, true),
         (0.1, LEASE_S + 1.0, true),
     ] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0);
         let job = spec("run-1", "t", Urgency::Standard, 1, 1.0);
-        add(&mut core, job, 0.0);
-        core.place_all(started_at);
+        add(&mut scheduler, job, 0.0);
+        scheduler.place_all(started_at);
         let name = "m1".into();
-        let (_, call) = core.next_direct_call(&name, started_at).expect("a start");
+        let (_, call) = scheduler
+            .next_direct_call(&name, started_at)
+            .expect("a start");
         assert!(matches!(call.commands[..], [Command::Start { .. }]));
-        core.direct_call_finished(&name, &call, CallResult::Unknown, started_at + 0.5);
+        scheduler.direct_call_finished(&name, &call, CallResult::Unknown, started_at + 0.5);
         // Ticks as they come, so that our own silence is none of the machine's.
         for n in 0..=(at * 2.0) as u32 {
-            core.tick(f64::from(n) / 2.0, f64::from(n) / 2.0);
+            scheduler.tick(f64::from(n) / 2.0, f64::from(n) / 2.0);
         }
-        core.tick(at, at);
-        let gone = core.machines["m1"].attempts.is_empty();
+        scheduler.tick(at, at);
+        let gone = scheduler.machines["m1"].attempts.is_empty();
         assert_eq!(gone, empty, "started at {started_at}, looked at {at}");
     }
 }
@@ -196,23 +198,25 @@
 /// every answer until it is seen to end.
 #[test]
 fn a_task_that_saves_is_ended() {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
     let mut job = spec("run-1", "t", Urgency::Standard, 1, 1.0);
     (job.checkpoint_s, job.save_s) = (10.0, 5.0);
-    core.add_job(live(job, 0.0), 1, CompletedTasks::default());
+    scheduler.add_job(live(job, 0.0), 1, CompletedTasks::default());
     let saving = [("run-1/0", 3, Phase::Saving, None)];
-    core.handle_heartbeat(&report("m1", 1, 1, 5, &saving), 0.0);
-    core.finish_job("run-1");
+    scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &saving), 0.0);
+    scheduler.finish_job("run-1");
     let ends = |commands: &[Command]| {
         let end = |c: &Command| matches!(c, Command::Stop { grace_s, .. } if *grace_s == 0.0);
         commands.len() == 1 && commands.iter().all(end)
     };
-    let (_, call) = core.next_direct_call(&"m1".into(), 0.1).expect("a stop");
+    let (_, call) = scheduler
+        .next_direct_call(&"m1".into(), 0.1)
+        .expect("a stop");
     assert!(ends(&call.commands));
-    core.direct_call_finished(&"m1".into(), &call, CallResult::Unknown, 1.0);
+    scheduler.direct_call_finished(&"m1".into(), &call, CallResult::Unknown, 1.0);
     for seq in 2..5 {
         let HeartbeatReply::Commands(reply) =
-            core.handle_heartbeat(&report("m1", 1, seq, 5, &saving), seq as f64)
+            scheduler.handle_heartbeat(&report("m1", 1, seq, 5, &saving), seq as f64)
         else {
             panic!("refused");
         };
@@ -235,7 +239,7 @@
     }
 }
 
-/// Whoever tells a user of a cancellation tells its own core first. (A cancellation
+/// Whoever tells a user of a cancellation tells its own scheduler first. (A cancellation
 /// without an answer was carried out late, and only a poll at the owner found it: the
 /// other controllers' words do not have it, and its tasks ran on in an outage.)
 #[test]
@@ -245,13 +249,13 @@
     let system = actix_rt::System::new();
     let node = system.block_on(async { Node::new(settings, Policy::default()) });
     for (state, over) in [(JobState::Done, false), (JobState::Cancelled, true)] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         add(
-            &mut core,
+            &mut scheduler,
             spec("run-1", "t", Urgency::Standard, 2, 1.0),
             0.0,
         );
-        *node.scheduler.borrow_mut() = Some(core);
+        *node.scheduler.borrow_mut() = Some(scheduler);
         let last = TerminalRecord {
             state,
             tasks: 2,
@@ -259,8 +263,8 @@
         };
         node.terminal_states.take();
         node.learn_terminal_state("run-1", last);
-        let core = node.scheduler.borrow();
-        let job = core.as_ref().and_then(|c| c.jobs.get("run-1"));
+        let scheduler = node.scheduler.borrow();
+        let job = scheduler.as_ref().and_then(|c| c.jobs.get("run-1"));
         assert_eq!(job.map(|j| j.finished), Some(over), "{state:?}");
         let told = node
             .confirmed_cancellations
@@ -283,20 +287,20 @@
         ("no answer", None, true),
     ];
     for (what, session, proven) in cases {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.handle_heartbeat(&report("m1", 3, 4, 5, &[]), 0.0);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        scheduler.handle_heartbeat(&report("m1", 3, 4, 5, &[]), 0.0);
         add(
-            &mut core,
+            &mut scheduler,
             spec("run-1", "t", Urgency::Standard, 1, 1.0),
             0.0,
         );
-        core.place_all(0.1);
+        scheduler.place_all(0.1);
         let name = "m1".into();
-        let (_, start) = core.next_direct_call(&name, 0.1).expect("a start");
+        let (_, start) = scheduler.next_direct_call(&name, 0.1).expect("a start");
         let [Command::Start { attempt, .. }] = start.commands[..] else {
             panic!("{what}: {start:?}");
         };
-        core.direct_call_finished(&name, &start, CallResult::Unknown, 4.1);
+        scheduler.direct_call_finished(&name, &start, CallResult::Unknown, 4.1);
         let asked = foxspur::protocol::worker::Direct {
             token: 5,
             session: 3,
@@ -308,16 +312,16 @@
                 3 => CallResult::Executed(seen),
                 _ => CallResult::Rejected(seen),
             };
-            core.direct_call_finished(&name, &asked, result, 4.2);
+            scheduler.direct_call_finished(&name, &asked, result, 4.2);
         }
         let later = 5.0 + 2.0 * LEASE_S;
-        core.tick(later, later);
-        let empty = core.machines["m1"].attempts.is_empty();
+        scheduler.tick(later, later);
+        let empty = scheduler.machines["m1"].attempts.is_empty();
         assert_eq!(empty, proven, "{what}");
         // A session past the one called rules the start out.
-        core.handle_heartbeat(&report("m1", 4, 1, 5, &[]), later + 1.0);
-        let known = core.machines["m1"].attempts.keys();
-        let attempts: Vec<u64> = known.map(|k| k.1).collect();
+        scheduler.handle_heartbeat(&report("m1", 4, 1, 5, &[]), later + 1.0);
+        let known = scheduler.machines["m1"].attempts.keys();
+        let attempts: Vec<u64> = known.map(|id| id.number).collect();
         assert!(!attempts.contains(&attempt), "{what}: {attempts:?}");
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -66,7 +66,7 @@
     }
 }
 
-pub fn params(teams: Vec<Team>) -> SchedulerConfig {
+pub fn scheduler_config(teams: Vec<Team>) -> SchedulerConfig {
     SchedulerConfig {
         lease_s: LEASE_S,
         report_s: 1.0,
@@ -136,18 +136,23 @@
     }
 }
 
-/// A core with these machines in its record, none of them fenced yet.
-pub fn core(teams: Vec<Team>, term: u64, machines: &[&str]) -> Scheduler {
-    let mut core = Scheduler::new(params(teams), term, Fence::new(term, Some(0.0)), 7);
-    core.set_types(&types());
+/// A scheduler with these machines in its record, none of them fenced yet.
+pub fn scheduler(teams: Vec<Team>, term: u64, machines: &[&str]) -> Scheduler {
+    let mut scheduler = Scheduler::new(
+        scheduler_config(teams),
+        term,
+        Fence::new(term, Some(0.0)),
+        7,
+    );
+    scheduler.set_types(&types());
     for id in machines {
-        core.add_recorded_machine(machine(id, "a", false), 0.0);
+        scheduler.add_recorded_machine(machine(id, "a", false), 0.0);
     }
-    core
+    scheduler
 }
 
-pub fn add(core: &mut Scheduler, spec: JobSpec, at_s: f64) {
-    core.add_job(live(spec, at_s), 1, CompletedTasks::default());
+pub fn add(scheduler: &mut Scheduler, spec: JobSpec, at_s: f64) {
+    scheduler.add_job(live(spec, at_s), 1, CompletedTasks::default());
 }
 
 /// A report; tasks as (name, attempt, phase, cause).
--- a/tests/hearing.rs
+++ b/tests/delivery.rs
@@ -13,15 +13,15 @@
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::worker::{Cause, Command, Phase};
 
-/// A core that is placing, its clock beating until `now`.
-fn beat(core: &mut Scheduler, from: u32, to: u32) {
+/// A scheduler that is placing, its clock beating until `now`.
+fn beat(scheduler: &mut Scheduler, from: u32, to: u32) {
     for s in from..=to {
-        core.tick(f64::from(s), f64::from(s));
+        scheduler.tick(f64::from(s), f64::from(s));
     }
 }
 
-fn doubted(core: &Scheduler, id: &str) -> bool {
-    core.machines[id].delivery.is_doubted()
+fn doubted(scheduler: &Scheduler, id: &str) -> bool {
+    scheduler.machines[id].delivery.is_doubted()
 }
 
 /// What says that a machine does not hear us, and what that it does. Guards against
@@ -61,16 +61,16 @@
         ),
     ];
     for (what, rows) in cases {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         let mut at = 0;
         for (now, session, serial, term, doubt) in rows {
-            beat(&mut core, at, *now);
+            beat(&mut scheduler, at, *now);
             at = *now;
-            core.handle_heartbeat(
+            scheduler.handle_heartbeat(
                 &report("m1", *session, *serial, *term, &[]),
                 f64::from(*now),
             );
-            assert_eq!(doubted(&core, "m1"), *doubt, "{what} {now}");
+            assert_eq!(doubted(&scheduler, "m1"), *doubt, "{what} {now}");
         }
     }
 }
@@ -108,26 +108,26 @@
         ),
     ];
     for (what, rows) in cases {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.5);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.5);
         add(
-            &mut core,
+            &mut scheduler,
             spec("run-1", "t", Urgency::Standard, 1, 1.0),
             0.5,
         );
         let HeartbeatReply::Commands(reply) =
-            core.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 1.0)
+            scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 1.0)
         else {
             panic!("refused");
         };
         assert_eq!(reply.commands.len(), 1, "{what}");
         for (serial, (ends, tasks, doubt)) in rows.iter().enumerate() {
             if *ends {
-                core.finish_job("run-1");
+                scheduler.finish_job("run-1");
             }
             let serial = serial as u64 + 3;
-            core.handle_heartbeat(&report("m1", 1, serial, 5, tasks), serial as f64);
-            assert_eq!(doubted(&core, "m1"), *doubt, "{what}, report {serial}");
+            scheduler.handle_heartbeat(&report("m1", 1, serial, 5, tasks), serial as f64);
+            assert_eq!(doubted(&scheduler, "m1"), *doubt, "{what}, report {serial}");
         }
     }
 }
@@ -135,12 +135,12 @@
 /// Guards against taking what ended during our own pause for a machine's deafness.
 #[test]
 fn our_own_pause_is_no_deafness() {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-    core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 1.0);
-    core.tick(1.5, 1.5);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+    scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 1.0);
+    scheduler.tick(1.5, 1.5);
     // 25 s without a beat.
-    core.handle_heartbeat(&report("m1", 2, 9, 5, &[]), 26.5);
-    assert!(!doubted(&core, "m1"));
+    scheduler.handle_heartbeat(&report("m1", 2, 9, 5, &[]), 26.5);
+    assert!(!doubted(&scheduler, "m1"));
 }
 
 /// Guards against a deaf machine that, always empty, draws task after task: from the
@@ -148,32 +148,34 @@
 /// An answer to a call brings it back.
 #[test]
 fn a_deaf_machine_gets_nothing_new() {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["deaf", "m2"]);
-    let hears = |core: &mut Scheduler, serial: u64, at: f64| {
-        core.handle_heartbeat(&report("m2", 1, serial, 5, &[]), at);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["deaf", "m2"]);
+    let hears = |scheduler: &mut Scheduler, serial: u64, at: f64| {
+        scheduler.handle_heartbeat(&report("m2", 1, serial, 5, &[]), at);
     };
-    core.handle_heartbeat(&report("deaf", 1, 1, 5, &[]), 1.0);
-    hears(&mut core, 1, 1.0);
-    beat(&mut core, 1, 2);
-    core.handle_heartbeat(&report("deaf", 1, 2, 3, &[]), 3.0);
-    hears(&mut core, 2, 3.0);
+    scheduler.handle_heartbeat(&report("deaf", 1, 1, 5, &[]), 1.0);
+    hears(&mut scheduler, 1, 1.0);
+    beat(&mut scheduler, 1, 2);
+    scheduler.handle_heartbeat(&report("deaf", 1, 2, 3, &[]), 3.0);
+    hears(&mut scheduler, 2, 3.0);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 12, 1.0),
         3.0,
     );
-    core.place_all(3.1);
-    assert!(core.machines["deaf"].attempts.is_empty());
-    assert_eq!(core.machines["m2"].attempts.len(), 8);
-    assert_eq!(core.capacity().0, 1);
-    beat(&mut core, 4, 6);
-    assert!(core.outbox.contains("deaf"), "it is not asked");
-    let (_, call) = core.next_direct_call(&"deaf".into(), 6.0).expect("a call");
+    scheduler.place_all(3.1);
+    assert!(scheduler.machines["deaf"].attempts.is_empty());
+    assert_eq!(scheduler.machines["m2"].attempts.len(), 8);
+    assert_eq!(scheduler.capacity().0, 1);
+    beat(&mut scheduler, 4, 6);
+    assert!(scheduler.outbox.contains("deaf"), "it is not asked");
+    let (_, call) = scheduler
+        .next_direct_call(&"deaf".into(), 6.0)
+        .expect("a call");
     assert!(call.commands.is_empty());
     let heard = CallResult::Executed(report("deaf", 1, 3, 5, &[]));
-    core.direct_call_finished(&"deaf".into(), &call, heard, 6.1);
-    core.place_all(6.1);
-    assert_eq!(core.machines["deaf"].attempts.len(), 4);
+    scheduler.direct_call_finished(&"deaf".into(), &call, heard, 6.1);
+    scheduler.place_all(6.1);
+    assert_eq!(scheduler.machines["deaf"].attempts.len(), 4);
 }
 
 /// Guards against a takeover that waits for ever for a machine that hears nobody:
@@ -182,33 +184,37 @@
 #[test]
 fn a_takeover_does_not_wait_for_the_deaf_for_ever() {
     let teams = vec![team("t", 0.0, 0.0)];
-    let mut core = Scheduler::new(params(teams), 5, Fence::new(5, Some(0.0)), 7);
-    core.set_types(&types());
-    core.add_recorded_machine(machine("deaf", "a", false), 0.0);
+    let mut scheduler = Scheduler::new(scheduler_config(teams), 5, Fence::new(5, Some(0.0)), 7);
+    scheduler.set_types(&types());
+    scheduler.add_recorded_machine(machine("deaf", "a", false), 0.0);
     let mut open_at = None;
     let mut session = 1;
     for s in 0..80u32 {
         let now = f64::from(s);
-        core.tick(now, now);
+        scheduler.tick(now, now);
         if s % 5 == 0 {
             // Its lease ends every ten seconds.
             session = 1 + u64::from(s) / 10;
-            core.handle_heartbeat(&report("deaf", session, u64::from(s) + 1, 3, &[]), now);
-            let written: Vec<_> = core.wanted_machine_record().into_iter().cloned().collect();
-            core.machine_record_written(&written);
+            scheduler.handle_heartbeat(&report("deaf", session, u64::from(s) + 1, 3, &[]), now);
+            let written: Vec<_> = scheduler
+                .wanted_machine_record()
+                .into_iter()
+                .cloned()
+                .collect();
+            scheduler.machine_record_written(&written);
         }
-        if core.fencing_complete() {
+        if scheduler.fencing_complete() {
             open_at.get_or_insert(now);
         }
     }
     assert!(session > 6);
     assert!(open_at.is_some_and(|t| t <= 35.0), "open at {open_at:?}");
     // It goes back to the cloud, and what comes of it then is old.
-    assert_eq!(core.machines_given_up(80.0), ["deaf"]);
-    core.confirm_machine_returned("deaf");
-    let late = core.handle_heartbeat(&report("deaf", 1, 900, 5, &[]), 200.0);
+    assert_eq!(scheduler.machines_given_up(80.0), ["deaf"]);
+    scheduler.confirm_machine_returned("deaf");
+    let late = scheduler.handle_heartbeat(&report("deaf", 1, 900, 5, &[]), 200.0);
     assert!(matches!(late, HeartbeatReply::Refuse));
-    assert!(core.machines.is_empty());
+    assert!(scheduler.machines.is_empty());
 }
 
 /// A report that is older than what is known: overtaken by an answer to a call it is
@@ -218,24 +224,25 @@
 #[test]
 fn older_reports() {
     for (after_s, answered) in [(1, true), (3, true), (8, false)] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
-        beat(&mut core, 1, 1 + after_s);
-        let answer = core.handle_heartbeat(&report("m1", 1, 3, 5, &[]), f64::from(1 + after_s));
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        scheduler.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
+        beat(&mut scheduler, 1, 1 + after_s);
+        let answer =
+            scheduler.handle_heartbeat(&report("m1", 1, 3, 5, &[]), f64::from(1 + after_s));
         let found = matches!(answer, HeartbeatReply::Commands(_));
         assert_eq!(found, answered, "after {after_s} s");
-        assert_eq!(doubted(&core, "m1"), !answered);
+        assert_eq!(doubted(&scheduler, "m1"), !answered);
     }
     // What was started by calls after it came back runs until its own lease ends.
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-    core.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+    scheduler.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
     let mut expired_at = None;
     for s in 1..40u32 {
-        core.tick(f64::from(s), f64::from(s));
+        scheduler.tick(f64::from(s), f64::from(s));
         if (8..15).contains(&s) {
-            core.handle_heartbeat(&report("m1", 1, u64::from(s) - 7, 5, &[]), f64::from(s));
+            scheduler.handle_heartbeat(&report("m1", 1, u64::from(s) - 7, 5, &[]), f64::from(s));
         }
-        if core.machines["m1"].status == MachineStatus::Expired {
+        if scheduler.machines["m1"].status == MachineStatus::Expired {
             expired_at.get_or_insert(s);
         }
     }
@@ -248,30 +255,34 @@
 /// what we know, is neither shown nor ruled out: it stays in flight.
 #[test]
 fn other_lives_of_a_machine() {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-    core.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+    scheduler.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 1, 1.0),
         1.0,
     );
-    core.place_all(1.2);
+    scheduler.place_all(1.2);
     let name = "m1".into();
-    let call = core.next_direct_call(&name, 1.2).expect("a start").1;
-    let late = core.handle_heartbeat(&report("m1", 5, 1, 3, &[]), 1.3);
+    let call = scheduler.next_direct_call(&name, 1.2).expect("a start").1;
+    let late = scheduler.handle_heartbeat(&report("m1", 5, 1, 3, &[]), 1.3);
     assert!(matches!(late, HeartbeatReply::Refuse));
-    assert_eq!(core.machines["m1"].attempts.len(), 1, "cleared by a copy");
+    assert_eq!(
+        scheduler.machines["m1"].attempts.len(),
+        1,
+        "cleared by a copy"
+    );
     let old = CallResult::Executed(report("m1", 1, 3, 5, &[]));
-    core.direct_call_finished(&name, &call, old, 1.4);
-    core.finish_job("run-1");
-    core.remove_unstarted(&name);
+    scheduler.direct_call_finished(&name, &call, old, 1.4);
+    scheduler.finish_job("run-1");
+    scheduler.remove_unstarted(&name);
     assert_eq!(
-        core.machines["m1"].attempts.len(),
+        scheduler.machines["m1"].attempts.len(),
         1,
         "taken for never sent"
     );
-    core.handle_heartbeat(&report("m1", 2, 1, 5, &[]), 20.0);
-    assert!(core.machines["m1"].attempts.is_empty());
+    scheduler.handle_heartbeat(&report("m1", 2, 1, 5, &[]), 20.0);
+    assert!(scheduler.machines["m1"].attempts.is_empty());
 }
 
 /// A machine that counts anew can be in the very session that its earlier life was in
@@ -281,44 +292,47 @@
 #[test]
 fn an_answer_to_a_call_outweighs_a_report_of_an_earlier_life() {
     for (session, serial, believed) in [(2, 8, true), (2, 70, true), (1, 80, false)] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.handle_heartbeat(&report("m1", 2, 5, 5, &[]), 1.0);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        scheduler.handle_heartbeat(&report("m1", 2, 5, 5, &[]), 1.0);
         add(
-            &mut core,
+            &mut scheduler,
             spec("run-1", "t", Urgency::Standard, 1, 1.0),
             1.0,
         );
-        core.place_all(1.1);
+        scheduler.place_all(1.1);
         let name = "m1".into();
-        let (_, start) = core.next_direct_call(&name, 1.1).expect("a start");
+        let (_, start) = scheduler.next_direct_call(&name, 1.1).expect("a start");
         let [Command::Start { attempt, .. }] = start.commands[..] else {
             panic!("{start:?}");
         };
         let runs = [("run-1/0", attempt, Phase::Running, None)];
         let shows = report("m1", 2, 6, 5, &runs);
-        core.direct_call_finished(&name, &start, CallResult::Executed(shows), 1.2);
+        scheduler.direct_call_finished(&name, &start, CallResult::Executed(shows), 1.2);
         // Of the earlier life, sent before it ended, with a later serial.
-        core.handle_heartbeat(&report("m1", 2, 69, 5, &[]), 1.3);
-        let known = |core: &Scheduler| {
-            let known = core.machines["m1"].attempts.keys();
-            known.map(|k| k.1).collect::<Vec<u64>>()
+        scheduler.handle_heartbeat(&report("m1", 2, 69, 5, &[]), 1.3);
+        let known = |scheduler: &Scheduler| {
+            let known = scheduler.machines["m1"].attempts.keys();
+            known.map(|id| id.number).collect::<Vec<u64>>()
         };
-        assert!(!known(&core).contains(&attempt), "{session} {serial}");
+        assert!(!known(&scheduler).contains(&attempt), "{session} {serial}");
         // A start that it drew since is not the matter here.
-        core.finish_job("run-1");
-        let (_, ask) = core.next_direct_call(&name, 1.4).expect("asked");
+        scheduler.finish_job("run-1");
+        let (_, ask) = scheduler.next_direct_call(&name, 1.4).expect("asked");
         let shows = report("m1", session, serial, 5, &runs);
-        core.direct_call_finished(&name, &ask, CallResult::Executed(shows), 1.5);
-        assert_eq!(known(&core).contains(&attempt), believed, "{serial}");
-        let recounts = core.machines["m1"].renumbers;
+        scheduler.direct_call_finished(&name, &ask, CallResult::Executed(shows), 1.5);
+        assert_eq!(known(&scheduler).contains(&attempt), believed, "{serial}");
+        let recounts = scheduler.machines["m1"].renumbers;
         assert_eq!(recounts, (session, serial) < (2, 69), "{serial}");
         // From then on reports say nothing until the next session, which ends all.
-        let late = core.handle_heartbeat(&report("m1", 2, 90, 5, &[]), 1.6);
+        let late = scheduler.handle_heartbeat(&report("m1", 2, 90, 5, &[]), 1.6);
         assert_eq!(matches!(late, HeartbeatReply::Refuse), recounts, "{serial}");
-        assert_eq!(known(&core).contains(&attempt), (2, 8) == (session, serial));
-        let next = core.handle_heartbeat(&report("m1", 3, 91, 5, &[]), 2.0 + LEASE_S);
-        assert!(matches!(next, HeartbeatReply::Commands(_)) && !core.machines["m1"].renumbers);
-        assert!(!known(&core).contains(&attempt));
+        assert_eq!(
+            known(&scheduler).contains(&attempt),
+            (2, 8) == (session, serial)
+        );
+        let next = scheduler.handle_heartbeat(&report("m1", 3, 91, 5, &[]), 2.0 + LEASE_S);
+        assert!(matches!(next, HeartbeatReply::Commands(_)) && !scheduler.machines["m1"].renumbers);
+        assert!(!known(&scheduler).contains(&attempt));
     }
 }
 
@@ -326,17 +340,18 @@
 /// forgotten or stop what has started since.
 #[test]
 fn late_copies_after_a_takeover() {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 1, 1.0),
         0.0,
     );
     let old = [("run-1/0", 9, Phase::Running, None)];
-    core.handle_heartbeat(&report("m1", 1, 4, 3, &old), 1.0);
-    assert!(!core.fencing_complete());
+    scheduler.handle_heartbeat(&report("m1", 1, 4, 3, &old), 1.0);
+    assert!(!scheduler.fencing_complete());
     // The machine reports that it is over, and is told to start it again.
-    let HeartbeatReply::Commands(reply) = core.handle_heartbeat(&report("m1", 1, 9, 5, &[]), 2.0)
+    let HeartbeatReply::Commands(reply) =
+        scheduler.handle_heartbeat(&report("m1", 1, 9, 5, &[]), 2.0)
     else {
         panic!("refused");
     };
@@ -344,10 +359,14 @@
         panic!("{:?}", reply.commands);
     };
     let runs = [("run-1/0", attempt, Phase::Running, None)];
-    core.handle_heartbeat(&report("m1", 1, 10, 5, &runs), 2.8);
+    scheduler.handle_heartbeat(&report("m1", 1, 10, 5, &runs), 2.8);
     for serial in [4, 9] {
-        core.handle_heartbeat(&report("m1", 1, serial, 3, &old), 3.0);
-        let known: Vec<u64> = core.machines["m1"].attempts.keys().map(|k| k.1).collect();
+        scheduler.handle_heartbeat(&report("m1", 1, serial, 3, &old), 3.0);
+        let known: Vec<u64> = scheduler.machines["m1"]
+            .attempts
+            .keys()
+            .map(|id| id.number)
+            .collect();
         assert_eq!(known, [attempt], "after a copy of {serial}");
     }
 }
@@ -406,28 +425,28 @@
 #[test]
 fn a_machine_first_heard_of_by_a_late_report_is_taken_back() {
     for unanswered in [false, true] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.handle_heartbeat(&report("m1", 3, 4, 5, &[]), 1.0);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        scheduler.handle_heartbeat(&report("m1", 3, 4, 5, &[]), 1.0);
         if unanswered {
             add(
-                &mut core,
+                &mut scheduler,
                 spec("run-1", "t", Urgency::Standard, 1, 1.0),
                 1.0,
             );
-            core.place_all(1.1);
+            scheduler.place_all(1.1);
             let name = "m1".into();
-            let (_, start) = core.next_direct_call(&name, 1.1).expect("a start");
-            core.direct_call_finished(&name, &start, CallResult::Unknown, 5.1);
+            let (_, start) = scheduler.next_direct_call(&name, 1.1).expect("a start");
+            scheduler.direct_call_finished(&name, &start, CallResult::Unknown, 5.1);
         }
         let (mut refused, mut taken) = (0, None);
         for second in 2..60u32 {
             let now = f64::from(second);
-            core.tick(now, now);
+            scheduler.tick(now, now);
             // Five sessions further than that report said, and one more each lease.
             let session = 8 + u64::from(second) / LEASE_S as u64;
             if second % 4 == 0 && taken.is_none() {
                 let seen = report("m1", session, 100 + u64::from(second), 5, &[]);
-                match core.handle_heartbeat(&seen, now) {
+                match scheduler.handle_heartbeat(&seen, now) {
                     HeartbeatReply::Commands(_) => taken = Some(now),
                     _ => refused += 1,
                 }
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Drains and rolls: tables of cases for the pure decisions, and the owner's core
+//! Drains and rolls: tables of cases for the pure decisions, and the owner's scheduler
 //! with machines that are set aside.
 
 mod common;
@@ -41,13 +41,13 @@
     each.collect()
 }
 
-/// A core whose machines have all reported under its term.
+/// A scheduler whose machines have all reported under its term.
 fn ready(machines: &[&str]) -> Scheduler {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, machines);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, machines);
     for id in machines {
-        core.handle_heartbeat(&report(id, 1, 1, 5, &[]), 0.1);
+        scheduler.handle_heartbeat(&report(id, 1, 1, 5, &[]), 0.1);
     }
-    core
+    scheduler
 }
 
 fn told(answer: HeartbeatReply) -> Vec<Command> {
@@ -187,27 +187,27 @@
 /// in the books, while a start is under way.
 #[test]
 fn drained_only_by_proof() {
-    let mut core = ready(&["m-0"]);
+    let mut scheduler = ready(&["m-0"]);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 10, 1.0),
         0.0,
     );
-    core.place_all(0.2);
-    assert_eq!(core.jobs["run-1"].queued.len(), 2);
-    core.set_drains(&wanted(&[drain("m-0", None, Rest::Leave)]));
+    scheduler.place_all(0.2);
+    assert_eq!(scheduler.jobs["run-1"].queued.len(), 2);
+    scheduler.set_drains(&wanted(&[drain("m-0", None, Rest::Leave)]));
     assert!(
-        core.jobs["run-1"].queued.is_empty(),
+        scheduler.jobs["run-1"].queued.is_empty(),
         "its queue is drawn again"
     );
-    let mut core = ready(&["m-0", "m-1"]);
+    let mut scheduler = ready(&["m-0", "m-1"]);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 16, 1.0),
         0.0,
     );
-    core.place_all(0.2);
-    let run: Vec<String> = told(core.handle_heartbeat(&report("m-0", 1, 2, 5, &[]), 0.3))
+    scheduler.place_all(0.2);
+    let run: Vec<String> = told(scheduler.handle_heartbeat(&report("m-0", 1, 2, 5, &[]), 0.3))
         .iter()
         .filter_map(|c| match c {
             Command::Start { task, .. } => Some(task.clone()),
@@ -215,36 +215,40 @@
         })
         .collect();
     assert!(run.len() >= 2, "{run:?}");
-    let attempt = |core: &Scheduler, task: &str| {
-        let active = &core.machines["m-0"].attempts;
-        active.keys().find(|k| k.0.wire() == task).unwrap().1
+    let attempt = |scheduler: &Scheduler, task: &str| {
+        let active = &scheduler.machines["m-0"].attempts;
+        active
+            .keys()
+            .find(|id| id.task.wire() == task)
+            .unwrap()
+            .number
     };
-    core.set_drains(&wanted(&[drain("m-0", None, Rest::Leave)]));
+    scheduler.set_drains(&wanted(&[drain("m-0", None, Rest::Leave)]));
     assert!(
-        core.machines["m-0"].queue.is_empty(),
+        scheduler.machines["m-0"].queue.is_empty(),
         "its queue is drawn again"
     );
     // One was started, the others never were: they must not come later.
-    let one = (run[0].as_str(), attempt(&core, &run[0]));
+    let one = (run[0].as_str(), attempt(&scheduler, &run[0]));
     let shown = |phase, cause| [(one.0, one.1, phase, cause)];
     let running = shown(Phase::Running, None);
-    core.handle_heartbeat(&report("m-0", 1, 3, 5, &running), 1.0);
-    core.place_all(1.1);
-    assert_eq!(core.machines["m-0"].live_attempts().count(), 1);
-    assert!(core.proven_drains(0, 9).is_empty(), "a task runs");
+    scheduler.handle_heartbeat(&report("m-0", 1, 3, 5, &running), 1.0);
+    scheduler.place_all(1.1);
+    assert_eq!(scheduler.machines["m-0"].live_attempts().count(), 1);
+    assert!(scheduler.proven_drains(0, 9).is_empty(), "a task runs");
     let done = shown(Phase::Exited, Some(Cause::Done));
-    core.handle_heartbeat(&report("m-0", 1, 4, 5, &done), 2.0);
+    scheduler.handle_heartbeat(&report("m-0", 1, 4, 5, &done), 2.0);
     assert!(
-        core.proven_drains(0, 9).is_empty(),
+        scheduler.proven_drains(0, 9).is_empty(),
         "its end is not in the books"
     );
-    let marks = core.jobs["run-1"].completed.clone();
-    core.completions_written("run-1", &marks, 2);
-    let told = told(core.handle_heartbeat(&report("m-0", 1, 5, 5, &done), 3.0));
+    let marks = scheduler.jobs["run-1"].completed.clone();
+    scheduler.completions_written("run-1", &marks, 2);
+    let told = told(scheduler.handle_heartbeat(&report("m-0", 1, 5, 5, &done), 3.0));
     assert!(matches!(told[..], [Command::Forget { .. }]), "{told:?}");
-    core.handle_heartbeat(&report("m-0", 1, 6, 5, &[]), 4.0);
-    core.place_all(4.1);
-    let proven = core.proven_drains(9000, 9);
+    scheduler.handle_heartbeat(&report("m-0", 1, 6, 5, &[]), 4.0);
+    scheduler.place_all(4.1);
+    let proven = scheduler.proven_drains(9000, 9);
     let proof = Drained {
         at_ms: 9000,
         term: 5,
@@ -254,13 +258,13 @@
     assert_eq!(proven.len(), 1);
     assert_eq!(proven[0].0.drained, Some(proof));
     let known = HashMap::from([("m-0".to_string(), (proven[0].0.clone(), 2))]);
-    core.set_drains(&known);
-    assert_eq!(core.drain_rows(5.0)[0].state, DrainState::Drained);
+    scheduler.set_drains(&known);
+    assert_eq!(scheduler.drain_rows(5.0)[0].state, DrainState::Drained);
     // Back in use: it takes tasks again.
-    core.set_drains(&HashMap::new());
-    core.handle_heartbeat(&report("m-0", 1, 7, 5, &[]), 5.0);
-    core.place_all(5.1);
-    assert!(core.machines["m-0"].live_attempts().count() > 0);
+    scheduler.set_drains(&HashMap::new());
+    scheduler.handle_heartbeat(&report("m-0", 1, 7, 5, &[]), 5.0);
+    scheduler.place_all(5.1);
+    assert!(scheduler.machines["m-0"].live_attempts().count() > 0);
 }
 
 /// The wish's second case: a drained machine's job ends after it was started
@@ -268,36 +272,36 @@
 /// proven empty, and what that one says later changes nothing.
 #[test]
 fn a_job_that_ends_after_it_was_started_elsewhere() {
-    let mut core = ready(&["m-0", "m-1"]);
+    let mut scheduler = ready(&["m-0", "m-1"]);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 1, 8.0),
         0.0,
     );
-    core.place_all(0.2);
-    let (host, attempt) = core.jobs["run-1"].placed[&0].clone();
+    scheduler.place_all(0.2);
+    let (host, attempt) = scheduler.jobs["run-1"].placed[&0].clone();
     let other = if &*host == "m-0" { "m-1" } else { "m-0" };
     let running = [("run-1/0", attempt, Phase::Running, None)];
-    core.handle_heartbeat(&report(&host, 1, 2, 5, &running), 0.5);
-    core.set_drains(&wanted(&[drain(&host, Some(1.0), Rest::Stop)]));
+    scheduler.handle_heartbeat(&report(&host, 1, 2, 5, &running), 0.5);
+    scheduler.set_drains(&wanted(&[drain(&host, Some(1.0), Rest::Stop)]));
     // It hangs: the stop is sent, no answer comes.
     for n in 0..9 {
         let now = 1.5 + f64::from(n);
-        core.handle_heartbeat(&report(other, 1, 2 + n as u64, 5, &[]), now);
-        core.tick(now, now);
-        core.place_all(now);
+        scheduler.handle_heartbeat(&report(other, 1, 2 + n as u64, 5, &[]), now);
+        scheduler.tick(now, now);
+        scheduler.place_all(now);
         assert_eq!(
-            *core.jobs["run-1"].placed[&0].0, *host,
+            *scheduler.jobs["run-1"].placed[&0].0, *host,
             "not elsewhere at {now}"
         );
-        assert!(core.proven_drains(0, 9).is_empty());
+        assert!(scheduler.proven_drains(0, 9).is_empty());
     }
-    core.handle_heartbeat(&report(other, 1, 20, 5, &[]), 12.0);
-    core.tick(12.0, 12.0);
-    core.place_all(12.0);
-    assert_eq!(*core.jobs["run-1"].placed[&0].0, *other);
+    scheduler.handle_heartbeat(&report(other, 1, 20, 5, &[]), 12.0);
+    scheduler.tick(12.0, 12.0);
+    scheduler.place_all(12.0);
+    assert_eq!(*scheduler.jobs["run-1"].placed[&0].0, *other);
     assert_eq!(
-        core.proven_drains(0, 9)[0]
+        scheduler.proven_drains(0, 9)[0]
             .0
             .drained
             .as_ref()
@@ -307,14 +311,14 @@
     );
     // It wakes with the same session and says that it is done.
     let done = [("run-1/0", attempt, Phase::Exited, Some(Cause::Done))];
-    let late = core.handle_heartbeat(&report(&host, 1, 3, 5, &done), 12.5);
+    let late = scheduler.handle_heartbeat(&report(&host, 1, 3, 5, &done), 12.5);
     assert!(matches!(late, HeartbeatReply::Refuse), "{late:?}");
-    assert!(core.jobs["run-1"].completed.is_empty());
-    let second = core.jobs["run-1"].placed[&0].1;
+    assert!(scheduler.jobs["run-1"].completed.is_empty());
+    let second = scheduler.jobs["run-1"].placed[&0].1;
     assert!(second > attempt);
     let done = [("run-1/0", second, Phase::Exited, Some(Cause::Done))];
-    core.handle_heartbeat(&report(other, 1, 21, 5, &done), 13.0);
-    assert_eq!(core.jobs["run-1"].completed.len(), 1);
+    scheduler.handle_heartbeat(&report(other, 1, 21, 5, &done), 13.0);
+    assert_eq!(scheduler.jobs["run-1"].completed.len(), 1);
 }
 
 /// Guards against a takeover that waits for a machine that was switched off after
@@ -322,13 +326,13 @@
 #[test]
 fn a_takeover_knows_the_drains() {
     for (proven, opens) in [(true, true), (false, false)] {
-        let mut core = Scheduler::new(
-            params(vec![team("t", 0.0, 0.0)]),
+        let mut scheduler = Scheduler::new(
+            scheduler_config(vec![team("t", 0.0, 0.0)]),
             6,
             foxspur::coordination::scheduler::fence::Fence::new(6, Some(0.0)),
             7,
         );
-        core.set_types(&types());
+        scheduler.set_types(&types());
         let mut aside = drain("m-1", None, Rest::Leave);
         aside.drained = proven.then_some(Drained {
             at_ms: 0,
@@ -336,37 +340,39 @@
             proof: Proof::Reported,
             session: 1,
         });
-        core.set_drains(&wanted(&[aside]));
+        scheduler.set_drains(&wanted(&[aside]));
         for id in ["m-0", "m-1"] {
-            core.add_recorded_machine(machine(id, "a", false), 0.0);
+            scheduler.add_recorded_machine(machine(id, "a", false), 0.0);
         }
         add(
-            &mut core,
+            &mut scheduler,
             spec("run-1", "t", Urgency::Standard, 4, 8.0),
             0.0,
         );
-        core.handle_heartbeat(&report("m-0", 1, 1, 6, &[]), 0.5);
-        core.place_all(0.6);
-        assert_eq!(core.fence.open, opens, "proven: {proven}");
+        scheduler.handle_heartbeat(&report("m-0", 1, 1, 6, &[]), 0.5);
+        scheduler.place_all(0.6);
+        assert_eq!(scheduler.fence.open, opens, "proven: {proven}");
         // Silent for long: not given back as long as its drain stands.
         for n in 2..9 {
-            core.handle_heartbeat(&report("m-0", 1, n, 6, &[]), n as f64);
-            core.tick(n as f64, n as f64);
+            scheduler.handle_heartbeat(&report("m-0", 1, n, 6, &[]), n as f64);
+            scheduler.tick(n as f64, n as f64);
             let name = "m-1".into();
-            if let Some((_, call)) = core.next_direct_call(&name, n as f64) {
-                core.direct_call_finished(&name, &call, CallResult::NotSent, n as f64);
+            if let Some((_, call)) = scheduler.next_direct_call(&name, n as f64) {
+                scheduler.direct_call_finished(&name, &call, CallResult::NotSent, n as f64);
             }
         }
         assert_eq!(
-            core.machines_given_up(8.0).contains(&"m-1".to_string()),
+            scheduler
+                .machines_given_up(8.0)
+                .contains(&"m-1".to_string()),
             !proven
         );
-        core.handle_heartbeat(&report("m-1", 1, 1, 6, &[]), 9.5);
-        core.handle_heartbeat(&report("m-0", 1, 9, 6, &[]), 9.5);
-        core.place_all(9.6);
-        assert!(core.fence.open);
+        scheduler.handle_heartbeat(&report("m-1", 1, 1, 6, &[]), 9.5);
+        scheduler.handle_heartbeat(&report("m-0", 1, 9, 6, &[]), 9.5);
+        scheduler.place_all(9.6);
+        assert!(scheduler.fence.open);
         assert!(
-            core.machines["m-1"].attempts.is_empty(),
+            scheduler.machines["m-1"].attempts.is_empty(),
             "set aside from the start"
         );
     }
@@ -376,24 +382,24 @@
 /// with a replica, with a notice, while another one fails.
 #[test]
 fn drains_at_their_limits() {
-    let mut core = ready(&["m-0", "m-1"]);
+    let mut scheduler = ready(&["m-0", "m-1"]);
     let mut service = spec("run-1", "t", Urgency::Prod, 1, 2.0);
     service.shape = Shape::Service;
     service.estimate_s = 0.0;
-    add(&mut core, service, 0.0);
-    core.place_all(0.2);
-    let (host, attempt) = core.jobs["run-1"].placed[&0].clone();
+    add(&mut scheduler, service, 0.0);
+    scheduler.place_all(0.2);
+    let (host, attempt) = scheduler.jobs["run-1"].placed[&0].clone();
     let other = if &*host == "m-0" { "m-1" } else { "m-0" };
     let running = [("run-1/0", attempt, Phase::Running, None)];
-    core.handle_heartbeat(&report(&host, 1, 2, 5, &running), 0.5);
+    scheduler.handle_heartbeat(&report(&host, 1, 2, 5, &running), 0.5);
     // Everything is drained: the replica has nowhere to go and stays.
     let all = wanted(&[
         drain("m-0", None, Rest::Leave),
         drain("m-1", None, Rest::Leave),
     ]);
-    core.set_drains(&all);
-    core.tick(1.0, 1.0);
-    let row = core
+    scheduler.set_drains(&all);
+    scheduler.tick(1.0, 1.0);
+    let row = scheduler
         .drain_rows(1.0)
         .into_iter()
         .find(|r| r.drain.host == *host);
@@ -405,12 +411,12 @@
         row.stays
     );
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-2", "t", Urgency::Standard, 1, 1.0),
         1.0,
     );
-    core.place_all(1.1);
-    let why = core
+    scheduler.place_all(1.1);
+    let why = scheduler
         .job_rows(1.2, 9)
         .rows
         .iter()
@@ -421,28 +427,28 @@
     assert_eq!(why, "every machine that it may use is drained");
     // The other one is back: the replica moves, and starts there only after it is
     // gone from here. A notice of the cloud meanwhile changes nothing.
-    core.set_drains(&wanted(&[drain(&host, None, Rest::Leave)]));
-    core.handle_heartbeat(&report(other, 1, 2, 5, &[]), 1.5);
-    core.place_all(1.6);
-    core.tick(1.7, 1.7);
+    scheduler.set_drains(&wanted(&[drain(&host, None, Rest::Leave)]));
+    scheduler.handle_heartbeat(&report(other, 1, 2, 5, &[]), 1.5);
+    scheduler.place_all(1.6);
+    scheduler.tick(1.7, 1.7);
     let mut noticed = report(&host, 1, 3, 5, &running);
     noticed.notice_s = Some(30.0);
-    let told = told(core.handle_heartbeat(&noticed, 2.0));
+    let told = told(scheduler.handle_heartbeat(&noticed, 2.0));
     assert!(matches!(told[..], [Command::Stop { .. }]), "{told:?}");
-    assert_eq!(*core.jobs["run-1"].placed[&0].0, *host);
+    assert_eq!(*scheduler.jobs["run-1"].placed[&0].0, *host);
     let stopped = [("run-1/0", attempt, Phase::Exited, Some(Cause::Stopped))];
-    core.handle_heartbeat(&report(&host, 1, 4, 5, &stopped), 2.5);
-    core.place_all(2.6);
-    assert_eq!(*core.jobs["run-1"].placed[&0].0, *other);
+    scheduler.handle_heartbeat(&report(&host, 1, 4, 5, &stopped), 2.5);
+    scheduler.place_all(2.6);
+    assert_eq!(*scheduler.jobs["run-1"].placed[&0].0, *other);
     // The cloud takes the drained machine away: its drain says so.
-    core.remove_machine(&host);
-    assert_eq!(core.drain_rows(3.0)[0].state, DrainState::Gone);
+    scheduler.remove_machine(&host);
+    assert_eq!(scheduler.drain_rows(3.0)[0].state, DrainState::Gone);
     // Undrained while something moves, then the second one fails: what it had is
     // on until the lease is over, as ever.
-    core.set_drains(&HashMap::new());
-    core.tick(13.0, 13.0);
-    core.place_all(13.1);
-    assert!(core.jobs["run-1"].placed.is_empty());
+    scheduler.set_drains(&HashMap::new());
+    scheduler.tick(13.0, 13.0);
+    scheduler.place_all(13.1);
+    assert!(scheduler.jobs["run-1"].placed.is_empty());
 }
 
 /// Guards against orders that are taken although they make no sense; the answer
@@ -576,11 +582,11 @@
         value: serde_json::value::to_raw_value(&7).unwrap(),
         ..entry(3)
     });
-    let mut core = ready(&["m-0"]);
-    core.handle_heartbeat(&report("m-0", 1, 2, 5, &[]), 0.5);
-    core.place_all(0.6);
-    core.set_drains(&view.drains);
-    assert!(core.machines["m-0"].cordoned && core.proven_drains(0, 9).is_empty());
+    let mut scheduler = ready(&["m-0"]);
+    scheduler.handle_heartbeat(&report("m-0", 1, 2, 5, &[]), 0.5);
+    scheduler.place_all(0.6);
+    scheduler.set_drains(&view.drains);
+    assert!(scheduler.machines["m-0"].cordoned && scheduler.proven_drains(0, 9).is_empty());
 }
 
 fn roll(hosts: &[&str], at_most: AtMost) -> Roll {
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -16,13 +16,14 @@
 
 /// Reports, and gives the starts and the number of stops of the answer.
 fn hello(
-    core: &mut Scheduler,
+    scheduler: &mut Scheduler,
     id: &str,
     seq: u64,
     seen: &[Seen],
     now: f64,
 ) -> (Vec<(String, u64)>, usize) {
-    let HeartbeatReply::Commands(reply) = core.handle_heartbeat(&report(id, 1, seq, 5, seen), now)
+    let HeartbeatReply::Commands(reply) =
+        scheduler.handle_heartbeat(&report(id, 1, seq, 5, seen), now)
     else {
         panic!("{id} was not answered");
     };
@@ -104,16 +105,20 @@
 #[test]
 fn who_starved_before_a_takeover_is_owed_at_once() {
     for (age_s, owed) in [(10.0, false), (90.0, true)] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.config.objectives = vec![aim("class", 100.0)];
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        scheduler.config.objectives = vec![aim("class", 100.0)];
         for n in 0..12 {
             let job = spec(&format!("run-{n}"), "t", Urgency::Idle, 4, 8.0);
-            add(&mut core, job, 0.0);
+            add(&mut scheduler, job, 0.0);
         }
-        hello(&mut core, "m1", 1, &[], age_s);
-        core.place_all(age_s + 0.5);
+        hello(&mut scheduler, "m1", 1, &[], age_s);
+        scheduler.place_all(age_s + 0.5);
         let class = FairShareGroup::Class("class".into());
-        assert_eq!(core.fair_share.owed().contains(&&class), owed, "{age_s}");
+        assert_eq!(
+            scheduler.fair_share.owed().contains(&&class),
+            owed,
+            "{age_s}"
+        );
     }
 }
 
@@ -123,33 +128,33 @@
 #[test]
 fn a_place_in_a_queue_binds_nobody() {
     for small_on_m1 in [true, false] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1", "m2"]);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1", "m2"]);
         for id in ["m1", "m2"] {
-            hello(&mut core, id, 1, &[], 0.0);
+            hello(&mut scheduler, id, 1, &[], 0.0);
         }
         add(
-            &mut core,
+            &mut scheduler,
             spec("run-1", "t", Urgency::Standard, 2, 8.0),
             0.0,
         );
-        core.place_all(0.1);
-        let on = ["m1", "m2"].map(|id| hello(&mut core, id, 2, &[], 0.2).0);
+        scheduler.place_all(0.1);
+        let on = ["m1", "m2"].map(|id| hello(&mut scheduler, id, 2, &[], 0.2).0);
         assert_eq!(on.concat().len(), 2);
         // A large job fills the queues, a small one comes to wait after it.
         let mut large = spec("run-2", "t", Urgency::Standard, 3, 8.0);
         large.estimate_s = 60.0;
-        add(&mut core, large, 0.3);
-        core.place_all(0.4);
+        add(&mut scheduler, large, 0.3);
+        scheduler.place_all(0.4);
         let mut small = spec("run-3", "t", Urgency::Standard, 1, 8.0);
         small.estimate_s = 2.0;
-        add(&mut core, small, 0.5);
-        core.place_all(0.8);
+        add(&mut scheduler, small, 0.5);
+        scheduler.place_all(0.8);
         // Wherever room comes free, the small one is next.
         let at = usize::from(!small_on_m1);
         let ended: Vec<Seen> = (on[at].iter())
             .map(|(t, a)| (t.as_str(), *a, Phase::Exited, Some(Cause::Done)))
             .collect();
-        let (next, _) = hello(&mut core, ["m1", "m2"][at], 3, &ended, 1.2);
+        let (next, _) = hello(&mut scheduler, ["m1", "m2"][at], 3, &ended, 1.2);
         let names: Vec<&str> = next.iter().map(|(t, _)| t.as_str()).collect();
         assert_eq!(names, ["run-3/0"], "{small_on_m1}");
     }
@@ -160,19 +165,29 @@
 #[test]
 fn no_task_gives_way_more_often_than_the_policy_says() {
     for cap in [1, 3] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.config.policy.max_stops = cap;
-        core.config.policy.patience = 0.0;
-        hello(&mut core, "m1", 1, &[], 0.0);
-        add(&mut core, spec("run-1", "t", Urgency::Idle, 1, 8.0), 0.0);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        scheduler.config.policy.max_stops = cap;
+        scheduler.config.policy.patience = 0.0;
+        hello(&mut scheduler, "m1", 1, &[], 0.0);
+        add(
+            &mut scheduler,
+            spec("run-1", "t", Urgency::Idle, 1, 8.0),
+            0.0,
+        );
         let mut stopped = 0;
-        let (mut on, _) = hello(&mut core, "m1", 2, &[], 0.1);
+        let (mut on, _) = hello(&mut scheduler, "m1", 2, &[], 0.1);
         let mut now = 1.0;
         for round in 0..6u64 {
             let id = format!("run-{}", round + 2);
-            add(&mut core, spec(&id, "t", Urgency::High, 1, 8.0), now);
-            core.place_all(now);
-            let (_, stops) = hello(&mut core, "m1", 10 * round + 10, &running(&on), now + 0.1);
+            add(&mut scheduler, spec(&id, "t", Urgency::High, 1, 8.0), now);
+            scheduler.place_all(now);
+            let (_, stops) = hello(
+                &mut scheduler,
+                "m1",
+                10 * round + 10,
+                &running(&on),
+                now + 0.1,
+            );
             if stops == 0 {
                 break;
             }
@@ -184,7 +199,7 @@
                 Phase::Exited,
                 Some(Cause::Stopped),
             )];
-            let (urgent, _) = hello(&mut core, "m1", 10 * round + 11, &gone, now + 0.2);
+            let (urgent, _) = hello(&mut scheduler, "m1", 10 * round + 11, &gone, now + 0.2);
             assert_eq!(urgent[0].0, format!("{id}/0"));
             let done = [(
                 urgent[0].0.as_str(),
@@ -192,7 +207,7 @@
                 Phase::Exited,
                 Some(Cause::Done),
             )];
-            on = hello(&mut core, "m1", 10 * round + 12, &done, now + 0.3).0;
+            on = hello(&mut scheduler, "m1", 10 * round + 12, &done, now + 0.3).0;
             assert_eq!(on[0].0, "run-1/0");
             now += 2.0;
         }
@@ -206,19 +221,19 @@
 fn room_that_comes_free_by_itself_is_waited_for() {
     // How long what runs is predicted to take, the aim of what waits; stopped.
     for (runs_s, within_s, stopped) in [(4.0, 200.0, 0), (400.0, 200.0, 1), (4.0, 21.0, 1)] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.config.objectives = vec![aim("urgent", within_s)];
-        hello(&mut core, "m1", 1, &[], 0.0);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        scheduler.config.objectives = vec![aim("urgent", within_s)];
+        hello(&mut scheduler, "m1", 1, &[], 0.0);
         let mut idle = spec("run-1", "t", Urgency::Idle, 4, 2.0);
         idle.estimate_s = runs_s;
-        add(&mut core, idle, 0.0);
-        let (on, _) = hello(&mut core, "m1", 2, &[], 0.1);
+        add(&mut scheduler, idle, 0.0);
+        let (on, _) = hello(&mut scheduler, "m1", 2, &[], 0.1);
         assert_eq!(on.len(), 4);
         let mut urgent = spec("run-2", "t", Urgency::Standard, 1, 2.0);
         urgent.class = "urgent".into();
-        add(&mut core, urgent, 1.0);
-        core.place_all(1.5);
-        let (_, stops) = hello(&mut core, "m1", 3, &running(&on), 2.0);
+        add(&mut scheduler, urgent, 1.0);
+        scheduler.place_all(1.5);
+        let (_, stops) = hello(&mut scheduler, "m1", 3, &running(&on), 2.0);
         assert_eq!(stops, stopped, "{runs_s} {within_s}");
     }
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -25,7 +25,7 @@
 const CANCELS: usize = JOBS / HANDOVERS;
 /// Of these, cancelled at the former leader as soon as the state service answers it again.
 const AT_FORMER: usize = 2;
-/// How far back a controller's own knowledge of cancellations is compared with its core.
+/// How far back a controller's own knowledge of cancellations is compared with its scheduler.
 const LOOK_BACK_S: f64 = 20.0;
 /// How long a leader that the state service answers may take to learn of a cancellation.
 const LEARNS: Duration = Duration::from_secs(3);
@@ -38,7 +38,7 @@
     between_pages: usize,
     /// Confirmed by a controller that took itself for the leader and was not.
     by_former: usize,
-    /// Confirmed by the new leader before it had its core, or heard by it then.
+    /// Confirmed by the new leader before it had its scheduler, or heard by it then.
     by_new: usize,
     heard_by_new: usize,
     handovers: usize,
@@ -66,7 +66,7 @@
         owner.strip_prefix("berth-")?.parse().ok()
     }
 
-    /// Whether the controller owns the share by the record and has no core yet.
+    /// Whether the controller owns the share by the record and has no scheduler yet.
     fn reads(&self, n: usize) -> bool {
         let node = &self.controllers[n].node;
         self.recorded_leader() == Some(n) && node.scheduler.borrow().is_none()
@@ -129,16 +129,16 @@
         met.heard_by_new += usize::from(heard);
     }
 
-    /// Whoever told a user of a cancellation, or was told of one, has it in its core; and a
+    /// Whoever told a user of a cancellation, or was told of one, has it in its scheduler; and a
     /// leader that the state service answers learns of all others soon.
     fn check(&self, seed: u64) {
         for (n, controller) in self.controllers.iter().enumerate() {
             let node = &controller.node;
-            let core = node.scheduler.borrow();
-            let Some(core) = core.as_ref() else {
+            let scheduler = node.scheduler.borrow();
+            let Some(scheduler) = scheduler.as_ref() else {
                 continue;
             };
-            let runs = |id: &str| core.jobs.get(id).is_some_and(|j| !j.finished);
+            let runs = |id: &str| scheduler.jobs.get(id).is_some_and(|j| !j.finished);
             for known in [&node.confirmed_cancellations, &node.relayed_cancellations] {
                 let ids = known
                     .borrow()
@@ -248,7 +248,7 @@
 
 /// Guards against a new leader that starts what was cancelled while it took over: a job on
 /// a page that it had read, cancelled by a controller that still took itself for the
-/// leader, by itself before it had its core, or by one that told it then.
+/// leader, by itself before it had its scheduler, or by one that told it then.
 #[test]
 fn what_is_cancelled_as_the_leader_changes_is_known_to_the_next() {
     let mut all = Met::default();
--- a/tests/reach.rs
+++ b/tests/leader_reachability.rs
@@ -30,11 +30,11 @@
 /// yet not at all.
 #[test]
 fn whom_we_should_hear() {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1", "m2", "m3"]);
-    core.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 1.2);
-    core.handle_heartbeat(&report("new", 1, 1, 5, &[]), 1.2);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1", "m2", "m3"]);
+    scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 1.2);
+    scheduler.handle_heartbeat(&report("new", 1, 1, 5, &[]), 1.2);
     for (now, silent) in [(1.3, 0), (2.0, 2), (2.6, 2), (2.8, 3)] {
-        assert_eq!(core.silent_machines(now), (3, silent), "at {now}");
+        assert_eq!(scheduler.silent_machines(now), (3, silent), "at {now}");
     }
 }
 
@@ -67,29 +67,29 @@
 #[test]
 fn own_deafness_is_no_silence() {
     let names = ["m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &names);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &names);
     for name in names {
-        core.handle_heartbeat(&report(name, 1, 1, 5, &[]), 1.0);
+        scheduler.handle_heartbeat(&report(name, 1, 1, 5, &[]), 1.0);
     }
-    let judged = |core: &foxspur::coordination::scheduler::state::Scheduler, now: f64| {
-        let silent = core.silent_machines(now).1;
+    let judged = |scheduler: &foxspur::coordination::scheduler::state::Scheduler, now: f64| {
+        let silent = scheduler.silent_machines(now).1;
         (
             silent,
-            core.partitioned_zones(now).len(),
-            core.machines_given_up(now).len(),
+            scheduler.partitioned_zones(now).len(),
+            scheduler.machines_given_up(now).len(),
         )
     };
     // Asked before the clock's first beat after the pause, and after it.
-    assert_eq!(judged(&core, 9.0), (0, 0, 0));
-    core.tick(9.0, 0.0);
-    core.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 9.1);
-    assert_eq!(judged(&core, 9.5), (0, 0, 0));
+    assert_eq!(judged(&scheduler, 9.0), (0, 0, 0));
+    scheduler.tick(9.0, 0.0);
+    scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 9.1);
+    assert_eq!(judged(&scheduler, 9.5), (0, 0, 0));
     for beat in [10.0, 11.0, 12.0] {
-        core.tick(beat, 0.0);
+        scheduler.tick(beat, 0.0);
     }
     for name in &names[1..] {
-        core.handle_heartbeat(&report(name, 1, 2, 5, &[]), 12.5);
+        scheduler.handle_heartbeat(&report(name, 1, 2, 5, &[]), 12.5);
     }
-    core.tick(13.0, 0.0);
-    assert_eq!(judged(&core, 13.5), (1, 0, 1));
+    scheduler.tick(13.0, 0.0);
+    assert_eq!(judged(&scheduler, 13.5), (1, 0, 1));
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -26,52 +26,55 @@
     format!("m-{n:06}")
 }
 
-/// A core whose record lists 6,000 machines.
+/// A scheduler whose record lists 6,000 machines.
 fn fleet_core() -> Scheduler {
     let names: Vec<String> = (0..MACHINES).map(machine_name).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    core(vec![team("t", 0.0, 0.0)], 5, &names)
+    scheduler(vec![team("t", 0.0, 0.0)], 5, &names)
 }
 
 /// Guards against late copies of the reports of machines that are gone, each of which would
 /// be taken for a new machine.
 #[test]
 fn every_returned_machine_of_a_fleet_stays_returned() {
-    let mut core = fleet_core();
+    let mut scheduler = fleet_core();
     for n in 0..MACHINES {
-        core.confirm_machine_returned(&machine_name(n));
+        scheduler.confirm_machine_returned(&machine_name(n));
     }
     for n in 0..MACHINES {
         let late = report(&machine_name(n), 1, 1, 5, &[]);
         assert!(
-            matches!(core.handle_heartbeat(&late, 1.0), HeartbeatReply::Refuse),
+            matches!(
+                scheduler.handle_heartbeat(&late, 1.0),
+                HeartbeatReply::Refuse
+            ),
             "{n}"
         );
     }
-    assert!(core.machines.is_empty());
+    assert!(scheduler.machines.is_empty());
 }
 
 /// Guards against late answers that bring a job back which is over.
 #[test]
 fn as_many_jobs_as_machines_stay_over() {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &[]);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &[]);
     for n in 0..MACHINES {
-        core.finish_job(&format!("run-{n}"));
+        scheduler.finish_job(&format!("run-{n}"));
     }
     for n in 0..MACHINES {
         let job = spec(&format!("run-{n}"), "t", Urgency::Standard, 1, 1.0);
-        core.add_job(live(job, 0.0), 1, CompletedTasks::default());
+        scheduler.add_job(live(job, 0.0), 1, CompletedTasks::default());
     }
-    assert!(core.jobs.is_empty());
+    assert!(scheduler.jobs.is_empty());
 }
 
 /// Guards against views of the leader that its peers cannot take in.
 #[test]
 fn a_snapshot_of_the_fleet_is_one_message() {
-    let mut core = fleet_core();
+    let mut scheduler = fleet_core();
     let tasks = 12 * MACHINES as u32;
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, tasks, 0.5),
         0.0,
     );
@@ -83,10 +86,10 @@
             .iter()
             .map(|t| (t.as_str(), 83_886_080, Phase::Running, None));
         let shown: Vec<_> = shown.collect();
-        core.handle_heartbeat(&report(&machine_name(n), 1, 1, 5, &shown), 1.0);
+        scheduler.handle_heartbeat(&report(&machine_name(n), 1, 1, 5, &shown), 1.0);
     }
     for topic in [Topic::Snapshot, Topic::Machines] {
-        let text = of_core(&core, topic, 2.5).expect("a view");
+        let text = of_core(&scheduler, topic, 2.5).expect("a view");
         let answer = mesh::PeerResponse::View(5, text);
         let read = mesh::decode::<mesh::PeerResponse>(&mesh::encode(&answer));
         assert!(read.as_ref() == Some(&answer), "{topic:?}");
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -13,32 +13,32 @@
 type Shown = Vec<(String, u64, Phase, Option<Cause>)>;
 
 /// What a machine shows of what was started there: whether a task of the job fails.
-fn shows(core: &Scheduler, id: &str, fails: impl Fn(&str) -> Option<Cause>) -> Shown {
+fn shows(scheduler: &Scheduler, id: &str, fails: impl Fn(&str) -> Option<Cause>) -> Shown {
     // What was shown as over has been forgotten since.
-    let active = core.machines[id].live_attempts().map(|(key, _)| key);
+    let active = scheduler.machines[id].live_attempts().map(|(key, _)| key);
     active
-        .map(|(task, attempt)| match fails(&task.job) {
-            Some(cause) => (task.wire(), *attempt, Phase::Exited, Some(cause)),
-            None => (task.wire(), *attempt, Phase::Running, None),
+        .map(|id| match fails(&id.task.job) {
+            Some(cause) => (id.task.wire(), id.number, Phase::Exited, Some(cause)),
+            None => (id.task.wire(), id.number, Phase::Running, None),
         })
         .collect()
 }
 
-/// A core that has heard of all these machines.
+/// A scheduler that has heard of all these machines.
 fn fleet(names: &[&str]) -> Scheduler {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, names);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, names);
     for name in names {
-        tell(&mut core, name, 1, &Vec::new(), 0.5);
+        tell(&mut scheduler, name, 1, &Vec::new(), 0.5);
     }
-    core
+    scheduler
 }
 
-fn tell(core: &mut Scheduler, id: &str, serial: u64, shown: &Shown, at: f64) {
+fn tell(scheduler: &mut Scheduler, id: &str, serial: u64, shown: &Shown, at: f64) {
     let tasks: Vec<_> = shown
         .iter()
         .map(|t| (t.0.as_str(), t.1, t.2, t.3))
         .collect();
-    core.handle_heartbeat(&report(id, 1, serial, 5, &tasks), at);
+    scheduler.handle_heartbeat(&report(id, 1, serial, 5, &tasks), at);
 }
 
 /// Guards against blaming machines for a job's mistake: its tasks failed at once all
@@ -48,27 +48,27 @@
 fn a_broken_job_blames_no_machine_and_takes_one_place() {
     let names: Vec<String> = (0..12).map(|i| format!("m{i}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let mut core = fleet(&names);
+    let mut scheduler = fleet(&names);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 96, 1.0),
         0.5,
     );
-    core.place_all(1.0);
-    assert_eq!(core.jobs["run-1"].placed.len(), 96);
+    scheduler.place_all(1.0);
+    assert_eq!(scheduler.jobs["run-1"].placed.len(), 96);
     let mut most = 0;
     let mut tries = 0;
     for s in 2..200u64 {
         let now = s as f64;
         for name in &names {
-            let shown = shows(&core, name, |_| Some(Cause::Error));
+            let shown = shows(&scheduler, name, |_| Some(Cause::Error));
             tries += shown.len();
-            tell(&mut core, name, s, &shown, now);
+            tell(&mut scheduler, name, s, &shown, now);
         }
-        core.tick(now, now);
-        core.place_all(now + 0.5);
+        scheduler.tick(now, now);
+        scheduler.place_all(now + 0.5);
         most = most.max(if s > 3 {
-            core.jobs["run-1"].placed.len()
+            scheduler.jobs["run-1"].placed.len()
         } else {
             0
         });
@@ -76,9 +76,13 @@
     assert_eq!(most, 1, "tasks on at once");
     assert!((97..130).contains(&tries), "{tries} tries in 200 s");
     for name in &names {
-        assert_eq!(core.machines[*name].status, MachineStatus::Up, "{name}");
+        assert_eq!(
+            scheduler.machines[*name].status,
+            MachineStatus::Up,
+            "{name}"
+        );
     }
-    let text = core.overview(200.0);
+    let text = scheduler.overview(200.0);
     assert!(text.contains("fails on every machine"), "{text}");
     assert!(text.contains("failures on 12 machines"), "{text}");
 }
@@ -88,21 +92,21 @@
 #[test]
 fn failures_count_by_job() {
     for (jobs, tasks, standing) in [(1, 4, MachineStatus::Up), (4, 1, MachineStatus::Draining)] {
-        let mut core = fleet(&["m0"]);
+        let mut scheduler = fleet(&["m0"]);
         for n in 0..jobs {
             let id = format!("run-{n}");
             add(
-                &mut core,
+                &mut scheduler,
                 spec(&id, "t", Urgency::Standard, tasks, 1.0),
                 0.5,
             );
         }
-        core.place_all(1.0);
-        let shown = shows(&core, "m0", |_| Some(Cause::Error));
+        scheduler.place_all(1.0);
+        let shown = shows(&scheduler, "m0", |_| Some(Cause::Error));
         assert_eq!(shown.len(), 4);
-        tell(&mut core, "m0", 2, &shown, 2.0);
-        core.tick(2.0, 2.0);
-        assert_eq!(core.machines["m0"].status, standing, "{jobs} jobs");
+        tell(&mut scheduler, "m0", 2, &shown, 2.0);
+        scheduler.tick(2.0, 2.0);
+        assert_eq!(scheduler.machines["m0"].status, standing, "{jobs} jobs");
     }
 }
 
@@ -111,10 +115,10 @@
 #[test]
 fn what_broken_jobs_did_is_forgiven() {
     let names = ["m0", "m1", "m2", "m3"];
-    let mut core = fleet(&names);
+    let mut scheduler = fleet(&names);
     for n in 0..4 {
         add(
-            &mut core,
+            &mut scheduler,
             spec(&format!("run-{n}"), "t", Urgency::Standard, 4, 1.0),
             0.5,
         );
@@ -129,11 +133,11 @@
                 Some(Cause::Error),
             )
         };
-        tell(&mut core, name, 2, &(0..4).map(failed).collect(), 2.0);
+        tell(&mut scheduler, name, 2, &(0..4).map(failed).collect(), 2.0);
     }
-    core.tick(2.0, 2.0);
+    scheduler.tick(2.0, 2.0);
     for name in names {
-        assert_eq!(core.machines[name].status, MachineStatus::Up, "{name}");
+        assert_eq!(scheduler.machines[name].status, MachineStatus::Up, "{name}");
     }
 }
 
@@ -142,32 +146,36 @@
 #[test]
 fn a_sick_machine_is_found_and_its_jobs_are_not_suspect() {
     let names = ["m0", "m1", "m2", "m3"];
-    let mut core = fleet(&names);
+    let mut scheduler = fleet(&names);
     for n in 0..4 {
         add(
-            &mut core,
+            &mut scheduler,
             spec(&format!("run-{n}"), "t", Urgency::Standard, 7, 1.0),
             0.5,
         );
     }
-    core.place_all(1.0);
+    scheduler.place_all(1.0);
     for s in 2..9u64 {
         let now = s as f64;
         let next = spec(&format!("run-{}", s + 2), "t", Urgency::Standard, 2, 1.0);
-        add(&mut core, next, now);
+        add(&mut scheduler, next, now);
         for name in names {
             let sick = name == "m0";
-            let shown = shows(&core, name, |_| sick.then_some(Cause::Error));
-            tell(&mut core, name, s, &shown, now);
+            let shown = shows(&scheduler, name, |_| sick.then_some(Cause::Error));
+            tell(&mut scheduler, name, s, &shown, now);
         }
-        core.tick(now, now);
-        core.place_all(now + 0.5);
+        scheduler.tick(now, now);
+        scheduler.place_all(now + 0.5);
     }
-    assert_eq!(core.machines["m0"].status, MachineStatus::Draining);
+    assert_eq!(scheduler.machines["m0"].status, MachineStatus::Draining);
     for name in &names[1..] {
-        assert_eq!(core.machines[*name].status, MachineStatus::Up, "{name}");
+        assert_eq!(
+            scheduler.machines[*name].status,
+            MachineStatus::Up,
+            "{name}"
+        );
     }
-    assert!(core.jobs.values().all(|j| !j.is_suspect()));
+    assert!(scheduler.jobs.values().all(|j| !j.is_suspect()));
 }
 
 /// Guards against the largest job that smallest-first passes over for as long as small
@@ -176,22 +184,22 @@
 #[test]
 fn the_first_task_of_the_largest_job_starts_in_time() {
     for (begin_s, begins) in [(240.0, Some(121)), (0.0, None)] {
-        let mut params = params(vec![team("t", 0.0, 0.0)]);
+        let mut params = scheduler_config(vec![team("t", 0.0, 0.0)]);
         params.policy = Policy {
             begin_s,
             floor_share: 0.0,
             ..Policy::default()
         };
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-        core.config = params;
-        tell(&mut core, "m1", 1, &Vec::new(), 0.1);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        scheduler.config = params;
+        tell(&mut scheduler, "m1", 1, &Vec::new(), 0.1);
         // With a deadline, so that smallest-first holds.
         let due = |mut s: foxspur::protocol::job::JobSpec| {
             s.deadline_s = Some(5000.0);
             s
         };
         add(
-            &mut core,
+            &mut scheduler,
             due(spec("run-9999", "t", Urgency::Idle, 400, 1.0)),
             0.0,
         );
@@ -202,18 +210,18 @@
             for n in 0..10 {
                 let id = format!("run-{}", s * 10 + n);
                 add(
-                    &mut core,
+                    &mut scheduler,
                     due(spec(&id, "t", Urgency::Standard, 1, 1.0)),
                     now,
                 );
             }
-            let shown = shows(&core, "m1", |job| {
+            let shown = shows(&scheduler, "m1", |job| {
                 (job != "run-9999").then_some(Cause::Done)
             });
-            tell(&mut core, "m1", s + 1, &shown, now);
-            core.tick(now, now);
-            core.place_all(now + 0.5);
-            let on = core.jobs["run-9999"].placed.len();
+            tell(&mut scheduler, "m1", s + 1, &shown, now);
+            scheduler.tick(now, now);
+            scheduler.place_all(now + 0.5);
+            let on = scheduler.jobs["run-9999"].placed.len();
             assert!(on <= 1, "{on} of it at {s}");
             if on > 0 {
                 began.get_or_insert(s);
@@ -222,12 +230,16 @@
         }
         assert_eq!(began, begins, "begin-s {begin_s}");
         // Urgent work takes the rest of the machine, not what has just begun.
-        add(&mut core, spec("run-1", "t", Urgency::Prod, 8, 1.0), 230.0);
-        core.place_all(231.0);
-        let stopped = core.machines["m1"]
+        add(
+            &mut scheduler,
+            spec("run-1", "t", Urgency::Prod, 8, 1.0),
+            230.0,
+        );
+        scheduler.place_all(231.0);
+        let stopped = scheduler.machines["m1"]
             .attempts
             .iter()
-            .any(|(key, a)| &*key.0.job == "run-9999" && a.stop_grace_s.is_some());
+            .any(|(id, a)| &*id.task.job == "run-9999" && a.stop_grace_s.is_some());
         assert!(!stopped, "stopped for others");
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,4 +1,4 @@
-//! What a large fleet asks of the core and its records: lists above one value,
+//! What a large fleet asks of the scheduler and its records: lists above one value,
 //! room that is not looked for twice, reports that need no more than an answer,
 //! zones that fall silent as a whole.
 
@@ -6,14 +6,16 @@
 
 use common::*;
 use foxspur::coordination::agents::heartbeat::HeartbeatReply;
+use foxspur::coordination::scheduler::machine::MessageId;
 use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::worker::{Cause, Command, Phase, ReportHead};
 use foxspur::storage::chunks::{fitting, plan, txn, MachineRecord};
 use foxspur::storage::records::{chunk_number, machine_chunk_key, MachineInfo};
 
-fn starts(core: &mut Scheduler, id: &str, seq: u64, now: f64) -> Vec<String> {
-    let HeartbeatReply::Commands(reply) = core.handle_heartbeat(&report(id, 1, seq, 5, &[]), now)
+fn starts(scheduler: &mut Scheduler, id: &str, seq: u64, now: f64) -> Vec<String> {
+    let HeartbeatReply::Commands(reply) =
+        scheduler.handle_heartbeat(&report(id, 1, seq, 5, &[]), now)
     else {
         panic!("{id} was not answered");
     };
@@ -98,25 +100,25 @@
 #[test]
 fn room_that_comes_free_is_found() {
     for (cpus, memory_gb) in [(1.4, 20.0), (8.0, 1.0), (0.3, 31.0)] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1", "m2"]);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1", "m2"]);
         // A task that waits in a queue would start from there.
-        core.config.policy.queue_depth = 0;
+        scheduler.config.policy.queue_depth = 0;
         for id in ["m1", "m2"] {
-            starts(&mut core, id, 1, 0.0);
+            starts(&mut scheduler, id, 1, 0.0);
         }
         let mut job = spec("run-1", "t", Urgency::Standard, 3, cpus);
         job.memory_gb = memory_gb;
-        add(&mut core, job, 0.0);
-        core.place_all(0.1);
-        let on = ["m1", "m2"].map(|id| starts(&mut core, id, 2, 0.5));
+        add(&mut scheduler, job, 0.0);
+        scheduler.place_all(0.1);
+        let on = ["m1", "m2"].map(|id| starts(&mut scheduler, id, 2, 0.5));
         assert_eq!(on.concat().len(), 2, "one on each machine");
-        core.place_all(0.6);
-        core.place_all(0.7);
-        let ((task, attempt), _) = core.machines["m1"].attempts.first_key_value().unwrap();
-        let (task, attempt) = (task.wire(), *attempt);
+        scheduler.place_all(0.6);
+        scheduler.place_all(0.7);
+        let (id, _) = scheduler.machines["m1"].attempts.first_key_value().unwrap();
+        let (task, attempt) = (id.task.wire(), id.number);
         let done = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Done))];
         let HeartbeatReply::Commands(reply) =
-            core.handle_heartbeat(&report("m1", 1, 3, 5, &done), 1.0)
+            scheduler.handle_heartbeat(&report("m1", 1, 3, 5, &done), 1.0)
         else {
             panic!();
         };
@@ -151,26 +153,26 @@
         // There is something to tell the worker.
         (head(1, 3, 5, "null", tasks), true, false),
     ] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         add(
-            &mut core,
+            &mut scheduler,
             spec("run-1", "t", Urgency::Standard, 1, 1.0),
             0.0,
         );
         let running = [("run-1/0", 7, Phase::Running, None)];
-        core.handle_heartbeat(&report("m1", 1, 1, 5, &running), 0.5);
-        core.handle_heartbeat(&report("m1", 1, 2, 5, &running), 1.0);
-        core.remember_heartbeat("m1", (1, 2), tasks);
+        scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &running), 0.5);
+        scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &running), 1.0);
+        scheduler.remember_heartbeat("m1", MessageId { session: 1, seq: 2 }, tasks);
         if stopped {
-            core.finish_job("run-1");
+            scheduler.finish_job("run-1");
         }
         let head: ReportHead = serde_json::from_str(&text).unwrap();
         assert_eq!(
-            core.handle_repeated_heartbeat(&head, 2.0).is_some(),
+            scheduler.handle_repeated_heartbeat(&head, 2.0).is_some(),
             repeats,
             "{text} {stopped}"
         );
-        let answered = core.machines["m1"].answered_at;
+        let answered = scheduler.machines["m1"].answered_at;
         assert_eq!(answered, Some(if repeats { 2.0 } else { 1.0 }));
     }
 }
@@ -180,23 +182,24 @@
 /// was a stranger, being stopped, when the job became known.
 #[test]
 fn a_job_that_becomes_known_after_its_task() {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1", "m2"]);
-    starts(&mut core, "m2", 1, 0.0);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1", "m2"]);
+    starts(&mut scheduler, "m2", 1, 0.0);
     let running = [("run-1/0", 7, Phase::Running, None)];
-    core.handle_heartbeat(&report("m1", 1, 1, 5, &running), 0.1);
+    scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &running), 0.1);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 1, 1.0),
         0.2,
     );
     // It is still there, though it was told to stop.
-    core.handle_heartbeat(&report("m1", 1, 2, 5, &running), 0.3);
-    core.place_all(0.4);
-    assert!(core.fencing_complete());
-    assert!(starts(&mut core, "m2", 2, 0.5).is_empty());
-    core.handle_heartbeat(&report("m1", 1, 3, 5, &[]), 0.6);
-    core.place_all(0.7);
-    let on = starts(&mut core, "m2", 3, 0.8).len() + starts(&mut core, "m1", 4, 0.9).len();
+    scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &running), 0.3);
+    scheduler.place_all(0.4);
+    assert!(scheduler.fencing_complete());
+    assert!(starts(&mut scheduler, "m2", 2, 0.5).is_empty());
+    scheduler.handle_heartbeat(&report("m1", 1, 3, 5, &[]), 0.6);
+    scheduler.place_all(0.7);
+    let on =
+        starts(&mut scheduler, "m2", 3, 0.8).len() + starts(&mut scheduler, "m1", 4, 0.9).len();
     assert_eq!(on, 1);
 }
 
@@ -206,15 +209,15 @@
 fn a_zone_that_falls_silent_as_a_whole_is_cut_off() {
     for (silent, cut) in [(0, false), (2, false), (3, true), (4, true)] {
         let names = ["m1", "m2", "m3", "m4"];
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &names);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &names);
         for beat in 1..100 {
-            core.tick(f64::from(beat), 0.0);
+            scheduler.tick(f64::from(beat), 0.0);
         }
         for name in &names[silent..] {
-            core.handle_heartbeat(&report(name, 1, 1, 5, &[]), 100.0);
+            scheduler.handle_heartbeat(&report(name, 1, 1, 5, &[]), 100.0);
         }
         assert_eq!(
-            !core.partitioned_zones(101.0).is_empty(),
+            !scheduler.partitioned_zones(101.0).is_empty(),
             cut,
             "{silent} silent"
         );
