--- a/tests/core.rs
+++ b/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Cases on the owner's core: fencing, copies in flight, quota, guarantees,
+//! Cases on the owner's scheduler: fencing, copies in flight, quota, guarantees,
 //! preemption, placement.
 
 mod common;
@@ -19,19 +19,19 @@
 use foxspur_testbed::store::Store;
 
 /// Done and running tasks of a job.
-fn counts(core: &Scheduler, id: &str) -> Option<(u32, u32)> {
-    core.progress(id).map(|c| (c.done, c.running))
+fn counts(scheduler: &Scheduler, id: &str) -> Option<(u32, u32)> {
+    scheduler.progress(id).map(|c| (c.done, c.running))
 }
 
-fn answer(core: &mut Scheduler, report: &Report, now: f64) -> (u64, Vec<Command>) {
-    match core.handle_heartbeat(report, now) {
+fn answer(scheduler: &mut Scheduler, report: &Report, now: f64) -> (u64, Vec<Command>) {
+    match scheduler.handle_heartbeat(report, now) {
         HeartbeatReply::Commands(reply) => (reply.token, reply.commands),
         other => panic!("{other:?}"),
     }
 }
 
-fn orders(core: &mut Scheduler, report: &Report, now: f64) -> Vec<Command> {
-    answer(core, report, now).1
+fn orders(scheduler: &mut Scheduler, report: &Report, now: f64) -> Vec<Command> {
+    answer(scheduler, report, now).1
 }
 
 fn starts(commands: &[Command]) -> Vec<(String, u64)> {
@@ -50,22 +50,22 @@
 /// copy may be on a machine that has not reported yet.
 #[test]
 fn nothing_starts_before_every_machine_is_accounted_for() {
-    let mut core = core(free(), 5, &["m1", "m2"]);
+    let mut scheduler = scheduler(free(), 5, &["m1", "m2"]);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 1, 1.0),
         0.0,
     );
     // The first answer only brings the term to the machine.
-    assert!(orders(&mut core, &report("m1", 1, 1, 4, &[]), 1.0).is_empty());
-    assert!(orders(&mut core, &report("m1", 1, 2, 5, &[]), 2.0).is_empty());
-    assert!(!core.fencing_complete());
+    assert!(orders(&mut scheduler, &report("m1", 1, 1, 4, &[]), 1.0).is_empty());
+    assert!(orders(&mut scheduler, &report("m1", 1, 2, 5, &[]), 2.0).is_empty());
+    assert!(!scheduler.fencing_complete());
     let seen = [("run-1/0", 9, Phase::Running, None)];
-    assert!(orders(&mut core, &report("m2", 1, 7, 5, &seen), 3.0).is_empty());
-    assert!(core.fencing_complete());
+    assert!(orders(&mut scheduler, &report("m2", 1, 7, 5, &seen), 3.0).is_empty());
+    assert!(scheduler.fencing_complete());
     // It runs on m2, so m1 gets nothing.
-    assert!(orders(&mut core, &report("m1", 1, 3, 5, &[]), 4.0).is_empty());
-    assert_eq!(counts(&core, "run-1"), Some((0, 1)));
+    assert!(orders(&mut scheduler, &report("m1", 1, 3, 5, &[]), 4.0).is_empty());
+    assert_eq!(counts(&scheduler, "run-1"), Some((0, 1)));
 }
 
 /// Silence alone proves nothing; a lease after the last possible answer does.
@@ -78,10 +78,14 @@
         (Some(60.0), 65.0, false),
         (Some(60.0), 70.2, true),
     ] {
-        let mut core = core(free(), 5, &["m1"]);
-        core.fence.former_leaders_silent_since = quiet;
-        core.tick(at, at);
-        assert_eq!(core.fencing_complete(), open, "quiet {quiet:?} at {at}");
+        let mut scheduler = scheduler(free(), 5, &["m1"]);
+        scheduler.fence.former_leaders_silent_since = quiet;
+        scheduler.tick(at, at);
+        assert_eq!(
+            scheduler.fencing_complete(),
+            open,
+            "quiet {quiet:?} at {at}"
+        );
     }
 }
 
@@ -89,15 +93,15 @@
 /// would renew its lease.
 #[test]
 fn an_expired_session_is_never_answered_again() {
-    let mut core = core(free(), 5, &["m1"]);
-    orders(&mut core, &report("m1", 1, 1, 5, &[]), 1.0);
-    core.tick(11.5, 11.5);
+    let mut scheduler = scheduler(free(), 5, &["m1"]);
+    orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 1.0);
+    scheduler.tick(11.5, 11.5);
     assert!(matches!(
-        core.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 12.0),
+        scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 12.0),
         HeartbeatReply::Refuse
     ));
     assert!(matches!(
-        core.handle_heartbeat(&report("m1", 2, 3, 5, &[]), 13.0),
+        scheduler.handle_heartbeat(&report("m1", 2, 3, 5, &[]), 13.0),
         HeartbeatReply::Commands(_)
     ));
 }
@@ -108,11 +112,11 @@
 #[test]
 fn without_contact_no_machine_is_given_up() {
     for (confirmed, given_up) in [(5.0, false), (11.0, false), (11.2, true)] {
-        let mut core = core(free(), 5, &["m1"]);
-        orders(&mut core, &report("m1", 1, 1, 5, &[]), 1.0);
-        core.tick(30.0, confirmed);
+        let mut scheduler = scheduler(free(), 5, &["m1"]);
+        orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 1.0);
+        scheduler.tick(30.0, confirmed);
         assert_eq!(
-            core.wanted_machine_record().is_empty(),
+            scheduler.wanted_machine_record().is_empty(),
             given_up,
             "{confirmed}"
         );
@@ -123,35 +127,40 @@
 /// seen our term, even after we answered it ourselves.
 #[test]
 fn the_lease_counts_from_the_first_report_under_our_term() {
-    let mut core = core(free(), 5, &["m1"]);
-    orders(&mut core, &report("m1", 1, 1, 4, &[]), 1.0);
-    orders(&mut core, &report("m1", 1, 2, 5, &[]), 8.0);
-    core.tick(11.5, 11.5);
-    assert!(core.wanted_machine_record().iter().any(|m| m.id == "m1"));
+    let mut scheduler = scheduler(free(), 5, &["m1"]);
+    orders(&mut scheduler, &report("m1", 1, 1, 4, &[]), 1.0);
+    orders(&mut scheduler, &report("m1", 1, 2, 5, &[]), 8.0);
+    scheduler.tick(11.5, 11.5);
+    assert!(scheduler
+        .wanted_machine_record()
+        .iter()
+        .any(|m| m.id == "m1"));
 }
 
 /// A start that had no answer holds its task until it is ruled out.
 #[test]
 fn a_start_in_flight_counts_as_on() {
-    let mut core = core(free(), 5, &["m1"]);
-    core.set_types(&types());
-    orders(&mut core, &report("m1", 1, 1, 5, &[]), 0.0);
+    let mut scheduler = scheduler(free(), 5, &["m1"]);
+    scheduler.set_types(&types());
+    orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 0.0);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 1, 1.0),
         0.0,
     );
-    core.place_all(0.1);
+    scheduler.place_all(0.1);
     let name = "m1".into();
-    let (_, call) = core.next_direct_call(&name, 0.1).expect("a direct call");
+    let (_, call) = scheduler
+        .next_direct_call(&name, 0.1)
+        .expect("a direct call");
     let (task, attempt) = starts(&call.commands)[0].clone();
-    core.direct_call_finished(&name, &call, CallResult::Unknown, 1.0);
+    scheduler.direct_call_finished(&name, &call, CallResult::Unknown, 1.0);
     // The report does not show it: offered again, the same attempt.
-    let again = orders(&mut core, &report("m1", 1, 2, 5, &[]), 1.5);
+    let again = orders(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.5);
     assert_eq!(starts(&again), vec![(task.clone(), attempt)]);
     // It failed: not forgotten while the late copy could start it once more.
     let failed = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Error))];
-    let reply = orders(&mut core, &report("m1", 1, 3, 5, &failed), 2.0);
+    let reply = orders(&mut scheduler, &report("m1", 1, 3, 5, &failed), 2.0);
     assert!(
         !reply.iter().any(|c| matches!(c, Command::Forget { .. })),
         "{reply:?}"
@@ -159,11 +168,11 @@
     // A higher token that the machine has seen rules the copy out: it gets one of its
     // own, for which nothing is written.
     let late = 2.0 + CANCEL_S / 8.0;
-    orders(&mut core, &report("m1", 1, 4, 5, &failed), late);
-    assert!(!core.needs_higher_term(late));
-    let (token, _) = answer(&mut core, &report("m1", 1, 5, 5, &failed), late + 0.5);
+    orders(&mut scheduler, &report("m1", 1, 4, 5, &failed), late);
+    assert!(!scheduler.needs_higher_term(late));
+    let (token, _) = answer(&mut scheduler, &report("m1", 1, 5, 5, &failed), late + 0.5);
     assert_eq!(token, 6);
-    let reply = orders(&mut core, &report("m1", 1, 6, 6, &failed), late + 1.0);
+    let reply = orders(&mut scheduler, &report("m1", 1, 6, 6, &failed), late + 1.0);
     assert!(
         reply.iter().any(|c| matches!(c, Command::Forget { .. })),
         "{reply:?}"
@@ -175,46 +184,54 @@
 /// told to forget one is told a token above the call's, and no call is overtaken by it.
 #[test]
 fn a_copy_of_a_direct_start_is_refused_once_the_task_is_forgotten() {
-    let mut core = core(free(), 5, &["m1"]);
-    orders(&mut core, &report("m1", 1, 1, 5, &[]), 0.0);
+    let mut scheduler = scheduler(free(), 5, &["m1"]);
+    orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 0.0);
     let (name, mut seq, mut token) = ("m1".into(), 1, 5);
     for (n, other_call) in [(1, false), (3, true), (5, false)] {
         let (id, now) = (format!("run-{n}"), f64::from(n) * 10.0);
         seq += 1;
-        orders(&mut core, &report("m1", 1, seq, token, &[]), now);
-        add(&mut core, spec(&id, "t", Urgency::Standard, 1, 1.0), now);
-        core.place_all(now);
-        let (_, call) = core.next_direct_call(&name, now).expect("a direct call");
+        orders(&mut scheduler, &report("m1", 1, seq, token, &[]), now);
+        add(
+            &mut scheduler,
+            spec(&id, "t", Urgency::Standard, 1, 1.0),
+            now,
+        );
+        scheduler.place_all(now);
+        let (_, call) = scheduler
+            .next_direct_call(&name, now)
+            .expect("a direct call");
         let (task, attempt) = starts(&call.commands)[0].clone();
         assert_eq!(call.token, token);
         let failed = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Error))];
-        core.finish_job(&id);
+        scheduler.finish_job(&id);
         let mut next = || {
             seq += 1;
             report("m1", 1, seq, token, &failed)
         };
-        core.direct_call_finished(&name, &call, CallResult::Executed(next()), now + 0.5);
+        scheduler.direct_call_finished(&name, &call, CallResult::Executed(next()), now + 0.5);
         if other_call {
             // Another one is under way: the machine would refuse it under a higher token.
             let other = spec(&format!("run-{}", n + 1), "t", Urgency::Standard, 1, 1.0);
-            add(&mut core, other, now);
-            core.place_all(now + 0.6);
-            let (_, call) = core.next_direct_call(&name, now + 0.6).expect("a call");
-            let early = answer(&mut core, &next(), now + 0.7);
+            add(&mut scheduler, other, now);
+            scheduler.place_all(now + 0.6);
+            let (_, call) = scheduler
+                .next_direct_call(&name, now + 0.6)
+                .expect("a call");
+            let early = answer(&mut scheduler, &next(), now + 0.7);
             assert!(early.0 == call.token && early.1.is_empty(), "{early:?}");
-            core.finish_job(&format!("run-{}", n + 1));
-            core.direct_call_finished(&name, &call, CallResult::NotSent, now + 1.0);
+            scheduler.finish_job(&format!("run-{}", n + 1));
+            scheduler.direct_call_finished(&name, &call, CallResult::NotSent, now + 1.0);
         }
-        let (told, commands) = answer(&mut core, &next(), now + 2.0);
+        let (told, commands) = answer(&mut scheduler, &next(), now + 2.0);
         assert!(matches!(commands[..], [Command::Forget { .. }]));
         assert!(told > call.token, "a copy under {} starts it", call.token);
         token = told;
         seq += 1;
-        orders(&mut core, &report("m1", 1, seq, token, &[]), now + 3.0);
+        orders(&mut scheduler, &report("m1", 1, seq, token, &[]), now + 3.0);
     }
     // A report under a machine's own token is no sign of another owner, one beyond
     // all of them is, and the next term is above them all.
-    let verdict = core.handle_heartbeat(&report("m1", 1, 99, 5 + TOKENS_PER_TERM, &[]), 50.0);
+    let verdict = scheduler.handle_heartbeat(&report("m1", 1, 99, 5 + TOKENS_PER_TERM, &[]), 50.0);
     assert!(matches!(verdict, HeartbeatReply::Superseded));
     assert!(TermCounter::taken(5).term + 1 == 5 + TOKENS_PER_TERM);
 }
@@ -222,34 +239,44 @@
 /// Where a machine has had all tokens of a term, the term is raised by a write.
 #[test]
 fn a_machine_that_used_up_its_tokens_wants_a_new_term() {
-    let mut core = core(free(), 5, &["m1"]);
-    orders(&mut core, &report("m1", 1, 1, 5, &[]), 0.0);
+    let mut scheduler = scheduler(free(), 5, &["m1"]);
+    orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 0.0);
     let name = "m1".into();
     let (mut seq, mut token, mut raised) = (1, 5, 0);
     for n in 0..TOKENS_PER_TERM + 9 {
         let (id, now) = (format!("run-{n}"), 1.0 + n as f64);
         seq += 1;
-        token = answer(&mut core, &report("m1", 1, seq, token, &[]), now).0;
-        add(&mut core, spec(&id, "t", Urgency::Standard, 1, 1.0), now);
-        core.place_all(now);
-        let (_, call) = core.next_direct_call(&name, now).expect("a direct call");
+        token = answer(&mut scheduler, &report("m1", 1, seq, token, &[]), now).0;
+        add(
+            &mut scheduler,
+            spec(&id, "t", Urgency::Standard, 1, 1.0),
+            now,
+        );
+        scheduler.place_all(now);
+        let (_, call) = scheduler
+            .next_direct_call(&name, now)
+            .expect("a direct call");
         let (task, attempt) = starts(&call.commands)[0].clone();
         let failed = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Error))];
-        core.finish_job(&id);
+        scheduler.finish_job(&id);
         seq += 1;
         let result = CallResult::Executed(report("m1", 1, seq, token, &failed));
-        core.direct_call_finished(&name, &call, result, now + 0.1);
-        if core.needs_higher_term(now) {
+        scheduler.direct_call_finished(&name, &call, result, now + 0.1);
+        if scheduler.needs_higher_term(now) {
             raised += 1;
-            core.raise_term(5 + TOKENS_PER_TERM);
+            scheduler.raise_term(5 + TOKENS_PER_TERM);
         }
         seq += 1;
-        let (told, commands) = answer(&mut core, &report("m1", 1, seq, token, &failed), now + 0.2);
+        let (told, commands) = answer(
+            &mut scheduler,
+            &report("m1", 1, seq, token, &failed),
+            now + 0.2,
+        );
         assert!(commands.len() == 1 && told > token, "{n}: {commands:?}");
         token = told;
         seq += 1;
-        orders(&mut core, &report("m1", 1, seq, token, &[]), now + 0.3);
-        core.collect_garbage();
+        orders(&mut scheduler, &report("m1", 1, seq, token, &[]), now + 0.3);
+        scheduler.collect_garbage();
     }
     assert!(
         raised == 1 && token > 5 + TOKENS_PER_TERM,
@@ -260,86 +287,90 @@
 /// Malformed, old or reordered reports change nothing.
 #[test]
 fn old_reports_change_nothing() {
-    let mut core = core(free(), 5, &["m1"]);
+    let mut scheduler = scheduler(free(), 5, &["m1"]);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 1, 1.0),
         0.0,
     );
     let running = [("run-1/0", 3, Phase::Running, None)];
-    orders(&mut core, &report("m1", 2, 9, 5, &running), 1.0);
+    orders(&mut scheduler, &report("m1", 2, 9, 5, &running), 1.0);
     for (session, seq) in [(2, 8), (1, 99), (2, 9)] {
         let done = [("run-1/0", 3, Phase::Exited, Some(Cause::Done))];
-        assert!(orders(&mut core, &report("m1", session, seq, 5, &done), 2.0).is_empty());
-        assert_eq!(counts(&core, "run-1"), Some((0, 1)), "({session}, {seq})");
+        assert!(orders(&mut scheduler, &report("m1", session, seq, 5, &done), 2.0).is_empty());
+        assert_eq!(
+            counts(&scheduler, "run-1"),
+            Some((0, 1)),
+            "({session}, {seq})"
+        );
     }
     let odd = [
         ("no task", 1, Phase::Running, None),
         ("run-1/77", 1, Phase::Running, None),
     ];
-    orders(&mut core, &report("m1", 2, 10, 5, &odd), 3.0);
+    orders(&mut scheduler, &report("m1", 2, 10, 5, &odd), 3.0);
 }
 
 /// A finished task is forgotten by its worker only once its mark is written.
 #[test]
 fn done_is_recorded_before_it_is_forgotten() {
-    let mut core = core(free(), 5, &["m1"]);
+    let mut scheduler = scheduler(free(), 5, &["m1"]);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 2, 1.0),
         0.0,
     );
     let done = [("run-1/1", 3, Phase::Exited, Some(Cause::Done))];
-    let reply = orders(&mut core, &report("m1", 1, 1, 5, &done), 1.0);
+    let reply = orders(&mut scheduler, &report("m1", 1, 1, 5, &done), 1.0);
     assert!(!reply.iter().any(|c| matches!(c, Command::Forget { .. })));
     assert_eq!(
-        counts(&core, "run-1"),
+        counts(&scheduler, "run-1"),
         Some((0, 0)),
         "not told before it is written"
     );
-    core.completions_written("run-1", &CompletedTasks::from_text("1", 2), 2);
-    let reply = orders(&mut core, &report("m1", 1, 2, 5, &done), 2.0);
+    scheduler.completions_written("run-1", &CompletedTasks::from_text("1", 2), 2);
+    let reply = orders(&mut scheduler, &report("m1", 1, 2, 5, &done), 2.0);
     assert!(reply.iter().any(|c| matches!(c, Command::Forget { .. })));
-    assert_eq!(counts(&core, "run-1"), Some((1, 0)));
+    assert_eq!(counts(&scheduler, "run-1"), Some((1, 0)));
 }
 
 /// A cancelled job's tasks are stopped, also one whose start is in flight.
 #[test]
 fn a_cancelled_job_leaves_nothing() {
-    let mut core = core(free(), 5, &["m1"]);
-    orders(&mut core, &report("m1", 1, 1, 5, &[]), 0.0);
+    let mut scheduler = scheduler(free(), 5, &["m1"]);
+    orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 0.0);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 3, 1.0),
         0.0,
     );
-    let started = starts(&orders(&mut core, &report("m1", 1, 2, 5, &[]), 1.0));
+    let started = starts(&orders(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.0));
     assert_eq!(started.len(), 3);
-    core.finish_job("run-1");
+    scheduler.finish_job("run-1");
     let shown: Vec<_> = started
         .iter()
         .map(|(t, a)| (t.as_str(), *a, Phase::Running, None))
         .collect();
-    let reply = orders(&mut core, &report("m1", 1, 3, 5, &shown), 2.0);
+    let reply = orders(&mut scheduler, &report("m1", 1, 3, 5, &shown), 2.0);
     let stops = reply.iter().filter(|c| matches!(c, Command::Stop { .. }));
     assert_eq!(stops.count(), 3);
     assert!(starts(&reply).is_empty());
-    orders(&mut core, &report("m1", 1, 4, 5, &[]), 3.0);
-    core.collect_garbage();
-    assert!(core.jobs.is_empty());
+    orders(&mut scheduler, &report("m1", 1, 4, 5, &[]), 3.0);
+    scheduler.collect_garbage();
+    assert!(scheduler.jobs.is_empty());
 }
 
 /// The limit counts everything that is on a machine or may be.
 #[test]
 fn a_team_stays_within_its_limit() {
-    let mut core = core(vec![team("t", 0.0, 6.0)], 5, &["m1"]);
-    orders(&mut core, &report("m1", 1, 1, 5, &[]), 0.0);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 6.0)], 5, &["m1"]);
+    orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 0.0);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 9, 2.0),
         0.0,
     );
-    let started = starts(&orders(&mut core, &report("m1", 1, 2, 5, &[]), 1.0));
+    let started = starts(&orders(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.0));
     assert_eq!(started.len(), 3);
     for (max, used, tasks, fits) in [
         (0.0, 1e6, 5.0, true),
@@ -379,18 +410,26 @@
             team("b", 0.0, 0.0),
             team("g", 8.0, 0.0),
         ];
-        let mut core = core(teams, 5, &["m1"]);
-        orders(&mut core, &report("m1", 1, 1, 5, &[]), 0.0);
-        add(&mut core, spec("run-1", run_team, run_urgency, 4, 2.0), 0.0);
-        let started = starts(&orders(&mut core, &report("m1", 1, 2, 5, &[]), 1.0));
+        let mut scheduler = scheduler(teams, 5, &["m1"]);
+        orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 0.0);
+        add(
+            &mut scheduler,
+            spec("run-1", run_team, run_urgency, 4, 2.0),
+            0.0,
+        );
+        let started = starts(&orders(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.0));
         assert_eq!(started.len(), 4, "case {i}");
-        add(&mut core, spec("run-2", team_name, urgency, 1, 2.0), 1.0);
-        core.place_all(1.5);
+        add(
+            &mut scheduler,
+            spec("run-2", team_name, urgency, 1, 2.0),
+            1.0,
+        );
+        scheduler.place_all(1.5);
         let shown: Vec<_> = started
             .iter()
             .map(|(t, a)| (t.as_str(), *a, Phase::Running, None))
             .collect();
-        let reply = orders(&mut core, &report("m1", 1, 3, 5, &shown), 2.0);
+        let reply = orders(&mut scheduler, &report("m1", 1, 3, 5, &shown), 2.0);
         let stops = reply
             .iter()
             .filter(|c| matches!(c, Command::Stop { .. }))
@@ -402,19 +441,19 @@
 /// The queue starts the smallest prediction first.
 #[test]
 fn a_queue_starts_the_smallest_prediction_first() {
-    let mut core = core(free(), 5, &["m1"]);
-    orders(&mut core, &report("m1", 1, 1, 5, &[]), 0.0);
+    let mut scheduler = scheduler(free(), 5, &["m1"]);
+    orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 0.0);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 1, 8.0),
         0.0,
     );
-    let first = starts(&orders(&mut core, &report("m1", 1, 2, 5, &[]), 0.1));
+    let first = starts(&orders(&mut scheduler, &report("m1", 1, 2, 5, &[]), 0.1));
     for (i, estimate) in [30.0, 5.0].into_iter().enumerate() {
         let mut waiting = spec(&format!("run-{}", i + 2), "t", Urgency::Standard, 1, 8.0);
         waiting.estimate_s = estimate;
-        add(&mut core, waiting, 0.2 + 0.1 * i as f64);
-        core.place_all(0.2 + 0.1 * i as f64);
+        add(&mut scheduler, waiting, 0.2 + 0.1 * i as f64);
+        scheduler.place_all(0.2 + 0.1 * i as f64);
     }
     let done = [(
         first[0].0.as_str(),
@@ -422,7 +461,7 @@
         Phase::Exited,
         Some(Cause::Done),
     )];
-    let next = starts(&orders(&mut core, &report("m1", 1, 3, 5, &done), 0.8));
+    let next = starts(&orders(&mut scheduler, &report("m1", 1, 3, 5, &done), 0.8));
     assert_eq!(next[0].0, "run-3/0");
 }
 
@@ -430,16 +469,16 @@
 #[test]
 fn jobs_that_care_about_zones() {
     for (together, scatter, tasks, most_in_a) in [(true, false, 4, 4), (false, true, 5, 3)] {
-        let mut core = core(free(), 5, &["m1", "m2"]);
+        let mut scheduler = scheduler(free(), 5, &["m1", "m2"]);
         for (id, seq) in [("m1", 1), ("m2", 1)] {
-            orders(&mut core, &report(id, 1, seq, 5, &[]), 0.0);
+            orders(&mut scheduler, &report(id, 1, seq, 5, &[]), 0.0);
         }
         let mut job = spec("run-1", "t", Urgency::Standard, tasks, 1.0);
         (job.one_zone, job.spread) = (together, scatter);
-        add(&mut core, job, 0.0);
+        add(&mut scheduler, job, 0.0);
         let mut n = 0;
         for id in ["m1", "m2"] {
-            n += starts(&orders(&mut core, &report(id, 1, 2, 5, &[]), 1.0)).len();
+            n += starts(&orders(&mut scheduler, &report(id, 1, 2, 5, &[]), 1.0)).len();
         }
         assert_eq!(n, most_in_a, "both machines are in zone a");
     }
@@ -449,20 +488,24 @@
 /// everywhere is no reason to.
 #[test]
 fn bad_machines_and_bad_jobs() {
-    let mut core = core(free(), 5, &["m1"]);
-    orders(&mut core, &report("m1", 1, 1, 5, &[]), 0.0);
+    let mut scheduler = scheduler(free(), 5, &["m1"]);
+    orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 0.0);
     for seq in 2..6 {
         add(
-            &mut core,
+            &mut scheduler,
             spec(&format!("run-{seq}"), "t", Urgency::Standard, 1, 1.0),
             0.0,
         );
         let task = format!("run-{seq}/0");
         let failed = [(task.as_str(), seq, Phase::Exited, Some(Cause::Error))];
-        orders(&mut core, &report("m1", 1, seq, 5, &failed), seq as f64);
+        orders(
+            &mut scheduler,
+            &report("m1", 1, seq, 5, &failed),
+            seq as f64,
+        );
     }
-    core.tick(6.0, 6.0);
-    let standing = core.machines["m1"].status;
+    scheduler.tick(6.0, 6.0);
+    let standing = scheduler.machines["m1"].status;
     assert_eq!(
         standing,
         foxspur::coordination::scheduler::machine::MachineStatus::Draining
@@ -497,35 +540,35 @@
 /// The morning team sees at a glance what is stuck, and why.
 #[test]
 fn the_overview_names_stuck_jobs_and_why() {
-    let mut core = core(vec![team("t", 0.0, 2.0), team("u", 0.0, 0.0)], 5, &["m1"]);
-    orders(&mut core, &report("m1", 1, 1, 5, &[]), 0.0);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 2.0), team("u", 0.0, 0.0)], 5, &["m1"]);
+    orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 0.0);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 1, 2.0),
         0.0,
     );
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-2", "t", Urgency::Standard, 1, 2.0),
         1.0,
     );
     let mut elsewhere = spec("run-3", "u", Urgency::Standard, 1, 2.0);
     elsewhere.zone = Some("b".into());
-    add(&mut core, elsewhere, 2.0);
+    add(&mut scheduler, elsewhere, 2.0);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-4", "u", Urgency::Standard, 1, 2.0),
         2.5,
     );
-    let started = starts(&orders(&mut core, &report("m1", 1, 2, 5, &[]), 3.0));
+    let started = starts(&orders(&mut scheduler, &report("m1", 1, 2, 5, &[]), 3.0));
     let attempt = |job: &str| started.iter().find(|s| s.0 == job).unwrap().1;
     let (first, fourth) = (attempt("run-1/0"), attempt("run-4/0"));
     let shown = [
         ("run-1/0", first, Phase::Running, None),
         ("run-4/0", fourth, Phase::Exited, Some(Cause::Unknown)),
     ];
-    orders(&mut core, &report("m1", 1, 3, 5, &shown), 40.0);
-    let text = core.overview(40.0);
+    orders(&mut scheduler, &report("m1", 1, 3, 5, &shown), 40.0);
+    let text = scheduler.overview(40.0);
     for (job, state, why) in [
         ("run-1", "ok", "all tasks are on machines"),
         ("run-2", "STUCK", "its team is at its limit"),
@@ -538,11 +581,11 @@
 }
 
 /// Asks these machines for a report; the calls fail at once.
-fn ask(core: &mut Scheduler, names: &[&str], now: f64) {
+fn ask(scheduler: &mut Scheduler, names: &[&str], now: f64) {
     for name in names {
         let name = (*name).into();
-        let (_, call) = core.next_direct_call(&name, now).expect("a probe");
-        core.direct_call_finished(&name, &call, CallResult::NotSent, now);
+        let (_, call) = scheduler.next_direct_call(&name, now).expect("a probe");
+        scheduler.direct_call_finished(&name, &call, CallResult::NotSent, now);
     }
 }
 
@@ -553,19 +596,19 @@
     for (silent, given_up) in [(1, 1), (2, 2), (3, 0), (16, 0)] {
         let names: Vec<String> = (0..16).map(|i| format!("m{i}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        let mut core = core(free(), 5, &names);
+        let mut scheduler = scheduler(free(), 5, &names);
         for name in &names[silent..] {
-            orders(&mut core, &report(name, 1, 1, 5, &[]), 0.5);
+            orders(&mut scheduler, &report(name, 1, 1, 5, &[]), 0.5);
         }
         // That they did not come yet says nothing; that they do not answer does.
-        core.tick(2.0, 0.0);
-        assert!(core.machines_given_up(2.4).is_empty());
-        ask(&mut core, &names[..silent], 2.5);
-        core.tick(3.0, 0.0);
-        assert!(core.machines_given_up(3.6).is_empty());
-        ask(&mut core, &names[..silent], 3.7);
+        scheduler.tick(2.0, 0.0);
+        assert!(scheduler.machines_given_up(2.4).is_empty());
+        ask(&mut scheduler, &names[..silent], 2.5);
+        scheduler.tick(3.0, 0.0);
+        assert!(scheduler.machines_given_up(3.6).is_empty());
+        ask(&mut scheduler, &names[..silent], 3.7);
         assert_eq!(
-            core.machines_given_up(3.8).len(),
+            scheduler.machines_given_up(3.8).len(),
             given_up,
             "{silent} silent"
         );
@@ -586,32 +629,32 @@
         (4, 3, 0, 0),
         (5, 0, 0, 0),
     ] {
-        let mut core = core(free(), 5, &[]);
+        let mut scheduler = scheduler(free(), 5, &[]);
         for i in 0..16 {
             let zone = if i < zone_b || i >= 11 + zone_b {
                 "b"
             } else {
                 "a"
             };
-            core.add_recorded_machine(machine(&format!("m{i}"), zone, false), 0.0);
+            scheduler.add_recorded_machine(machine(&format!("m{i}"), zone, false), 0.0);
         }
         for i in silent..16 {
-            orders(&mut core, &report(&format!("m{i}"), 1, 1, 5, &[]), 0.5);
+            orders(&mut scheduler, &report(&format!("m{i}"), 1, 1, 5, &[]), 0.5);
         }
-        core.probe_unfenced(1.0, 64);
-        core.probe_unfenced(1.2, 64);
+        scheduler.probe_unfenced(1.0, 64);
+        scheduler.probe_unfenced(1.2, 64);
         let names: Vec<String> = (0..silent).map(|i| format!("m{i}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        ask(&mut core, &names, 1.2);
-        ask(&mut core, &names, 1.3);
+        ask(&mut scheduler, &names, 1.2);
+        ask(&mut scheduler, &names, 1.3);
         for (now, given_up) in [(2.3, early), (3.0, early), (3.8, late)] {
-            core.tick(now, 0.0);
-            let found = core.machines_given_up(now).len();
+            scheduler.tick(now, 0.0);
+            let found = scheduler.machines_given_up(now).len();
             assert_eq!(found, given_up, "{silent} silent, {zone_b} in b, at {now}");
         }
         // Once placing has begun they are waited for.
-        core.fence.open = true;
-        assert!(core.machines_given_up(3.8).len() <= 2);
+        scheduler.fence.open = true;
+        assert!(scheduler.machines_given_up(3.8).len() <= 2);
     }
 }
 
@@ -620,21 +663,25 @@
 /// (found by the simulation).
 #[test]
 fn a_new_session_has_a_lease_of_its_own() {
-    let mut core = core(free(), 5, &["m1"]);
-    orders(&mut core, &report("m1", 1, 1, 5, &[]), 1.0);
-    core.probe_unfenced(9.0, 9);
+    let mut scheduler = scheduler(free(), 5, &["m1"]);
+    orders(&mut scheduler, &report("m1", 1, 1, 5, &[]), 1.0);
+    scheduler.probe_unfenced(9.0, 9);
     let name = "m1".into();
-    core.machines.get_mut("m1").unwrap().fenced = false;
-    let (_, call) = core.next_direct_call(&name, 9.0).expect("a probe");
-    core.direct_call_finished(
+    scheduler.machines.get_mut("m1").unwrap().fenced = false;
+    let (_, call) = scheduler.next_direct_call(&name, 9.0).expect("a probe");
+    scheduler.direct_call_finished(
         &name,
         &call,
         CallResult::Rejected(report("m1", 2, 2, 5, &[])),
         9.5,
     );
     for (at, listed) in [(11.5, true), (19.5, true), (19.7, false)] {
-        core.tick(at, at);
-        assert_eq!(!core.wanted_machine_record().is_empty(), listed, "{at}");
+        scheduler.tick(at, at);
+        assert_eq!(
+            !scheduler.wanted_machine_record().is_empty(),
+            listed,
+            "{at}"
+        );
     }
 }
 
@@ -642,15 +689,15 @@
 /// see our term (found in an incident's log).
 #[test]
 fn a_machine_that_just_came_up_is_not_given_up() {
-    let mut core = core(free(), 5, &[]);
-    orders(&mut core, &report("m1", 1, 1, 0, &[]), 100.0);
-    core.machine_record_written(&[machine("m1", "a", false)]);
-    core.tick(101.5, 0.0);
-    assert!(core.machines_given_up(103.0).is_empty());
-    ask(&mut core, &["m1"], 103.0);
-    ask(&mut core, &["m1"], 103.1);
-    core.tick(103.5, 0.0);
-    assert_eq!(core.machines_given_up(104.1).len(), 1);
+    let mut scheduler = scheduler(free(), 5, &[]);
+    orders(&mut scheduler, &report("m1", 1, 1, 0, &[]), 100.0);
+    scheduler.machine_record_written(&[machine("m1", "a", false)]);
+    scheduler.tick(101.5, 0.0);
+    assert!(scheduler.machines_given_up(103.0).is_empty());
+    ask(&mut scheduler, &["m1"], 103.0);
+    ask(&mut scheduler, &["m1"], 103.1);
+    scheduler.tick(103.5, 0.0);
+    assert_eq!(scheduler.machines_given_up(104.1).len(), 1);
 }
 
 /// Guards against a job revived by an answer that comes after the watch told of
@@ -668,13 +715,13 @@
         (9, 10, Some(9), true),
         (9, 10, Some(10), false),
     ] {
-        let mut core = core(free(), 5, &["m1"]);
-        core.watched_revision = followed;
-        core.add_job(job(), version, CompletedTasks::default());
+        let mut scheduler = scheduler(free(), 5, &["m1"]);
+        scheduler.watched_revision = followed;
+        scheduler.add_job(job(), version, CompletedTasks::default());
         if let Some(revision) = listed_at {
-            core.reconcile_live_jobs(&Default::default(), revision);
+            scheduler.reconcile_live_jobs(&Default::default(), revision);
         }
-        let known = core.jobs.get("run-1").is_some_and(|j| !j.finished);
+        let known = scheduler.jobs.get("run-1").is_some_and(|j| !j.finished);
         assert_eq!(known, lives, "{followed} {version} {listed_at:?}");
     }
 }
@@ -684,29 +731,33 @@
 /// on (found by the simulation, as ran_twice).
 #[test]
 fn a_task_shown_on_two_machines_starts_again_when_both_are_rid_of_it() {
-    let mut core = core(free(), 5, &["m1", "m2", "m3"]);
+    let mut scheduler = scheduler(free(), 5, &["m1", "m2", "m3"]);
     add(
-        &mut core,
+        &mut scheduler,
         spec("run-1", "t", Urgency::Standard, 1, 2.0),
         0.0,
     );
     let on = |attempt| [("run-1/0", attempt, Phase::Running, None)];
-    orders(&mut core, &report("m1", 1, 1, 5, &on(7)), 1.0);
-    orders(&mut core, &report("m2", 1, 1, 5, &on(8)), 1.1);
-    orders(&mut core, &report("m3", 1, 1, 5, &[]), 1.2);
-    assert_eq!(core.usage().cpus(), 4.0, "both count for the team's limit");
+    orders(&mut scheduler, &report("m1", 1, 1, 5, &on(7)), 1.0);
+    orders(&mut scheduler, &report("m2", 1, 1, 5, &on(8)), 1.1);
+    orders(&mut scheduler, &report("m3", 1, 1, 5, &[]), 1.2);
+    assert_eq!(
+        scheduler.usage().cpus(),
+        4.0,
+        "both count for the team's limit"
+    );
     let mut started = Vec::new();
     for (machine, session, seq, now) in [("m1", 2, 1, 2.0), ("m3", 1, 2, 2.1)] {
-        let orders = orders(&mut core, &report(machine, session, seq, 5, &[]), now);
+        let orders = orders(&mut scheduler, &report(machine, session, seq, 5, &[]), now);
         started.extend(starts(&orders));
-        core.place_all(now);
+        scheduler.place_all(now);
     }
-    assert!(started.is_empty() && core.outbox.iter().all(|n| **n == *"m2"));
-    assert_eq!(core.usage().cpus(), 2.0);
+    assert!(started.is_empty() && scheduler.outbox.iter().all(|n| **n == *"m2"));
+    assert_eq!(scheduler.usage().cpus(), 2.0);
     let gone = [("run-1/0", 8, Phase::Exited, Some(Cause::Stopped))];
-    orders(&mut core, &report("m2", 1, 2, 5, &gone), 3.0);
-    core.place_all(3.0);
-    let now_on = core.jobs.get("run-1").and_then(|j| j.placed.get(&0));
+    orders(&mut scheduler, &report("m2", 1, 2, 5, &gone), 3.0);
+    scheduler.place_all(3.0);
+    let now_on = scheduler.jobs.get("run-1").and_then(|j| j.placed.get(&0));
     assert!(now_on.is_some_and(|(_, attempt)| *attempt > 8));
 }
 
@@ -717,23 +768,23 @@
 #[test]
 fn marks_written_late_replace_nothing() {
     for (tasks, chunked) in [(20, false), (300, true)] {
-        let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         let mut store = Store::default();
         let record = live(spec("run-1", "t", Urgency::Standard, tasks, 1.0), 0.0);
         let key = records::live_key("run-1");
         let added = store
             .apply(&Txn::default().put(&key, &record))
             .expect("new");
-        core.add_job(record, added, CompletedTasks::default());
+        scheduler.add_job(record, added, CompletedTasks::default());
         let mut budget = Budget::new(100.0, 100.0, 0.0);
         let mut batches = Vec::new();
         for (n, index) in [3, 150 % tasks].into_iter().enumerate() {
-            let job = core.jobs.get_mut("run-1").expect("known");
+            let job = scheduler.jobs.get_mut("run-1").expect("known");
             job.set_completed(index);
-            core.unsaved_jobs.insert("run-1".into());
+            scheduler.unsaved_jobs.insert("run-1".into());
             let at = 100.0 * n as f64;
-            core.tick(at, at);
-            let batch = completion_batch::plan(&core, 32, 128, &mut budget, at).expect("due");
+            scheduler.tick(at, at);
+            let batch = completion_batch::plan(&scheduler, 32, 128, &mut budget, at).expect("due");
             assert_eq!(batch.jobs[0].chunked, chunked);
             batches.push(batch);
             if n == 0 {
@@ -742,7 +793,7 @@
             }
             let version = store.apply(&batches[n].txn).expect("written");
             let marks = batches[n].jobs[0].completed.clone();
-            core.completions_written("run-1", &marks, version);
+            scheduler.completions_written("run-1", &marks, version);
         }
         let before = store.list("fx/").len();
         assert!(store.apply(&batches[0].txn).is_err(), "{tasks} tasks");
@@ -755,28 +806,28 @@
 /// while another zone had room.)
 #[test]
 fn a_job_of_one_zone_goes_where_it_fits() {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-    core.add_recorded_machine(machine("m2", "b", false), 0.0);
-    let both = |core: &mut Scheduler, seq: u64, now: f64| {
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+    scheduler.add_recorded_machine(machine("m2", "b", false), 0.0);
+    let both = |scheduler: &mut Scheduler, seq: u64, now: f64| {
         let mut two = report("m2", 1, seq, 5, &[]);
         two.zone = "b".into();
-        let first = orders(core, &report("m1", 1, seq, 5, &[]), now);
-        (first, orders(core, &two, now))
+        let first = orders(scheduler, &report("m1", 1, seq, 5, &[]), now);
+        (first, orders(scheduler, &two, now))
     };
-    both(&mut core, 1, 1.0);
+    both(&mut scheduler, 1, 1.0);
     // All memory of zone a, and few of its CPUs; many CPUs of zone b.
     for (id, cpus, memory_gb, zone) in [("run-1", 1.0, 31.5, "a"), ("run-2", 5.0, 1.0, "b")] {
         let mut job = spec(id, "t", Urgency::High, 1, cpus);
         (job.memory_gb, job.zone) = (memory_gb, Some(zone.into()));
-        add(&mut core, job, 1.0);
+        add(&mut scheduler, job, 1.0);
     }
-    let (first, second) = both(&mut core, 2, 2.0);
+    let (first, second) = both(&mut scheduler, 2, 2.0);
     assert_eq!((starts(&first).len(), starts(&second).len()), (1, 1));
     let mut job = spec("run-3", "t", Urgency::Standard, 2, 1.0);
     (job.memory_gb, job.one_zone) = (4.0, true);
-    add(&mut core, job, 2.0);
-    core.place_all(2.5);
-    let on: Vec<&str> = (core.jobs["run-3"].placed.values())
+    add(&mut scheduler, job, 2.0);
+    scheduler.place_all(2.5);
+    let on: Vec<&str> = (scheduler.jobs["run-3"].placed.values())
         .map(|(m, _)| &**m)
         .collect();
     assert_eq!(on, ["m2", "m2"]);
--- a/tests/simulation/leader.rs
+++ b/tests/simulation/leader.rs
@@ -21,11 +21,11 @@
             }
             let core_lost = self.owners[o].1 - LINGER_S;
             {
-                let core = &mut self.owners[o].0;
+                let scheduler = &mut self.owners[o].0;
                 let confirmed = if o == last { now } else { core_lost };
-                core.tick(now, confirmed);
-                core.probe_unfenced(now, 64);
-                core.place_all(now);
+                scheduler.tick(now, confirmed);
+                scheduler.probe_unfenced(now, 64);
+                scheduler.place_all(now);
             }
             for name in std::mem::take(&mut self.owners[o].0.outbox) {
                 let Some((_, call)) = self.owners[o].0.next_direct_call(&name, now) else {
@@ -61,8 +61,8 @@
             }
             if o == last {
                 self.write_record(o);
-                let core = &mut self.owners[o].0;
-                for (drain, version) in core.proven_drains(0, 9) {
+                let scheduler = &mut self.owners[o].0;
+                for (drain, version) in scheduler.proven_drains(0, 9) {
                     let (host, known) = (drain.host.clone(), self.drains.get(&drain.host));
                     if self.rng.random_bool(0.5) && known.is_some_and(|d| d.1 == version) {
                         self.version += 1;
@@ -77,11 +77,11 @@
                     }
                 }
                 if now >= self.hears_at {
-                    core.set_drains(&self.drains);
+                    scheduler.set_drains(&self.drains);
                 }
-                if core.needs_higher_term(now) {
+                if scheduler.needs_higher_term(now) {
                     self.term += TOKENS_PER_TERM;
-                    core.raise_term(self.term);
+                    scheduler.raise_term(self.term);
                 }
             }
         }
@@ -90,9 +90,9 @@
         self.owners
             .retain(|(c, until)| c.fence.base_term == last_base || now < *until);
         let alone = self.owners.len() == 1;
-        if let Some((core, _)) = self.owners.last_mut() {
-            if alone && core.fence.former_leaders_silent_since.is_none() {
-                core.fence.former_leaders_silent_since = Some(now);
+        if let Some((scheduler, _)) = self.owners.last_mut() {
+            if alone && scheduler.fence.former_leaders_silent_since.is_none() {
+                scheduler.fence.former_leaders_silent_since = Some(now);
             }
         }
     }
@@ -112,16 +112,16 @@
         if fate == Fate::Refused || held.is_some_and(|until| self.now < *until) {
             return;
         }
-        let core = &mut self.owners[o].0;
+        let scheduler = &mut self.owners[o].0;
         let Some((_, marks, version)) = self.live.get(&**id) else {
-            core.finish_job(id);
+            scheduler.finish_job(id);
             return;
         };
-        let Some(job) = core.jobs.get(id) else {
+        let Some(job) = scheduler.jobs.get(id) else {
             return;
         };
         if job.version != *version {
-            core.reload_job(id, *version, &marks.clone());
+            scheduler.reload_job(id, *version, &marks.clone());
             return;
         }
         let write = LateMarks {
@@ -146,10 +146,10 @@
             return;
         }
         let version = self.version;
-        let core = &mut self.owners[o].0;
-        core.completions_written(id, &done, version);
+        let scheduler = &mut self.owners[o].0;
+        scheduler.completions_written(id, &done, version);
         if complete {
-            core.finish_job(id);
+            scheduler.finish_job(id);
         }
     }
 
@@ -190,17 +190,21 @@
     fn write_record(&mut self, o: usize) {
         let lags = self.record_lags_until > self.now && self.rng.random_bool(0.97);
         let fate = self.fate();
-        let core = &mut self.owners[o].0;
-        if !core.machine_record_dirty || lags || matches!(fate, Fate::Refused | Fate::Late) {
+        let scheduler = &mut self.owners[o].0;
+        if !scheduler.machine_record_dirty || lags || matches!(fate, Fate::Refused | Fate::Late) {
             return;
         }
-        self.record = core.wanted_machine_record().into_iter().cloned().collect();
+        self.record = scheduler
+            .wanted_machine_record()
+            .into_iter()
+            .cloned()
+            .collect();
         if fate == Fate::AnswerLost {
             self.met.add(Meeting::RecordAnswerLost, 1);
             return;
         }
-        core.machine_record_dirty = false;
-        core.machine_record_written(&self.record);
+        scheduler.machine_record_dirty = false;
+        scheduler.machine_record_written(&self.record);
     }
 
     /// Old reports arrive at a new owner: before and after newer ones of their machines.
@@ -238,18 +242,18 @@
         let teams = TEAMS.iter().zip(self.limits);
         let teams = teams.map(|(name, limit)| team(name, 0.0, limit)).collect();
         let fence = Fence::new(self.term, quiet);
-        let mut core = Scheduler::new(params(teams), self.term, fence, self.term);
-        core.set_types(&types());
-        core.set_drains(&self.drains);
+        let mut scheduler = Scheduler::new(scheduler_config(teams), self.term, fence, self.term);
+        scheduler.set_types(&types());
+        scheduler.set_drains(&self.drains);
         for info in &self.record {
-            core.add_recorded_machine(info.clone(), self.now);
+            scheduler.add_recorded_machine(info.clone(), self.now);
         }
         for (record, marks, version) in self.live.values() {
             let mut record = record.clone();
             record.done = marks.to_text();
-            core.add_job(record, *version, CompletedTasks::default());
+            scheduler.add_job(record, *version, CompletedTasks::default());
         }
-        self.owners.push((core, f64::MAX));
+        self.owners.push((scheduler, f64::MAX));
     }
 
     /// Owners hear of new jobs.
@@ -262,8 +266,8 @@
         for (_, base, record, version) in due {
             // Changes come in order: one that is over is not news any more.
             if self.live.contains_key(&record.spec.id) {
-                if let Some(core) = self.owner(base) {
-                    core.add_job(record, version, CompletedTasks::default());
+                if let Some(scheduler) = self.owner(base) {
+                    scheduler.add_job(record, version, CompletedTasks::default());
                 }
             }
         }
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -140,23 +140,23 @@
 
 /// What is kept up with every change must equal a count from the beginning:
 /// limits hang on the one, the fence on the other.
-fn kept_counts_are_right(core: &Scheduler) {
-    assert!((core.usage().cpus() - core.count_usage().cpus()).abs() < 1e-6);
-    if let Some(awaited) = core.unfenced_count() {
-        let all = core
+fn kept_counts_are_right(scheduler: &Scheduler) {
+    assert!((scheduler.usage().cpus() - scheduler.count_usage().cpus()).abs() < 1e-6);
+    if let Some(awaited) = scheduler.unfenced_count() {
+        let all = scheduler
             .machines
             .values()
             .filter(|m| m.blocks_placement())
             .count();
-        assert_eq!(awaited, all, "term {}", core.term);
+        assert_eq!(awaited, all, "term {}", scheduler.term);
     }
     let runs = |a: &&Attempt| a.running_since.is_some() && !a.has_exited();
-    let active = core.machines.values().flat_map(|m| &m.attempts);
-    let running = active.filter(|((task, _), a)| {
-        runs(a) && (core.jobs.get(&task.job)).is_some_and(|j| task.index < j.spec.tasks)
+    let active = scheduler.machines.values().flat_map(|m| &m.attempts);
+    let running = active.filter(|(id, a)| {
+        runs(a) && (scheduler.jobs.get(&id.task.job)).is_some_and(|j| id.task.index < j.spec.tasks)
     });
-    let kept: u32 = core.jobs.values().map(|j| j.running).sum();
-    let strangers = core.machines.values().any(|m| m.unknown_attempts > 0);
+    let kept: u32 = scheduler.jobs.values().map(|j| j.running).sum();
+    let strangers = scheduler.machines.values().any(|m| m.unknown_attempts > 0);
     assert!(strangers || running.count() == kept as usize);
 }
 
@@ -218,9 +218,9 @@
                 (record.clone(), CompletedTasks::default(), version),
             );
             // Each owner hears of it in its own time, a former one perhaps first.
-            for (core, _) in &simulation.owners {
+            for (scheduler, _) in &simulation.owners {
                 let at = now + simulation.rng.random_range(0.0..3.0);
-                let base = core.fence.base_term;
+                let base = scheduler.fence.base_term;
                 simulation.unheard.push((at, base, record.clone(), version));
             }
             ids.insert(id);
@@ -302,8 +302,8 @@
         simulation.late_marks_arrive();
         simulation.deliver();
         simulation.workers_step();
-        for (core, _) in &simulation.owners {
-            kept_counts_are_right(core);
+        for (scheduler, _) in &simulation.owners {
+            kept_counts_are_right(scheduler);
         }
         simulation.owners_step();
         for worker in &simulation.workers {
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -1,6 +1,7 @@
 //! The network between leaders and workers: it delays, drops, holds back and repeats.
 
 use super::*;
+use foxspur::coordination::scheduler::machine::MessageId;
 
 impl Simulation {
     pub(crate) fn delay(&mut self) -> f64 {
@@ -142,7 +143,7 @@
                         self.note_old_report(w, base, &report);
                     }
                     let answer = match self.owner(base) {
-                        Some(core) => core.handle_heartbeat(&report, now),
+                        Some(scheduler) => scheduler.handle_heartbeat(&report, now),
                         None => continue,
                     };
                     if let (HeartbeatReply::Commands(reply), true) = (answer, sent != COPY) {
@@ -202,8 +203,8 @@
                 }
                 Message::Called(w, base, call, result) => {
                     let name = self.workers[w].id.as_str().into();
-                    if let Some(core) = self.owner(base) {
-                        core.direct_call_finished(&name, &call, result, now);
+                    if let Some(scheduler) = self.owner(base) {
+                        scheduler.direct_call_finished(&name, &call, result, now);
                     }
                 }
             }
@@ -213,8 +214,8 @@
     /// Counts what an old report meets.
     fn note_old_report(&mut self, w: usize, base: u64, report: &Report) {
         let known = self.owners.iter().find(|o| o.0.fence.base_term == base);
-        let machine = known.and_then(|(core, _)| core.machines.get(&*report.machine));
-        let first = machine.is_some_and(|m| m.last_message == (0, 0));
+        let machine = known.and_then(|(scheduler, _)| scheduler.machines.get(&*report.machine));
+        let first = machine.is_some_and(|m| m.last_message == MessageId::NONE);
         let worker = &self.workers[w];
         let gone = |t: &Shown| !worker.tasks.contains_key(&(t.task.clone(), t.attempt));
         let earlier = report.session < worker.session;
--- a/tests/simulation/trouble.rs
+++ b/tests/simulation/trouble.rs
@@ -63,8 +63,8 @@
         self.met.add(Meeting::CancelAtLimits, usize::from(limits));
         self.live.remove(id);
         self.over.insert(id.to_string(), (now, true));
-        if let Some((core, _)) = self.owners.last_mut() {
-            core.finish_job(id);
+        if let Some((scheduler, _)) = self.owners.last_mut() {
+            scheduler.finish_job(id);
         }
     }
 
@@ -122,8 +122,9 @@
     /// All owners stand still for longer than a lease.
     pub(crate) fn all_go_away(&mut self) {
         self.away_until = self.now + self.rng.random_range(1.2..2.5) * LEASE_S;
-        for (core, _) in &self.owners {
-            self.paused.insert(core.fence.base_term, self.away_until);
+        for (scheduler, _) in &self.owners {
+            self.paused
+                .insert(scheduler.fence.base_term, self.away_until);
         }
     }
 
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -21,12 +21,12 @@
     }
 }
 
-/// The machines on which the core starts tasks when it places them and is heard of again.
-fn starts(core: &mut Scheduler, now: f64) -> Vec<String> {
-    core.place_all(now);
+/// The machines on which the scheduler starts tasks when it places them and is heard of again.
+fn starts(scheduler: &mut Scheduler, now: f64) -> Vec<String> {
+    scheduler.place_all(now);
     let mut found = Vec::new();
     for machine in ["m-a", "m-b", "m-c"] {
-        let call = core.next_direct_call(&machine.into(), now);
+        let call = scheduler.next_direct_call(&machine.into(), now);
         let commands = call.map(|(_, call)| call.commands).unwrap_or_default();
         if commands.iter().any(|c| matches!(c, Command::Start { .. })) {
             found.push(machine.to_string());
@@ -40,13 +40,13 @@
 /// (Seed 3825 of tests/simulation.)
 #[test]
 fn tasks_that_must_be_together_wait_until_it_is_known_where_they_are() {
-    let mut core = core(vec![team("t", 0.0, 0.0)], 5, &[]);
-    core.add_recorded_machine(machine("m-a", "a", false), 0.0);
-    core.add_recorded_machine(machine("m-b", "b", false), 0.0);
-    core.add_recorded_machine(machine("m-c", "b", false), 0.0);
+    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &[]);
+    scheduler.add_recorded_machine(machine("m-a", "a", false), 0.0);
+    scheduler.add_recorded_machine(machine("m-b", "b", false), 0.0);
+    scheduler.add_recorded_machine(machine("m-c", "b", false), 0.0);
     let mut job = spec("run-1", "t", Urgency::Standard, 3, 1.0);
     job.one_zone = true;
-    core.add_job(live(job, 0.0), 1, CompletedTasks::default());
+    scheduler.add_job(live(job, 0.0), 1, CompletedTasks::default());
     let reports = [
         running("m-a", "a", 1, &[("run-1/0", 1)]),
         running("m-b", "b", 1, &[("run-1/1", 2)]),
@@ -54,14 +54,14 @@
     ];
     for report in &reports {
         assert!(matches!(
-            core.handle_heartbeat(report, 1.0),
+            scheduler.handle_heartbeat(report, 1.0),
             HeartbeatReply::Commands(_)
         ));
     }
-    assert!(core.fencing_complete());
-    assert_eq!(starts(&mut core, 1.1), Vec::<String>::new());
-    core.handle_heartbeat(&running("m-a", "a", 2, &[]), 2.0);
-    let found = starts(&mut core, 2.1);
+    assert!(scheduler.fencing_complete());
+    assert_eq!(starts(&mut scheduler, 1.1), Vec::<String>::new());
+    scheduler.handle_heartbeat(&running("m-a", "a", 2, &[]), 2.0);
+    let found = starts(&mut scheduler, 2.1);
     assert!(!found.is_empty(), "nothing starts");
     assert!(!found.contains(&"m-a".into()), "{found:?}");
 }
