--- a/crates/plan/examples/calibrate.rs
+++ b/crates/plan/examples/calibrate.rs
@@ -13,13 +13,13 @@
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Team;
 use foxspur::storage::records::MachineInfo;
-use foxspur_plan::plan::due_s;
-use foxspur_plan::sim::{run, Outcome, Script};
+use foxspur_plan::samples::late_jobs;
+use foxspur_plan::scenario::Scenario;
+use foxspur_plan::simulation::run;
 use foxspur_plan::{plan, Options, Order};
 use plotters::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use std::collections::BTreeSet;
 use std::path::PathBuf;
 use std::time::Instant;
 
@@ -173,14 +173,6 @@
     }
 }
 
-fn late(share: &Snapshot, outcome: &Outcome) -> BTreeSet<String> {
-    let late = share.jobs.iter().filter(|j| {
-        let done_s = outcome.jobs.get(&j.spec.id).and_then(|e| e.done_s);
-        due_s(share, j).is_some_and(|due| due > 0.0 && done_s.unwrap_or(HORIZON_S) > due)
-    });
-    late.map(|j| j.spec.id.clone()).collect()
-}
-
 /// Jobs that arrive in the real run.
 fn arrivals(args: &Args, rng: &mut StdRng) -> Vec<(f64, JobSpec)> {
     let mut arrivals = Vec::new();
@@ -252,14 +244,14 @@
         // What really happens: other draws, perhaps of another distribution.
         let mut real = share.clone();
         real.errors = ratios(args.drift);
-        let mut script = Script {
+        let mut scenario = Scenario {
             horizon_s: HORIZON_S,
             arrivals: arrivals(&args, &mut rng),
-            ..Script::default()
+            ..Scenario::default()
         };
         let seed = 1_000_000_007 + n;
-        let without = late(&real, &run(&real, &script, seed));
-        script.drains = order
+        let without = late_jobs(&real, &run(&real, &scenario, seed), HORIZON_S);
+        scenario.drains = order
             .hosts
             .iter()
             .map(|host| {
@@ -277,8 +269,8 @@
                 (0.0, drain)
             })
             .collect();
-        let outcome = run(&real, &script, seed);
-        let with = late(&real, &outcome);
+        let outcome = run(&real, &scenario, seed);
+        let with = late_jobs(&real, &outcome, HORIZON_S);
         for host in &made.hosts {
             overdue.0 += host.overdue;
             let late = outcome.drained_s.get(&host.host).is_none_or(|t| *t > 120.0);
--- a/crates/plan/src/html.rs
+++ b/crates/plan/src/html.rs
@@ -1,6 +1,6 @@
-//! A plan as one self-contained HTML file: figures, tables, pictures.
+//! A plan as one self-contained HTML file: figures, tables and pictures (SVG).
 
-use crate::plan::{JobPlan, Plan, Variant};
+use crate::plan::{HostPlan, JobPlan, Plan, Range, Variant};
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::fmt::Write;
@@ -8,12 +8,14 @@
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Drawn = Result<(), Box<dyn std::error::Error>>;
 
+/// Size of a picture, in pixels.
 const SIZE: (u32, u32) = (900, 320);
-/// Machines in the timeline, and rows in a table, at most.
-const LANES: usize = 24;
-const ROWS: usize = 200;
+/// The most machines in the timeline, and classes in a chart.
+const MAX_LANES: usize = 24;
+/// The most rows in a table.
+const MAX_ROWS: usize = 200;
 
-/// Text that is not ours, made safe to stand in HTML.
+/// Text with the characters replaced that have a meaning in HTML.
 fn escaped(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for c in text.chars() {
@@ -47,7 +49,7 @@
 
 /// What runs on each drained machine in the first run, until it is empty.
 fn timeline(plan: &Plan) -> String {
-    let lanes: Vec<_> = plan.picture.machines.iter().take(LANES).collect();
+    let lanes: Vec<_> = plan.picture.machines.iter().take(MAX_LANES).collect();
     let end = plan.picture.drained_s.values().copied().fold(1.0, f64::max) * 1.1;
     let end = end
         .min(plan.options.horizon_s)
@@ -73,11 +75,11 @@
             .y_label_formatter(&name)
             .x_desc("seconds from the snapshot")
             .draw()?;
-        for (lane, (host, past)) in lanes.iter().enumerate() {
+        for (lane, (host, spans)) in lanes.iter().enumerate() {
             let y = (lanes.len() - 1 - lane) as f64;
-            for (from, to, _, done) in past.iter() {
-                let colour = if *done { &GREEN } else { &RED };
-                let (from, to) = (from.max(0.0), to.min(end));
+            for span in spans.iter() {
+                let colour = if span.completed { &GREEN } else { &RED };
+                let (from, to) = (span.from_s.max(0.0), span.to_s.min(end));
                 if from < to {
                     let bar = [(from, y - 0.35), (to, y + 0.35)];
                     chart.draw_series([Rectangle::new(bar, colour.mix(0.25).filled())])?;
@@ -129,7 +131,7 @@
 
 /// Late jobs by class, without and with the drain.
 fn lateness(plan: &Plan) -> String {
-    let classes: Vec<_> = plan.classes.iter().take(LANES).collect();
+    let classes: Vec<_> = plan.classes.iter().take(MAX_LANES).collect();
     let most = classes
         .iter()
         .map(|c| c.late_with.max(c.late_without))
@@ -188,34 +190,65 @@
     text
 }
 
-fn job_row(j: &JobPlan) -> Vec<String> {
+/// Quantiles of a time, or that it never comes.
+fn quantiles(range: Option<Range>) -> String {
+    range.map_or("never".into(), |r| format!("{:.0} / {:.0}", r.p50, r.p90))
+}
+
+fn host_row(host: &HostPlan) -> Vec<String> {
     vec![
-        j.id.clone(),
-        j.class.clone(),
-        percent(j.late_because),
-        percent(j.late_anyway),
-        percent(j.moved),
-        percent(j.waits),
-        format!("{:.0}", j.later_s),
-        format!("{:.0}", j.lost_cpu_s),
+        host.host.clone(),
+        host.zone.clone(),
+        host.tasks.to_string(),
+        quantiles(host.drained_s),
+        percent(host.overdue),
     ]
 }
 
-fn variant_row(v: &Variant) -> Vec<String> {
-    let drained = v.drained_s.map_or("never".to_string(), |r| {
-        format!("{:.0} / {:.0}", r.p50, r.p90)
-    });
+fn job_row(job: &JobPlan) -> Vec<String> {
     vec![
-        v.name.clone(),
-        format!("{:.2}", v.late),
-        percent(v.any_late),
-        format!("{:.0}", v.lost_cpu_s),
-        drained,
-        percent(v.overdue),
+        job.id.clone(),
+        job.class.clone(),
+        percent(job.late_because),
+        percent(job.late_anyway),
+        percent(job.moved),
+        percent(job.waits),
+        format!("{:.0}", job.later_s),
+        format!("{:.0}", job.lost_cpu_s),
     ]
 }
 
-const VARIANT: [&str; 6] = [
+fn variant_row(variant: &Variant) -> Vec<String> {
+    vec![
+        variant.name.clone(),
+        format!("{:.2}", variant.late),
+        percent(variant.any_late),
+        format!("{:.0}", variant.lost_cpu_s),
+        quantiles(variant.drained_s),
+        percent(variant.overdue),
+    ]
+}
+
+const HOST_HEAD: [&str; 5] = [
+    "machine",
+    "zone",
+    "tasks now",
+    "drained after, s (p50 / p90)",
+    "overdue",
+];
+
+const JOB_HEAD: [&str; 8] = [
+    "job",
+    "class",
+    "late because of it",
+    "late anyway",
+    "moved",
+    "waits",
+    "ends later, s",
+    "CPU s lost",
+];
+
+const VARIANT_HEAD: [&str; 6] = [
     "way",
     "deadlines missed because of it",
     "runs with any",
@@ -224,18 +257,28 @@
     "overdue",
 ];
 
+const PAGE_HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>foxspur: plan of a drain</title>\
+    <style>body{font:15px/1.4 sans-serif;margin:2em auto;max-width:60em;color:#222}\
+    table{border-collapse:collapse;margin:.5em 0 1.5em}td,th{border:1px solid #ccc;padding:.2em .6em;text-align:left}\
+    th{background:#f2f2f2}svg{max-width:100%}</style></head><body>";
+
 /// The plan as HTML.
 pub fn html(plan: &Plan) -> String {
-    let mut page = String::from(
-        "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>foxspur: plan of a drain</title>\
-         <style>body{font:15px/1.4 sans-serif;margin:2em auto;max-width:60em;color:#222}\
-         table{border-collapse:collapse;margin:.5em 0 1.5em}td,th{border:1px solid #ccc;padding:.2em .6em;text-align:left}\
-         th{background:#f2f2f2}svg{max-width:100%}</style></head><body>",
-    );
-    let _ = write!(
-        page,
+    let mut page = String::from(PAGE_HEAD);
+    page.push_str(&introduction(plan));
+    page.push_str(&tables(plan));
+    page.push_str(&pictures(plan));
+    page.push_str("</body></html>\n");
+    page
+}
+
+/// What was planned, and the most important figures.
+fn introduction(plan: &Plan) -> String {
+    format!(
         "<h1>Plan: drain {}</h1><p>Made from the state of term {}, revision {}: {} machines, {} live jobs. \
-         {} runs of {:.0} s, each with and without the drain, under the same draws; the draws are simulated.</p>",
+         {} runs of {:.0} s, each with and without the drain, under the same draws; the draws are simulated.</p>\
+         <p>Deadlines missed because of the drain: <b>{:.2}</b> on average; {} of the runs miss any. What is \
+         not named below happens with a probability below {:.1}% (at 95%).</p>",
         escaped(&plan.order.hosts.join(", ")),
         plan.term,
         plan.revision,
@@ -243,69 +286,43 @@
         plan.jobs_live,
         plan.options.samples,
         plan.options.horizon_s,
-    );
-    let _ = write!(
-        page,
-        "<p>Deadlines missed because of the drain: <b>{:.2}</b> on average; {} of the runs miss any. What is \
-         not named below happens with a probability below {:.1}% (at 95%).</p>",
         plan.all.late,
         percent(plan.all.any_late),
         plan.unnamed_below * 100.0,
-    );
-    page.push_str("<h2>Machines</h2>");
-    page.push_str(&table(
-        &[
-            "machine",
-            "zone",
-            "tasks now",
-            "drained after, s (p50 / p90)",
-            "overdue",
-        ],
-        plan.hosts.iter().take(ROWS).map(|h| {
-            let drained = h.drained_s.map_or("never".to_string(), |r| {
-                format!("{:.0} / {:.0}", r.p50, r.p90)
-            });
-            let tasks = h.tasks.to_string();
-            vec![
-                h.host.clone(),
-                h.zone.clone(),
-                tasks,
-                drained,
-                percent(h.overdue),
-            ]
-        }),
-    ));
-    page.push_str("<h2>Jobs</h2>");
-    let head = [
-        "job",
-        "class",
-        "late because of it",
-        "late anyway",
-        "moved",
-        "waits",
-        "ends later, s",
-        "CPU s lost",
-    ];
-    page.push_str(&table(&head, plan.jobs.iter().take(ROWS).map(job_row)));
-    if plan.jobs.len() > ROWS {
-        let _ = write!(page, "<p>and {} more</p>", plan.jobs.len() - ROWS);
+    )
+}
+
+/// Tables of machines, jobs and variants.
+fn tables(plan: &Plan) -> String {
+    let mut text = String::from("<h2>Machines</h2>");
+    let hosts = plan.hosts.iter().take(MAX_ROWS).map(host_row);
+    text.push_str(&table(&HOST_HEAD, hosts));
+    text.push_str("<h2>Jobs</h2>");
+    let jobs = plan.jobs.iter().take(MAX_ROWS).map(job_row);
+    text.push_str(&table(&JOB_HEAD, jobs));
+    if plan.jobs.len() > MAX_ROWS {
+        let _ = write!(text, "<p>and {} more</p>", plan.jobs.len() - MAX_ROWS);
     }
     for (name, variants) in [
         ("When to start", &plan.starts),
         ("If something fails meanwhile", &plan.failures),
     ] {
         if !variants.is_empty() {
-            let _ = write!(page, "<h2>{name}</h2>");
-            page.push_str(&table(&VARIANT, variants.iter().map(variant_row)));
+            let _ = write!(text, "<h2>{name}</h2>");
+            text.push_str(&table(&VARIANT_HEAD, variants.iter().map(variant_row)));
         }
     }
-    page.push_str("<h2>One run in pictures</h2><h3>The drained machines</h3>");
-    page.push_str("<p>Green ends by itself, red is moved or goes on; blue line: the drain begins, black: proven empty.</p>");
-    page.push_str(&timeline(plan));
-    page.push_str("<h3>Free capacity</h3>");
-    page.push_str(&capacity(plan));
-    page.push_str("<h3>Late jobs by class</h3><p>Blue without, red with the drain.</p>");
-    page.push_str(&lateness(plan));
-    page.push_str("</body></html>\n");
-    page
+    text
+}
+
+/// The first sample in pictures.
+fn pictures(plan: &Plan) -> String {
+    let mut text = String::from("<h2>One run in pictures</h2><h3>The drained machines</h3>");
+    text.push_str("<p>Green ends by itself, red is moved or goes on; blue line: the drain begins, black: proven empty.</p>");
+    text.push_str(&timeline(plan));
+    text.push_str("<h3>Free capacity</h3>");
+    text.push_str(&capacity(plan));
+    text.push_str("<h3>Late jobs by class</h3><p>Blue without, red with the drain.</p>");
+    text.push_str(&lateness(plan));
+    text
 }
--- a/crates/plan/src/machine.rs
+++ b/crates/plan/src/machine.rs
@@ -1,116 +1,74 @@
-//! A stand-in machine: runs what it is told to, as the protocol describes it,
-//! and reports whenever something changed.
+//! A simulated machine: it executes commands as the protocol describes, and its attempts pass
+//! through their phases: fetching, running, (saving,) exited.
 
-use foxspur::protocol::job::{JobSpec, Shape};
+use crate::cluster::{AttemptKey, Cluster, TaskKey};
+use crate::scenario::{Span, TaskStart};
+use foxspur::protocol::job::Shape;
 use foxspur::protocol::worker::{Cause, Command, Phase, Report, Shown};
 use foxspur::storage::records::MachineInfo;
-use std::collections::{BTreeMap, HashMap, HashSet};
-use std::rc::Rc;
+use std::collections::{BTreeMap, HashSet};
 
-use crate::draw::Draws;
+/// The slowest fetch of images, in gigabytes a second; avoids a division by 0.
+const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
-/// A task on it.
+/// An attempt on a machine. Times are seconds from the snapshot.
 #[derive(Debug, Clone)]
-pub struct Task {
-    pub phase: Phase,
-    pub cause: Option<Cause>,
-    /// When it came into this phase, and when that ends by itself.
-    pub since: f64,
-    pub until: f64,
-    /// How much of it was done before it came here.
-    pub before_s: f64,
+struct Attempt {
+    phase: Phase,
+    cause: Option<Cause>,
+    /// When it entered this phase.
+    since: f64,
+    /// When the phase ends by itself.
+    until: f64,
+    /// Seconds of work that were done before `since`.
+    done_before_s: f64,
 }
 
-/// What a machine needs to know of a job.
-pub struct JobFacts {
-    pub spec: Rc<JobSpec>,
-    pub predicted_s: f64,
-}
-
-/// What all machines of a run share.
-pub struct Book {
-    pub jobs: HashMap<String, JobFacts>,
-    /// How much of a stopped task was kept, by job and number.
-    pub kept: HashMap<(String, u32), f64>,
-    pub draws: Draws,
-    /// CPU seconds lost by stopping.
-    pub lost: HashMap<String, f64>,
-    /// Starts, in the order in which they came: machine, job, number.
-    pub starts: Vec<(f64, String, String, u32)>,
-    /// Attempts of each task that are on machines, CPUs of each team, its limit.
-    pub on: HashMap<(String, u32), u32>,
-    pub used: HashMap<String, f64>,
-    pub limits: HashMap<String, f64>,
-    /// Starts that the rules forbid: none, or the plan is worth nothing.
-    pub broken: Vec<String>,
-}
-
-impl Book {
-    /// An attempt comes onto a machine.
-    fn comes(&mut self, key: &(String, u32, u64), machine: &MachineInfo) {
-        let spec = self.jobs[&key.0].spec.clone();
-        let on = self.on.entry((key.0.clone(), key.1)).or_default();
-        *on += 1;
-        if *on > 1 {
-            self.broken
-                .push(format!("{}/{} is on {on} machines", key.0, key.1));
-        }
-        let used = self.used.entry(spec.team.clone()).or_default();
-        *used += spec.cpus;
-        let limit = self.limits.get(&spec.team).copied().unwrap_or(0.0);
-        if limit > 0.0 && *used > limit + 1e-6 {
-            self.broken
-                .push(format!("{} uses {used} of {limit} CPUs", spec.team));
-        }
-        let kind = spec
-            .types
-            .as_ref()
-            .is_none_or(|t| t.contains(&machine.kind));
-        let zone = spec.zone.as_ref().is_none_or(|z| *z == machine.zone);
-        if !kind || !zone || machine.spot && !spec.spot {
-            self.broken
-                .push(format!("{} may not start on {}", key.0, machine.id));
-        }
-    }
-
-    /// It is gone from there.
-    fn goes(&mut self, key: &(String, u32, u64)) {
-        let spec = self.jobs[&key.0].spec.clone();
-        if let Some(on) = self.on.get_mut(&(key.0.clone(), key.1)) {
-            *on = on.saturating_sub(1);
-        }
-        *self.used.entry(spec.team.clone()).or_default() -= spec.cpus;
+impl Attempt {
+    fn is_open(&self) -> bool {
+        self.phase != Phase::Exited
     }
 }
 
-/// The machine.
-pub struct Machine {
+/// A machine.
+pub(crate) struct Machine {
     pub info: MachineInfo,
-    pub session: u64,
-    pub seq: u64,
+    session: u64,
+    heartbeat_number: u64,
     pub token: u64,
-    pub fetch_gb_per_s: f64,
-    pub images: HashSet<String>,
-    pub tasks: BTreeMap<(String, u32, u64), Task>,
+    fetch_gb_per_s: f64,
+    /// Images in its cache.
+    images: HashSet<String>,
+    attempts: BTreeMap<AttemptKey, Attempt>,
     pub dead: bool,
-    /// What ran here, for the timeline: from, to, job, whether it ended done.
-    pub past: Vec<(f64, f64, String, bool)>,
-}
-
-fn parse(task: &str) -> Option<(String, u32)> {
-    let (job, index) = task.rsplit_once('/')?;
-    Some((job.into(), index.parse().ok()?))
+    /// What ran here and has ended.
+    spans: Vec<Span>,
 }
 
 impl Machine {
-    /// Its report now.
-    pub fn report(&mut self) -> Report {
-        self.seq += 1;
-        let shown = self.tasks.iter().map(|((job, index, attempt), t)| Shown {
-            task: format!("{job}/{index}"),
-            attempt: *attempt,
-            phase: t.phase,
-            cause: t.cause,
+    /// A machine with nothing on it.
+    pub fn new(info: MachineInfo, session: u64, token: u64, fetch_gb_per_s: f64) -> Machine {
+        Machine {
+            info,
+            session,
+            heartbeat_number: 0,
+            token,
+            fetch_gb_per_s,
+            images: HashSet::new(),
+            attempts: BTreeMap::new(),
+            dead: false,
+            spans: Vec::new(),
+        }
+    }
+
+    /// Its heartbeat now.
+    pub fn heartbeat(&mut self) -> Report {
+        self.heartbeat_number += 1;
+        let tasks = self.attempts.iter().map(|(key, attempt)| Shown {
+            task: format!("{}/{}", key.task.job, key.task.index),
+            attempt: key.number,
+            phase: attempt.phase,
+            cause: attempt.cause,
             saved: None,
         });
         Report {
@@ -120,189 +78,218 @@
             zone: self.info.zone.clone(),
             spot: self.info.spot,
             session: self.session,
-            seq: self.seq,
+            seq: self.heartbeat_number,
             token: self.token,
             notice_s: None,
-            tasks: shown.collect(),
+            tasks: tasks.collect(),
         }
     }
 
-    /// Whether it shows tasks that have ended.
-    pub fn ended(&self) -> bool {
-        self.tasks.values().any(|t| t.phase == Phase::Exited)
+    /// Whether it reports attempts that have ended.
+    pub fn has_exited_attempts(&self) -> bool {
+        self.attempts.values().any(|attempt| !attempt.is_open())
     }
 
-    /// When something next happens by itself.
-    pub fn next(&self) -> f64 {
-        let open = self.tasks.values().filter(|t| t.phase != Phase::Exited);
-        open.map(|t| t.until).fold(f64::INFINITY, f64::min)
+    /// When something next happens by itself; infinite if nothing does.
+    pub fn next_event(&self) -> f64 {
+        let open = self.attempts.values().filter(|attempt| attempt.is_open());
+        open.map(|attempt| attempt.until)
+            .fold(f64::INFINITY, f64::min)
     }
 
-    /// The time from which on the task runs, until it ends by itself.
-    fn run(&self, key: &(String, u32, u64), from: f64, before_s: f64, book: &Book) -> Task {
-        let facts = &book.jobs[&key.0];
-        let spec = &facts.spec;
-        let until = if spec.shape == Shape::Service {
-            f64::INFINITY
-        } else {
-            let all = book
-                .draws
-                .run_s(&spec.class, &key.0, key.1, facts.predicted_s, before_s);
-            from + all - before_s
-        };
-        Task {
-            phase: Phase::Running,
-            cause: None,
-            since: from,
-            until,
-            before_s,
-        }
+    /// What ran here until `end_s`, with what still runs.
+    pub fn take_spans(&mut self, end_s: f64) -> Vec<Span> {
+        let mut spans = std::mem::take(&mut self.spans);
+        let running = self.attempts.iter();
+        let running = running.filter(|(_, attempt)| attempt.phase == Phase::Running);
+        spans.extend(running.map(|(key, attempt)| Span {
+            from_s: attempt.since,
+            to_s: end_s,
+            job: key.task.job.clone(),
+            completed: false,
+        }));
+        spans
     }
 
-    /// A task that the snapshot shows here.
-    pub fn show(&mut self, key: (String, u32, u64), ran_s: Option<f64>, book: &mut Book) {
-        book.comes(&key, &self.info);
-        let image = book.jobs[&key.0].spec.image.clone();
-        let task = match ran_s {
+    /// An attempt that the snapshot shows here, with the seconds it has run.
+    pub fn adopt(&mut self, key: AttemptKey, ran_s: Option<f64>, cluster: &mut Cluster) {
+        cluster.attempt_added(&key, &self.info);
+        let attempt = match ran_s {
             Some(ran_s) => {
-                let running = self.run(&key, 0.0, ran_s, book);
-                self.images.insert(image);
+                let running = running(&key, 0.0, ran_s, cluster);
+                self.images.insert(cluster.spec(&key).image.clone());
                 running
             }
-            None => self.fetch(&key, 0.0, book),
+            None => self.fetching(&key, 0.0, cluster),
         };
-        self.tasks.insert(key, task);
-    }
-
-    fn fetch(&self, key: &(String, u32, u64), now: f64, book: &Book) -> Task {
-        let spec = &book.jobs[&key.0].spec;
-        let fetch_s = if self.images.contains(&spec.image) {
-            0.0
-        } else {
-            spec.image_gb / self.fetch_gb_per_s.max(1e-3)
-        };
-        let kept = book.kept.get(&(key.0.clone(), key.1));
-        Task {
-            phase: Phase::Fetching,
-            cause: None,
-            since: now,
-            until: now + fetch_s,
-            before_s: kept.copied().unwrap_or(0.0),
-        }
+        self.attempts.insert(key, attempt);
     }
 
     /// Carries out commands.
-    pub fn execute(&mut self, commands: &[Command], now: f64, book: &mut Book) {
+    pub fn execute(&mut self, commands: &[Command], now: f64, cluster: &mut Cluster) {
         for command in commands {
             let (Command::Start { task, attempt }
             | Command::Stop { task, attempt, .. }
             | Command::Forget { task, attempt }) = command;
-            let Some((job, index)) = parse(task) else {
+            let Some(task) = TaskKey::parse(task) else {
                 continue;
             };
-            let key = (job, index, *attempt);
+            let number = *attempt;
+            let key = AttemptKey { task, number };
             match command {
-                Command::Start { .. } => {
-                    if !self.tasks.contains_key(&key) && book.jobs.contains_key(&key.0) {
-                        let start = (now, self.info.id.clone(), key.0.clone(), key.1);
-                        book.starts.push(start);
-                        book.comes(&key, &self.info);
-                        let task = self.fetch(&key, now, book);
-                        self.tasks.insert(key, task);
-                    }
-                }
-                Command::Stop { grace_s, .. } => self.stop(&key, *grace_s, now, book),
+                Command::Start { .. } => self.start(key, now, cluster),
+                Command::Stop { grace_s, .. } => self.stop(&key, *grace_s, now, cluster),
                 Command::Forget { .. } => {
-                    if self
-                        .tasks
-                        .get(&key)
-                        .is_some_and(|t| t.phase == Phase::Exited)
-                    {
-                        self.tasks.remove(&key);
+                    if self.attempts.get(&key).is_some_and(|a| !a.is_open()) {
+                        self.attempts.remove(&key);
                     }
                 }
             }
         }
     }
 
-    fn stop(&mut self, key: &(String, u32, u64), grace_s: f64, now: f64, book: &mut Book) {
-        let Some(task) = self.tasks.get_mut(key) else {
+    fn start(&mut self, key: AttemptKey, now: f64, cluster: &mut Cluster) {
+        if self.attempts.contains_key(&key) || !cluster.jobs.contains_key(&key.task.job) {
             return;
+        }
+        cluster.starts.push(TaskStart {
+            at_s: now,
+            machine: self.info.id.clone(),
+            job: key.task.job.clone(),
+            index: key.task.index,
+        });
+        cluster.attempt_added(&key, &self.info);
+        let attempt = self.fetching(&key, now, cluster);
+        self.attempts.insert(key, attempt);
+    }
+
+    /// The attempt while it fetches its image.
+    fn fetching(&self, key: &AttemptKey, now: f64, cluster: &Cluster) -> Attempt {
+        let spec = cluster.spec(key);
+        let fetch_s = if self.images.contains(&spec.image) {
+            0.0
+        } else {
+            spec.image_gb / self.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S)
         };
-        let spec = book.jobs[&key.0].spec.clone();
-        let running = task.phase == Phase::Running;
-        let ran_s = task.before_s + now - task.since;
-        if running {
-            self.past.push((task.since, now, key.0.clone(), false));
+        let checkpoint = cluster.checkpoints.get(&key.task);
+        Attempt {
+            phase: Phase::Fetching,
+            cause: None,
+            since: now,
+            until: now + fetch_s,
+            done_before_s: checkpoint.copied().unwrap_or(0.0),
         }
-        let saves = running && spec.checkpoint_s > 0.0 && grace_s >= spec.save_s;
-        if saves {
-            book.kept.insert((key.0.clone(), key.1), ran_s);
-            *book.lost.entry(key.0.clone()).or_default() += spec.save_s * spec.cpus;
-            task.phase = Phase::Saving;
-            task.since = now;
-            task.until = now + spec.save_s;
+    }
+
+    /// Stops an attempt: with a last checkpoint if the grace period is long enough for it.
+    fn stop(&mut self, key: &AttemptKey, grace_s: f64, now: f64, cluster: &mut Cluster) {
+        let Some(attempt) = self.attempts.get_mut(key) else {
             return;
-        }
-        if running {
-            let kept = if spec.checkpoint_s > 0.0 {
-                ran_s - ran_s % spec.checkpoint_s
+        };
+        let spec = cluster.spec(key).clone();
+        let job = &key.task.job;
+        if attempt.phase == Phase::Running {
+            let done_s = attempt.done_before_s + now - attempt.since;
+            self.spans.push(Span {
+                from_s: attempt.since,
+                to_s: now,
+                job: job.clone(),
+                completed: false,
+            });
+            if spec.checkpoint_s > 0.0 && grace_s >= spec.save_s {
+                cluster.checkpoints.insert(key.task.clone(), done_s);
+                cluster.add_lost(job, spec.save_s * spec.cpus);
+                attempt.phase = Phase::Saving;
+                attempt.since = now;
+                attempt.until = now + spec.save_s;
+                return;
+            }
+            let kept_s = if spec.checkpoint_s > 0.0 {
+                done_s - done_s % spec.checkpoint_s
             } else {
                 0.0
             };
-            book.kept.insert((key.0.clone(), key.1), kept);
-            *book.lost.entry(key.0.clone()).or_default() += (ran_s - kept) * spec.cpus;
+            cluster.checkpoints.insert(key.task.clone(), kept_s);
+            cluster.add_lost(job, (done_s - kept_s) * spec.cpus);
         }
-        if task.phase != Phase::Exited {
-            task.phase = Phase::Exited;
-            task.cause = Some(Cause::Stopped);
-            book.goes(key);
+        if attempt.is_open() {
+            attempt.phase = Phase::Exited;
+            attempt.cause = Some(Cause::Stopped);
+            cluster.attempt_removed(key);
         }
     }
 
-    /// It fails for good; what was on it is gone.
-    pub fn die(&mut self, book: &mut Book) {
+    /// The machine fails for good; what was on it is gone.
+    pub fn die(&mut self, cluster: &mut Cluster) {
         self.dead = true;
-        let open = self.tasks.iter().filter(|(_, t)| t.phase != Phase::Exited);
-        open.for_each(|(key, _)| book.goes(key));
-        self.tasks.clear();
+        let open = self.attempts.iter().filter(|(_, a)| a.is_open());
+        open.for_each(|(key, _)| cluster.attempt_removed(key));
+        self.attempts.clear();
     }
 
-    /// What ends by itself until now; whether anything did.
-    pub fn pass(&mut self, now: f64, book: &mut Book) -> bool {
-        let due: Vec<(String, u32, u64)> = self
-            .tasks
-            .iter()
-            .filter(|(_, t)| t.phase != Phase::Exited && t.until <= now)
-            .map(|(k, _)| k.clone())
+    /// Phases that end by themselves until now end; whether any did.
+    pub fn advance(&mut self, now: f64, cluster: &mut Cluster) -> bool {
+        let due: Vec<AttemptKey> = (self.attempts.iter())
+            .filter(|(_, attempt)| attempt.is_open() && attempt.until <= now)
+            .map(|(key, _)| key.clone())
             .collect();
         for key in &due {
-            let task = self.tasks[key].clone();
-            let next = match task.phase {
-                Phase::Running => {
-                    self.past
-                        .push((task.since, task.until, key.0.clone(), true));
-                    Task {
-                        phase: Phase::Exited,
-                        cause: Some(Cause::Done),
-                        ..task
-                    }
-                }
-                Phase::Saving => Task {
+            let next = self.next_phase(key, cluster);
+            if !next.is_open() {
+                cluster.attempt_removed(key);
+            }
+            self.attempts.insert(key.clone(), next);
+        }
+        !due.is_empty()
+    }
+
+    /// The attempt after its present phase ended by itself.
+    fn next_phase(&mut self, key: &AttemptKey, cluster: &Cluster) -> Attempt {
+        let attempt = self.attempts[key].clone();
+        match attempt.phase {
+            Phase::Running => {
+                self.spans.push(Span {
+                    from_s: attempt.since,
+                    to_s: attempt.until,
+                    job: key.task.job.clone(),
+                    completed: true,
+                });
+                Attempt {
                     phase: Phase::Exited,
-                    cause: Some(Cause::Stopped),
-                    ..task
-                },
-                _ => {
-                    self.images.insert(book.jobs[&key.0].spec.image.clone());
-                    self.run(key, task.until, task.before_s, book)
+                    cause: Some(Cause::Done),
+                    ..attempt
                 }
-            };
-            if next.phase == Phase::Exited {
-                book.goes(key);
             }
-            self.tasks.insert(key.clone(), next);
+            Phase::Saving => Attempt {
+                phase: Phase::Exited,
+                cause: Some(Cause::Stopped),
+                ..attempt
+            },
+            _ => {
+                self.images.insert(cluster.spec(key).image.clone());
+                running(key, attempt.until, attempt.done_before_s, cluster)
+            }
         }
-        !due.is_empty()
+    }
+}
+
+/// The attempt while it runs from `from` on, until it is completed.
+fn running(key: &AttemptKey, from: f64, done_before_s: f64, cluster: &Cluster) -> Attempt {
+    let TaskKey { job, index } = &key.task;
+    let facts = &cluster.jobs[job];
+    let until = if facts.spec.shape == Shape::Service {
+        f64::INFINITY
+    } else {
+        let class = &facts.spec.class;
+        let draws = &cluster.draws;
+        let total_s = draws.run_s(class, job, *index, facts.predicted_s, done_before_s);
+        from + total_s - done_before_s
+    };
+    Attempt {
+        phase: Phase::Running,
+        cause: None,
+        since: from,
+        until,
+        done_before_s,
     }
 }
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -1,130 +1,98 @@
-//! A plan: what a drain would do, as probabilities over many runs.
+//! A plan: what a drain would do, as statistics over many simulations. Data only; saved as
+//! JSON.
 
-use crate::planner::Planner;
-use foxspur::coordination::scheduler::snapshot::{SnapJob, Snapshot};
-use foxspur::protocol::admin::Rest;
+use crate::order::{Options, Order};
+use crate::scenario::Span;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::BTreeMap;
 
-/// What is to be planned.
-#[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub struct Order {
-    pub hosts: Vec<String>,
-    /// Seconds from its start until the drain should be over.
-    pub deadline_s: Option<f64>,
-    pub rest: Rest,
-    /// Seconds from the snapshot until it starts.
-    pub start_s: f64,
-}
-
-/// How it is planned.
-#[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub struct Options {
-    pub seed: u64,
-    /// Runs, each with and without the drain.
-    pub samples: u32,
-    /// How far ahead is looked.
-    pub horizon_s: f64,
-    /// Within how many seconds the drain may start; 0 leaves the start as it is.
-    pub window_s: f64,
-    /// Whether to look at what a second failure changes.
-    pub failures: bool,
-}
-
-impl Default for Options {
-    fn default() -> Self {
-        Options {
-            seed: 1,
-            samples: 60,
-            horizon_s: 3600.0,
-            window_s: 0.0,
-            failures: true,
-        }
-    }
-}
-
-/// Why there is no plan.
-#[derive(thiserror::Error, Debug, PartialEq)]
-pub enum PlanError {
-    #[error("hosts: no machine {0} is in use")]
-    Unknown(String),
-    #[error("hosts: {0} is not heard of now: what is on it cannot be told")]
-    Silent(String),
-    #[error("hosts: names no machine")]
-    Nothing,
-    #[error("{0}: {1}")]
-    Field(&'static str, &'static str),
-}
-
-/// Where a figure lies over the runs.
+/// Quantiles of a figure over the samples.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Default)]
 pub struct Range {
+    /// The median.
     pub p50: f64,
+    /// Nine in ten are at most this.
     pub p90: f64,
 }
 
 /// A machine to be drained.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct HostPlan {
+    /// Its name.
     pub host: String,
+    /// Its zone.
     pub zone: String,
     /// Attempts on it at the snapshot.
     pub tasks: usize,
-    /// From the drain's start until it is proven empty, in runs where it is.
+    /// Seconds from the drain's start until it is proven empty, in samples where it is.
     pub drained_s: Option<Range>,
-    /// Share of runs in which it is not drained within its deadline (or the
+    /// The proportion of samples in which it is not drained within its deadline (or the
     /// horizon, without one).
     pub overdue: f64,
 }
 
-/// A job for which the drain makes a difference, or that is late anyway.
+/// A job for which the drain makes a difference, or that is late anyway. Proportions are of
+/// the samples, from 0 to 1.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct JobPlan {
+    /// Its id.
     pub id: String,
+    /// Its class.
     pub class: String,
-    /// Shares of runs: tasks are moved; it ends later by a tenth of what it had
-    /// left, and by more than a beat; its deadline is missed because of the
-    /// drain, and without it just as well.
+    /// Proportion in which tasks of it are moved.
     pub moved: f64,
+    /// Proportion in which it ends later by a tenth of what it had left, and by more than a
+    /// scheduling round.
     pub waits: f64,
+    /// Proportion in which its deadline is missed because of the drain.
     pub late_because: f64,
+    /// Proportion in which its deadline is missed without the drain as well.
     pub late_anyway: f64,
-    /// On average: CPU seconds done again, and by how much later it ends.
+    /// CPU seconds that are done again, on average.
     pub lost_cpu_s: f64,
+    /// By how many seconds it ends later, on average.
     pub later_s: f64,
 }
 
-/// A class of jobs, on average over the runs.
+/// A class of jobs, on average over the samples.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ClassPlan {
+    /// Its name.
     pub class: String,
+    /// How many live jobs it has.
     pub jobs: usize,
+    /// Jobs that miss their deadline without the drain.
     pub late_without: f64,
+    /// Jobs that miss their deadline with the drain.
     pub late_with: f64,
 }
 
-/// A way to do it, or a thing that goes wrong meanwhile.
+/// A way to carry an order out, or a failure meanwhile.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Variant {
+    /// What it is, for people.
     pub name: String,
-    /// Deadlines missed because of the drain, on average, and the share of runs
-    /// in which there is any.
+    /// Deadlines missed because of the drain, on average.
     pub late: f64,
+    /// The proportion of samples in which there is any.
     pub any_late: f64,
+    /// CPU seconds that are done again, on average.
     pub lost_cpu_s: f64,
-    /// From the snapshot until all machines are drained.
+    /// Seconds from the snapshot until all machines are drained, in samples where they are.
     pub drained_s: Option<Range>,
+    /// The proportion of samples in which not all machines are drained in time.
     pub overdue: f64,
 }
 
 /// A value over time: seconds, value.
 pub type Series = Vec<(f64, f64)>;
 
-/// What one run showed, for pictures.
+/// The first sample, for pictures.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Default)]
 pub struct Picture {
-    /// What runs on each drained machine: from, to, job, whether it ended done.
-    pub machines: BTreeMap<String, Vec<(f64, f64, String, bool)>>,
+    /// What runs on each drained machine.
+    pub machines: BTreeMap<String, Vec<Span>>,
+    /// When each drained machine is proven empty, in seconds.
     pub drained_s: BTreeMap<String, f64>,
     /// Free CPUs over time, without and with the drain.
     pub free: (Series, Series),
@@ -133,158 +101,34 @@
 /// A plan.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Term and revision of the state that it was made from, and when.
+    /// The leader's term when the snapshot was made.
     pub term: u64,
+    /// The snapshot's revision.
     pub revision: u64,
+    /// When the snapshot was made, in milliseconds of the time of day.
     pub at_ms: u64,
+    /// What was planned.
     pub order: Order,
+    /// How it was planned.
     pub options: Options,
+    /// Live jobs of the snapshot.
     pub jobs_live: usize,
+    /// Machines that send heartbeats.
     pub machines: usize,
+    /// The machines to be drained.
     pub hosts: Vec<HostPlan>,
+    /// Jobs that the drain affects, worst first.
     pub jobs: Vec<JobPlan>,
+    /// All classes.
     pub classes: Vec<ClassPlan>,
+    /// The order as it is.
     pub all: Variant,
     /// What is not named happens with less than this probability, at 95%.
     pub unnamed_below: f64,
+    /// Other starts, best first.
     pub starts: Vec<Variant>,
+    /// Failures of other machines meanwhile.
     pub failures: Vec<Variant>,
+    /// One sample in pictures.
     pub picture: Picture,
 }
-
-/// Due time of a job in a run's time, if it has a deadline: the first of its
-/// class's aims that ask for an end, or its own.
-pub fn due_s(snapshot: &Snapshot, job: &SnapJob) -> Option<f64> {
-    let spec = &job.spec;
-    let own = snapshot.objectives.iter();
-    let own = own.filter(|o| o.class.as_deref() == Some(spec.class.as_str()));
-    let aims = own.filter_map(|o| match o.kind.as_str() {
-        "deadline" => Some(spec.deadline_s? * o.times.unwrap_or(1.0)),
-        "finished" => o.within_s,
-        _ => None,
-    });
-    let first = aims.fold(f64::INFINITY, f64::min);
-    let due = if first.is_finite() {
-        Some(first)
-    } else {
-        spec.deadline_s
-    };
-    due.map(|d| d - job.age_s)
-}
-
-fn check(snapshot: &Snapshot, order: &Order, options: &Options) -> Result<(), PlanError> {
-    if order.hosts.is_empty() {
-        return Err(PlanError::Nothing);
-    }
-    for host in &order.hosts {
-        match snapshot.machines.iter().find(|m| m.info.id == *host) {
-            None => return Err(PlanError::Unknown(host.clone())),
-            Some(m) if !m.alive => return Err(PlanError::Silent(host.clone())),
-            Some(_) => {}
-        }
-    }
-    let positive = |v: f64| v.is_finite() && v > 0.0;
-    if order.deadline_s.is_some_and(|d| !positive(d)) {
-        return Err(PlanError::Field("deadline", "is not above 0"));
-    }
-    if !positive(options.horizon_s) || options.horizon_s > 86_400.0 {
-        return Err(PlanError::Field("horizon", "is not within 0 and a day"));
-    }
-    if options.samples == 0 || options.samples > 10_000 {
-        return Err(PlanError::Field("samples", "is not within 1 and 10000"));
-    }
-    let latest = order.start_s + options.window_s;
-    if order.start_s < 0.0 || options.window_s < 0.0 || latest >= options.horizon_s {
-        return Err(PlanError::Field("start", "is not within the horizon"));
-    }
-    Ok(())
-}
-
-/// Plans the order from the snapshot.
-pub fn plan(snapshot: &Snapshot, order: &Order, options: &Options) -> Result<Plan, PlanError> {
-    check(snapshot, order, options)?;
-    let planner = Planner {
-        snapshot,
-        order,
-        options,
-    };
-    let starts = HashMap::new();
-    let mut pairs = planner.pairs(options.samples, &starts, &|_| Vec::new());
-    let all = planner.variant("the order as it is", &starts, &pairs);
-    let hosts = planner.hosts(&pairs);
-    let jobs = planner.jobs(&pairs);
-    let classes = planner.classes(&pairs);
-    let (without, with) = pairs.swap_remove(0);
-    let picture = Picture {
-        machines: with.outcome.past.into_iter().collect(),
-        drained_s: with.outcome.drained_s.into_iter().collect(),
-        free: (without.outcome.free, with.outcome.free),
-    };
-    let ends = all.drained_s.map_or(options.horizon_s, |r| r.p90);
-    Ok(Plan {
-        term: snapshot.term,
-        revision: snapshot.revision,
-        at_ms: snapshot.at_ms,
-        order: order.clone(),
-        options: options.clone(),
-        jobs_live: snapshot.jobs.len(),
-        machines: snapshot.machines.iter().filter(|m| m.alive).count(),
-        hosts,
-        jobs,
-        classes,
-        all,
-        // The rule of three: nothing seen in n runs.
-        unnamed_below: (3.0 / f64::from(options.samples)).min(1.0),
-        starts: planner.starts(),
-        failures: planner.failures((ends - order.start_s).max(1.0)),
-        picture,
-    })
-}
-
-/// What a newer plan of the same order says otherwise, in plain lines; nothing
-/// if it is made from the same state.
-pub fn difference(old: &Plan, new: &Plan) -> Vec<String> {
-    let mut lines = Vec::new();
-    if old.term != new.term {
-        lines.push(format!("term: {} became {}", old.term, new.term));
-    }
-    if old.revision != new.revision {
-        lines.push(format!(
-            "revision: {} became {}",
-            old.revision, new.revision
-        ));
-    }
-    if lines.is_empty() {
-        return lines;
-    }
-    let figure = |name: &str, a: f64, b: f64| {
-        let apart = (a - b).abs() > 0.005 * a.abs().max(1.0);
-        apart.then(|| format!("{name}: {a:.2} became {b:.2}"))
-    };
-    lines.extend(figure(
-        "deadlines missed because of the drain",
-        old.all.late,
-        new.all.late,
-    ));
-    lines.extend(figure(
-        "CPU seconds lost",
-        old.all.lost_cpu_s,
-        new.all.lost_cpu_s,
-    ));
-    let end = |p: &Plan| p.all.drained_s.map_or(f64::INFINITY, |r| r.p90);
-    lines.extend(figure("drained after, s (p90)", end(old), end(new)));
-    let named = |p: &Plan| -> BTreeSet<String> {
-        let named = p.jobs.iter().filter(|j| j.late_because > 0.0);
-        named.map(|j| j.id.clone()).collect()
-    };
-    let (a, b) = (named(old), named(new));
-    let list = |ids: Vec<&String>| ids.into_iter().cloned().collect::<Vec<_>>().join(" ");
-    if a != b {
-        lines.push(format!(
-            "may now miss their deadline: {}",
-            list(b.difference(&a).collect())
-        ));
-        lines.push(format!("no longer: {}", list(a.difference(&b).collect())));
-    }
-    lines
-}
--- a/crates/plan/tests/fair.rs
+++ b/crates/plan/tests/fair.rs
@@ -7,7 +7,8 @@
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::{Objective, Team};
 use foxspur::storage::records::MachineInfo;
-use foxspur_plan::sim::{run, Script};
+use foxspur_plan::scenario::Scenario;
+use foxspur_plan::simulation::run;
 use foxspur_report::bound::{together, Fleet, Job};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
@@ -126,16 +127,16 @@
 /// The share of each class that is done in time, by the bound and as played, and
 /// the most starts of one task.
 fn play(load: f64, urgent: f64, seed: u64) -> (f64, [f64; 2], u32) {
-    let script = Script {
+    let scenario = Scenario {
         arrivals: arrivals(load, urgent, seed),
         horizon_s: 560.0,
-        ..Script::default()
+        ..Scenario::default()
     };
-    let outcome = run(&share(), &script, seed);
-    assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
+    let outcome = run(&share(), &scenario, seed);
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
     let mut groups = [Vec::new(), Vec::new()];
     let mut met = [0, 0];
-    for (at_s, spec) in &script.arrivals {
+    for (at_s, spec) in &scenario.arrivals {
         let class = usize::from(spec.class == "batch");
         let due_s = at_s + [URGENT_S, BATCH_S][class];
         groups[class].push(Job {
@@ -155,8 +156,8 @@
     };
     let shares = [0, 1].map(|c| f64::from(met[c]) / groups[c].len().max(1) as f64);
     let mut starts: HashMap<(&str, u32), u32> = HashMap::new();
-    for (_, _, job, index) in &outcome.starts {
-        *starts.entry((job, *index)).or_default() += 1;
+    for start in &outcome.starts {
+        *starts.entry((&start.job, start.index)).or_default() += 1;
     }
     let most = starts.into_values().max().unwrap_or(0);
     (together(&groups, &fleet), shares, most)
@@ -182,15 +183,15 @@
 
 /// The share of each class of these jobs that the snapshot's owner serves in time.
 fn served(share: &Snapshot, jobs: Vec<(f64, JobSpec)>) -> BTreeMap<String, f64> {
-    let script = Script {
+    let scenario = Scenario {
         arrivals: jobs,
         horizon_s: 600.0,
-        ..Script::default()
+        ..Scenario::default()
     };
-    let outcome = run(share, &script, 11);
-    assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
+    let outcome = run(share, &scenario, 11);
+    assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
     let mut sums: BTreeMap<String, (f64, f64)> = BTreeMap::new();
-    for (at_s, spec) in &script.arrivals {
+    for (at_s, spec) in &scenario.arrivals {
         let aim = (share.objectives.iter()).find(|o| o.class.as_ref() == Some(&spec.class));
         let within_s = aim.and_then(|o| o.within_s).unwrap_or(f64::INFINITY);
         let done_s = outcome.jobs.get(&spec.id).and_then(|end| end.done_s);
--- a/crates/plan/tests/plan.rs
+++ b/crates/plan/tests/plan.rs
@@ -7,7 +7,8 @@
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Team;
 use foxspur::storage::records::MachineInfo;
-use foxspur_plan::sim::{run, Outcome, Script};
+use foxspur_plan::scenario::{Outcome, Scenario};
+use foxspur_plan::simulation::run;
 use foxspur_plan::{difference, plan, Options, Order, PlanError};
 use proptest::prelude::*;
 
@@ -464,19 +465,19 @@
         let mut share = shared(&d);
         let host = format!("m-{}", d.drained % d.machines.len());
         let rest = if d.stop { Rest::Stop } else { Rest::Leave };
-        let mut script = Script { horizon_s: 400.0, ..Script::default() };
-        let without = run(&share, &script, d.seed);
-        script.drains = vec![(0.0, drain(&host, d.deadline_s, rest))];
-        let with = run(&share, &script, d.seed);
-        prop_assert_eq!(&without.broken, &Vec::<String>::new());
-        prop_assert_eq!(&with.broken, &Vec::<String>::new());
-        let late = with.starts.iter().find(|s| s.1 == host && s.0 > 0.0);
+        let mut scenario = Scenario { horizon_s: 400.0, ..Scenario::default() };
+        let without = run(&share, &scenario, d.seed);
+        scenario.drains = vec![(0.0, drain(&host, d.deadline_s, rest))];
+        let with = run(&share, &scenario, d.seed);
+        prop_assert_eq!(&without.violations, &Vec::<String>::new());
+        prop_assert_eq!(&with.violations, &Vec::<String>::new());
+        let late = with.starts.iter().find(|s| s.machine == host && s.at_s > 0.0);
         prop_assert!(late.is_none(), "{late:?} on the drained machine");
-        prop_assert_eq!(ends(&with), ends(&run(&share, &script, d.seed)));
+        prop_assert_eq!(ends(&with), ends(&run(&share, &scenario, d.seed)));
         // It is drained already: the same order again is no news.
         share.drains = vec![drain(&host, d.deadline_s, rest)];
-        let known = run(&share, &Script { drains: Vec::new(), ..script.clone() }, d.seed);
-        let again = run(&share, &script, d.seed);
+        let known = run(&share, &Scenario { drains: Vec::new(), ..scenario.clone() }, d.seed);
+        let again = run(&share, &scenario, d.seed);
         prop_assert_eq!(ends(&known), ends(&again));
     }
 }
