--- a/crates/plan/tests/fair.rs
+++ b/crates/plan/tests/fair.rs
@@ -1,12 +1,13 @@
-//! Nobody starves: random loads, played with the real scheduler, against what a relaxed
+//! No starvation: random loads, simulated with the real scheduler, against what a relaxed
 //! plan could have served.
 
-use foxspur::coordination::scheduler::snapshot::{ClassError, SnapMachine, Snapshot};
+mod support;
+
+use foxspur::coordination::scheduler::snapshot::{ClassError, Snapshot};
 use foxspur::protocol::cloud::MachineType;
-use foxspur::protocol::job::{JobSpec, Shape, Urgency};
+use foxspur::protocol::job::{JobSpec, Urgency};
 use foxspur::protocol::policy::Policy;
-use foxspur::protocol::settings::{Objective, Team};
-use foxspur::storage::records::MachineInfo;
+use foxspur::protocol::settings::Objective;
 use foxspur_plan::scenario::Scenario;
 use foxspur_plan::simulation::run;
 use foxspur_report::bound::{together, Fleet, Job};
@@ -14,92 +15,40 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
+use support::{machine, machine_type, snapshot, team};
 
 const MACHINES: usize = 6;
 const CPUS: f64 = 16.0;
 const URGENT_S: f64 = 90.0;
 const BATCH_S: f64 = 240.0;
 
-fn share() -> Snapshot {
-    let machine = |n: usize| SnapMachine {
-        info: MachineInfo {
-            id: format!("m-{n}"),
-            addr: "127.0.0.1:1".into(),
-            kind: "large".into(),
-            zone: "a".into(),
-            spot: false,
-        },
-        alive: true,
-        session: 1,
-        tasks: Vec::new(),
-    };
-    let aim = |class: &str, within_s| Objective {
+/// Six machines, and an objective for each class.
+fn urgent_and_batch() -> Snapshot {
+    let objective = |class: &str, within_s| Objective {
         kind: "finished".into(),
         class: Some(class.into()),
         within_s: Some(within_s),
         ..Objective::default()
     };
-    Snapshot {
-        term: 7,
-        revision: 100,
-        at_ms: 1_000_000,
-        report_s: 1.0,
-        lease_s: 10.0,
-        cancel_s: 40.0,
-        teams: vec![Team {
-            name: "t".into(),
-            cpus: 0.0,
-            cpus_max: 0.0,
-            gpus: 0.0,
-            gpus_max: 0.0,
-        }],
-        objectives: vec![aim("urgent", URGENT_S), aim("batch", BATCH_S)],
-        policy: Policy::default(),
-        types: vec![MachineType {
-            name: "large".into(),
-            cpus: CPUS,
-            gpus: 0.0,
-            memory_gb: 64.0,
-            cache_gb: 50.0,
-            fetch_gb_per_s: 2.0,
-            price: 1.0,
-            spot_price: 0.3,
-            boot_s: 20.0,
-            zones: vec!["a".into()],
-        }],
-        machines: (0..MACHINES).map(machine).collect(),
-        jobs: Vec::new(),
-        errors: Vec::new(),
-        drains: Vec::new(),
-    }
+    let large = MachineType {
+        fetch_gb_per_s: 2.0,
+        zones: vec!["a".into()],
+        ..machine_type("large", CPUS)
+    };
+    let machines = (0..MACHINES).map(|n| machine(format!("m-{n}"), "large", "a"));
+    let mut shard = snapshot(vec![large], machines.collect(), Vec::new());
+    shard.objectives = vec![objective("urgent", URGENT_S), objective("batch", BATCH_S)];
+    shard
 }
 
-fn spec(n: usize, urgent: bool, tasks: u32, estimate_s: f64) -> JobSpec {
+fn spec(number: usize, urgent: bool, tasks: u32, estimate_s: f64) -> JobSpec {
+    let (class, urgency) = match urgent {
+        true => ("urgent", Urgency::Standard),
+        false => ("batch", Urgency::Idle),
+    };
     JobSpec {
-        id: format!("run-{n}"),
-        class: if urgent { "urgent" } else { "batch" }.into(),
-        team: "t".into(),
-        shape: Shape::Sweep,
-        urgency: if urgent {
-            Urgency::Standard
-        } else {
-            Urgency::Idle
-        },
-        tasks,
-        cpus: 2.0,
-        gpus: 0.0,
-        memory_gb: 1.0,
-        image: "img".into(),
-        image_gb: 1.0,
-        types: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        estimate_s,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
+        urgency,
+        ..support::spec(number, class, tasks, estimate_s)
     }
 }
 
@@ -124,15 +73,15 @@
     all
 }
 
-/// The share of each class that is done in time, by the bound and as played, and
-/// the most starts of one task.
-fn play(load: f64, urgent: f64, seed: u64) -> (f64, [f64; 2], u32) {
+/// The proportion of each class that is done in time, by the bound and as simulated, and the
+/// most starts of one task.
+fn simulate(load: f64, urgent: f64, seed: u64) -> (f64, [f64; 2], u32) {
     let scenario = Scenario {
         arrivals: arrivals(load, urgent, seed),
         horizon_s: 560.0,
         ..Scenario::default()
     };
-    let outcome = run(&share(), &scenario, seed);
+    let outcome = run(&urgent_and_batch(), &scenario, seed);
     assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
     let mut groups = [Vec::new(), Vec::new()];
     let mut met = [0, 0];
@@ -171,7 +120,7 @@
 #[test]
 fn loads_that_starved_a_class() {
     for (load, urgent, seed) in [(1.2, 0.9, 1), (2.0, 0.8, 2), (3.0, 0.5, 3), (1.0, 0.95, 4)] {
-        let (bound, shares, starts) = play(load, urgent, seed);
+        let (bound, shares, starts) = simulate(load, urgent, seed);
         println!(
             "load {load} urgent {urgent}: bound {bound:.2}, served {shares:.2?}, starts {starts}"
         );
@@ -181,19 +130,19 @@
     }
 }
 
-/// The share of each class of these jobs that the snapshot's owner serves in time.
-fn served(share: &Snapshot, jobs: Vec<(f64, JobSpec)>) -> BTreeMap<String, f64> {
+/// The proportion of each class of these jobs that the snapshot's leader serves in time.
+fn served(shard: &Snapshot, jobs: Vec<(f64, JobSpec)>) -> BTreeMap<String, f64> {
     let scenario = Scenario {
         arrivals: jobs,
         horizon_s: 600.0,
         ..Scenario::default()
     };
-    let outcome = run(share, &scenario, 11);
+    let outcome = run(shard, &scenario, 11);
     assert!(outcome.violations.is_empty(), "{:?}", outcome.violations);
     let mut sums: BTreeMap<String, (f64, f64)> = BTreeMap::new();
     for (at_s, spec) in &scenario.arrivals {
-        let aim = (share.objectives.iter()).find(|o| o.class.as_ref() == Some(&spec.class));
-        let within_s = aim.and_then(|o| o.within_s).unwrap_or(f64::INFINITY);
+        let objective = (shard.objectives.iter()).find(|o| o.class.as_ref() == Some(&spec.class));
+        let within_s = objective.and_then(|o| o.within_s).unwrap_or(f64::INFINITY);
         let done_s = outcome.jobs.get(&spec.id).and_then(|end| end.done_s);
         let sum = sums.entry(spec.class.clone()).or_default();
         sum.0 += f64::from(u8::from(done_s.is_some_and(|d| d - at_s <= within_s)));
@@ -223,36 +172,29 @@
 /// What may starve a class or a team, one case each.
 #[test]
 fn cases_that_may_starve_someone() {
-    let team = |name: &str, cpus, cpus_max| Team {
-        name: name.into(),
-        cpus,
-        cpus_max,
-        gpus: 0.0,
-        gpus_max: 0.0,
-    };
     let as_is = |_: &mut JobSpec| {};
 
     // One team floods at its limit while another's guarantee is asked for.
-    let mut day = share();
-    day.teams = vec![team("t", 0.0, 64.0), team("g", 32.0, 0.0)];
+    let mut shard = urgent_and_batch();
+    shard.teams = vec![team("t", 0.0, 64.0), team("g", 32.0, 0.0)];
     let mut jobs = Vec::new();
     stream(&mut jobs, 1.0, 8, true, as_is);
     stream(&mut jobs, 10.0, 6, false, |j| j.team = "g".into());
-    let shares = served(&day, jobs);
+    let shares = served(&shard, jobs);
     assert!(shares["batch"] >= 0.9, "guarantee: {shares:?}");
 
     // A class whose every task needs a type that is not to be had.
-    let mut day = share();
-    day.types.push(MachineType {
+    let mut shard = urgent_and_batch();
+    shard.types.push(MachineType {
         name: "rare".into(),
-        ..day.types[0].clone()
+        ..shard.types[0].clone()
     });
     let mut jobs = Vec::new();
     stream(&mut jobs, 5.0, 8, true, |j| {
         j.types = Some(vec!["rare".into()])
     });
     stream(&mut jobs, 5.0, 8, false, as_is);
-    let shares = served(&day, jobs);
+    let shares = served(&shard, jobs);
     assert_eq!(shares["urgent"], 0.0);
     assert!(shares["batch"] >= 0.9, "refused type: {shares:?}");
 
@@ -261,26 +203,26 @@
     stream(&mut jobs, 1.0, 6, true, as_is);
     stream(&mut jobs, 2.0, 6, false, as_is);
     jobs.iter_mut().for_each(|j| j.0 = 0.0);
-    let shares = served(&share(), jobs);
+    let shares = served(&urgent_and_batch(), jobs);
     // 48 tasks at a time of 20 s: 36 of 300 urgent jobs fit into 90 s, which all
     // are of one size here.
     assert!(shares["urgent"] >= 0.06, "late at once: {shares:?}");
 
     // A job of 400 tasks against a stream of small ones: late, but done.
-    let mut day = share();
+    let mut shard = urgent_and_batch();
     let mut jobs = Vec::new();
     stream(&mut jobs, 1.0, 1, true, as_is);
     let mut large = spec(jobs.len(), false, 400, 10.0);
     large.class = "large".into();
     jobs.push((5.0, large));
-    let shares = served(&day, jobs);
+    let shares = served(&shard, jobs);
     assert!(
         shares["urgent"] >= 0.9 && shares["large"] == 1.0,
         "large: {shares:?}"
     );
 
     // Estimates of one class ten times too short: the other one is served.
-    day.errors = vec![ClassError {
+    shard.errors = vec![ClassError {
         class: "batch".into(),
         tasks: 100,
         ratios: vec![10.0; 4],
@@ -288,7 +230,7 @@
     let mut jobs = Vec::new();
     stream(&mut jobs, 4.0, 8, true, as_is);
     stream(&mut jobs, 8.0, 8, false, as_is);
-    let shares = served(&day, jobs);
+    let shares = served(&shard, jobs);
     assert!(shares["urgent"] >= 0.5, "short estimates: {shares:?}");
 }
 
@@ -304,7 +246,7 @@
     /// three times the fleet, and no task is stopped more often than the policy says.
     #[test]
     fn nobody_starves(load in 0.5..3.0f64, urgent in 0.1..0.95f64, seed in 0u64..1 << 32) {
-        let (bound, shares, starts) = play(load, urgent, seed);
+        let (bound, shares, starts) = simulate(load, urgent, seed);
         let served = shares[0].min(shares[1]);
         prop_assert!(bound < REACHABLE || served >= 0.5, "{} {:?}", bound, shares);
         prop_assert!(starts <= 1 + Policy::default().max_stops, "{}", starts);
