--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,5 +1,13 @@
-//! The books: done marks, records kept in the state service and their keys.
+//! What foxspur keeps in the state service: its records, their keys, and how sets of tasks
+//! and lists of machines are written within the limits on values and transactions.
+//!
+//! - [`records`]: the records and their keys.
+//! - [`completed_tasks`]: sets of task numbers as ranges.
+//! - [`machine_record`]: the shard's list of machines, in chunks.
 
-pub mod chunks;
-pub mod marks;
+pub mod completed_tasks;
+pub mod machine_record;
 pub mod records;
+
+pub use completed_tasks as marks;
+pub use machine_record as chunks;
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -1,6 +1,6 @@
 //! What foxspur keeps in the state service, and under which keys.
 
-use super::marks::CompletedTasks;
+use super::completed_tasks::CompletedTasks;
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobSpec, JobState};
 use crate::protocol::state::Txn;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,7 +10,7 @@
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Team;
 use foxspur::protocol::worker::{Cause, Phase, Report, Shown};
-use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::completed_tasks::CompletedTasks;
 use foxspur::storage::records::{LiveJob, MachineInfo};
 
 /// A good settings file.
