--- a/src/protocol/policy.rs
+++ b/src/protocol/policy.rs
@@ -19,26 +19,26 @@
     pub sample: usize,
     /// Waiting tasks bound to a machine at most.
     pub queue_depth: usize,
-    /// Half the age of a bound task, in report intervals, at which it is unbound
-    /// and drawn again.
+    /// Half the age of a bound task, in heartbeat intervals, at which it is unbound
+    /// and placed again.
     pub age_reports: f64,
-    /// A controller's own lease in the state service, in workers' leases.
+    /// Time to live of a controller's lease in the state service, in workers' leases.
     pub member_leases: f64,
-    /// For how many workers' leases an owner without contact to the state
+    /// For how many workers' leases a leader without contact to the state
     /// service goes on answering its workers.
     pub quiet_leases: f64,
-    /// Share of the fleet kept free by renting ahead.
+    /// Part of the fleet kept free by scaling out ahead of demand.
     pub headroom: f64,
-    /// For how long a machine may idle before it is returned, in boot times.
+    /// For how long a machine may idle before the fleet is scaled in, in boot times.
     pub idle_boots: f64,
     /// Errors in a row after which a machine is cordoned.
     pub cordon_errors: u32,
-    /// How often a task may be stopped to make room for others, by one owner.
+    /// How often a task may be preempted, under one leader.
     pub max_stops: u32,
     /// Room that comes free by itself is waited for, for this part of the time
-    /// that a job has left until it loses an aim; 0: others are stopped at once.
+    /// that a job has left until it misses an objective; 0: others are preempted at once.
     pub patience: f64,
-    /// Part of the fleet on which a class or team that is served too little goes
+    /// Part of the fleet on which a class or team below its fair share goes
     /// first; 0: none.
     pub floor_share: f64,
     /// Within this many seconds the first task of every job should start; half of it
@@ -71,60 +71,70 @@
 /// Why the operators' file is not usable.
 #[derive(thiserror::Error, Debug)]
 pub enum PolicyError {
+    /// The file cannot be read as settings.
     #[error("operators' settings: {0}")]
     Malformed(String),
+    /// A field has an impossible value: its name, and what is wrong with it.
     #[error("operators' settings: {0}: {1}")]
     Field(&'static str, &'static str),
 }
 
+/// Shortest time to live of a controller's lease, in seconds: five renewals, each with time
+/// for a slow answer.
+const MIN_LEASE_TTL_S: f64 = 2.0;
+/// Longest time to live of a controller's lease, in seconds.
+const MAX_LEASE_TTL_S: f64 = 600.0;
+
 impl Policy {
-    /// Life of a controller's lease in the state service, in seconds, where a
-    /// worker's lease is `lease_s`. At least two seconds: five renewals, each
-    /// with time for a slow answer.
+    /// Time to live of a controller's lease in the state service, in seconds, where that of
+    /// a worker's lease is `lease_s`.
     pub fn life_s(&self, lease_s: f64) -> f64 {
-        (self.member_leases * lease_s).clamp(2.0, 600.0)
+        (self.member_leases * lease_s).clamp(MIN_LEASE_TTL_S, MAX_LEASE_TTL_S)
     }
 
     /// Reads and checks the file's text.
+    ///
+    /// # Errors
+    /// It is malformed, or a field is unknown or impossible.
     pub fn parse(text: &str) -> Result<Policy, PolicyError> {
         let policy: Policy =
             serde_lexpr::from_str(text).map_err(|e| PolicyError::Malformed(e.to_string()))?;
-        if policy.sample == 0 {
-            return Err(PolicyError::Field("sample", "is 0"));
-        }
-        if policy.queue_depth > 1000 {
-            return Err(PolicyError::Field("queue-depth", "is above 1000"));
-        }
+        policy.check()?;
+        Ok(policy)
+    }
+
+    /// The order of the checks decides which of several errors is named.
+    fn check(&self) -> Result<(), PolicyError> {
+        require(self.sample > 0, "sample", "is 0")?;
+        require(self.queue_depth <= 1000, "queue-depth", "is above 1000")?;
         for (name, value) in [
-            ("age-reports", policy.age_reports),
-            ("member-leases", policy.member_leases),
-            ("quiet-leases", policy.quiet_leases),
-            ("idle-boots", policy.idle_boots),
+            ("age-reports", self.age_reports),
+            ("member-leases", self.member_leases),
+            ("quiet-leases", self.quiet_leases),
+            ("idle-boots", self.idle_boots),
         ] {
-            if !value.is_finite() || value <= 0.0 {
-                return Err(PolicyError::Field(name, "is not above 0"));
-            }
-        }
-        if !(0.0..=10.0).contains(&policy.headroom) {
-            return Err(PolicyError::Field("headroom", "is not within 0 and 10"));
+            require(value.is_finite() && value > 0.0, name, "is not above 0")?;
         }
+        let headroom = (0.0..=10.0).contains(&self.headroom);
+        require(headroom, "headroom", "is not within 0 and 10")?;
         // All of the fleet would turn the order of urgencies around.
-        if !(0.0..=0.5).contains(&policy.floor_share) {
-            return Err(PolicyError::Field("floor-share", "is not within 0 and 0.5"));
-        }
-        if !(0.0..=1.0).contains(&policy.patience) {
-            return Err(PolicyError::Field("patience", "is not within 0 and 1"));
-        }
-        if !policy.begin_s.is_finite() || policy.begin_s < 0.0 {
-            return Err(PolicyError::Field("begin-s", "is below 0"));
-        }
-        if policy.max_stops == 0 {
-            // Urgent work could get room from nobody.
-            return Err(PolicyError::Field("max-stops", "is 0"));
-        }
-        if policy.cordon_errors == 0 {
-            return Err(PolicyError::Field("cordon-errors", "is 0"));
-        }
-        Ok(policy)
+        let floor_share = (0.0..=0.5).contains(&self.floor_share);
+        require(floor_share, "floor-share", "is not within 0 and 0.5")?;
+        let patience = (0.0..=1.0).contains(&self.patience);
+        require(patience, "patience", "is not within 0 and 1")?;
+        let begin_s = self.begin_s.is_finite() && self.begin_s >= 0.0;
+        require(begin_s, "begin-s", "is below 0")?;
+        // Without a preemption urgent work could get room from nobody.
+        require(self.max_stops > 0, "max-stops", "is 0")?;
+        require(self.cordon_errors > 0, "cordon-errors", "is 0")
+    }
+}
+
+/// Fails with the field's name unless its value is possible.
+fn require(possible: bool, field: &'static str, problem: &'static str) -> Result<(), PolicyError> {
+    if possible {
+        Ok(())
+    } else {
+        Err(PolicyError::Field(field, problem))
     }
 }
--- a/src/transport/clients/peers.rs
+++ b/src/transport/clients/peers.rs
@@ -1,10 +1,17 @@
-//! Client of the other controllers.
+//! Client of the other controllers: messages over the mesh.
 
 use crate::protocol::mesh::{self, PeerRequest, PeerResponse};
 use crate::transport::http::Http;
 use awc::http::Method;
 use std::net::SocketAddr;
 
+/// Bound on the time to connect, in seconds.
+const CONNECT_TIMEOUT_S: f64 = 0.2;
+/// Connections kept open at most.
+const MAX_SOCKETS: usize = 8;
+/// Timeout of hints, which are worth no long wait, in seconds.
+const HINT_TIMEOUT_S: f64 = 0.3;
+
 /// Client of the other controllers.
 #[derive(Clone)]
 pub struct MeshClient {
@@ -14,7 +21,7 @@
 impl Default for MeshClient {
     fn default() -> Self {
         MeshClient {
-            http: Http::new(0.2, 8),
+            http: Http::new(CONNECT_TIMEOUT_S, MAX_SOCKETS),
         }
     }
 }
@@ -25,27 +32,23 @@
         MeshClient { http }
     }
 
-    /// Asks a peer; hints are worth no long wait.
-    pub async fn ask(&self, addr: SocketAddr, ask: &PeerRequest) -> Option<PeerResponse> {
-        self.ask_within(addr, ask, 0.3).await
+    /// Asks a peer for a hint; `None` without an answer soon.
+    pub async fn ask(&self, addr: SocketAddr, request: &PeerRequest) -> Option<PeerResponse> {
+        self.ask_within(addr, request, HINT_TIMEOUT_S).await
     }
 
-    /// Asks a peer with this much patience.
+    /// Asks a peer; `None` without an answer within `timeout_s` seconds.
     pub async fn ask_within(
         &self,
         addr: SocketAddr,
-        ask: &PeerRequest,
-        wait_s: f64,
+        request: &PeerRequest,
+        timeout_s: f64,
     ) -> Option<PeerResponse> {
-        let body = mesh::encode(ask);
-        let response = self
-            .http
-            .call(addr, Method::POST, "/mesh", Some(body), wait_s)
-            .await
-            .ok()?;
-        if response.status != 200 {
-            return None;
+        let body = Some(mesh::encode(request));
+        let call = self.http.call(addr, Method::POST, "/mesh", body, timeout_s);
+        match call.await {
+            Ok(response) if response.status == 200 => mesh::decode(&response.body),
+            _ => None,
         }
-        mesh::decode(&response.body)
     }
 }
--- a/src/transport/clients/workers.rs
+++ b/src/transport/clients/workers.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::settings::Settings;
 use crate::protocol::worker::{Direct, Report};
-use crate::transport::http::{CallError, Http};
+use crate::transport::http::{CallError, Http, Response};
 use crate::transport::sockets::Sockets;
 use awc::http::Method;
 use std::cell::RefCell;
@@ -20,23 +20,25 @@
 #[derive(Clone)]
 pub struct WorkerClient {
     pool: Rc<RefCell<Pool>>,
-    share: Sockets,
+    process_sockets: Sockets,
     /// Calls that can be under way at once.
     pub sockets: usize,
     timeout_s: f64,
 }
 
+/// The connection pool.
 struct Pool {
     http: Http,
+    /// Addresses to which it may hold a connection.
     addresses: HashSet<SocketAddr>,
 }
 
-/// What came of direct commands.
+/// Outcome of direct commands.
 #[derive(Debug)]
 pub enum DirectOutcome {
-    /// Executed; the report is from after them.
+    /// Executed; the heartbeat is from after them.
     Executed(Report),
-    /// Not executed, now or ever; the report says why.
+    /// Not executed, now or ever; the heartbeat says why.
     Rejected(Report),
     /// Never sent.
     NotSent,
@@ -45,35 +47,36 @@
 }
 
 impl WorkerClient {
+    /// A client with the sockets and the timeout that the settings allow.
     pub fn new(settings: &Settings) -> WorkerClient {
         let timeout_s = settings.cluster.workers.report_s.clamp(1.0, 4.0);
         WorkerClient::with_sockets(settings.cluster.quota.max_sockets, timeout_s)
     }
 
-    /// For a process of so many sockets.
+    /// A client in a process of so many sockets; a call may take `timeout_s` seconds.
     pub fn with_sockets(all: usize, timeout_s: f64) -> WorkerClient {
-        let share = Sockets::new(all);
-        let sockets = (share.all / 4).clamp(8, 128);
+        let process_sockets = Sockets::new(all);
+        let sockets = (process_sockets.all / 4).clamp(8, 128);
         let pool = Pool {
             http: Http::new(timeout_s / 2.0, sockets),
             addresses: HashSet::new(),
         };
         WorkerClient {
             pool: Rc::new(RefCell::new(pool)),
-            share,
+            process_sockets,
             sockets,
             timeout_s,
         }
     }
 
-    /// Addresses to which a connection may be kept.
+    /// How many addresses a connection may be kept to.
     pub fn kept(&self) -> usize {
         self.pool.borrow().addresses.len()
     }
 
     /// The process's sockets.
     pub fn share(&self) -> &Sockets {
-        &self.share
+        &self.process_sockets
     }
 
     /// The pool for a call to this address.
@@ -81,7 +84,7 @@
         let mut pool = self.pool.borrow_mut();
         // There may be fewer to spare than when the others were kept.
         let others = pool.addresses.len() - usize::from(pool.addresses.contains(&addr));
-        if others >= self.share.to_workers() {
+        if others >= self.process_sockets.to_workers() {
             pool.addresses.clear();
             // The old one goes with its last call.
             pool.http = Http::new(self.timeout_s / 2.0, self.sockets);
@@ -90,27 +93,30 @@
         pool.http.clone()
     }
 
+    /// Sends direct commands to a worker.
     pub async fn send(&self, addr: SocketAddr, direct: &Direct) -> DirectOutcome {
         let Ok(body) = serde_json::to_vec(direct) else {
             return DirectOutcome::NotSent;
         };
-        let sent = self
-            .pool(addr)
-            .call(addr, Method::POST, "/commands", Some(body), self.timeout_s)
-            .await;
-        match sent {
-            Ok(r) if r.status == 200 => match serde_json::from_slice(&r.body) {
-                Ok(report) => DirectOutcome::Executed(report),
-                Err(_) => DirectOutcome::Unknown,
-            },
-            Ok(r) if r.status == 409 => match serde_json::from_slice(&r.body) {
-                Ok(report) => DirectOutcome::Rejected(report),
-                Err(_) => DirectOutcome::Unknown,
-            },
-            Ok(r) if r.status == 400 => DirectOutcome::NotSent,
-            Ok(_) => DirectOutcome::Unknown,
+        let pool = self.pool(addr);
+        let call = pool.call(addr, Method::POST, "/commands", Some(body), self.timeout_s);
+        match call.await {
+            Ok(response) => outcome(&response),
             Err(CallError::NotSent) => DirectOutcome::NotSent,
             Err(CallError::Unknown) => DirectOutcome::Unknown,
         }
     }
 }
+
+/// What a worker's response says of the commands.
+fn outcome(response: &Response) -> DirectOutcome {
+    let of_report = |outcome: fn(Report) -> DirectOutcome| {
+        serde_json::from_slice(&response.body).map_or(DirectOutcome::Unknown, outcome)
+    };
+    match response.status {
+        200 => of_report(DirectOutcome::Executed),
+        409 => of_report(DirectOutcome::Rejected),
+        400 => DirectOutcome::NotSent,
+        _ => DirectOutcome::Unknown,
+    }
+}
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -13,13 +13,15 @@
 /// A response.
 #[derive(Debug)]
 pub struct Response {
+    /// Status code.
     pub status: u16,
+    /// The whole body.
     pub body: Bytes,
 }
 
 /// For how long a connection is kept for later calls: longer than the time
 /// between two calls to any machine in use.
-const KEEP: Duration = Duration::from_secs(600);
+const KEEP_ALIVE: Duration = Duration::from_secs(600);
 
 /// Why there is no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -35,10 +37,15 @@
 /// One call, as it is handed to an [`Exchange`].
 #[derive(Debug, Clone)]
 pub struct Call {
+    /// Whom to call.
     pub addr: SocketAddr,
+    /// Method.
     pub method: awc::http::Method,
+    /// Path and query.
     pub path: String,
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
+    /// Bound on the time until the response.
     pub timeout: Duration,
 }
 
@@ -51,11 +58,19 @@
 /// What carries the calls of a client.
 #[derive(Clone)]
 enum Carrier {
-    /// A connection pool, and the time that connecting may take.
-    Pool(awc::Client, Duration),
+    /// Sockets.
+    Pool(Pool),
+    /// A simulated network.
     Simulated(Rc<dyn Exchange>),
 }
 
+/// A connection pool, and the time that connecting may take.
+#[derive(Clone)]
+struct Pool {
+    client: awc::Client,
+    connect_timeout: Duration,
+}
+
 /// A client with its own connection pool.
 #[derive(Clone)]
 pub struct Http(Carrier);
@@ -66,27 +81,35 @@
         Http(Carrier::Simulated(exchange))
     }
 
-    /// `connect_s` bounds the time to connect, `sockets` the pool.
+    /// A client over sockets: `connect_s` bounds the time to connect, in seconds,
+    /// `sockets` the connections of the pool.
     pub fn new(connect_s: f64, sockets: usize) -> Http {
-        let connect = Duration::from_secs_f64(connect_s);
+        let connect_timeout = Duration::from_secs_f64(connect_s);
         let connector = awc::Connector::new()
-            .timeout(connect)
+            .timeout(connect_timeout)
             .limit(sockets)
             // The other side closes a connection when it wants to, and a new
             // one costs a dozen system calls and packets. (Idle ones are not
             // closed before the next call to the same address anyway.)
-            .conn_keep_alive(KEEP)
-            .conn_lifetime(KEEP);
+            .conn_keep_alive(KEEP_ALIVE)
+            .conn_lifetime(KEEP_ALIVE);
         let client = awc::Client::builder()
             .connector(connector)
             .disable_redirects()
             .disable_timeout()
             .no_default_headers()
             .finish();
-        Http(Carrier::Pool(client, connect))
+        Http(Carrier::Pool(Pool {
+            client,
+            connect_timeout,
+        }))
     }
 
-    /// Calls `method path` at `addr` and reads the whole response.
+    /// Calls `method path` at `addr` and reads the whole response, within `timeout_s`
+    /// seconds.
+    ///
+    /// # Errors
+    /// There is no response: what is known of the request.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -96,8 +119,8 @@
         timeout_s: f64,
     ) -> Result<Response, CallError> {
         let timeout = Duration::from_secs_f64(timeout_s);
-        let (client, connect) = match &self.0 {
-            Carrier::Pool(client, connect) => (client, *connect),
+        match &self.0 {
+            Carrier::Pool(pool) => pool.call(addr, method, path, body, timeout).await,
             Carrier::Simulated(exchange) => {
                 let call = Call {
                     addr,
@@ -106,35 +129,55 @@
                     body: body.unwrap_or_default(),
                     timeout,
                 };
-                return exchange.call(call).await;
+                exchange.call(call).await
             }
-        };
-        let request = client
+        }
+    }
+}
+
+impl Pool {
+    async fn call(
+        &self,
+        addr: SocketAddr,
+        method: awc::http::Method,
+        path: &str,
+        body: Option<Vec<u8>>,
+        timeout: Duration,
+    ) -> Result<Response, CallError> {
+        let request = self
+            .client
             .request(method, format!("http://{addr}{path}"))
             .insert_header(("content-type", "application/json"));
-        let exchange = async {
-            let sent = match body {
-                Some(body) => request.send_body(body).await,
-                None => request.send().await,
-            };
-            let mut response = sent.map_err(|e| match e {
-                awc::error::SendRequestError::Connect(_) | awc::error::SendRequestError::Url(_) => {
-                    CallError::NotSent
-                }
-                _ => CallError::Unknown,
-            })?;
-            let status = response.status().as_u16();
-            let body = response
-                .body()
-                .limit(MAX_BODY)
-                .await
-                .map_err(|_| CallError::Unknown)?;
-            Ok(Response { status, body })
-        };
         // One bound for all: waiting for the pool, sending, the body. It leaves
         // the connector time to say that it never connected.
-        actix_rt::time::timeout(timeout + connect, exchange)
+        let bound = timeout + self.connect_timeout;
+        actix_rt::time::timeout(bound, exchange(request, body))
             .await
             .unwrap_or(Err(CallError::Unknown))
     }
 }
+
+/// Sends a request and reads the whole response.
+async fn exchange(
+    request: awc::ClientRequest,
+    body: Option<Vec<u8>>,
+) -> Result<Response, CallError> {
+    let sent = match body {
+        Some(body) => request.send_body(body).await,
+        None => request.send().await,
+    };
+    let mut response = sent.map_err(call_error)?;
+    let status = response.status().as_u16();
+    let body = response.body().limit(MAX_BODY).await;
+    let body = body.map_err(|_| CallError::Unknown)?;
+    Ok(Response { status, body })
+}
+
+/// What is known of a request that could not be sent, or had no response.
+fn call_error(error: awc::error::SendRequestError) -> CallError {
+    use awc::error::SendRequestError::{Connect, Url};
+    match error {
+        Connect(_) | Url(_) => CallError::NotSent,
+        _ => CallError::Unknown,
+    }
+}
--- a/src/transport/listen.rs
+++ b/src/transport/listen.rs
@@ -1,9 +1,9 @@
 //! Accepts connections and serves them on this thread. `actix-web`'s own
 //! server would start a thread for accepting and one for serving; on a tenth of
-//! a scheduler each hand-over costs, so its HTTP service is fed by one loop here.
+//! a processor each hand-over costs, so its HTTP service is fed by one loop here.
 
 use actix_http::{HttpService, KeepAlive};
-use actix_rt::net::TcpStream;
+use actix_rt::net::{TcpListener, TcpStream};
 use actix_service::{map_config, IntoServiceFactory, Service, ServiceFactory, ServiceFactoryExt};
 use actix_web::body::MessageBody;
 use actix_web::dev::{AppConfig, ServiceRequest, ServiceResponse};
@@ -15,11 +15,40 @@
 
 /// For how long a connection that is used now and then is kept.
 pub const IDLE: Duration = Duration::from_secs(120);
+/// Bound on the time until the head of a request has come.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Bound on the time until a connection is closed.
+const DISCONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+
+/// A listener that does not block.
+fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
+    let listener = std::net::TcpListener::bind(addr)?;
+    listener.set_nonblocking(true)?;
+    TcpListener::from_std(listener)
+}
+
+/// The next connection.
+async fn accept(listener: &TcpListener) -> TcpStream {
+    loop {
+        match listener.accept().await {
+            Ok((stream, _)) => return stream,
+            Err(error) => {
+                tracing::warn!(%error, "accept failed");
+                actix_rt::time::sleep(ACCEPT_RETRY_PAUSE).await;
+            }
+        }
+    }
+}
 
 /// Serves `app` at `addr` until the process ends. Connections beyond
 /// `max_connections` are closed at once, so that the sockets left over keep the
 /// controller's own calls going; `open` counts those that are open. One on which nothing
 /// came for `idle` is closed: the other side is gone.
+///
+/// # Errors
+/// The address cannot be bound, or the HTTP service did not start.
 pub async fn serve<T, B>(
     app: App<T>,
     addr: SocketAddr,
@@ -38,14 +67,12 @@
     T::Future: 'static,
     B: MessageBody + 'static,
 {
-    let std_listener = std::net::TcpListener::bind(addr)?;
-    std_listener.set_nonblocking(true)?;
-    let listener = actix_rt::net::TcpListener::from_std(std_listener)?;
+    let listener = bind(addr)?;
     let config = AppConfig::default();
     let factory = HttpService::build()
         .keep_alive(KeepAlive::Timeout(idle))
-        .client_request_timeout(Duration::from_secs(10))
-        .client_disconnect_timeout(Duration::from_millis(500))
+        .client_request_timeout(REQUEST_TIMEOUT)
+        .client_disconnect_timeout(DISCONNECT_TIMEOUT)
         .h1(map_config(
             app.into_factory().map_err(|e: Error| e),
             move |_| config.clone(),
@@ -59,21 +86,12 @@
     );
     actix_rt::spawn(async move {
         loop {
-            let stream: TcpStream = match listener.accept().await {
-                Ok((stream, _)) => stream,
-                Err(e) => {
-                    tracing::warn!(error = %e, "accept failed");
-                    actix_rt::time::sleep(Duration::from_millis(50)).await;
-                    continue;
-                }
-            };
+            let stream = accept(&listener).await;
             if open.get() >= max_connections {
-                drop(stream);
                 continue;
             }
             open.set(open.get() + 1);
-            let service = service.clone();
-            let open = open.clone();
+            let (service, open) = (service.clone(), open.clone());
             actix_rt::spawn(async move {
                 let _ = service.call(stream).await;
                 open.set(open.get() - 1);
