--- a/src/app.rs
+++ b/src/app.rs
@@ -16,7 +16,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Shortest time for which idle connections of workers and users are kept, in seconds.
+const MIN_IDLE_S: f64 = 30.0;
+
 /// Starts everything and serves until the process is killed.
+///
+/// # Errors
+/// An address cannot be bound.
 pub async fn run(settings: Settings, policy: Policy) -> std::io::Result<()> {
     let node = Node::new(settings, policy);
     serve(&node).await?;
@@ -34,23 +40,33 @@
 
 /// Opens both servers.
 async fn serve(node: &Rc<Node>) -> std::io::Result<()> {
+    serve_front(node).await?;
+    serve_mesh(node).await
+}
+
+/// The server for users, workers and health checks.
+async fn serve_front(node: &Rc<Node>) -> std::io::Result<()> {
     let sockets = node.workers.share();
-    // Workers report and users poll several times in two leases.
-    let idle_s = (2.0 * node.settings.cluster.workers.lease_s).max(30.0);
+    // Workers send heartbeats and users poll several times in two leases.
+    let idle_s = (2.0 * node.settings.cluster.workers.lease_s).max(MIN_IDLE_S);
     let idle = Duration::from_secs_f64(idle_s);
-    let data = Data::new(node.clone());
-    let front = App::new()
-        .app_data(data.clone())
+    let app = App::new()
+        .app_data(Data::new(node.clone()))
         .app_data(PayloadConfig::new(MAX_BODY))
         .configure(handlers::front);
-    let (most, open) = (sockets.front(), sockets.incoming.clone());
-    listen::serve(front, node.settings.front, most, open, idle).await?;
-    let mesh = App::new()
-        .app_data(data)
+    let (max_connections, open) = (sockets.front(), sockets.incoming.clone());
+    listen::serve(app, node.settings.front, max_connections, open, idle).await
+}
+
+/// The server for other controllers.
+async fn serve_mesh(node: &Rc<Node>) -> std::io::Result<()> {
+    let sockets = node.workers.share();
+    let app = App::new()
+        .app_data(Data::new(node.clone()))
         .app_data(PayloadConfig::new(MAX_BODY))
         .configure(handlers::mesh);
-    let addr = node.settings.mesh_addr;
-    listen::serve(mesh, addr, sockets.mesh(), Rc::default(), listen::IDLE).await
+    let (addr, max_connections) = (node.settings.mesh_addr, sockets.mesh());
+    listen::serve(app, addr, max_connections, Rc::default(), listen::IDLE).await
 }
 
 fn start_actors(node: &Rc<Node>) {
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -24,16 +24,16 @@
 use actix_web::HttpResponse;
 use std::rc::Rc;
 
-/// How long a user whose cancellation is written waits for the leader to hear of it: a
-/// twentieth of the 5 s that users wait for an answer.
-const LEADER_HEARS_S: f64 = 0.25;
+/// How long a user whose cancellation is written waits for the leader to hear of it, in
+/// seconds: a twentieth of the 5 s that users wait for an answer.
+const NOTIFY_LEADER_TIMEOUT_S: f64 = 0.25;
 
 /// Attempts to cancel a job whose record changes meanwhile.
-const CANCEL_ATTEMPTS: usize = 8;
+const MAX_CANCEL_ATTEMPTS: usize = 8;
 
 /// `POST /work`: accepts a job once it is recorded.
 pub async fn submit(node: SharedNode, payload: web::Payload) -> HttpResponse {
-    let began = node.now();
+    let received_at = node.now();
     let body = match read_body(payload).await {
         Ok(body) => body,
         Err(refusal) => return refusal,
@@ -43,23 +43,23 @@
         Err(why) => {
             let refusal = refuse(StatusCode::BAD_REQUEST, &why);
             return match peek_id(&body) {
-                Some(id) => known_or(&node, &id, refusal).await,
+                Some(id) => state_if_known_or(&node, &id, refusal).await,
                 None => refusal,
             };
         }
     };
     match admission::check(&node, &spec) {
-        Admission::Admitted => accept(&node, spec, began).await,
+        Admission::Admitted => accept(&node, spec, received_at).await,
         Admission::Rejected(error) => {
             let refusal = refuse(StatusCode::UNPROCESSABLE_ENTITY, &error.to_string());
-            known_or(&node, &spec.id, refusal).await
+            state_if_known_or(&node, &spec.id, refusal).await
         }
-        Admission::Undecided => known_or(&node, &spec.id, try_elsewhere(&node)).await,
+        Admission::Undecided => state_if_known_or(&node, &spec.id, try_elsewhere(&node)).await,
     }
 }
 
 /// Records a valid job and tells the user.
-async fn accept(node: &Rc<Node>, spec: JobSpec, began: f64) -> HttpResponse {
+async fn accept(node: &Rc<Node>, spec: JobSpec, received_at: f64) -> HttpResponse {
     let id = spec.id.clone();
     if let Some(last) = node.terminal_states.borrow().get(&id) {
         return accepted(StatusCode::OK, &id, last.state);
@@ -77,17 +77,19 @@
     match written.result {
         Ok(version) => {
             log_accepted(&record.spec);
-            node.record_acceptance(node.now() - began);
-            take_job(node, record, version);
+            node.record_acceptance(node.now() - received_at);
+            notify_scheduler(node, record, version);
+        }
+        Err(Failure::Conflict(_)) => {
+            return state_if_known_or(node, &id, try_elsewhere(node)).await
         }
-        Err(Failure::Conflict(_)) => return known_or(node, &id, try_elsewhere(node)).await,
         Err(_) => return try_elsewhere(node),
     }
     // Guards against an answer that was held up: by now the user may have been told
     // elsewhere that the job is over.
-    let over = node.terminal_states.borrow().get(&id).is_some();
-    if over || written.sent_at.elapsed() > MAX_READ_AGE {
-        return known_or(node, &id, try_elsewhere(node)).await;
+    let is_over = node.terminal_states.borrow().get(&id).is_some();
+    if is_over || written.sent_at.elapsed() > MAX_READ_AGE {
+        return state_if_known_or(node, &id, try_elsewhere(node)).await;
     }
     accepted(StatusCode::CREATED, &id, JobState::Pending)
 }
@@ -97,8 +99,8 @@
     tracing::info!(job = %spec.id, class = %spec.class, team = %spec.team, tasks = spec.tasks, cpus = spec.cpus, estimate_s = spec.estimate_s, due_s, "accepted");
 }
 
-/// A job that was just recorded: the scheduler learns of it at once where it is ours.
-fn take_job(node: &Rc<Node>, record: LiveJob, version: u64) {
+/// A job was just recorded: the scheduler learns of it at once where this controller leads.
+fn notify_scheduler(node: &Rc<Node>, record: LiveJob, version: u64) {
     let read = Rc::new(record.clone());
     node.record_cache.borrow_mut().insert(&read, version);
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
@@ -115,7 +117,7 @@
 
 /// The present state of a job that is known, whatever its repeated submission holds; else
 /// the refusal.
-async fn known_or(node: &Rc<Node>, id: &str, refusal: HttpResponse) -> HttpResponse {
+async fn state_if_known_or(node: &Rc<Node>, id: &str, refusal: HttpResponse) -> HttpResponse {
     let mut found = lookup::find(node, id).await;
     let mut counts = None;
     if matches!(found, Ok(JobLookup::Live(..))) {
@@ -169,13 +171,13 @@
     let counts = task_counts(&node, &id).await;
     match lookup::find(&node, &id).await {
         Ok(JobLookup::Live(record, _)) => {
-            // Where the leader does not answer, what is in the record. Marks kept apart are
+            // Where the leader does not answer, what is in the record. Chunks kept apart are
             // hundreds of KiB for the largest jobs; the counts are worth no such read.
-            let unknown = TaskCounts {
+            let recorded = TaskCounts {
                 done: record.completed_count(),
                 running: 0,
             };
-            progress(&id, live_state(counts), counts.unwrap_or(unknown))
+            progress(&id, live_state(counts), counts.unwrap_or(recorded))
         }
         Ok(JobLookup::Unreadable(_)) => progress(&id, JobState::Pending, TaskCounts::default()),
         Ok(JobLookup::Terminal(last)) => {
@@ -207,32 +209,25 @@
     if !valid_id(&id) {
         return no_such_job();
     }
-    let known = node.terminal_states.borrow().get(&id).is_some();
-    // Done marks written meanwhile change the record's version: look again.
-    for _ in 0..CANCEL_ATTEMPTS {
+    let was_known_over = node.terminal_states.borrow().get(&id).is_some();
+    // Completed tasks written meanwhile change the record's version: look again.
+    for _ in 0..MAX_CANCEL_ATTEMPTS {
         let (record, version) = match lookup::find(&node, &id).await {
             Ok(JobLookup::Live(record, version)) => (Some(record), version),
             Ok(JobLookup::Unreadable(version)) => (None, version),
             Ok(JobLookup::Terminal(last)) => {
                 // Carried out before, and the answer was lost: nobody told the leader.
-                if !known && last.state == JobState::Cancelled {
-                    tell_leader(&node, &id).await;
+                if !was_known_over && last.state == JobState::Cancelled {
+                    notify_leader(&node, &id).await;
                 }
                 return accepted(StatusCode::OK, &id, last.state);
             }
             Ok(JobLookup::NotFound) => return no_such_job(),
             Err(_) => return try_elsewhere(&node),
         };
-        let last = TerminalRecord {
-            state: JobState::Cancelled,
-            tasks: record.as_ref().map_or(0, |r| r.spec.tasks),
-            done: record.as_ref().map_or(0, |r| r.completed_count()),
-        };
-        match node
-            .state
-            .txn(&cancellation(&id, version, &last), Lane::Data)
-            .await
-        {
+        let last = cancelled_record(record.as_deref());
+        let txn = cancellation(&id, version, &last);
+        match node.state.txn(&txn, Lane::Data).await {
             Ok(_) => {
                 cancelled(&node, &id, last).await;
                 return accepted(StatusCode::OK, &id, JobState::Cancelled);
@@ -244,6 +239,17 @@
     try_elsewhere(&node)
 }
 
+/// The terminal record of a job that is cancelled; its counts are 0 where its live record
+/// cannot be read.
+fn cancelled_record(live: Option<&LiveJob>) -> TerminalRecord {
+    TerminalRecord {
+        state: JobState::Cancelled,
+        tasks: live.map_or(0, |record| record.spec.tasks),
+        done: live.map_or(0, LiveJob::completed_count),
+    }
+}
+
+/// The transaction that replaces a live record of this version by a terminal one.
 fn cancellation(id: &str, version: u64, last: &TerminalRecord) -> Txn {
     Txn::default()
         .when(&records::live_key(id), version)
@@ -257,13 +263,13 @@
     node.learn_terminal_state(id, last);
     dispatcher::drain(node);
     completed_task_chunks::delete(node.clone(), id.into(), last.tasks);
-    tell_leader(node, id).await;
+    notify_leader(node, id).await;
 }
 
 /// Tells the leader of a cancellation before the user is told, so that it starts no task
 /// of the job afterwards. (It learns it from its watch as well, but later.) The message
-/// may be lost: what bounds the time then is `leadership::cover`.
-async fn tell_leader(node: &Rc<Node>, id: &str) {
+/// may be lost: what bounds the time then is `leadership::cancellation_horizon`.
+async fn notify_leader(node: &Rc<Node>, id: &str) {
     if node.scheduler.borrow().is_some() {
         return;
     }
@@ -271,7 +277,9 @@
         return;
     };
     let message = PeerRequest::JobCancelled(id.to_string());
-    let told = node.mesh.ask_within(addr, &message, LEADER_HEARS_S);
+    let told = node
+        .mesh
+        .ask_within(addr, &message, NOTIFY_LEADER_TIMEOUT_S);
     if told.await.is_none() {
         tracing::debug!(job = %id, "the leader was not reached with a cancellation");
     }
--- a/src/handlers/mod.rs
+++ b/src/handlers/mod.rs
@@ -1,4 +1,6 @@
 //! The HTTP handlers: what users, workers, health checks and other controllers call.
+//! Each translates a request, asks [`crate::coordination`], and translates its result;
+//! none decides anything.
 
 mod jobs;
 mod peers;
@@ -10,7 +12,7 @@
 use actix_web::web::{self, Data, ServiceConfig};
 use std::rc::Rc;
 
-/// Largest request body by the protocol.
+/// Largest request body by the protocol, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 
 /// The controller that a handler acts for.
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -1,4 +1,4 @@
-//! Messages of other controllers.
+//! Messages of other controllers (see [`crate::protocol::mesh`]).
 
 use super::SharedNode;
 use crate::admin;
@@ -14,18 +14,18 @@
 /// `POST /mesh`: one message in `bincode`.
 pub async fn call(node: SharedNode, body: Bytes) -> HttpResponse {
     match mesh::decode::<PeerRequest>(&body) {
-        Some(ask) => HttpResponse::Ok().body(mesh::encode(&answer(&node, ask))),
+        Some(request) => HttpResponse::Ok().body(mesh::encode(&answer(&node, request))),
         None => HttpResponse::BadRequest().finish(),
     }
 }
 
-fn answer(node: &Rc<Node>, ask: PeerRequest) -> PeerResponse {
-    match ask {
-        PeerRequest::Progress(id) => of_core(node, |scheduler| progress(scheduler, &id)),
-        PeerRequest::Overview => of_core(node, |scheduler| {
+fn answer(node: &Rc<Node>, request: PeerRequest) -> PeerResponse {
+    match request {
+        PeerRequest::Progress(id) => ask_scheduler(node, |scheduler| progress(scheduler, &id)),
+        PeerRequest::Overview => ask_scheduler(node, |scheduler| {
             Some(PeerResponse::Overview(scheduler.overview(node.now())))
         }),
-        PeerRequest::View(topic) => of_core(node, |scheduler| admin_page(node, scheduler, topic)),
+        PeerRequest::View(topic) => ask_scheduler(node, |scheduler| view(node, scheduler, topic)),
         PeerRequest::ExtendLease(term) => {
             agreed_if(node.leadership.borrow().knows_no_later_leader(term))
         }
@@ -34,25 +34,27 @@
             PeerResponse::Agreed
         }
         PeerRequest::Contact => {
-            let steady_s = node.readiness.borrow().contact_for(node.now());
-            PeerResponse::Contact((steady_s.max(0.0) * 1000.0) as u64)
+            let contact_s = node.readiness.borrow().contact_for(node.now());
+            PeerResponse::Contact((contact_s.max(0.0) * 1000.0) as u64)
         }
         PeerRequest::RedirectedHeartbeats => {
             let recent = node.redirected_heartbeats.borrow_mut().recent(node.now());
             PeerResponse::RedirectedHeartbeats(recent)
         }
         PeerRequest::JobCancelled(id) => {
-            job_over(node, &id);
+            job_cancelled(node, &id);
             PeerResponse::Agreed
         }
-        PeerRequest::ConfirmedCancellations(term, for_ms) => told(node, term, for_ms),
+        PeerRequest::ConfirmedCancellations(term, for_ms) => {
+            confirmed_cancellations(node, term, for_ms)
+        }
     }
 }
 
 /// Another controller has recorded a cancellation.
-fn job_over(node: &Rc<Node>, id: &str) {
-    // Guards against a share that is being read: the list of live jobs may have the job
-    // already, and its scheduler, which is not there yet, would start it.
+fn job_cancelled(node: &Rc<Node>, id: &str) {
+    // Guards against a takeover that is reading the shard: the list of live jobs may have
+    // the job already, and the scheduler, which is not there yet, would start it.
     node.relayed_cancellations
         .borrow_mut()
         .record(id, node.now());
@@ -63,7 +65,10 @@
 }
 
 /// What the leader's scheduler says, if this controller leads.
-fn of_core(node: &Node, ask: impl FnOnce(&Scheduler) -> Option<PeerResponse>) -> PeerResponse {
+fn ask_scheduler(
+    node: &Node,
+    ask: impl FnOnce(&Scheduler) -> Option<PeerResponse>,
+) -> PeerResponse {
     let scheduler = node.scheduler.borrow();
     scheduler
         .as_ref()
@@ -87,14 +92,14 @@
     })
 }
 
-fn admin_page(node: &Node, scheduler: &Scheduler, topic: Topic) -> Option<PeerResponse> {
+fn view(node: &Node, scheduler: &Scheduler, topic: Topic) -> Option<PeerResponse> {
     let text = admin::of_core(scheduler, topic, node.now())?;
     Some(PeerResponse::View(scheduler.term, text))
 }
 
 /// The cancellations that this controller told users of, for a leader that has no other
 /// way to learn them.
-fn told(node: &Node, term: u64, for_ms: u64) -> PeerResponse {
+fn confirmed_cancellations(node: &Node, term: u64, for_ms: u64) -> PeerResponse {
     if !node.leadership.borrow().may_report_to(term) {
         return PeerResponse::NotLeader;
     }
--- a/src/handlers/reply.rs
+++ b/src/handlers/reply.rs
@@ -46,26 +46,33 @@
     response
 }
 
-/// Reads a body of at most 64 KiB.
+/// Reads a body of at most [`MAX_BODY`] bytes.
+///
+/// # Errors
+/// The response to a body that is too large or cannot be read.
 pub async fn read_body(mut payload: web::Payload) -> Result<Bytes, HttpResponse> {
     // Most bodies come in one piece, which then need not be copied.
     let mut first = Bytes::new();
-    let mut body = Vec::new();
+    let mut copied = Vec::new();
     while let Some(chunk) = payload.next().await {
         let Ok(chunk) = chunk else {
             return Err(refuse(StatusCode::BAD_REQUEST, "unreadable body"));
         };
-        if first.len().max(body.len()) + chunk.len() > MAX_BODY {
+        if first.len().max(copied.len()) + chunk.len() > MAX_BODY {
             return Err(refuse(StatusCode::BAD_REQUEST, "body over 64 KiB"));
         }
         if first.is_empty() {
             first = chunk;
             continue;
         }
-        if body.is_empty() {
-            body.extend_from_slice(&first);
+        if copied.is_empty() {
+            copied.extend_from_slice(&first);
         }
-        body.extend_from_slice(&chunk);
+        copied.extend_from_slice(&chunk);
     }
-    Ok(if body.is_empty() { first } else { body.into() })
+    Ok(if copied.is_empty() {
+        first
+    } else {
+        copied.into()
+    })
 }
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -1,4 +1,4 @@
-//! Workers' reports.
+//! Workers' heartbeats.
 
 use super::reply::{json_response, read_body, refuse, unavailable};
 use super::SharedNode;
@@ -8,7 +8,7 @@
 use crate::coordination::leadership;
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::machine::MessageId;
-use crate::protocol::worker::{Redirect, Reply, ReportHead};
+use crate::protocol::worker::{Redirect, Reply, Report, ReportHead};
 use actix_web::http::StatusCode;
 use actix_web::web;
 use actix_web::HttpResponse;
@@ -22,36 +22,20 @@
     };
     wait_until_entitled(&node).await;
     if !node.may_answer_workers() {
-        let leader = node.other_leader();
-        let redirect = Redirect {
-            to: leader.as_deref(),
-        };
-        return json_response(StatusCode::MISDIRECTED_REQUEST, &redirect);
+        return redirect_to_leader(&node);
     }
     let Ok(head) = serde_json::from_slice::<ReportHead>(&body) else {
         return refuse(StatusCode::BAD_REQUEST, "not a report");
     };
     let now = node.now();
-    if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
-        if let Some(token) = scheduler.handle_repeated_heartbeat(&head, now) {
-            let commands = Vec::new();
-            return json_response(StatusCode::OK, &Reply { token, commands });
-        }
+    if let Some(response) = reply_to_repeated(&node, &head, now) {
+        return response;
     }
     let tasks = head.tasks;
     let Some(report) = head.read() else {
         return refuse(StatusCode::BAD_REQUEST, "not a report");
     };
-    let verdict = match node.scheduler.borrow_mut().as_mut() {
-        Some(scheduler) => {
-            let verdict = scheduler.handle_heartbeat(&report, now);
-            let order = MessageId::of(&report);
-            scheduler.remember_heartbeat(&report.machine, order, tasks.get());
-            verdict
-        }
-        None => HeartbeatReply::Refuse,
-    };
-    match verdict {
+    match handle(&node, &report, tasks.get(), now) {
         HeartbeatReply::Commands(reply) => {
             dispatcher::drain(&node);
             json_response(StatusCode::OK, &reply)
@@ -64,6 +48,34 @@
     }
 }
 
+/// A heartbeat whose tasks are those of the one before, which need not be read: most are.
+fn reply_to_repeated(node: &Node, head: &ReportHead, now: f64) -> Option<HttpResponse> {
+    let mut scheduler = node.scheduler.borrow_mut();
+    let token = scheduler.as_mut()?.handle_repeated_heartbeat(head, now)?;
+    let commands = Vec::new();
+    Some(json_response(StatusCode::OK, &Reply { token, commands }))
+}
+
+/// Passes a heartbeat to the scheduler, and remembers its tasks as they came, so that the
+/// next one can be compared with them.
+fn handle(node: &Node, report: &Report, tasks: &str, now: f64) -> HeartbeatReply {
+    let mut scheduler = node.scheduler.borrow_mut();
+    let Some(scheduler) = scheduler.as_mut() else {
+        return HeartbeatReply::Refuse;
+    };
+    let reply = scheduler.handle_heartbeat(report, now);
+    scheduler.remember_heartbeat(&report.machine, MessageId::of(report), tasks);
+    reply
+}
+
+fn redirect_to_leader(node: &Node) -> HttpResponse {
+    let leader = node.other_leader();
+    let redirect = Redirect {
+        to: leader.as_deref(),
+    };
+    json_response(StatusCode::MISDIRECTED_REQUEST, &redirect)
+}
+
 /// A takeover may be under way here, or due because workers do not reach the leader: a
 /// worker turned away would connect anew and wait once more.
 async fn wait_until_entitled(node: &Rc<Node>) {
@@ -74,8 +86,9 @@
     if node.may_answer_workers() {
         return;
     }
-    let lately = node.redirected_heartbeats.borrow_mut().add(node.now());
-    if leader_reachability::owner_unreached(lately) {
+    let now = node.now();
+    let recently_redirected = node.redirected_heartbeats.borrow_mut().add(now);
+    if leader_reachability::owner_unreached(recently_redirected) {
         node.leader_changed().await;
     }
 }
--- a/src/handlers/status.rs
+++ b/src/handlers/status.rs
@@ -22,12 +22,7 @@
 
 /// `GET /overview`: live jobs as a table, from the leader.
 pub async fn overview(node: SharedNode) -> HttpResponse {
-    let own = node
-        .scheduler
-        .borrow()
-        .as_ref()
-        .map(|c| c.overview(node.now()));
-    let text = match own {
+    let text = match own_overview(&node) {
         Some(text) => Some(text),
         None => leaders_overview(&node).await,
     };
@@ -39,6 +34,13 @@
     }
 }
 
+/// The overview, if this controller leads.
+fn own_overview(node: &Node) -> Option<String> {
+    let scheduler = node.scheduler.borrow();
+    Some(scheduler.as_ref()?.overview(node.now()))
+}
+
+/// The overview as the leader tells it.
 async fn leaders_overview(node: &Rc<Node>) -> Option<String> {
     let addr = node.peer_address(&node.other_leader()?)?;
     match node.mesh.ask(addr, &PeerRequest::Overview).await? {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,9 +1,9 @@
 //! The foxspur controller.
 
 use clap::Parser;
-use foxspur::protocol::policy::Policy;
-use foxspur::protocol::settings::Settings;
-use std::path::PathBuf;
+use foxspur::protocol::policy::{Policy, PolicyError};
+use foxspur::protocol::settings::{Settings, SettingsError};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// One controller of a foxspur cluster.
@@ -21,35 +21,59 @@
     check: bool,
 }
 
-fn load(args: &Args) -> Result<(Settings, Policy), String> {
-    let read = |path: &PathBuf| {
-        std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
-    };
-    let settings = Settings::parse(&read(&args.config)?).map_err(|e| e.to_string())?;
+/// Why the process cannot start.
+#[derive(thiserror::Error, Debug)]
+enum LoadError {
+    #[error("{path}: {source}")]
+    Unreadable {
+        path: String,
+        source: std::io::Error,
+    },
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    #[error(transparent)]
+    Policy(#[from] PolicyError),
+}
+
+fn read(path: &Path) -> Result<String, LoadError> {
+    std::fs::read_to_string(path).map_err(|source| LoadError::Unreadable {
+        path: path.display().to_string(),
+        source,
+    })
+}
+
+/// Reads the settings and the policy, and checks that they fit together.
+fn load(args: &Args) -> Result<(Settings, Policy), LoadError> {
+    let settings = Settings::parse(&read(&args.config)?)?;
     let policy = match &args.policy {
-        Some(path) => Policy::parse(&read(path)?).map_err(|e| e.to_string())?,
+        Some(path) => Policy::parse(&read(path)?)?,
         None => Policy::default(),
     };
-    settings.check_policy(&policy).map_err(|e| e.to_string())?;
+    settings.check_policy(&policy)?;
     Ok((settings, policy))
 }
 
-fn level() -> tracing::Level {
+/// The log level that the environment names, or `info`.
+fn log_level() -> tracing::Level {
     std::env::var("LOG_LEVEL")
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(tracing::Level::INFO)
 }
 
-fn main() -> ExitCode {
-    let args = Args::parse();
+fn init_log() {
     tracing_subscriber::fmt()
-        .with_max_level(level())
+        .with_max_level(log_level())
         .with_writer(std::io::stderr)
         .with_ansi(false)
         .with_target(false)
         .without_time()
         .init();
+}
+
+fn main() -> ExitCode {
+    let args = Args::parse();
+    init_log();
     let (settings, policy) = match load(&args) {
         Ok(loaded) => loaded,
         Err(error) => {
