--- a/src/coordination/jobs/completed_task_chunks.rs
+++ b/src/coordination/jobs/completed_task_chunks.rs
@@ -6,7 +6,7 @@
 use crate::protocol::state::Txn;
 use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::{self, CompletedTasksChunk, LiveJob};
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Failure, Priority};
 use std::rc::Rc;
 
 /// Reads the completed tasks that a job keeps apart from its record: none, unless it has
@@ -14,13 +14,17 @@
 ///
 /// # Errors
 /// The state service could not be read.
-pub async fn read(node: &Node, record: &LiveJob, lane: Lane) -> Result<CompletedTasks, Failure> {
+pub async fn read(
+    node: &Node,
+    record: &LiveJob,
+    priority: Priority,
+) -> Result<CompletedTasks, Failure> {
     let mut completed = CompletedTasks::default();
     if record.spec.tasks <= node.tasks_per_record() {
         return Ok(completed);
     }
     let prefix = records::completed_prefix(&record.spec.id);
-    for entry in node.state.list(&prefix, lane).await?.0 {
+    for entry in node.state.list(&prefix, priority).await?.0 {
         if let Ok(chunk) = entry.read::<CompletedTasksChunk>() {
             completed.merge(&CompletedTasks::from_text(&chunk.done, record.spec.tasks));
         }
@@ -34,7 +38,7 @@
     actix_rt::spawn(async move {
         for chunk in 0..chunk_count(tasks, node.tasks_per_record()) {
             let txn = Txn::default().delete(&records::completed_key(&id, chunk));
-            if node.state.txn(&txn, Lane::Data).await.is_err() {
+            if node.state.txn(&txn, Priority::Data).await.is_err() {
                 return;
             }
         }
--- a/src/coordination/jobs/completion_writer.rs
+++ b/src/coordination/jobs/completion_writer.rs
@@ -13,7 +13,7 @@
 use crate::protocol::settings::Cluster;
 use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::{self, LiveJob};
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Failure, Priority};
 use crate::transport::token_bucket::TokenBucket;
 use actix::prelude::*;
 use std::rc::Rc;
@@ -61,7 +61,7 @@
         return false;
     };
     let CompletionBatch { txn, jobs } = batch;
-    match node.state.txn(&txn, Lane::Data).await {
+    match node.state.txn(&txn, Priority::Data).await {
         Ok(version) => {
             batch_written(node, jobs, version, term);
             true
@@ -130,7 +130,7 @@
 
 /// Reads a job's record after a conflict.
 async fn reload_job(node: &Rc<Node>, id: &str, term: u64) {
-    let Ok(entry) = node.state.get(&records::live_key(id), Lane::Data).await else {
+    let Ok(entry) = node.state.get(&records::live_key(id), Priority::Data).await else {
         return;
     };
     node.with_scheduler(term, |scheduler| match entry {
--- a/src/coordination/jobs/live_job_watch.rs
+++ b/src/coordination/jobs/live_job_watch.rs
@@ -12,7 +12,7 @@
 use crate::protocol::state::{Entry, News, Seen};
 use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::{self, LiveJob};
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Failure, Priority};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -80,7 +80,10 @@
 
     /// The watch fell too far behind: reads all live jobs, and drops those that are gone.
     async fn list_anew(&mut self, asked_at: f64) {
-        let listing = self.node.state.list(records::LIVE_PREFIX, Lane::Control);
+        let listing = self
+            .node
+            .state
+            .list(records::LIVE_PREFIX, Priority::Control);
         let Ok((entries, revision)) = listing.await else {
             return;
         };
--- a/src/coordination/jobs/lookup.rs
+++ b/src/coordination/jobs/lookup.rs
@@ -8,11 +8,12 @@
 
 pub use super::terminal_states::TerminalStates;
 
+use super::record_cache::VersionedRecord;
 use super::version_check::{self, CurrentRecord};
 use crate::coordination::node::Node;
 use crate::protocol::state::Entry;
-use crate::storage::records::{self, LiveJob, TerminalRecord};
-use crate::transport::clients::{Failure, Lane};
+use crate::storage::records::{self, TerminalRecord};
+use crate::transport::clients::{Failure, Priority};
 use actix_rt::time::Instant;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,8 +29,8 @@
 /// A job as the state service has it.
 #[derive(Debug)]
 pub enum JobLookup {
-    /// It is live: its record, and the version of that.
-    Live(Rc<LiveJob>, u64),
+    /// It is live: its record.
+    Live(VersionedRecord),
     /// It is over: done or cancelled.
     Terminal(TerminalRecord),
     /// It is live, and its record says nothing to this version of the program: it
@@ -73,7 +74,7 @@
 /// A job that this controller accepted while the read was under way is not unknown.
 fn unless_accepted_meanwhile(node: &Node, id: &str, found: JobLookup) -> JobLookup {
     match (found, node.record_cache.borrow().get(id)) {
-        (JobLookup::NotFound, Some(read)) => JobLookup::Live(read.record, read.version),
+        (JobLookup::NotFound, Some(read)) => JobLookup::Live(read),
         (found, _) => found,
     }
 }
@@ -83,11 +84,13 @@
 async fn read(node: &Rc<Node>, id: &str) -> Result<TimedLookup, Failure> {
     if let Some(current) = version_check::current_record(node, id).await? {
         let CurrentRecord { read, sent_at } = current;
-        let found = JobLookup::Live(read.record, read.version);
-        return Ok(TimedLookup { found, sent_at });
+        return Ok(TimedLookup {
+            found: JobLookup::Live(read),
+            sent_at,
+        });
     }
     let live_key = records::live_key(id);
-    let live = node.state.timed_get(&live_key, Lane::Data).await;
+    let live = node.state.timed_get(&live_key, Priority::Data).await;
     let sent_at = live.sent_at;
     let found = match live.result? {
         Some(entry) => read_live(node, &entry),
@@ -102,16 +105,19 @@
         tracing::error!(key = %entry.key, "unreadable job record");
         return JobLookup::Unreadable(entry.version);
     };
-    let record = Rc::new(record);
+    let read = VersionedRecord {
+        record: Rc::new(record),
+        version: entry.version,
+    };
     let mut cache = node.record_cache.borrow_mut();
-    cache.insert(&record, entry.version);
-    JobLookup::Live(record, entry.version)
+    cache.insert(&read.record, read.version);
+    JobLookup::Live(read)
 }
 
 /// Reads the terminal record of a job that is not live, and remembers it.
 async fn read_terminal(node: &Node, id: &str) -> Result<JobLookup, Failure> {
     let key = records::terminal_key(id);
-    let Some(entry) = node.state.get(&key, Lane::Data).await? else {
+    let Some(entry) = node.state.get(&key, Priority::Data).await? else {
         return Ok(JobLookup::NotFound);
     };
     let state: TerminalRecord = entry.read().map_err(|_| Failure::Unknown)?;
--- a/src/coordination/jobs/version_check.rs
+++ b/src/coordination/jobs/version_check.rs
@@ -10,7 +10,7 @@
 use crate::coordination::node::Node;
 use crate::protocol::state::Txn;
 use crate::storage::records;
-use crate::transport::clients::{Failure, Lane, TimedResult};
+use crate::transport::clients::{Failure, Priority, TimedResult};
 use actix_rt::time::Instant;
 use std::rc::Rc;
 use std::time::Duration;
@@ -76,7 +76,10 @@
         if batch.is_empty() {
             return;
         }
-        let checked = node.state.timed_txn(&comparison(&batch), Lane::Data).await;
+        let checked = node
+            .state
+            .timed_txn(&comparison(&batch), Priority::Data)
+            .await;
         answer_batch(&node, batch, &checked);
     }
 }
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -18,7 +18,7 @@
 use crate::protocol::state::Txn;
 use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::{self, LiveJob, TerminalRecord};
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Failure, Priority};
 use actix_web::http::StatusCode;
 use actix_web::web;
 use actix_web::HttpResponse;
@@ -73,7 +73,7 @@
         .when(&records::live_key(&id), 0)
         .when(&records::terminal_key(&id), 0)
         .put(&records::live_key(&id), &record);
-    let written = node.state.timed_txn(&txn, Lane::Data).await;
+    let written = node.state.timed_txn(&txn, Priority::Data).await;
     match written.result {
         Ok(version) => {
             log_accepted(&record.spec);
@@ -170,11 +170,11 @@
     }
     let counts = task_counts(&node, &id).await;
     match lookup::find(&node, &id).await {
-        Ok(JobLookup::Live(record, _)) => {
+        Ok(JobLookup::Live(read)) => {
             // Where the leader does not answer, what is in the record. Chunks kept apart are
             // hundreds of KiB for the largest jobs; the counts are worth no such read.
             let recorded = TaskCounts {
-                done: record.completed_count(),
+                done: read.record.completed_count(),
                 running: 0,
             };
             progress(&id, live_state(counts), counts.unwrap_or(recorded))
@@ -213,7 +213,7 @@
     // Completed tasks written meanwhile change the record's version: look again.
     for _ in 0..MAX_CANCEL_ATTEMPTS {
         let (record, version) = match lookup::find(&node, &id).await {
-            Ok(JobLookup::Live(record, version)) => (Some(record), version),
+            Ok(JobLookup::Live(read)) => (Some(read.record), read.version),
             Ok(JobLookup::Unreadable(version)) => (None, version),
             Ok(JobLookup::Terminal(last)) => {
                 // Carried out before, and the answer was lost: nobody told the leader.
@@ -227,7 +227,7 @@
         };
         let last = cancelled_record(record.as_deref());
         let txn = cancellation(&id, version, &last);
-        match node.state.txn(&txn, Lane::Data).await {
+        match node.state.txn(&txn, Priority::Data).await {
             Ok(_) => {
                 cancelled(&node, &id, last).await;
                 return accepted(StatusCode::OK, &id, JobState::Cancelled);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,10 +2,14 @@
 //! at once on one with free room, else joins the one with fewer bound waiting
 //! tasks; a queue starts the smallest prediction first (see `docs/design.md`).
 //!
-//! Layers, lower ones never importing higher ones: [`transport`] moves bytes,
-//! [`protocol`] knows what they mean, [`storage`] keeps the books, and
-//! [`coordination`] decides. [`handlers`] answer calls, and [`app`] ties all together into a
-//! process.
+//! Layers, each of which imports only those before it:
+//!
+//! - [`protocol`]: messages and settings, as they are exchanged with other programs.
+//! - [`storage`]: the records in the state service, and their keys.
+//! - [`transport`]: HTTP, and the clients of the outside services.
+//! - [`coordination`]: leadership, scheduling, workers, jobs and the fleet.
+//! - [`handlers`] and [`admin`]: the calls of users, workers, controllers and operators.
+//! - [`app`]: ties all together into a process.
 
 pub mod admin;
 pub mod app;
--- a/src/transport/clients/cloud.rs
+++ b/src/transport/clients/cloud.rs
@@ -2,7 +2,7 @@
 //! the published limit on requests.
 
 use super::service::{self, Request, Service};
-use super::{CallStatistics, Failure, Lane};
+use super::{CallStatistics, Failure, Priority};
 use crate::protocol::cloud::{Listed, Names, Page, Rental, TypeList};
 use crate::protocol::settings::Settings;
 use crate::transport::http::{Http, Response};
@@ -54,7 +54,7 @@
 
     fn take_token(&self) -> Result<(), f64> {
         let now = self.service.now();
-        self.requests.borrow_mut().take(1.0, Lane::Control, now)
+        self.requests.borrow_mut().take(1.0, Priority::Control, now)
     }
 
     async fn call(
--- a/src/transport/clients/mod.rs
+++ b/src/transport/clients/mod.rs
@@ -6,7 +6,7 @@
 mod state;
 mod workers;
 
-pub use super::token_bucket::Priority as Lane;
+pub use super::token_bucket::{Priority, Priority as Lane};
 pub use cloud::CloudClient;
 pub use peers::MeshClient;
 pub use service::{CallStatistics, CallStatistics as Met};
--- a/src/transport/clients/state.rs
+++ b/src/transport/clients/state.rs
@@ -2,7 +2,7 @@
 //! within the published limits on requests and writes.
 
 use super::service::{self, Request, Service};
-use super::{CallStatistics, Failure, Lane, TimedResult};
+use super::{CallStatistics, Failure, Priority, TimedResult};
 use crate::protocol::settings::Settings;
 use crate::protocol::state::{Conflict, Entry, Lease, LeaseRequest, Listing, News, Revision, Txn};
 use crate::transport::http::{Http, Response};
@@ -71,9 +71,9 @@
     }
 
     /// Waits for the turn of a request that writes so many keys.
-    async fn wait_for_turn(&self, writes: usize, lane: Lane) -> Result<(), Failure> {
+    async fn wait_for_turn(&self, writes: usize, priority: Priority) -> Result<(), Failure> {
         for _ in 0..MAX_TURN_ATTEMPTS {
-            let Err(wait_s) = self.take_tokens(writes, lane) else {
+            let Err(wait_s) = self.take_tokens(writes, priority) else {
                 return Ok(());
             };
             let wait_s = wait_s.clamp(MIN_WAIT_S, MAX_WAIT_S);
@@ -83,13 +83,13 @@
     }
 
     /// Takes the tokens of one request, or says how long to wait for them.
-    fn take_tokens(&self, writes: usize, lane: Lane) -> Result<(), f64> {
+    fn take_tokens(&self, writes: usize, priority: Priority) -> Result<(), f64> {
         let now = self.service.now();
-        self.requests.borrow_mut().take(1.0, lane, now)?;
+        self.requests.borrow_mut().take(1.0, priority, now)?;
         if writes == 0 {
             return Ok(());
         }
-        self.writes.borrow_mut().take(writes as f64, lane, now)
+        self.writes.borrow_mut().take(writes as f64, priority, now)
     }
 
     async fn call(
@@ -132,13 +132,13 @@
     ///
     /// # Errors
     /// The call failed.
-    pub async fn get(&self, key: &str, lane: Lane) -> Result<Option<Entry>, Failure> {
-        self.timed_get(key, lane).await.result
+    pub async fn get(&self, key: &str, priority: Priority) -> Result<Option<Entry>, Failure> {
+        self.timed_get(key, priority).await.result
     }
 
     /// Reads a key, and says when the request was sent.
-    pub async fn timed_get(&self, key: &str, lane: Lane) -> TimedResult<Option<Entry>> {
-        let turn = self.wait_for_turn(0, lane).await;
+    pub async fn timed_get(&self, key: &str, priority: Priority) -> TimedResult<Option<Entry>> {
+        let turn = self.wait_for_turn(0, priority).await;
         let sent_at = Instant::now();
         let result = match turn {
             Ok(()) => self.send_get(key).await,
@@ -162,11 +162,15 @@
     ///
     /// # Errors
     /// A call failed.
-    pub async fn list(&self, prefix: &str, lane: Lane) -> Result<(Vec<Entry>, u64), Failure> {
+    pub async fn list(
+        &self,
+        prefix: &str,
+        priority: Priority,
+    ) -> Result<(Vec<Entry>, u64), Failure> {
         let mut all: Vec<Entry> = Vec::new();
         let mut revision = None;
         loop {
-            self.wait_for_turn(0, lane).await?;
+            self.wait_for_turn(0, priority).await?;
             let page = self.page(prefix, all.last()).await?;
             revision.get_or_insert(page.revision);
             let more = page.more && !page.items.is_empty();
@@ -193,14 +197,14 @@
     ///
     /// # Errors
     /// The call failed, or a condition of the transaction did.
-    pub async fn txn(&self, txn: &Txn, lane: Lane) -> Result<u64, Failure> {
-        self.timed_txn(txn, lane).await.result
+    pub async fn txn(&self, txn: &Txn, priority: Priority) -> Result<u64, Failure> {
+        self.timed_txn(txn, priority).await.result
     }
 
     /// Runs a transaction, and says when it was sent: it may have waited for its turn
     /// before.
-    pub async fn timed_txn(&self, txn: &Txn, lane: Lane) -> TimedResult<u64> {
-        let turn = self.wait_for_turn(txn.changes.len(), lane).await;
+    pub async fn timed_txn(&self, txn: &Txn, priority: Priority) -> TimedResult<u64> {
+        let turn = self.wait_for_turn(txn.changes.len(), priority).await;
         let sent_at = Instant::now();
         let result = match turn {
             Ok(()) => self.send_txn(txn).await,
@@ -227,7 +231,7 @@
     /// # Errors
     /// The call failed.
     pub async fn grant(&self, ttl_s: f64) -> Result<u64, Failure> {
-        self.wait_for_turn(0, Lane::Control).await?;
+        self.wait_for_turn(0, Priority::Control).await?;
         let body = service::encode(&LeaseRequest {
             ttl_ms: (ttl_s * 1000.0) as u64,
         })?;
@@ -246,7 +250,7 @@
     /// # Errors
     /// The call failed, or the lease has expired.
     pub async fn renew(&self, lease: u64, timeout_s: f64) -> Result<(), Failure> {
-        self.wait_for_turn(0, Lane::Control).await?;
+        self.wait_for_turn(0, Priority::Control).await?;
         let path = format!("/leases/{lease}/extend");
         let body = Some(b"{}".to_vec());
         let timeout_s = timeout_s.max(CALL_TIMEOUT_S);
@@ -263,7 +267,7 @@
     /// # Errors
     /// The call failed.
     pub async fn end_lease(&self, lease: u64) -> Result<(), Failure> {
-        self.wait_for_turn(0, Lane::Control).await?;
+        self.wait_for_turn(0, Priority::Control).await?;
         let path = format!("/leases/{lease}");
         self.call(Method::DELETE, &path, None).await.map(|_| ())
     }
@@ -274,7 +278,7 @@
     /// # Errors
     /// The call failed, or the revision is compacted ([`Failure::Gone`]).
     pub async fn watch(&self, prefix: &str, since: u64, wait_s: f64) -> Result<News, Failure> {
-        self.wait_for_turn(0, Lane::Control).await?;
+        self.wait_for_turn(0, Priority::Control).await?;
         let wait_ms = (wait_s * 1000.0) as u64;
         let request = Request {
             method: Method::GET,
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -13,7 +13,7 @@
 use foxspur::protocol::state::Txn;
 use foxspur::storage::records::{self, TerminalRecord};
 use rand::Rng;
-use simulated::users::{id, submission, Told};
+use simulated::users::{id, submission, JobAnswer};
 use simulated::{block_on, Cluster, Controller};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -22,24 +22,24 @@
 
 const JOBS: usize = 14;
 /// How long a user keeps repeating a submission or a cancellation.
-const PATIENCE: Duration = Duration::from_secs(60);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(60);
 /// What a controller computes between a read and its answer, with room.
-const SLACK: Duration = Duration::from_millis(5);
+const COMPUTE_TIME: Duration = Duration::from_millis(5);
 
 /// One answer: when its request reached the controller, and when the answer left.
 #[derive(Debug)]
-struct Answered {
+struct AnswerRecord {
     job: usize,
     controller: usize,
-    begun: Instant,
-    left: Instant,
-    told: Told,
+    sent_at: Instant,
+    answered_at: Instant,
+    answer: JobAnswer,
 }
 
-/// How often what the test is about happened.
+/// How often what the test is about happened: too rarely and it shows nothing.
 #[derive(Default, Debug)]
-struct Met {
-    /// Answers to requests begun within 50 ms after another answer first told that the job
+struct Coverage {
+    /// Answers to requests sent within 50 ms after another answer first told that the job
     /// was accepted, done or cancelled.
     close: usize,
     /// Answers of which a newer one left elsewhere while they were worked out.
@@ -48,7 +48,7 @@
     cancelled: usize,
     done: usize,
     /// Jobs that ended within a quarter of a second of a user's cancellation.
-    at_end: usize,
+    cancelled_at_end: usize,
     /// Calls to the state service that were slow, and transactions without an answer:
     /// carried out at once, or late.
     slow: usize,
@@ -56,23 +56,23 @@
     late: usize,
 }
 
-struct Day {
+struct Scenario {
     cluster: Rc<Cluster>,
     controllers: Vec<Controller>,
-    answers: RefCell<Vec<Answered>>,
+    answers: RefCell<Vec<AnswerRecord>>,
     unavailable: Cell<usize>,
     /// Jobs whose cancellation a user asked for, and those that ended.
     asked_to_cancel: RefCell<Vec<(usize, Instant)>>,
     ended: RefCell<Vec<(usize, Instant)>>,
 }
 
-impl Day {
+impl Scenario {
     fn draw(&self, range: std::ops::Range<u64>) -> u64 {
         self.cluster.rng.borrow_mut().random_range(range)
     }
 
-    fn chance(&self, share: f64) -> bool {
-        self.cluster.rng.borrow_mut().random_bool(share)
+    fn chance(&self, probability: f64) -> bool {
+        self.cluster.rng.borrow_mut().random_bool(probability)
     }
 
     async fn pause(&self, ms: std::ops::Range<u64>) {
@@ -87,7 +87,7 @@
     }
 
     /// A user's call at any controller; what it told, if anything.
-    async fn call(&self, job: usize, call: &'static str) -> Option<Told> {
+    async fn call(&self, job: usize, call: &'static str) -> Option<JobAnswer> {
         let controller = self.draw(0..self.controllers.len() as u64) as usize;
         let (method, path, body) = match call {
             "submit" => (Method::POST, "/work".to_string(), submission(job)),
@@ -98,29 +98,29 @@
                 String::new(),
             ),
         };
-        let begun = Instant::now();
+        let sent_at = Instant::now();
         let called = self.controllers[controller].call(method, &path, &body);
         let (status, body) = called.await;
         let text = String::from_utf8_lossy(&body).to_string();
-        let Some(told) = Told::read(status, &text) else {
+        let Some(answer) = JobAnswer::read(status, &text) else {
             self.unavailable.set(self.unavailable.get() + 1);
             return None;
         };
-        let left = Instant::now();
-        self.answers.borrow_mut().push(Answered {
+        let answered_at = Instant::now();
+        self.answers.borrow_mut().push(AnswerRecord {
             job,
             controller,
-            begun,
-            left,
-            told,
+            sent_at,
+            answered_at,
+            answer,
         });
-        Some(told)
+        Some(answer)
     }
 
     /// Repeats a call, as users do, until it says what it should.
-    async fn until(&self, job: usize, call: &'static str, least: Told) -> bool {
-        let begun = Instant::now();
-        while begun.elapsed() < PATIENCE {
+    async fn until(&self, job: usize, call: &'static str, least: JobAnswer) -> bool {
+        let first_sent_at = Instant::now();
+        while first_sent_at.elapsed() < RETRY_TIMEOUT {
             if self.call(job, call).await.is_some_and(|t| t >= least) {
                 return true;
             }
@@ -130,14 +130,14 @@
     }
 
     /// Users ask at many controllers within milliseconds, and repeat the submission.
-    fn look_closely(self: &Rc<Self>, job: usize, submitted: bool) {
+    fn ask_concurrently(self: &Rc<Self>, job: usize, submitted: bool) {
         for _ in 0..self.controllers.len() + 3 {
-            let day = self.clone();
+            let scenario = self.clone();
             let (early, call) = (self.chance(0.7), self.chance(0.75));
             actix_rt::spawn(async move {
-                day.pause(if early { 0..8 } else { 0..900 }).await;
+                scenario.pause(if early { 0..8 } else { 0..900 }).await;
                 let call = if call || !submitted { "poll" } else { "submit" };
-                day.call(job, call).await;
+                scenario.call(job, call).await;
             });
         }
     }
@@ -169,36 +169,36 @@
     }
 
     /// The life of one job.
-    async fn live(self: Rc<Self>, job: usize) {
+    async fn run_job(self: Rc<Self>, job: usize) {
         self.pause(0..20_000).await;
         if self.chance(0.5) {
             // Asked about before it is known, and while it is being accepted.
-            self.look_closely(job, false);
+            self.ask_concurrently(job, false);
         }
         if self.chance(0.4) {
-            let day = self.clone();
+            let scenario = self.clone();
             actix_rt::spawn(async move {
                 // Repeated while the first is under way, elsewhere, and called off at once.
-                day.pause(0..700).await;
-                let told = day.call(job, "submit").await;
-                if told == Some(Told::Accepted) && day.chance(0.7) {
-                    day.asks_to_cancel(job);
-                    day.call(job, "cancel").await;
-                    day.look_closely(job, true);
+                scenario.pause(0..700).await;
+                let answer = scenario.call(job, "submit").await;
+                if answer == Some(JobAnswer::Accepted) && scenario.chance(0.7) {
+                    scenario.asks_to_cancel(job);
+                    scenario.call(job, "cancel").await;
+                    scenario.ask_concurrently(job, true);
                 }
             });
         }
-        if !self.until(job, "submit", Told::Accepted).await {
+        if !self.until(job, "submit", JobAnswer::Accepted).await {
             return;
         }
-        self.look_closely(job, true);
+        self.ask_concurrently(job, true);
         let ends = self.chance(0.6);
         if ends {
-            let day = self.clone();
+            let scenario = self.clone();
             actix_rt::spawn(async move {
-                day.pause(0..3000).await;
-                if day.end(job).await {
-                    day.look_closely(job, true);
+                scenario.pause(0..3000).await;
+                if scenario.end(job).await {
+                    scenario.ask_concurrently(job, true);
                 }
             });
         }
@@ -206,17 +206,17 @@
             self.pause(0..3000).await;
             self.asks_to_cancel(job);
             if self.chance(0.3) {
-                let day = self.clone();
+                let scenario = self.clone();
                 actix_rt::spawn(async move {
-                    day.call(job, "cancel").await;
+                    scenario.call(job, "cancel").await;
                 });
             }
-            if self.until(job, "cancel", Told::Done).await {
-                self.look_closely(job, true);
+            if self.until(job, "cancel", JobAnswer::Done).await {
+                self.ask_concurrently(job, true);
             }
         }
         self.pause(0..4000).await;
-        self.look_closely(job, true);
+        self.ask_concurrently(job, true);
     }
 
     /// Prints the digest of all answers, in the order in which they left.
@@ -225,9 +225,9 @@
         for answered in self.answers.borrow().iter() {
             digest.number(answered.job as u64);
             digest.number(answered.controller as u64);
-            digest.number(self.cluster.since_start(answered.begun).as_nanos() as u64);
-            digest.number(self.cluster.since_start(answered.left).as_nanos() as u64);
-            digest.number(answered.told as u64);
+            digest.number(self.cluster.since_start(answered.sent_at).as_nanos() as u64);
+            digest.number(self.cluster.since_start(answered.answered_at).as_nanos() as u64);
+            digest.number(answered.answer as u64);
         }
         digest.print("answers", seed);
     }
@@ -235,46 +235,46 @@
     /// Guards against an answer older than one that had left before its request came, or
     /// that had left the same controller at all, and against one that was held up for longer
     /// than `MAX_READ_AGE`.
-    fn check(&self, seed: u64, met: &mut Met) {
+    fn check(&self, seed: u64, coverage: &mut Coverage) {
         let answers = self.answers.borrow();
         self.print_digest(seed);
         // In the order in which they left.
         for (n, late) in answers.iter().enumerate() {
             let mut newer_left = false;
             for early in answers[..n].iter().filter(|e| e.job == late.job) {
-                let began_later = early.left < late.begun;
-                let held_up = early.left + MAX_READ_AGE + SLACK < late.left;
-                let allowed = early.told.allows(late.told);
+                let began_later = early.answered_at < late.sent_at;
+                let held_up = early.answered_at + MAX_READ_AGE + COMPUTE_TIME < late.answered_at;
+                let allowed = early.answer.allows(late.answer);
                 let knew_better = early.controller == late.controller;
                 assert!(
                     allowed || !began_later && !held_up && !knew_better,
                     "seed {seed}, job {}: {early:?}, then {late:?}",
                     late.job
                 );
-                let after = late.begun.saturating_duration_since(early.left);
-                let close = began_later && early.told > Told::Unknown;
-                met.close += usize::from(close && after < Duration::from_millis(50));
+                let after = late.sent_at.saturating_duration_since(early.answered_at);
+                let close = began_later && early.answer > JobAnswer::Unknown;
+                coverage.close += usize::from(close && after < Duration::from_millis(50));
                 newer_left |= !allowed;
             }
-            met.overtaken += usize::from(newer_left);
-            match late.told {
-                Told::Withdrawn => assert!(
+            coverage.overtaken += usize::from(newer_left);
+            match late.answer {
+                JobAnswer::Cancelled => assert!(
                     self.asked_to_cancel
                         .borrow()
                         .iter()
                         .any(|c| c.0 == late.job),
                     "seed {seed}: nobody cancelled it: {late:?}"
                 ),
-                Told::Done => assert!(
+                JobAnswer::Done => assert!(
                     self.ended.borrow().iter().any(|e| e.0 == late.job),
                     "seed {seed}: it has not ended: {late:?}"
                 ),
-                Told::Unknown | Told::Accepted => {}
+                JobAnswer::Unknown | JobAnswer::Accepted => {}
             }
-            met.cancelled += usize::from(late.told == Told::Withdrawn);
-            met.done += usize::from(late.told == Told::Done);
+            coverage.cancelled += usize::from(late.answer == JobAnswer::Cancelled);
+            coverage.done += usize::from(late.answer == JobAnswer::Done);
         }
-        met.unavailable += self.unavailable.get();
+        coverage.unavailable += self.unavailable.get();
         let cancels = self.asked_to_cancel.borrow();
         let close = |a: Instant, b: Instant| {
             let after = a.saturating_duration_since(b);
@@ -283,11 +283,11 @@
         let ended = self.ended.borrow();
         let meets =
             |(job, at): &&(usize, Instant)| cancels.iter().any(|c| c.0 == *job && close(c.1, *at));
-        met.at_end += ended.iter().filter(meets).count();
-        let faults = &self.cluster.faults;
-        met.slow += faults.slow.get();
-        met.lost += faults.answer_lost.get();
-        met.late += faults.late.get();
+        coverage.cancelled_at_end += ended.iter().filter(meets).count();
+        let drawn = &self.cluster.faults;
+        coverage.slow += drawn.slow.get();
+        coverage.lost += drawn.answer_lost.get();
+        coverage.late += drawn.late.get();
     }
 }
 
@@ -298,12 +298,12 @@
     live_job_watch::follow(controller.node.clone(), 1, 0);
 }
 
-async fn play(seed: u64, met: &mut Met) {
+async fn play(seed: u64, coverage: &mut Coverage) {
     let count = 3 + (seed % 5) as usize;
     let (cluster, controllers) = Cluster::start(seed, count).await;
     lead(&controllers[0]);
     cluster.rough.set(true);
-    let day = Rc::new(Day {
+    let scenario = Rc::new(Scenario {
         cluster,
         controllers,
         answers: RefCell::default(),
@@ -311,18 +311,21 @@
         asked_to_cancel: RefCell::default(),
         ended: RefCell::default(),
     });
-    let lives = (0..JOBS).map(|job| actix_rt::spawn(day.clone().live(job)));
-    let lives: Vec<_> = lives.collect();
-    for life in lives {
-        life.await.expect("no panic");
+    let jobs = (0..JOBS).map(|job| actix_rt::spawn(scenario.clone().run_job(job)));
+    let jobs: Vec<_> = jobs.collect();
+    for job in jobs {
+        job.await.expect("no panic");
     }
     sleep(Duration::from_secs(5)).await;
     // A job that nobody submitted is never known.
     for _ in 0..9 {
-        let told = day.call(JOBS, "poll").await;
-        assert!(told.is_none_or(|t| t == Told::Unknown), "seed {seed}");
+        let answer = scenario.call(JOBS, "poll").await;
+        assert!(
+            answer.is_none_or(|t| t == JobAnswer::Unknown),
+            "seed {seed}"
+        );
     }
-    day.check(seed, met);
+    scenario.check(seed, coverage);
 }
 
 /// Guards against an answer that goes back: a poll that waited for the leader's counts
@@ -330,19 +333,24 @@
 /// what its own controller had learnt meanwhile.
 #[test]
 fn answers_never_go_back() {
-    let mut met = Met::default();
+    let mut coverage = Coverage::default();
     for seed in seeds(40) {
-        block_on(play(seed, &mut met));
+        block_on(play(seed, &mut coverage));
     }
-    println!("{met:?}");
-    let troubles = [met.slow, met.lost, met.late, met.unavailable];
-    let ends = [met.cancelled, met.done];
+    println!("{coverage:?}");
+    let faults = [
+        coverage.slow,
+        coverage.lost,
+        coverage.late,
+        coverage.unavailable,
+    ];
+    let ends = [coverage.cancelled, coverage.done];
     assert!(
         own_seeds()
-            || met.close > 1000
-                && met.overtaken > 20
-                && met.at_end > 10
-                && troubles.iter().chain(&ends).all(|n| *n > 100),
-        "too weak: {met:?}"
+            || coverage.close > 1000
+                && coverage.overtaken > 20
+                && coverage.cancelled_at_end > 10
+                && faults.iter().chain(&ends).all(|n| *n > 100),
+        "too weak: {coverage:?}"
     );
 }
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -231,10 +231,14 @@
 }
 
 #[test]
-fn mesh_messages_and_token_buckets() {
-    let ask = PeerRequest::Progress("run-000412".into());
-    assert_eq!(decode::<PeerRequest>(&encode(&ask)), Some(ask));
+fn mesh_messages_survive_their_encoding() {
+    let request = PeerRequest::Progress("run-000412".into());
+    assert_eq!(decode::<PeerRequest>(&encode(&request)), Some(request));
     assert_eq!(decode::<PeerRequest>(&[250, 1, 2]), None);
+}
+
+#[test]
+fn a_token_bucket_keeps_a_reserve_for_control_traffic() {
     let mut bucket = TokenBucket::new(10.0, 10.0, 2.0);
     let taken = (0..20)
         .filter(|_| bucket.take(1.0, Priority::Data, 0.0).is_ok())
@@ -242,7 +246,7 @@
     assert_eq!(taken, 8, "data leaves the reserve");
     assert!(
         bucket.take(1.0, Priority::Control, 0.0).is_ok(),
-        "control may dip into it"
+        "control may use it"
     );
     assert!(
         bucket.take(1.0, Priority::Data, 1.0).is_ok(),
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -205,8 +205,8 @@
         at.saturating_duration_since(self.start)
     }
 
-    /// A way through the network, in milliseconds.
-    fn way(&self) -> Duration {
+    /// Draws how long a message is under way.
+    fn network_delay(&self) -> Duration {
         let mut rng = self.rng.borrow_mut();
         if !self.rough.get() {
             return Duration::from_millis(1);
@@ -222,30 +222,31 @@
         Duration::from_millis(ms)
     }
 
-    fn drawn(&self, share: f64) -> bool {
-        self.rough.get() && self.rng.borrow_mut().random_bool(share)
+    /// Draws whether a fault of this probability happens.
+    fn fault_drawn(&self, probability: f64) -> bool {
+        self.rough.get() && self.rng.borrow_mut().random_bool(probability)
     }
 
     /// A call to the state service over the network.
-    async fn to_state(self: Rc<Self>, from: usize, call: Call) -> Result<Response, CallError> {
+    async fn call_state(self: Rc<Self>, from: usize, call: Call) -> Result<Response, CallError> {
         let refused = || self.refused.get() == Some(from);
         if call.path.starts_with("/follow") {
             while refused() {
                 tokio::time::sleep(WATCH_STEP).await;
             }
-            let (status, body) = self.follow(&call.path).await;
-            tokio::time::sleep(self.way()).await;
+            let (status, body) = self.watch(&call.path).await;
+            tokio::time::sleep(self.network_delay()).await;
             let body = body.into();
             return Ok(Response { status, body });
         }
-        tokio::time::sleep(self.way()).await;
-        if refused() || self.drawn(0.03) {
+        tokio::time::sleep(self.network_delay()).await;
+        if refused() || self.fault_drawn(0.03) {
             bump(&self.faults.refused);
             let (status, body) = (503, Bytes::new());
             return Ok(Response { status, body });
         }
         let writes = call.path == "/multi";
-        if writes && self.drawn(0.03) {
+        if writes && self.fault_drawn(0.03) {
             bump(&self.faults.late);
             let late_ms = self.rng.borrow_mut().random_range(2_000..12_000);
             actix_rt::spawn(async move {
@@ -255,33 +256,34 @@
             return std::future::pending().await;
         }
         let (status, body) = self.execute(from, &call);
-        if self.drawn(0.05) {
+        if self.fault_drawn(0.05) {
             bump(&self.faults.answer_lost);
             return std::future::pending().await;
         }
-        let held = match writes {
-            true => self.hold_next.take().unwrap_or_default(),
-            false => Duration::ZERO,
+        let held = if writes {
+            self.hold_next.take().unwrap_or_default()
+        } else {
+            Duration::ZERO
         };
-        tokio::time::sleep(self.way() + held).await;
+        tokio::time::sleep(self.network_delay() + held).await;
         let body = body.into();
         Ok(Response { status, body })
     }
 
     /// A call to another controller over the network.
-    async fn to_mesh(self: Rc<Self>, call: Call) -> Result<Response, CallError> {
-        tokio::time::sleep(self.way()).await;
+    async fn call_mesh(self: Rc<Self>, call: Call) -> Result<Response, CallError> {
+        tokio::time::sleep(self.network_delay()).await;
         let found = {
             let handlers = self.handlers.borrow();
             let at = handlers.iter().position(|(addr, _)| *addr == call.addr);
             at.map(|n| (n, handlers[n].1.clone()))
         };
         let (n, handler) = found.ok_or(CallError::NotSent)?;
-        if self.unreachable.get() == Some(n) || self.drawn(self.mesh_loss.get()) {
+        if self.unreachable.get() == Some(n) || self.fault_drawn(self.mesh_loss.get()) {
             return std::future::pending().await;
         }
         let (status, body) = handler(call.method, call.path, call.body).await;
-        tokio::time::sleep(self.way()).await;
+        tokio::time::sleep(self.network_delay()).await;
         Ok(Response { status, body })
     }
 }
@@ -304,8 +306,8 @@
         cluster.record(self.from, &call);
         let timeout = call.timeout;
         let answer: LocalBoxFuture<_> = match self.kind {
-            Kind::State => Box::pin(cluster.to_state(self.from, call)),
-            Kind::Mesh => Box::pin(cluster.to_mesh(call)),
+            Kind::State => Box::pin(cluster.call_state(self.from, call)),
+            Kind::Mesh => Box::pin(cluster.call_mesh(call)),
         };
         Box::pin(async move {
             let answer = tokio::time::timeout(timeout, answer).await;
--- a/tests/simulated/users.rs
+++ b/tests/simulated/users.rs
@@ -19,31 +19,31 @@
 
 /// What an answer tells a user of a job: later ones never rank lower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Told {
+pub enum JobAnswer {
     Unknown,
     Accepted,
     Done,
-    Withdrawn,
+    Cancelled,
 }
 
-impl Told {
+impl JobAnswer {
     /// Whether a user who was told `self` may be told `later` afterwards.
-    pub fn allows(self, later: Told) -> bool {
+    pub fn allows(self, later: JobAnswer) -> bool {
         match self {
-            Told::Done | Told::Withdrawn => later == self,
-            Told::Unknown | Told::Accepted => later >= self,
+            JobAnswer::Done | JobAnswer::Cancelled => later == self,
+            JobAnswer::Unknown | JobAnswer::Accepted => later >= self,
         }
     }
 
     /// What an answer tells; nothing if the job cannot be answered for now.
-    pub fn read(status: u16, text: &str) -> Option<Told> {
+    pub fn read(status: u16, text: &str) -> Option<JobAnswer> {
         match status {
             200 | 201 if text.contains("\"done\",") || text.contains("\"done\"}") => {
-                Some(Told::Done)
+                Some(JobAnswer::Done)
             }
-            200 | 201 if text.contains("withdrawn") => Some(Told::Withdrawn),
-            200 | 201 => Some(Told::Accepted),
-            404 => Some(Told::Unknown),
+            200 | 201 if text.contains("withdrawn") => Some(JobAnswer::Cancelled),
+            200 | 201 => Some(JobAnswer::Accepted),
+            404 => Some(JobAnswer::Unknown),
             503 => None,
             other => panic!("{other}: {text}"),
         }
