--- /dev/null
+++ b/src/coordination/scheduler/attempts.rs
@@ -0,0 +1,99 @@
+//! Attempts: starting, stopping and releasing them.
+//!
+//! Invariant: from the moment a start is decided until the machine is proven not to run
+//! the attempt, the attempt counts as placed, against capacity and against quotas.
+
+use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
+use crate::coordination::scheduler::machine::Attempt;
+use crate::coordination::scheduler::resources::Resources;
+use crate::coordination::scheduler::state::Scheduler;
+
+impl Scheduler {
+    /// Starts a task on a machine: from now on it counts as placed.
+    pub(crate) fn start_attempt(&mut self, machine_name: &Name, task: TaskId, now: f64) {
+        let number = self.next_attempt();
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let Some(machine) = self.machines.get_mut(machine_name) else {
+            job.requeue(task.index);
+            return;
+        };
+        if job.set_placed(task.index, machine_name.clone(), number) {
+            self.team_usage.add(job.team, &job.spec, 1.0);
+        }
+        job.note_start(now);
+        let attempt = Attempt::new(now, Resources::of_task(&job.spec));
+        machine
+            .attempts
+            .insert(AttemptId::new(task, number), attempt);
+        machine.repeatable_tasks = None;
+        self.outbox.insert(machine_name.clone());
+    }
+
+    /// Requests that an attempt be stopped, with this grace in seconds. A shorter grace
+    /// replaces a longer one.
+    pub(crate) fn stop_attempt(&mut self, machine_name: &str, id: &AttemptId, grace_s: f64) {
+        let Some((_, name, machine)) = self.machines.get_full_mut(machine_name) else {
+            return;
+        };
+        let Some(attempt) = machine.attempts.get_mut(id) else {
+            return;
+        };
+        let sooner = attempt.stop_grace_s.is_none_or(|grace| grace_s < grace);
+        if attempt.has_exited() || !sooner {
+            return;
+        }
+        attempt.stop_grace_s = Some(grace_s);
+        attempt.unsent = true;
+        machine.repeatable_tasks = None;
+        self.stopping_attempts.insert((name.clone(), id.clone()));
+        self.outbox.insert(name.clone());
+    }
+
+    /// An attempt is not on its machine any more, or never was.
+    pub(crate) fn release_attempt(&mut self, id: &AttemptId) {
+        let AttemptId { task, number } = id;
+        if let Some(job) = self.jobs.get_mut(&task.job) {
+            if job.unplaced_tasks() == 0 {
+                job.served_at = self.now;
+            }
+            if job.remove_attempt(task.index, *number) {
+                self.team_usage.add(job.team, &job.spec, -1.0);
+            }
+        }
+        self.placement_due = true;
+    }
+
+    /// An attempt does not run any more.
+    pub(crate) fn uncount_running(&mut self, id: &AttemptId, attempt: &mut Attempt) {
+        if std::mem::take(&mut attempt.counted_as_running) {
+            if let Some(job) = self.jobs.get_mut(&id.task.job) {
+                job.running = job.running.saturating_sub(1);
+            }
+        }
+    }
+
+    /// Forgets stop requests that have taken effect.
+    pub(crate) fn prune_stopping_attempts(&mut self) {
+        let machines = &self.machines;
+        self.stopping_attempts.retain(|(machine, id)| {
+            machines
+                .get(machine)
+                .and_then(|machine| machine.attempts.get(id))
+                .is_some_and(|attempt| attempt.stop_grace_s.is_some() && !attempt.has_exited())
+        });
+    }
+
+    /// Grace in seconds in which a task of the job can write a checkpoint, 0 if it never
+    /// does.
+    pub(crate) fn save_grace(&self, job: &str) -> f64 {
+        self.jobs.get(job).map_or(0.0, |job| {
+            if job.spec.checkpoint_s > 0.0 {
+                job.spec.save_s + self.config.report_s
+            } else {
+                0.0
+            }
+        })
+    }
+}
--- a/src/coordination/scheduler/delivery.rs
+++ b/src/coordination/scheduler/delivery.rs
@@ -1,22 +1,25 @@
-//! Whether a machine hears us. That its reports arrive is no proof: a network may
-//! let one direction through. Evidence is in what the reports say: a term that was
-//! told and not taken, a start that is not there, a stop that was not carried out,
-//! a session that ended although it was answered. One such sign puts a machine in
-//! doubt: nothing new starts on it until it shows that it hears. Without this a
-//! deaf machine is the emptiest of all, and draws task after task.
+//! Evidence on whether a machine receives our replies.
+//!
+//! Reachability differs by direction: that heartbeats arrive shows that the machine reaches
+//! us, and nothing of the way back. Evidence on the way back is in what the heartbeats say:
+//! a term that was sent and not adopted, a start that is not shown, a stop that was not
+//! carried out, a session that ended although it was answered. One such sign makes delivery
+//! doubtful: no new task starts on the machine until it shows an effect of a reply. Without
+//! this, a machine that receives nothing looks emptier than all others, and attracts task
+//! after task.
 
-/// What a newer message says of our earlier answers.
+/// What a newer message says about the delivery of our earlier replies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// Something we told was carried out, or it answered a call.
+    /// A reply had an effect, or the machine answered a call: it receives us.
     Delivered,
-    /// Something we told it in an earlier answer had no effect.
+    /// Something that an earlier reply said had no effect: it may not receive us.
     Undelivered,
-    /// Neither.
+    /// The message says nothing either way.
     Neutral,
 }
 
-/// All that one message says: a single thing that was carried out is proof.
+/// The evidence of one message, combined: a single effect of a reply proves delivery.
 #[derive(Debug, Default)]
 pub struct EvidenceSummary {
     delivered: bool,
@@ -24,53 +27,55 @@
 }
 
 impl EvidenceSummary {
-    /// One more.
-    pub fn note(&mut self, sign: Evidence) {
-        self.delivered |= sign == Evidence::Delivered;
-        self.undelivered |= sign == Evidence::Undelivered;
+    /// Adds one piece of evidence.
+    pub fn note(&mut self, evidence: Evidence) {
+        self.delivered |= evidence == Evidence::Delivered;
+        self.undelivered |= evidence == Evidence::Undelivered;
     }
 
-    /// What they come to.
+    /// What all of it amounts to.
     pub fn conclusion(&self) -> Evidence {
-        match (self.delivered, self.undelivered) {
-            (true, _) => Evidence::Delivered,
-            (false, true) => Evidence::Undelivered,
-            (false, false) => Evidence::Neutral,
+        if self.delivered {
+            Evidence::Delivered
+        } else if self.undelivered {
+            Evidence::Undelivered
+        } else {
+            Evidence::Neutral
         }
     }
 }
 
-/// A worker without an answer for this long goes on to another controller.
+/// A worker without an answer for this many seconds tries another controller.
 pub(crate) const PATIENCE_S: f64 = 4.0;
 
-/// What is known of a machine's hearing.
+/// Consecutive signs of missing delivery after which a machine that has not been fenced is
+/// not answered any more: each answer may have renewed its lease, and as long as one may
+/// have, no placement begins. One answer can be lost by chance.
+const MAX_UNDELIVERED: u32 = 2;
+
+/// What is known of the delivery of our replies to one machine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Delivery {
-    /// Signs in a row that it does not hear.
+    /// Consecutive signs that replies did not arrive.
     undelivered: u32,
-    /// Since when it is in doubt.
+    /// Since when delivery is doubtful.
     doubted_since: Option<f64>,
-    /// It was answered in this session, and showed nothing of it yet.
+    /// The present session was answered, and has shown no effect of a reply yet.
     unconfirmed: bool,
-    /// Highest term that an answer told it.
+    /// Highest term that a reply told it.
     pub told_term: u64,
 }
 
-/// Signs in a row after which a machine that did not report under our term is not
-/// answered any more: each answer may have renewed its lease, and while one may
-/// have, the whole share waits for it. One answer can be lost by chance.
-const IN_VAIN: u32 = 2;
-
 impl Delivery {
-    /// An answer with this term goes out to it.
+    /// A reply with this term is sent to the machine.
     pub fn answered(&mut self, term: u64) {
         self.told_term = self.told_term.max(term);
         self.unconfirmed = true;
     }
 
-    /// A newer message came.
-    pub fn message_received(&mut self, sign: Evidence, now: f64) {
-        match sign {
+    /// A newer message arrived with this evidence.
+    pub fn message_received(&mut self, evidence: Evidence, now: f64) {
+        match evidence {
             Evidence::Delivered => {
                 *self = Delivery {
                     told_term: self.told_term,
@@ -85,32 +90,33 @@
         }
     }
 
-    /// It reports again after this time. Sooner than it would have given the last
-    /// report up it must have had the answer.
+    /// The next heartbeat came after this many seconds. If that is sooner than a worker
+    /// gives up waiting, it must have received the reply to the previous one.
     pub fn next_heartbeat_after(&mut self, after_s: f64) {
         if after_s < PATIENCE_S {
             self.unconfirmed = false;
         }
     }
 
-    /// A newer session began; whether the one before ended although it had been
-    /// answered and had shown nothing of it.
+    /// A newer session began. Returns whether the previous one ended although it had been
+    /// answered and had shown no effect of that.
     pub fn session_ended(&mut self) -> bool {
         std::mem::take(&mut self.unconfirmed)
     }
 
-    /// Whether nothing new may start on it.
+    /// Whether delivery is doubtful, so that no new task may start on the machine.
     pub fn is_doubted(&self) -> bool {
         self.doubted_since.is_some()
     }
 
-    /// For how long it has been in doubt.
+    /// For how many seconds delivery has been doubtful.
     pub fn doubted_for(&self, now: f64) -> Option<f64> {
-        self.doubted_since.map(|t| now - t)
+        self.doubted_since.map(|since| now - since)
     }
 
-    /// Whether answers to it are in vain.
+    /// Whether the machine is considered unreachable from here, so that answers are
+    /// pointless.
     pub fn is_given_up(&self) -> bool {
-        self.undelivered >= IN_VAIN
+        self.undelivered >= MAX_UNDELIVERED
     }
 }
--- a/src/coordination/scheduler/fence.rs
+++ b/src/coordination/scheduler/fence.rs
@@ -1,50 +1,54 @@
-//! Fence, then place: after a takeover nothing of the share may start until
-//! every machine has reported under the new term or is proven empty.
+//! Fencing after a takeover: nothing may start until every recorded machine has sent a
+//! heartbeat under the new term or is proven empty, since a former leader may have started
+//! tasks on it.
 
 use crate::storage::records::FormerLeader;
 
-/// What is known of former owners.
+/// What is known of former leaders.
 #[derive(Debug, Clone)]
 pub struct Fence {
-    /// The term of the takeover; a report under it or a later one is fenced.
+    /// The term of the takeover; a machine that reports under it or a later one is fenced.
     pub base_term: u64,
-    /// Since when no former owner can have answered a worker, once known.
+    /// Since when no former leader can have answered a worker, once that is known.
     pub former_leaders_silent_since: Option<f64>,
-    /// All machines were accounted for once; it stays so.
+    /// All machines were accounted for once; it stays open.
     pub open: bool,
 }
 
 impl Fence {
-    pub fn new(base_term: u64, quiet_since: Option<f64>) -> Fence {
+    /// A closed fence for a takeover under this term.
+    pub fn new(base_term: u64, former_leaders_silent_since: Option<f64>) -> Fence {
         Fence {
             base_term,
-            former_leaders_silent_since: quiet_since,
+            former_leaders_silent_since,
             open: false,
         }
     }
 
-    /// From when on a machine that we never answered is empty: the lease after
-    /// the last moment that any former owner could have answered it.
-    pub fn empty_from(&self, lease_with_margin: f64) -> Option<f64> {
+    /// From when on a machine that this leader never answered is empty: one lease after
+    /// the last moment at which any former leader could have renewed it.
+    pub fn empty_from(&self, lease_with_margin_s: f64) -> Option<f64> {
         self.former_leaders_silent_since
-            .map(|t| t + lease_with_margin)
+            .map(|since| since + lease_with_margin_s)
     }
 }
 
-/// Former owners that may still answer, after a look at who is alive: a host
-/// seen with another boot has lost its old process, and time runs out for all.
+/// The former leaders that may still answer workers. `alive` gives the present incarnation
+/// of a controller's host: another one than the leader's proves that its process is gone.
+/// Otherwise the leader is silent when its recorded time is over, where the clocks of both
+/// sides may be off by `clock_bound_ms`.
 pub fn remaining(
-    prior: &[FormerLeader],
+    former: &[FormerLeader],
     alive: impl Fn(&str) -> Option<u64>,
     now_ms: u64,
-    bound_ms: u64,
+    clock_bound_ms: u64,
 ) -> Vec<&FormerLeader> {
-    prior
+    former
         .iter()
-        .filter(|p| {
-            let replaced = alive(&p.host).is_some_and(|boot| boot != p.incarnation);
+        .filter(|leader| {
+            let replaced = alive(&leader.host).is_some_and(|boot| boot != leader.incarnation);
             // Both clocks may be off by the bound, in opposite directions.
-            let over = now_ms > p.until_ms + 2 * bound_ms;
+            let over = now_ms > leader.until_ms + 2 * clock_bound_ms;
             !replaced && !over
         })
         .collect()
--- a/src/coordination/scheduler/job.rs
+++ b/src/coordination/scheduler/job.rs
@@ -1,4 +1,8 @@
-//! A live job as its owner sees it.
+//! A live job as the leader knows it, and the names of tasks and attempts.
+//!
+//! A task of a job is in exactly one state: completed, placed (on a machine, or possibly
+//! so), queued at a machine, or waiting. Large jobs are not enumerated: tasks from
+//! `next_untouched` on were never touched and wait.
 
 use crate::protocol::job::{JobSpec, Shape, Urgency};
 use crate::storage::marks::CompletedTasks;
@@ -8,37 +12,47 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
+/// Count of machines on which tasks of a job must have failed before the job itself is
+/// suspected.
+const SUSPECT_MACHINES: usize = 3;
+
 /// Name of a job or machine.
 pub type Name = Rc<str>;
 
-/// By name. Names share long beginnings (`run-000…`, `m-000…`), so that a tree
-/// spends its time comparing those; a hash looks at each once. The order is that
-/// of insertion and removal, the same in every run.
+/// A map by name. Names share long prefixes (`run-000…`, `m-000…`) that a tree would compare
+/// again and again; a hash reads each once. The order of iteration is that of insertion and
+/// removal, the same in every run.
 pub type ByName<V> = IndexMap<Name, V, RandomState>;
+
 /// A set of names.
 pub type Names = IndexSet<Name, RandomState>;
 
-/// How many tasks of a job are done and run.
+/// Counts of a job's tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskCounts {
+    /// Completed tasks.
     pub done: u32,
+    /// Running tasks.
     pub running: u32,
 }
 
-/// A task: its job and number. The number comes first, for it tells most tasks
-/// on a machine apart without a look at the names.
+/// A task: its job and its index within that. The index comes first since it distinguishes
+/// most tasks on a machine without comparing names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
+    /// Index within the job, from 0.
     pub index: u32,
+    /// The job.
     pub job: Name,
 }
 
 impl TaskId {
-    /// The name workers know it by.
+    /// The name that workers know the task by: `job/index`.
     pub fn wire(&self) -> String {
         format!("{}/{}", self.job, self.index)
     }
-    /// Reads such a name.
+
+    /// Parses such a name.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = Self::split(text)?;
         Some(TaskId {
@@ -46,17 +60,20 @@
             job: job.into(),
         })
     }
-    /// Job and number of such a name.
+
+    /// Job and index of such a name.
     pub fn split(text: &str) -> Option<(&str, u32)> {
         let (job, index) = text.rsplit_once('/')?;
         Some((job, index.parse().ok()?))
     }
 }
 
-/// One attempt to run a task. Numbers only grow, across takeovers too.
+/// An attempt to run a task. Numbers only grow, also across takeovers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
+    /// The task.
     pub task: TaskId,
+    /// Number of the attempt, unique among all attempts of all tasks.
     pub number: u64,
 }
 
@@ -67,100 +84,126 @@
     }
 }
 
+/// The pools of machines that a job may use, as of a version of the capacity index.
+#[derive(Debug)]
+pub(crate) struct PoolCache {
+    pub index_version: u64,
+    pub pools: Rc<[usize]>,
+}
+
+impl PoolCache {
+    /// A cache that is valid for no version of the index.
+    fn empty() -> PoolCache {
+        PoolCache {
+            index_version: u64::MAX,
+            pools: Rc::from([]),
+        }
+    }
+}
+
+/// A further attempt of a task that is placed already.
+#[derive(Debug, PartialEq, Eq)]
+struct ExtraAttempt {
+    task: u32,
+    machine: Name,
+    number: u64,
+}
+
 /// A live job.
 #[derive(Debug)]
 pub struct Job {
+    /// Its description, as submitted.
     pub spec: Rc<JobSpec>,
-    /// Its team's place in the settings; `None` if they name no such team.
+    /// Its team's index in the settings; `None` if they name no such team.
     pub team: Option<usize>,
-    /// When it was accepted, in our steady time.
+    /// When it was accepted, in our monotonic time.
     pub accepted_at: f64,
     /// Version of its record in the state service.
     pub version: u64,
-    /// Done tasks, as reported.
+    /// Completed tasks, as reported.
     pub completed: CompletedTasks,
-    /// Done tasks whose mark is written.
+    /// Completed tasks that are saved in the state service.
     pub saved: CompletedTasks,
-    /// When a mark was last written.
+    /// When completed tasks were last saved.
     pub saved_at: f64,
-    /// The job is over (done or cancelled, recorded): nothing may start.
+    /// The job is finished or cancelled, as recorded: no task may start.
     pub finished: bool,
-    /// Tasks from this number on were never touched.
+    /// Tasks from this index on were never touched.
     next_untouched: u32,
-    /// Tasks to be run (again) below `next`.
+    /// Waiting tasks below `next_untouched`.
     requeued: BTreeSet<u32>,
     /// A task of it was seen running.
     started: bool,
     /// How many tasks are known to run, for display.
     pub running: u32,
-    /// Where each task is that may be on a machine, with its attempt.
+    /// Machine and attempt number of each task that is on a machine, or may be.
     pub placed: BTreeMap<u32, (Name, u64)>,
-    /// Further attempts of tasks that are on: reports of different ages can show
-    /// one task on two machines, and which of them is gone is known only later.
-    copies: Vec<(u32, Name, u64)>,
-    /// Tasks bound to a machine's queue, and which machine that is.
+    /// Further attempts of placed tasks: heartbeats of different ages can show one task on
+    /// two machines, and which of them is gone is known only later.
+    extra_attempts: Vec<ExtraAttempt>,
+    /// Tasks in a machine's queue, and which machine that is.
     pub queued: BTreeMap<u32, Name>,
     /// Machines on which a task of this job failed.
     pub failed_on: Names,
-    /// How often tasks of it failed, and how often since it is suspect nothing of it
-    /// was left to run.
+    /// How often tasks of it failed.
     pub failures: u32,
+    /// How often, since it is suspect, no task of it was left to run.
     pub retries: u32,
-    /// Its first task went ahead of others, since it had waited for long.
+    /// Its first task was started ahead of other jobs, since it had waited for long.
     pub began_late: bool,
     /// Workers refused its last start since they do not know its description.
     pub description_unknown: bool,
-    /// Not before this time after failures.
+    /// Backoff after failures: no start before this time.
     pub not_before: f64,
     /// Whether the job fits into its team's guarantee (see `quota`).
     pub guaranteed: bool,
-    /// Pools of machines that it may use, for this version of the index.
-    pub pools: (u64, Rc<[usize]>),
-    /// Tasks began to wait since it was last placed as far as it went; the
-    /// order of jobs looks at this without looking for the job.
+    /// Pools of machines that it may use.
+    pub(crate) pool_cache: PoolCache,
+    /// Tasks began to wait since placement last went as far as it could. It is shared with
+    /// the order of jobs, which reads it without looking up the job.
     pub has_new_tasks: Rc<Cell<bool>>,
-    /// Whether an aim was in reach when the order was last made (see `order`).
+    /// Whether an objective could still be met when the order was last made.
     pub objective_reachable: bool,
-    /// Its first finishing aim is met or lost, and counted.
+    /// Its first finishing objective is met or missed, and counted.
     pub outcome_recorded: bool,
     /// It goes first, on the floor that its class or team is owed.
     pub on_floor: bool,
-    /// For how long room that comes free by itself is waited for has passed.
+    /// Capacity that becomes free by itself would come too late for it.
     pub preemption_needed: bool,
-    /// Starts under this owner.
+    /// How many attempts this leader has started.
     pub starts: u32,
-    /// When something of it last started, or began to wait, and the longest time
-    /// since then.
+    /// When a task of it last started, or began to wait.
     pub served_at: f64,
+    /// The longest time from `served_at` to the next start, in seconds.
     pub longest_wait_s: f64,
-    /// How often tasks of it were stopped to make room for others.
+    /// How often each task of it was preempted.
     pub preemptions: BTreeMap<u32, u32>,
 }
 
 impl Job {
-    /// A job from its record.
+    /// A job from its record, with the tasks that are saved as completed.
     pub fn new(
         spec: Rc<JobSpec>,
         team: Option<usize>,
-        at: f64,
+        accepted_at: f64,
         version: u64,
-        done: CompletedTasks,
+        saved: CompletedTasks,
     ) -> Job {
         let mut job = Job {
             spec,
             team,
-            accepted_at: at,
+            accepted_at,
             version,
-            saved: done.clone(),
+            saved: saved.clone(),
             completed: CompletedTasks::default(),
-            saved_at: at,
+            saved_at: accepted_at,
             finished: false,
             next_untouched: 0,
             requeued: BTreeSet::new(),
             started: false,
             running: 0,
             placed: BTreeMap::new(),
-            copies: Vec::new(),
+            extra_attempts: Vec::new(),
             queued: BTreeMap::new(),
             failed_on: Names::default(),
             failures: 0,
@@ -169,23 +212,23 @@
             description_unknown: false,
             not_before: 0.0,
             guaranteed: false,
-            pools: (u64::MAX, Rc::from([])),
+            pool_cache: PoolCache::empty(),
             has_new_tasks: Rc::new(Cell::new(true)),
             objective_reachable: true,
             outcome_recorded: false,
             on_floor: false,
             preemption_needed: true,
             starts: 0,
-            served_at: at,
+            served_at: accepted_at,
             longest_wait_s: 0.0,
             preemptions: BTreeMap::new(),
         };
-        job.merge_completed(&done);
+        job.merge_completed(&saved);
         job
     }
 
-    /// From now on the task is counted one by one. Nothing from `next` on is
-    /// done or on a machine, so what waits is known without looking at each.
+    /// From now on the task is counted individually. No task from `next_untouched` on is
+    /// completed or placed, so how many of them wait is known without a look at each.
     fn touch(&mut self, task: u32) {
         if task >= self.next_untouched {
             self.requeued.extend(self.next_untouched..task);
@@ -193,77 +236,96 @@
         }
     }
 
-    /// A task runs; whether it is the first one of the job.
+    /// A task of it runs; returns whether it is the first one of the job.
     pub fn note_running(&mut self) -> bool {
         self.description_unknown = false;
         !std::mem::replace(&mut self.started, true) && self.completed.is_empty()
     }
 
-    /// The task is done.
+    /// An attempt of it starts now.
+    pub(crate) fn note_start(&mut self, now: f64) {
+        self.starts += 1;
+        self.longest_wait_s = self.longest_wait_s.max(now - self.served_at);
+        self.served_at = now;
+    }
+
+    /// The task is completed.
     pub fn set_completed(&mut self, task: u32) {
         self.touch(task);
         self.completed.insert(task);
         self.requeued.remove(&task);
     }
 
-    /// These tasks are done.
-    pub fn merge_completed(&mut self, done: &CompletedTasks) {
-        for task in done.iter() {
+    /// These tasks are completed.
+    pub fn merge_completed(&mut self, completed: &CompletedTasks) {
+        for task in completed.iter() {
             self.set_completed(task);
         }
     }
 
-    /// The task is on a machine, or may be; whether it was on none before.
+    /// These tasks are completed, and saved as such.
+    pub(crate) fn merge_saved(&mut self, saved: &CompletedTasks) {
+        self.saved.merge(saved);
+        self.merge_completed(saved);
+    }
+
+    /// The task is on a machine, or may be; returns whether it was not placed before.
     pub fn set_placed(&mut self, task: u32, machine: Name, attempt: u64) -> bool {
         self.touch(task);
         self.requeued.remove(&task);
         self.placed.insert(task, (machine, attempt)).is_none()
     }
 
-    /// Another attempt of a task that is on is, or may be, on a machine too;
-    /// whether that is news.
+    /// A further attempt of a placed task is on a machine too, or may be; returns whether
+    /// it was unknown before.
     pub fn add_copy(&mut self, task: u32, machine: Name, attempt: u64) -> bool {
-        let copy = (task, machine, attempt);
-        let news = !self.copies.contains(&copy);
-        if news {
-            self.copies.push(copy);
+        let extra = ExtraAttempt {
+            task,
+            machine,
+            number: attempt,
+        };
+        let is_new = !self.extra_attempts.contains(&extra);
+        if is_new {
+            self.extra_attempts.push(extra);
         }
-        news
+        is_new
     }
 
-    /// An attempt is not on a machine any more: whether it was counted as on. As
-    /// long as another attempt of the task is, the task stays on.
+    /// An attempt is not on a machine any more; returns whether it counted as placed. As
+    /// long as another attempt of the task does, the task stays placed; then it waits.
     pub fn remove_attempt(&mut self, task: u32, attempt: u64) -> bool {
-        let copy = self
-            .copies
+        let extra = self
+            .extra_attempts
             .iter()
-            .position(|c| c.0 == task && c.2 == attempt);
-        if let Some(at) = copy {
-            self.copies.swap_remove(at);
+            .position(|extra| extra.task == task && extra.number == attempt);
+        if let Some(at) = extra {
+            self.extra_attempts.swap_remove(at);
             return true;
         }
-        if self.placed.get(&task).is_none_or(|(_, a)| *a != attempt) {
+        let placed = self.placed.get(&task);
+        if placed.is_none_or(|(_, number)| *number != attempt) {
             return false;
         }
-        match self.copies.iter().position(|c| c.0 == task) {
-            Some(at) => {
-                let (_, machine, attempt) = self.copies.swap_remove(at);
-                self.placed.insert(task, (machine, attempt));
-            }
-            None => {
-                self.placed.remove(&task);
-                self.requeue(task);
-            }
+        let other = self
+            .extra_attempts
+            .iter()
+            .position(|extra| extra.task == task);
+        if let Some(at) = other {
+            let extra = self.extra_attempts.swap_remove(at);
+            self.placed.insert(task, (extra.machine, extra.number));
+        } else {
+            self.placed.remove(&task);
+            self.requeue(task);
         }
         true
     }
 
     /// How many attempts are on machines, or may be.
     pub fn attempts_placed(&self) -> usize {
-        self.placed.len() + self.copies.len()
+        self.placed.len() + self.extra_attempts.len()
     }
 
-    /// Takes the next waiting task.
+    /// Takes the next waiting task; the caller places, queues or requeues it.
     pub fn take_waiting(&mut self) -> Option<u32> {
         if self.finished {
             return None;
@@ -283,7 +345,7 @@
         }
     }
 
-    /// Gives a task back to the waiting ones.
+    /// Returns a task to the waiting ones, unless it is placed or completed.
     pub fn requeue(&mut self, task: u32) {
         let known = task < self.next_untouched && !self.placed.contains_key(&task);
         if !self.finished && known && !self.completed.contains(task) {
@@ -292,26 +354,32 @@
         }
     }
 
-    /// How many tasks wait unbound.
+    /// How many tasks wait and are in no machine's queue.
     pub fn waiting_tasks(&self) -> u32 {
         if self.finished {
             return 0;
         }
-        self.spec.tasks - self.next_untouched.min(self.spec.tasks) + self.requeued.len() as u32
+        let untouched = self.spec.tasks - self.next_untouched.min(self.spec.tasks);
+        untouched + self.requeued.len() as u32
     }
 
-    /// How many tasks wait, bound or not.
+    /// How many tasks wait, in a machine's queue or not.
     pub fn unplaced_tasks(&self) -> u32 {
         self.waiting_tasks() + self.queued.len() as u32
     }
 
-    /// Whether all tasks are done, as reported.
+    /// How many tasks are not completed.
+    pub(crate) fn tasks_left(&self) -> u32 {
+        self.spec.tasks.saturating_sub(self.completed.len() as u32)
+    }
+
+    /// Whether all tasks are completed, as reported.
     pub fn is_complete(&self) -> bool {
         self.spec.shape == Shape::Sweep && self.completed.len() as u32 >= self.spec.tasks
     }
 
-    /// Order of precedence, lowest first: `prod`, `high`, what is within a
-    /// guarantee, then the rest by urgency.
+    /// Order of precedence, lowest first: `prod`, `high`, guaranteed jobs, then the rest
+    /// by urgency.
     pub fn rank(&self) -> u8 {
         match (self.spec.urgency, self.guaranteed) {
             (Urgency::Prod, _) => 0,
@@ -322,25 +390,26 @@
         }
     }
 
-    /// A job that failed on several machines and never succeeded is more likely bad
-    /// itself than its machines are; not one of which a few tasks met bad machines
-    /// while most of it runs.
+    /// Whether the job is more likely faulty than its machines: it failed on several of
+    /// them and never succeeded, and it is not the case that most of it runs while a few
+    /// tasks met faulty machines.
     pub fn is_suspect(&self) -> bool {
-        let most = self.failures as usize >= self.placed.len();
-        self.completed.is_empty() && self.failed_on.len() >= 3 && most
+        let mostly_fails = self.failures as usize >= self.placed.len();
+        self.completed.is_empty() && self.failed_on.len() >= SUSPECT_MACHINES && mostly_fails
     }
 
-    /// Whether a task of it is done.
+    /// Whether a task of it is completed.
     pub fn has_succeeded(&self) -> bool {
         !self.completed.is_empty()
     }
 
-    /// Whether a task of it ran, or is done.
+    /// Whether a task of it has run, or is completed.
     pub fn has_started(&self) -> bool {
         self.started || !self.completed.is_empty()
     }
 
-    /// Whether stopping what is on would undo a beginning that came late.
+    /// Whether all that runs of it is a first task that was started late, so that
+    /// preempting it would undo the start.
     pub fn is_only_late_first_task(&self) -> bool {
         self.began_late && self.placed.len() == 1 && self.completed.is_empty()
     }
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -1,190 +1,121 @@
-//! A machine of the share, and the attempts that may be on it.
+//! A machine as the leader knows it: its sessions, the attempts that may be on it, its
+//! queue, and whether tasks may start on it.
+//!
+//! Time arguments are in seconds of the leader's monotonic clock.
 
-use crate::coordination::scheduler::capacity::Resources;
 use crate::coordination::scheduler::delivery::Delivery;
 use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
-use crate::protocol::worker::{Cause, Phase, Report};
+use crate::coordination::scheduler::resources::Resources;
+use crate::protocol::cloud::MachineType;
 use crate::storage::records::{MachineInfo, TOKENS_PER_TERM};
 use std::collections::BTreeMap;
 
-/// A message of a machine: the session it belongs to, and its place in that. Later ones
-/// compare greater.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MessageId {
-    pub session: u64,
-    pub seq: u64,
-}
-
-impl MessageId {
-    /// Before any message.
-    pub const NONE: MessageId = MessageId { session: 0, seq: 0 };
+pub use crate::coordination::scheduler::attempt::Attempt;
+pub use crate::coordination::scheduler::message_id::MessageId;
 
-    /// The message that is this report.
-    pub fn of(report: &Report) -> MessageId {
-        MessageId {
-            session: report.session,
-            seq: report.seq,
-        }
-    }
-}
+/// A lease less the bound on clock drift: the least time that a session lasts.
+const LEAST_LEASE_PART: f64 = 0.999;
 
-/// An attempt that is on a machine, or may be.
-#[derive(Debug, Clone)]
-pub struct Attempt {
-    /// `None` until a report has shown it.
-    pub phase: Option<Phase>,
-    pub cause: Option<Cause>,
-    /// When the start was decided.
-    pub sent_at: f64,
-    /// When it was first seen running.
-    pub running_since: Option<f64>,
-    /// It counts among its job's running tasks.
-    pub counted_as_running: bool,
-    /// The newest message that showed it.
-    pub last_shown: MessageId,
-    /// A start went out in the answer to this report and may still be executed.
-    pub sent_in_reply_to: Option<MessageId>,
-    /// A direct call with the start is under way.
-    pub call_in_flight: bool,
-    /// Highest token of the direct calls with its start so far: as long as the machine
-    /// has seen none above, a copy of one starts it again once it is forgotten.
-    pub copies_up_to: Option<u64>,
-    /// A direct call with the start, under this term, had no answer: it may be
-    /// executed until a higher term or a newer session is seen.
-    pub unresolved_call: Option<(u64, f64)>,
-    /// A start or stop waits to be sent.
-    pub unsent: bool,
-    /// An answer told the machine to stop or forget it, and no later message has
-    /// shown that it did.
-    pub told_to_end: bool,
-    /// It is to be stopped, with this grace.
-    pub stop_grace_s: Option<f64>,
-    /// What it takes of the machine, as far as its job is known.
-    pub resources: Resources,
-}
-
-impl Attempt {
-    pub fn new(now: f64, holds: Resources) -> Attempt {
-        Attempt {
-            phase: None,
-            cause: None,
-            sent_at: now,
-            running_since: None,
-            counted_as_running: false,
-            last_shown: MessageId::NONE,
-            sent_in_reply_to: None,
-            call_in_flight: false,
-            copies_up_to: None,
-            unresolved_call: None,
-            unsent: true,
-            told_to_end: false,
-            stop_grace_s: None,
-            resources: holds,
-        }
-    }
-    /// Whether a report that shows the same again would tell us nothing.
-    pub fn is_steady(&self) -> bool {
-        let plain = self.phase.is_some() && !self.has_exited() && self.stop_grace_s.is_none();
-        plain && !self.unsent && !self.is_in_flight()
-    }
-    /// Whether a copy of its start may still reach the machine.
-    pub fn is_in_flight(&self) -> bool {
-        self.sent_in_reply_to.is_some() || self.call_in_flight || self.unresolved_call.is_some()
-    }
-    pub fn has_exited(&self) -> bool {
-        self.phase == Some(Phase::Exited)
-    }
-}
-
-/// A task bound to a machine's queue.
+/// A task in a machine's queue.
 #[derive(Debug, Clone)]
 pub struct QueuedTask {
+    /// The task.
     pub task: TaskId,
+    /// Rank of its job when it was queued, lowest first.
     pub rank: u8,
+    /// Its predicted run time in seconds.
     pub predicted_s: f64,
+    /// When it was queued.
     pub since: f64,
-    /// Room is being made for it here.
+    /// Tasks on this machine are being stopped to free capacity for it.
     pub reserved: bool,
 }
 
-/// What a machine is good for.
+/// Whether a machine may be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineStatus {
-    /// Takes tasks.
+    /// It takes tasks.
     Up,
-    /// Takes no tasks any more and will be returned.
+    /// It takes no tasks any more and will be returned to the cloud.
     Draining,
-    /// Proven empty after silence; this session must not be answered again.
+    /// Its lease expired and it was proven empty; its session must not be answered again.
     Expired,
 }
 
 /// A machine.
 #[derive(Debug)]
 pub struct Machine {
+    /// Its name, address, type and zone, as in the machine record.
     pub info: MachineInfo,
-    /// It stands in the share's written record, so tasks may start on it.
+    /// The written machine record lists it, so tasks may start on it.
     pub recorded: bool,
+    /// Whether it may be used.
     pub status: MachineStatus,
-    /// Set aside by an operator: nothing new starts on it (see `drains`).
+    /// Cordoned by an operator: no new task starts on it (see `drains`).
     pub cordoned: bool,
-    /// It was set aside and recorded as empty before we took over, so that it
-    /// holds up nobody.
+    /// It was drained and recorded as empty before this leader took over, so that it
+    /// blocks no placement.
     pub drained: bool,
-    /// Newest message seen: session and sequence number.
+    /// The newest message seen.
     pub last_message: MessageId,
-    /// Highest token the machine is known to have seen.
+    /// Highest fencing token that the machine is known to have seen.
     pub seen_token: u64,
     /// The token that it gets from us, if that is above our term.
     pub raised_token: u64,
-    /// Reported under our term since we took over.
+    /// It sent a heartbeat under our term since we took over.
     pub fenced: bool,
-    /// When its present session was first seen; a session has a lease of its
-    /// own from its beginning, without any answer.
+    /// When its present session was first seen; a session has a lease of its own from its
+    /// beginning, without any answer.
     pub session_seen_at: f64,
-    /// When it first did: until then a former owner may have answered it.
+    /// When it was fenced: until then a former leader may have answered it.
     pub fenced_at: f64,
     /// When a message from it last arrived.
     pub heard_at: f64,
-    /// When it reported as if it counted anew, and nothing newer came since.
+    /// When a message of it seemed to count its sessions anew, and no newer one came since.
     pub renumbered_at: Option<f64>,
     /// It answered a call with something older than was known when it was called: it
-    /// counts anew, and may come to the session of a start that is still on its way.
+    /// counts its sessions anew, and may come to the session of a start that is in flight.
     pub renumbers: bool,
-    /// When a report of it was last answered.
+    /// When a heartbeat of it was last answered.
     pub answered_at: Option<f64>,
-    /// Whether it hears our answers.
+    /// Evidence on whether it receives our replies.
     pub delivery: Delivery,
-    /// When the cloud will take it away.
+    /// When the cloud will take it back, if that was announced.
     pub notice_at: Option<f64>,
+    /// The attempts that are on it, or may be.
     pub attempts: BTreeMap<AttemptId, Attempt>,
-    /// Attempts of jobs that we do not know, not exited.
+    /// Count of attempts of jobs unknown to us that have not exited.
     pub unknown_attempts: u32,
+    /// Its queue, of a bounded length; what waits there may also start elsewhere.
     pub queue: Vec<QueuedTask>,
-    /// Room left by what holds it (see `place`).
+    /// Capacity that its live attempts leave.
     pub free_capacity: Resources,
     /// It stands in the index of usable machines.
     pub indexed: bool,
-    /// The task list of its newest report, as it came, while a report with the
+    /// The task list of its newest heartbeat, as received, while a heartbeat with the
     /// same list needs no more than an answer.
     pub repeatable_tasks: Option<Box<str>>,
-    /// Images it has had, most recently used last.
+    /// Images that it has cached with their sizes in gigabytes, most recently used last.
     pub images: Vec<(String, f64)>,
-    /// A direct call is under way.
+    /// A direct call to it is under way.
     pub call_in_flight: bool,
+    /// When the last direct call began.
     pub called_at: f64,
-    /// What was known to be newest of it when that began.
+    /// The newest message known when that call began.
     pub called_at_message: MessageId,
-    /// Calls in a row that ended without an answer.
+    /// Count of consecutive calls that ended without an answer.
     pub unanswered_calls: u32,
-    /// When it was first asked for a report under our term.
+    /// When it was first asked for a heartbeat under our term.
     pub probed_at: Option<f64>,
-    /// Failures in a row, by their jobs: those of a job that never succeeded count
-    /// once, for it may be the job's own fault.
+    /// Consecutive failures on it, by their jobs: those of a job that never succeeded count
+    /// once, since they may be the job's own fault.
     pub recent_failures: Vec<Name>,
+    /// Since when it has had no attempts.
     pub idle_since: f64,
 }
 
 impl Machine {
+    /// A machine that no message has arrived from yet.
     pub fn new(info: MachineInfo, recorded: bool, now: f64) -> Machine {
         Machine {
             info,
@@ -221,17 +152,19 @@
         }
     }
 
-    /// The token of answers and calls to it, under this term of ours. Whatever it was
-    /// raised for, one beyond the term's own would be a later owner's.
+    /// The fencing token of answers and calls to it under our term. Whatever it was raised
+    /// for, a token beyond the term's range would be a later leader's.
     pub fn token_under(&self, term: u64) -> u64 {
         self.raised_token.clamp(term, term + TOKENS_PER_TERM - 1)
     }
 
+    /// Whether it has cached the image.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|(name, _)| name == image)
     }
 
-    /// Remembers an image as used last, within the size of the cache.
+    /// Records that an image was used, and evicts the least recently used ones beyond the
+    /// size of the cache.
     pub fn used_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push((image.to_string(), gb));
@@ -240,7 +173,16 @@
         }
     }
 
-    /// Whether any attempt of the task is known here.
+    /// The capacity of a machine of this type that the live attempts leave.
+    pub(crate) fn unused(&self, kind: &MachineType) -> Resources {
+        let mut unused = Resources::of_type(kind);
+        for (_, attempt) in self.live_attempts() {
+            unused.subtract(&attempt.resources);
+        }
+        unused
+    }
+
+    /// Whether any attempt of the task is known here, exited ones included.
     pub fn has_attempt_of(&self, task: &TaskId) -> bool {
         self.attempts
             .range(AttemptId::new(task.clone(), 0)..=AttemptId::new(task.clone(), u64::MAX))
@@ -248,13 +190,13 @@
             .is_some()
     }
 
-    /// Whether it holds up placing after a takeover.
+    /// Whether it blocks placement after a takeover.
     pub fn blocks_placement(&self) -> bool {
-        let unknown = self.recorded && !self.fenced && self.status != MachineStatus::Expired;
-        unknown && !self.drained || self.unknown_attempts > 0
+        let unfenced = self.recorded && !self.fenced && self.status != MachineStatus::Expired;
+        unfenced && !self.drained || self.unknown_attempts > 0
     }
 
-    /// Whether tasks may start on it, if it was heard of less than `silent_s`
+    /// Whether tasks may start on it, provided that it was heard of less than `silent_s`
     /// ago.
     pub fn is_usable(&self, now: f64, silent_s: f64) -> bool {
         self.recorded
@@ -268,45 +210,53 @@
             && now - self.heard_at < silent_s
     }
 
-    /// Whether it has been in doubt for longer than this whether it hears us.
-    pub fn is_unreachable(&self, now: f64, longer_s: f64) -> bool {
-        self.delivery.doubted_for(now).is_some_and(|s| s > longer_s)
+    /// Whether it has been doubtful for longer than `limit_s` that it receives our replies.
+    pub fn is_unreachable(&self, now: f64, limit_s: f64) -> bool {
+        self.delivery
+            .doubted_for(now)
+            .is_some_and(|doubted_s| doubted_s > limit_s)
     }
 
-    /// Whether this session cannot have come after the one we know: each between them
-    /// lasts a lease. It is of an earlier life of a machine that counts anew. (A late
-    /// answer to a call of a moment before the machine was back looked newer, and what
-    /// had just started on it was started elsewhere.)
+    /// Whether this session cannot be a later one than the one we know, since each session
+    /// between them would have lasted a lease. It belongs to an earlier incarnation of a
+    /// machine that counts its sessions anew. (Guards against a late answer to a call from
+    /// just before the machine was back: it looked newer, and what had just started on the
+    /// machine was started elsewhere too.)
     pub fn is_early_session(&self, session: u64, lease_s: f64, now: f64) -> bool {
-        let between = session
+        let sessions_between = session
             .saturating_sub(self.last_message.session)
             .saturating_sub(1);
-        self.last_message != MessageId::NONE
-            && now - self.session_seen_at < between as f64 * lease_s * 0.999
+        let least_s = sessions_between as f64 * lease_s * LEAST_LEASE_PART;
+        self.last_message != MessageId::NONE && now - self.session_seen_at < least_s
     }
 
-    /// Whether a start may yet be carried out in a session to come: of a machine that
-    /// counts its sessions anew silence proves nothing, only a newer session, a higher
-    /// token or its end does. (A start without an answer was held up until the count came
-    /// to its session, long after the lease had proven the machine empty: ran_twice.)
+    /// Whether a start may yet be executed in a session to come: if a machine counts its
+    /// sessions anew, silence proves nothing; only a newer session, a higher token or the
+    /// machine's end does. (Guards against a task that ran twice: a start without an answer
+    /// was delayed until the count came to its session, long after the lease expiry had
+    /// seemed to prove the machine empty.)
     pub fn may_still_start(&self) -> bool {
-        // That it only looks so is not enough: an owner that heard a late report first takes
-        // the sessions since for early, and such a machine would be refused for ever.
-        let copied = |a: &Attempt| a.copies_up_to.is_some_and(|t| t >= self.seen_token);
-        self.renumbers
-            && self
-                .attempts
-                .values()
-                .any(|a| a.is_in_flight() || copied(a))
+        // A mere suspicion (`renumbered_at`) is not enough: a leader that heard a late
+        // heartbeat first takes the sessions since for early, and such a machine would be
+        // refused for ever.
+        let has_live_copy = |attempt: &Attempt| {
+            attempt
+                .copies_up_to
+                .is_some_and(|token| token >= self.seen_token)
+        };
+        let may_start = |attempt: &Attempt| attempt.is_in_flight() || has_live_copy(attempt);
+        self.renumbers && self.attempts.values().any(may_start)
     }
 
-    /// Attempts that hold room.
+    /// Attempts that occupy capacity: all that have not exited.
     pub fn live_attempts(&self) -> impl Iterator<Item = (&AttemptId, &Attempt)> {
-        self.attempts.iter().filter(|(_, a)| !a.has_exited())
+        self.attempts
+            .iter()
+            .filter(|(_, attempt)| !attempt.has_exited())
     }
 }
 
-/// A machine's name as shared key.
+/// A machine's name as a shared key.
 pub fn name(info: &MachineInfo) -> Name {
     info.id.as_str().into()
 }
--- /dev/null
+++ b/src/coordination/scheduler/machines.rs
@@ -0,0 +1,160 @@
+//! The set of machines: adding, retiring and removing them, and the written machine record.
+//!
+//! Nothing starts on a machine before the record that lists it is written: whoever takes
+//! over reads the record to know which machines may run tasks.
+
+use crate::coordination::scheduler::job::AttemptId;
+use crate::coordination::scheduler::machine::{self, Machine, MachineStatus};
+use crate::coordination::scheduler::resources::Resources;
+use crate::coordination::scheduler::state::Scheduler;
+use crate::protocol::cloud::MachineType;
+use crate::storage::records::MachineInfo;
+
+impl Scheduler {
+    /// Replaces the machine types that the cloud offers.
+    pub fn set_types(&mut self, types: &[MachineType]) {
+        self.types = types.iter().map(|t| (t.name.clone(), t.clone())).collect();
+        for name in self.machines.keys().cloned().collect::<Vec<_>>() {
+            self.update_capacity(&name);
+        }
+        self.placement_due = true;
+    }
+
+    /// Adds a machine of the record that was found at the takeover.
+    pub fn add_recorded_machine(&mut self, info: MachineInfo, now: f64) {
+        let name = machine::name(&info);
+        let cordoned = self.drains.contains_key(&name);
+        // A machine that was proven empty and drained blocks no placement: as long as
+        // its drain record stands no leader starts anything on it, and whoever learns
+        // that the record is gone knows by then whether it is still the leader.
+        let drained = self.is_drained(&name);
+        if !drained {
+            self.unfenced.insert(name.clone());
+        }
+        self.machines.entry(name).or_insert_with(|| Machine {
+            cordoned,
+            drained,
+            ..Machine::new(info, true, now)
+        });
+    }
+
+    /// Brings a machine's free capacity and its place in the index up to date.
+    pub(crate) fn update_capacity(&mut self, name: &str) {
+        let silent_s = self.config.silent_s();
+        let queue_depth = self.config.policy.queue_depth;
+        let Some((_, key, machine)) = self.machines.get_full_mut(name) else {
+            self.capacity_index.remove(name);
+            return;
+        };
+        let kind = self.types.get(&machine.info.kind);
+        let free = kind.map_or(Resources::default(), |kind| machine.unused(kind));
+        let usable = kind.is_some() && machine.is_usable(self.now, silent_s);
+        if usable {
+            let has_short_queue = machine.queue.len() < queue_depth;
+            self.capacity_index
+                .put(key, &machine.info, free.cpus, has_short_queue);
+        } else {
+            self.capacity_index.remove(key);
+        }
+        let grew = !machine.indexed || !machine.free_capacity.fits(&free);
+        if usable && grew {
+            self.capacity_index.capacity_grew(&free);
+            self.grown_capacity.push(free);
+            if !machine.queue.is_empty() {
+                self.freed_machines.insert(key.clone());
+            }
+        }
+        machine.free_capacity = free;
+        machine.indexed = usable;
+    }
+
+    /// Forgets all attempts and queued tasks of a machine that was proven empty or is gone.
+    pub(crate) fn clear_machine(&mut self, name: &str) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        machine.unknown_attempts = 0;
+        machine.repeatable_tasks = None;
+        machine.idle_since = self.now;
+        let attempts = std::mem::take(&mut machine.attempts);
+        let lost = attempts.iter().filter(|(_, a)| !a.has_exited());
+        let lost: Vec<String> = lost.map(|(id, _)| id.task.wire()).collect();
+        if !lost.is_empty() {
+            tracing::info!(
+                machine = name,
+                tasks = lost.join(" "),
+                "lost with its machine"
+            );
+        }
+        for (id, mut attempt) in attempts {
+            self.uncount_running(&id, &mut attempt);
+            self.release_attempt(&id);
+        }
+        self.clear_queue(name);
+    }
+
+    /// The cloud confirmed that the machine was returned: any heartbeat of it that still
+    /// arrives is old.
+    pub fn confirm_machine_returned(&mut self, name: &str) {
+        self.remove_machine(name);
+        self.returned_machines.insert(name.into(), ());
+    }
+
+    /// The machine and everything on it are gone.
+    pub fn remove_machine(&mut self, name: &str) {
+        self.clear_machine(name);
+        let removed = self.machines.swap_remove(name);
+        if removed.is_some_and(|machine| machine.recorded) {
+            self.machine_record_dirty = true;
+        }
+        self.capacity_index.remove(name);
+        self.outbox.swap_remove(name);
+        self.placement_due = true;
+    }
+
+    /// Takes a machine out of use for good; its tasks are stopped and run elsewhere.
+    pub fn retire_machine(&mut self, name: &str) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        if machine.status != MachineStatus::Up {
+            return;
+        }
+        machine.status = MachineStatus::Draining;
+        machine.repeatable_tasks = None;
+        let attempts: Vec<AttemptId> = machine.live_attempts().map(|(id, _)| id.clone()).collect();
+        self.clear_queue(name);
+        for id in attempts {
+            let grace_s = self.save_grace(&id.task.job);
+            self.stop_attempt(name, &id, grace_s);
+        }
+        self.placement_due = true;
+    }
+
+    /// The machines that the written record should list.
+    pub fn wanted_machine_record(&self) -> Vec<&MachineInfo> {
+        self.machines
+            .values()
+            .filter(|machine| machine.status != MachineStatus::Expired)
+            .map(|machine| &machine.info)
+            .collect()
+    }
+
+    /// The record that lists these machines is written.
+    pub fn machine_record_written(&mut self, written: &[MachineInfo]) {
+        for info in written {
+            let Some(machine) = self.machines.get_mut(info.id.as_str()) else {
+                continue;
+            };
+            if machine.recorded || machine.status == MachineStatus::Expired {
+                continue;
+            }
+            machine.recorded = true;
+            if machine.blocks_placement() {
+                self.unfenced.insert(machine::name(info));
+            }
+            self.update_capacity(&info.id);
+            self.placement_due = true;
+        }
+    }
+}
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -1,20 +1,51 @@
-//! The scheduler: which jobs there are, which machines, and what runs where. All of it is
-//! pure: time and events go in, commands for machines and records to write come out.
+//! The scheduler: which jobs and machines there are, and what runs where. All of it is
+//! deterministic: time and events go in, commands for machines and records to write come
+//! out. Random draws come from a seeded generator.
+//!
+//! The modules form three layers, each importing from those before it only:
+//!
+//! - Data types: [`job`], [`machine`] with [`attempt`], [`message_id`] and [`delivery`],
+//!   [`resources`], [`capacity_index`], [`team_usage`], [`fair_share`], [`job_order`],
+//!   [`run_time_predictor`], [`fence`], `placement_pass`, `preemption_cost`.
+//! - State: [`state`] with [`config`].
+//! - Operations on the state:
+//!   - the sets of jobs and machines: `jobs`, `machines`, `attempts`, `completions`, `terms`;
+//!   - the order of jobs: `prediction`, [`quota`], `precedence`, `order_refresh`;
+//!   - placement: [`placement`], `sampling`, [`queue`], [`preemption`], `zone_constraint`;
+//!   - views: [`load`], [`views`], [`overview`], [`snapshot`].
 
+pub mod attempt;
+mod attempts;
 pub mod capacity;
+pub mod capacity_index;
+mod completions;
+pub mod config;
 pub mod delivery;
 pub mod fair_share;
 pub mod fence;
 pub mod job;
 pub mod job_order;
+mod jobs;
+pub mod load;
 pub mod machine;
+mod machines;
+pub mod message_id;
+mod order_refresh;
 pub mod overview;
 pub mod placement;
+mod placement_pass;
+mod precedence;
+mod prediction;
 pub mod preemption;
+mod preemption_cost;
 pub mod queue;
 pub mod quota;
+pub mod resources;
 pub mod run_time_predictor;
+mod sampling;
 pub mod snapshot;
 pub mod state;
+pub mod team_usage;
+mod terms;
 pub mod views;
 mod zone_constraint;
--- a/src/coordination/scheduler/overview.rs
+++ b/src/coordination/scheduler/overview.rs
@@ -1,17 +1,17 @@
-//! Live jobs at a glance as plain text: a rendering of `views`, for whoever
-//! looks after the night with nothing but a browser at hand.
+//! Live jobs at a glance as plain text: a rendering of `views` for operators with nothing
+//! but a browser at hand.
 
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::admin::Standing;
 use std::fmt::Write;
 
-/// Most jobs shown.
-const MOST: usize = 200;
+/// Bound on the jobs shown.
+const MAX_ROWS: usize = 200;
 
 impl Scheduler {
-    /// A table of live jobs, stuck ones first.
+    /// A table of live jobs, those first that need attention.
     pub fn overview(&self, now: f64) -> String {
-        let jobs = self.job_rows(now, MOST);
+        let jobs = self.job_rows(now, MAX_ROWS);
         let mut text = format!(
             "{} live jobs, {} stuck; term {}; {}\n\n{:<6} {:<22} {:<20} {:<16} {:>7} {:>6} {:>6} {:>6}  why\n",
             jobs.live,
@@ -28,14 +28,16 @@
             "of"
         );
         for row in &jobs.rows {
+            let state = if row.standing == Standing::Ok {
+                "ok"
+            } else {
+                "STUCK"
+            };
+            // Writing to a string does not fail.
             let _ = writeln!(
                 text,
                 "{:<6} {:<22} {:<20} {:<16} {:>7.0} {:>6} {:>6} {:>6}  {}",
-                if row.standing == Standing::Ok {
-                    "ok"
-                } else {
-                    "STUCK"
-                },
+                state,
                 row.id,
                 row.class,
                 row.team,
--- /dev/null
+++ b/src/coordination/scheduler/prediction.rs
@@ -0,0 +1,23 @@
+//! Predicted run times of tasks. In the paper the prediction comes with the job; here it is
+//! the job's own estimate, or else learnt from finished tasks of its class.
+
+use crate::coordination::scheduler::job::Job;
+use crate::coordination::scheduler::state::Scheduler;
+use crate::protocol::job::{JobSpec, Shape};
+
+impl Scheduler {
+    /// Predicted run time of a task in seconds: the job's estimate, or the recent median of
+    /// its class, or of all classes, or else a lease.
+    pub fn predict(&self, job: &Job) -> f64 {
+        if job.spec.estimate_s > 0.0 || job.spec.shape == Shape::Service {
+            return job.spec.estimate_s;
+        }
+        let median_s = self.predictor.median_s(&job.spec.class);
+        median_s.unwrap_or(self.config.lease_s)
+    }
+
+    /// Records how long a task ran.
+    pub(crate) fn record_run_time(&mut self, spec: &JobSpec, run_s: f64) {
+        self.predictor.ran(&spec.class, run_s, spec.estimate_s);
+    }
+}
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -1,107 +1,99 @@
-//! The short queues at machines: what binds, what starts when room comes, and
-//! what is drawn again.
+//! The short queues at machines: which tasks join them, which start when capacity becomes
+//! free, and which are sampled again.
 //!
-//! A place in a queue is no claim: what waits there starts in the order of jobs,
-//! on its own machine or wherever else room came free first. When it was a claim,
-//! the queues of a large fleet held more tasks than waited, so that room went to
-//! whatever stood before it and the smallest job fared like the largest.
+//! A place in a queue is no claim: what waits there starts in the order of jobs, on its own
+//! machine or wherever else capacity becomes free first. (When it was a claim, the queues of
+//! a large fleet held more tasks than waited elsewhere, so that capacity went to whatever
+//! stood before it, and the smallest job fared like the largest.) The exception are tasks
+//! for which others were preempted: they keep the machine on which that was done.
 
-use crate::coordination::scheduler::capacity::Resources;
 use crate::coordination::scheduler::job::{Name, Names, TaskId};
-use crate::coordination::scheduler::machine::QueuedTask;
-use crate::coordination::scheduler::placement::PlacementPass;
-use crate::coordination::scheduler::quota::within_limit;
+use crate::coordination::scheduler::machine::{Machine, QueuedTask};
+use crate::coordination::scheduler::placement_pass::PlacementPass;
+use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::JobSpec;
 
+/// Queues are searched for expired tasks this often per heartbeat interval: ages are limited
+/// in such intervals, so that is often enough.
+const EXPIRY_CHECKS_PER_REPORT: f64 = 4.0;
+
 impl Scheduler {
-    /// Half the age at which a bound task is drawn again.
-    fn age_s(&self) -> f64 {
-        self.config.policy.age_reports * self.config.report_s
+    /// Age, in seconds, at which a queued task is sampled again.
+    fn max_queue_age_s(&self) -> f64 {
+        2.0 * (self.config.policy.age_reports * self.config.report_s)
     }
 
-    /// Puts a task into a machine's queue.
-    pub(crate) fn enqueue(&mut self, machine: &Name, task: TaskId, reserved: bool, now: f64) {
+    /// Puts a task into a machine's queue; `reserved` if others are preempted for it there.
+    pub(crate) fn enqueue(&mut self, machine_name: &Name, task: TaskId, reserved: bool, now: f64) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
-        let (rank, predicted_s) = (self.precedence(job, now).0, self.predict(job));
-        if let Some(job) = self.jobs.get_mut(&task.job) {
-            job.queued.insert(task.index, machine.clone());
+        let queued = QueuedTask {
+            rank: self.precedence(job, now).rank,
+            predicted_s: self.predict(job),
+            since: now,
+            reserved,
+            task,
+        };
+        if let Some(job) = self.jobs.get_mut(&queued.task.job) {
+            job.queued.insert(queued.task.index, machine_name.clone());
         }
-        if let Some(m) = self.machines.get_mut(machine) {
-            m.queue.push(QueuedTask {
-                task,
-                rank,
-                predicted_s,
-                since: now,
-                reserved,
-            });
+        if let Some(machine) = self.machines.get_mut(machine_name) {
+            machine.queue.push(queued);
         }
-        self.machines_with_queue.insert(machine.clone());
-        self.update_capacity(machine);
+        self.machines_with_queue.insert(machine_name.clone());
+        self.update_capacity(machine_name);
     }
 
-    /// Takes a task out of whatever queue it is bound to.
+    /// Takes a task out of whatever queue it is in.
     pub(crate) fn dequeue(&mut self, task: &TaskId) {
         let job = self.jobs.get_mut(&task.job);
-        let Some(machine) = job.and_then(|j| j.queued.remove(&task.index)) else {
+        let Some(machine_name) = job.and_then(|job| job.queued.remove(&task.index)) else {
             return;
         };
-        if let Some(m) = self.machines.get_mut(&machine) {
-            m.queue.retain(|b| b.task != *task);
+        if let Some(machine) = self.machines.get_mut(&machine_name) {
+            machine.queue.retain(|queued| queued.task != *task);
         }
-        self.update_capacity(&machine);
+        self.update_capacity(&machine_name);
     }
 
-    /// Empties a machine's queue; its tasks wait unbound again.
-    pub(crate) fn clear_queue(&mut self, machine: &str) {
-        let Some(m) = self.machines.get_mut(machine) else {
+    /// Empties a machine's queue; its tasks wait outside of any queue again.
+    pub(crate) fn clear_queue(&mut self, machine_name: &str) {
+        let Some(machine) = self.machines.get_mut(machine_name) else {
             return;
         };
-        for bound in std::mem::take(&mut m.queue) {
-            if let Some(job) = self.jobs.get_mut(&bound.task.job) {
-                job.queued.remove(&bound.task.index);
-                job.requeue(bound.task.index);
+        for queued in std::mem::take(&mut machine.queue) {
+            if let Some(job) = self.jobs.get_mut(&queued.task.job) {
+                job.queued.remove(&queued.task.index);
+                job.requeue(queued.task.index);
             }
         }
-        self.machines_with_queue.swap_remove(machine);
-        self.update_capacity(machine);
+        self.machines_with_queue.swap_remove(machine_name);
+        self.update_capacity(machine_name);
     }
 
-    /// Bound tasks that waited past the age limit are drawn again, those at a
-    /// machine that fell silent or leaves at once.
+    /// Takes out of the queues what waited past the age limit, so that it is sampled again;
+    /// at a machine that fell silent or goes out of use, everything at once.
     pub(crate) fn expire_queued(&mut self, now: f64) {
-        let age = self.age_s();
-        // Ages are in report intervals, so a quarter of one is often enough.
-        if now - self.queues_aged_at < self.config.report_s / 4.0 {
+        let interval_s = self.config.report_s / EXPIRY_CHECKS_PER_REPORT;
+        if now - self.queues_aged_at < interval_s {
             return;
         }
         self.queues_aged_at = now;
         for name in self.machines_with_queue.clone() {
-            let Some(m) = self.machines.get(&name) else {
+            let Some(machine) = self.machines.get(&name) else {
                 self.machines_with_queue.swap_remove(&name);
                 continue;
             };
-            let stuck = !self.usable(m, now);
-            // What room is being made for waits for it, while others save.
-            let making = m.live_attempts().any(|(_, a)| a.stop_grace_s.is_some());
-            let old: Vec<TaskId> = m
-                .queue
-                .iter()
-                .filter(|b| {
-                    let young = now - b.since < 2.0 * age;
-                    stuck || !(young || b.reserved && making)
-                })
-                .map(|b| b.task.clone())
-                .collect();
-            if m.queue.len() == old.len() {
+            let expired = self.expired_tasks(machine, now);
+            if machine.queue.len() == expired.len() {
                 self.machines_with_queue.swap_remove(&name);
             } else {
-                // A limit may have got room meanwhile.
-                self.freed_machines.insert(name.clone());
+                // A limit may admit more meanwhile.
+                self.freed_machines.insert(name);
             }
-            for task in old {
+            for task in expired {
                 self.dequeue(&task);
                 if let Some(job) = self.jobs.get_mut(&task.job) {
                     job.requeue(task.index);
@@ -110,8 +102,24 @@
         }
     }
 
-    /// Starts tasks of the job that wait in queues where there is free room
-    /// elsewhere, as far as it goes.
+    /// The queued tasks that are to be sampled again.
+    fn expired_tasks(&self, machine: &Machine, now: f64) -> Vec<TaskId> {
+        let max_age_s = self.max_queue_age_s();
+        let is_unusable = !self.usable(machine, now);
+        // A task for which others are preempted waits as long as these write checkpoints.
+        let is_preempting = machine
+            .live_attempts()
+            .any(|(_, attempt)| attempt.stop_grace_s.is_some());
+        let is_expired = |queued: &&QueuedTask| {
+            let keeps_place = now - queued.since < max_age_s || queued.reserved && is_preempting;
+            is_unusable || !keeps_place
+        };
+        let expired = machine.queue.iter().filter(is_expired);
+        expired.map(|queued| queued.task.clone()).collect()
+    }
+
+    /// Starts tasks of the job that wait in queues on other machines with free capacity, as
+    /// far as it goes.
     pub(crate) fn start_queued_elsewhere(
         &mut self,
         name: &Name,
@@ -122,18 +130,12 @@
         let Some(job) = self.jobs.get(name) else {
             return;
         };
-        let kept = |task: u32, machine: &Name| {
-            let m = self.machines.get(machine);
-            m.is_some_and(|m| {
-                let mut queue = m.queue.iter();
-                queue.any(|b| b.reserved && b.task.index == task && b.task.job == *name)
-            })
-        };
-        let bound = job.queued.iter().filter(|(t, m)| !kept(**t, m));
-        let bound: Vec<u32> = bound.map(|(task, _)| *task).collect();
         let team = job.team;
-        for index in bound {
-            if !within_limit(self.team(team), pass.usage.of(team), spec, 1.0) {
+        let queued = job.queued.iter();
+        let movable = queued.filter(|(index, machine)| !self.is_reserved(name, **index, machine));
+        let movable: Vec<u32> = movable.map(|(index, _)| *index).collect();
+        for index in movable {
+            if !pass.usage.of(team).admits(self.team(team), spec, 1.0) {
                 return;
             }
             let task = TaskId {
@@ -152,62 +154,86 @@
         }
     }
 
-    /// Starts tasks up to this rank for which room was made, where it came free:
-    /// by smallest prediction.
+    /// Whether others are preempted for the task on this machine.
+    fn is_reserved(&self, job: &Name, index: u32, machine_name: &Name) -> bool {
+        self.machines.get(machine_name).is_some_and(|machine| {
+            let mut queue = machine.queue.iter();
+            queue.any(|q| q.reserved && q.task.index == index && q.task.job == *job)
+        })
+    }
+
+    /// Starts queued tasks up to this rank for which others were preempted, on machines
+    /// where capacity became free: by rank, then the smallest prediction first (SPJF, the
+    /// paper's section 4.2).
     pub(crate) fn start_reserved(
         &mut self,
         rank: u8,
-        freed: &Names,
+        freed_machines: &Names,
         pass: &mut PlacementPass,
         now: f64,
     ) {
-        for name in freed {
-            let Some(m) = self.machines.get(name) else {
+        for name in freed_machines {
+            let Some(machine) = self.machines.get(name) else {
                 continue;
             };
-            if m.queue.is_empty() || !self.usable(m, now) {
+            if machine.queue.is_empty() || !self.usable(machine, now) {
                 continue;
             }
-            let mut ready: Vec<QueuedTask> = (m.queue.iter())
-                .filter(|b| b.reserved && b.rank <= rank)
-                .cloned()
-                .collect();
-            ready.sort_by(|a, b| {
-                a.rank
-                    .cmp(&b.rank)
-                    .then(a.predicted_s.total_cmp(&b.predicted_s))
-                    .then(a.since.total_cmp(&b.since))
-            });
-            for bound in ready {
-                let Some(job) = self.jobs.get(&bound.task.job) else {
-                    continue;
-                };
-                let (spec, team) = (job.spec.clone(), job.team);
-                let limit = self.team(team);
-                let room = self
-                    .machines
-                    .get(name)
-                    .is_some_and(|m| m.free_capacity.fits(&Resources::of_task(&spec)));
-                if !room
-                    || !within_limit(limit, pass.usage.of(team), &spec, 1.0)
-                    || !self.zone_allows(&bound.task.job, name)
-                {
-                    continue;
-                }
-                self.dequeue(&bound.task);
-                self.start_task(name, bound.task, &spec, pass, now);
+            for queued in reserved_in_order(machine, rank) {
+                self.start_reserved_task(name, queued.task, pass, now);
             }
         }
     }
 
+    /// Starts the queued task on its machine, if it fits and is admitted now.
+    fn start_reserved_task(
+        &mut self,
+        machine_name: &Name,
+        task: TaskId,
+        pass: &mut PlacementPass,
+        now: f64,
+    ) {
+        let Some(job) = self.jobs.get(&task.job) else {
+            return;
+        };
+        let (spec, team) = (job.spec.clone(), job.team);
+        let machine = self.machines.get(machine_name);
+        let fits = machine.is_some_and(|m| m.free_capacity.fits(&Resources::of_task(&spec)));
+        if fits
+            && pass.usage.of(team).admits(self.team(team), &spec, 1.0)
+            && self.zone_allows(&task.job, machine_name)
+        {
+            self.dequeue(&task);
+            self.start_task(machine_name, task, &spec, pass, now);
+        }
+    }
+
     fn zone_allows(&self, job: &str, machine: &str) -> bool {
-        let (Some(job), Some(m)) = (self.jobs.get(job), self.machines.get(machine)) else {
+        let (Some(job), Some(machine)) = (self.jobs.get(job), self.machines.get(machine)) else {
             return false;
         };
-        // With no task on a machine any zone is right for the first one.
+        // As long as no task is placed, any zone is right for the first one.
         if job.spec.one_zone && job.placed.is_empty() {
             return true;
         }
-        self.zone_constraint(job).allows(&m.info.zone)
+        self.zone_constraint(job).allows(&machine.info.zone)
     }
 }
+
+/// Tasks of the machine's queue, up to this rank, for which others were preempted, in the
+/// order in which they start.
+fn reserved_in_order(machine: &Machine, rank: u8) -> Vec<QueuedTask> {
+    let mut reserved: Vec<QueuedTask> = machine
+        .queue
+        .iter()
+        .filter(|queued| queued.reserved && queued.rank <= rank)
+        .cloned()
+        .collect();
+    reserved.sort_by(|a, b| {
+        a.rank
+            .cmp(&b.rank)
+            .then(a.predicted_s.total_cmp(&b.predicted_s))
+            .then(a.since.total_cmp(&b.since))
+    });
+    reserved
+}
--- /dev/null
+++ b/src/coordination/scheduler/resources.rs
@@ -0,0 +1,64 @@
+//! Amounts of CPU, GPU and memory: what a task requires and what a machine has.
+
+use crate::protocol::cloud::MachineType;
+use crate::protocol::job::JobSpec;
+use foldhash::fast::RandomState;
+use std::collections::HashMap;
+
+/// Machine types by name.
+pub type Types = HashMap<String, MachineType, RandomState>;
+
+/// Tolerance of comparisons: sums of decimal fractions are off by a little.
+pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
+
+/// An amount of each resource that tasks are placed by.
+#[derive(Debug, Clone, Copy, PartialEq, Default)]
+pub struct Resources {
+    /// CPU cores; fractions are allowed.
+    pub cpus: f64,
+    /// GPUs; fractions are allowed.
+    pub gpus: f64,
+    /// Memory in gigabytes.
+    pub memory_gb: f64,
+}
+
+impl Resources {
+    /// The total capacity of a machine of this type.
+    pub fn of_type(kind: &MachineType) -> Resources {
+        Resources {
+            cpus: kind.cpus,
+            gpus: kind.gpus,
+            memory_gb: kind.memory_gb,
+        }
+    }
+
+    /// What one task of the job requires.
+    pub fn of_task(spec: &JobSpec) -> Resources {
+        Resources {
+            cpus: spec.cpus,
+            gpus: spec.gpus,
+            memory_gb: spec.memory_gb,
+        }
+    }
+
+    /// Whether `need` fits into this amount, up to rounding.
+    pub fn fits(&self, need: &Resources) -> bool {
+        need.cpus <= self.cpus + ROUNDING_TOLERANCE
+            && need.gpus <= self.gpus + ROUNDING_TOLERANCE
+            && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
+    }
+
+    /// Takes `other` away; the result may be negative.
+    pub fn subtract(&mut self, other: &Resources) {
+        self.cpus -= other.cpus;
+        self.gpus -= other.gpus;
+        self.memory_gb -= other.memory_gb;
+    }
+
+    /// Adds `other`.
+    pub fn add(&mut self, other: &Resources) {
+        self.cpus += other.cpus;
+        self.gpus += other.gpus;
+        self.memory_gb += other.memory_gb;
+    }
+}
--- a/src/coordination/scheduler/snapshot.rs
+++ b/src/coordination/scheduler/snapshot.rs
@@ -1,8 +1,9 @@
-//! The state of a share at one moment, as plans are made from it, and a scheduler
-//! made from such a snapshot: the same code decides there as here.
+//! A snapshot of the scheduler's state, from which plans are made, and a scheduler made
+//! from one: plans run the same code that decides here.
 
 use crate::coordination::scheduler::fence::Fence;
-use crate::coordination::scheduler::machine::MachineStatus;
+use crate::coordination::scheduler::job::Job;
+use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::{Scheduler, SchedulerConfig};
 use crate::protocol::admin::Drain;
 use crate::protocol::cloud::MachineType;
@@ -11,107 +12,120 @@
 use crate::protocol::settings::{Objective, Team};
 use crate::storage::marks::CompletedTasks;
 use crate::storage::records::{LiveJob, MachineInfo};
+use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Points of a distribution that travel with a snapshot.
-const POINTS: usize = 32;
+/// Count of quantiles of a distribution that a snapshot carries.
+const QUANTILES: usize = 32;
 
 /// An attempt on a machine.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct SnapTask {
+    /// Its job.
     pub job: String,
+    /// Index of the task within the job.
     pub index: u32,
+    /// Number of the attempt.
     pub attempt: u64,
-    /// For how long it has run; `None` while it fetches or is under way.
+    /// For how many seconds it has run; `None` before that.
     pub ran_s: Option<f64>,
 }
 
 /// A machine that tasks may be on.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct SnapMachine {
+    /// As in the machine record.
     pub info: MachineInfo,
-    /// Heard of lately, so that it is expected to go on.
+    /// Fenced and heard of lately, so that it is expected to go on.
     pub alive: bool,
+    /// Its present session.
     pub session: u64,
+    /// The attempts that occupy capacity on it.
     pub tasks: Vec<SnapTask>,
 }
 
 /// A live job.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct SnapJob {
+    /// Its description, as submitted.
     pub spec: JobSpec,
+    /// Seconds since it was accepted.
     pub age_s: f64,
-    /// Done tasks, as ranges.
+    /// Completed tasks, as ranges.
     pub done: String,
 }
 
-/// By how much the estimates of a class are off: run time against estimate, at
-/// evenly spaced quantiles.
+/// By how much the estimates of a class are off.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ClassError {
+    /// The class; empty for all classes.
     pub class: String,
+    /// How many tasks this rests on.
     pub tasks: u64,
+    /// Run time over estimate at evenly spaced quantiles.
     pub ratios: Vec<f64>,
 }
 
-/// A share at one moment.
+/// The state at one moment.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Snapshot {
+    /// The leader's term.
     pub term: u64,
     /// Revision of the live jobs that it shows.
     pub revision: u64,
-    /// When it was made, in milliseconds of the time of day.
+    /// When it was made, in milliseconds of wall-clock time.
     pub at_ms: u64,
+    /// Interval of heartbeats, in seconds.
     pub report_s: f64,
+    /// Lease of a worker, in seconds.
     pub lease_s: f64,
+    /// Deadline of a cancellation, in seconds.
     pub cancel_s: f64,
+    /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
+    /// Service-level objectives.
     pub objectives: Vec<Objective>,
+    /// Tunables of placement and preemption.
     pub policy: Policy,
+    /// Machine types that the cloud offers.
     pub types: Vec<MachineType>,
+    /// Machines that tasks may be on.
     pub machines: Vec<SnapMachine>,
+    /// Live jobs.
     pub jobs: Vec<SnapJob>,
+    /// Errors of estimates, by class.
     pub errors: Vec<ClassError>,
-    /// Drains that stand.
+    /// Drains in effect.
     pub drains: Vec<Drain>,
 }
 
+/// The error distribution of a class from its run times over estimates, in thousandths.
+fn class_error(class: &str, ratios: &Histogram<u32>) -> ClassError {
+    let quantile = |i: usize| (i as f64 + 0.5) / QUANTILES as f64;
+    let ratio = |i| ratios.value_at_quantile(quantile(i)) as f64 / 1000.0;
+    ClassError {
+        class: class.into(),
+        tasks: ratios.len(),
+        ratios: (0..QUANTILES).map(ratio).collect(),
+    }
+}
+
+fn snap_job(job: &Job, now: f64) -> SnapJob {
+    SnapJob {
+        spec: (*job.spec).clone(),
+        age_s: now - job.accepted_at,
+        done: job.completed.to_text(),
+    }
+}
+
 impl Scheduler {
-    /// The share as it is now.
+    /// The state as it is now.
     pub fn snapshot(&self, now: f64) -> Snapshot {
         let machines = self.machines.values();
-        let up = machines.filter(|m| m.status != MachineStatus::Expired);
-        let machines = up.map(|m| {
-            let tasks = m.live_attempts().map(|(id, a)| SnapTask {
-                job: id.task.job.to_string(),
-                index: id.task.index,
-                attempt: id.number,
-                ran_s: a.running_since.map(|t| now - t),
-            });
-            SnapMachine {
-                info: m.info.clone(),
-                alive: m.fenced && self.silent_for(m.heard_at, now) < self.config.silent_s(),
-                session: m.last_message.session,
-                tasks: tasks.collect(),
-            }
-        });
-        let jobs = self.jobs.values().filter(|j| !j.finished);
-        let jobs = jobs.map(|j| SnapJob {
-            spec: (*j.spec).clone(),
-            age_s: now - j.accepted_at,
-            done: j.completed.to_text(),
-        });
+        let present = machines.filter(|machine| machine.status != MachineStatus::Expired);
+        let jobs = self.jobs.values().filter(|job| !job.finished);
         let errors = self.predictor.ratio.classes().into_iter();
-        let errors = errors.map(|(class, h)| {
-            let at = |i: usize| (i as f64 + 0.5) / POINTS as f64;
-            let ratio = |i| h.value_at_quantile(at(i)) as f64 / 1000.0;
-            ClassError {
-                class: class.into(),
-                tasks: h.len(),
-                ratios: (0..POINTS).map(ratio).collect(),
-            }
-        });
         let mut types: Vec<MachineType> = self.types.values().cloned().collect();
         types.sort_by(|a, b| a.name.cmp(&b.name));
         Snapshot {
@@ -125,44 +139,66 @@
             objectives: self.config.objectives.clone(),
             policy: self.config.policy.clone(),
             types,
-            machines: machines.collect(),
-            jobs: jobs.collect(),
-            errors: errors.collect(),
-            drains: self.drains.values().map(|w| w.drain.clone()).collect(),
+            machines: present.map(|m| self.snap_machine(m, now)).collect(),
+            jobs: jobs.map(|job| snap_job(job, now)).collect(),
+            errors: errors
+                .map(|(class, ratios)| class_error(class, ratios))
+                .collect(),
+            drains: self.drains.values().map(|t| t.drain.clone()).collect(),
         }
     }
 
-    /// An owner that took over, at the time 0, a share in this state: with the
-    /// machines that go on in its record, and none heard of yet. Steady time is
-    /// the time of day, so that deadlines count from the snapshot.
+    fn snap_machine(&self, machine: &Machine, now: f64) -> SnapMachine {
+        let tasks = machine.live_attempts().map(|(id, attempt)| SnapTask {
+            job: id.task.job.to_string(),
+            index: id.task.index,
+            attempt: id.number,
+            ran_s: attempt.running_since.map(|since| now - since),
+        });
+        let silent_s = self.silent_for(machine.heard_at, now);
+        SnapMachine {
+            info: machine.info.clone(),
+            alive: machine.fenced && silent_s < self.config.silent_s(),
+            session: machine.last_message.session,
+            tasks: tasks.collect(),
+        }
+    }
+
+    /// A leader that took over this state at the time 0: the machines that go on are in its
+    /// record, and it has heard of none yet. Jobs are as old as in the snapshot, so that
+    /// deadlines count from there.
     pub fn of_snapshot(snapshot: &Snapshot, seed: u64) -> Scheduler {
-        let params = SchedulerConfig {
+        let config = SchedulerConfig {
             lease_s: snapshot.lease_s,
             report_s: snapshot.report_s,
             cancel_s: snapshot.cancel_s,
-            // Nobody is deaf in a plan.
+            // In a plan every controller answers.
             round_s: 0.0,
             teams: snapshot.teams.clone(),
             objectives: snapshot.objectives.clone(),
             policy: snapshot.policy.clone(),
         };
         let term = snapshot.term + 1;
-        let mut scheduler = Scheduler::new(params, term, Fence::new(term, Some(0.0)), seed);
+        let mut scheduler = Scheduler::new(config, term, Fence::new(term, Some(0.0)), seed);
         scheduler.set_types(&snapshot.types);
         for machine in snapshot.machines.iter().filter(|m| m.alive) {
             scheduler.add_recorded_machine(machine.info.clone(), 0.0);
         }
         for job in &snapshot.jobs {
-            let record = LiveJob {
-                spec: Rc::new(job.spec.clone()),
-                at_ms: 0,
-                done: job.done.clone(),
-            };
-            scheduler.add_job(record, 1, CompletedTasks::default());
-            if let Some(made) = scheduler.jobs.get_mut(job.spec.id.as_str()) {
-                made.accepted_at = -job.age_s;
-            }
+            scheduler.add_snap_job(job);
         }
         scheduler
     }
+
+    fn add_snap_job(&mut self, job: &SnapJob) {
+        let record = LiveJob {
+            spec: Rc::new(job.spec.clone()),
+            at_ms: 0,
+            done: job.done.clone(),
+        };
+        self.add_job(record, 1, CompletedTasks::default());
+        if let Some(added) = self.jobs.get_mut(job.spec.id.as_str()) {
+            added.accepted_at = -job.age_s;
+        }
+    }
 }
--- a/src/coordination/scheduler/views.rs
+++ b/src/coordination/scheduler/views.rs
@@ -1,19 +1,24 @@
-//! What operators see of a share: jobs, teams, machines, waits. Counted anew for
-//! each look, from the owner's view as it is.
+//! What operators see of the scheduler: jobs, teams, machines, waits. Each view is computed
+//! anew from the state when it is asked for.
 
+use crate::coordination::fleet::drains::DrainTarget;
 use crate::coordination::scheduler::job::Job;
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
-use crate::coordination::scheduler::quota::{within_limit, TeamUsage};
-use crate::coordination::scheduler::run_time_predictor::ClassHistograms;
+use crate::coordination::scheduler::run_time_predictor::{ClassHistograms, ALL_CLASSES};
 use crate::coordination::scheduler::state::Scheduler;
+use crate::coordination::scheduler::team_usage::TeamUsage;
 use crate::protocol::admin::{
     JobRow, Jobs, MachineRow, MachineState, Spread, Standing, TeamRow, Waits,
 };
+use crate::protocol::settings::Team;
 use hdrhistogram::Histogram;
 
-/// A distribution in milliseconds as operators see it.
+/// A job of which nothing runs is stuck after this many leases.
+const STUCK_LEASES: f64 = 3.0;
+
+/// A distribution in milliseconds as operators see it, in seconds.
 pub fn spread(name: &str, ms: &Histogram<u32>) -> Spread {
-    let at = |q| ms.value_at_quantile(q) as f64 / 1000.0;
+    let at = |quantile| ms.value_at_quantile(quantile) as f64 / 1000.0;
     Spread {
         name: name.into(),
         count: ms.len(),
@@ -25,20 +30,30 @@
 }
 
 fn spreads(ms: &ClassHistograms) -> Vec<Spread> {
-    let classes = ms.classes().into_iter().filter(|(n, _)| !n.is_empty());
-    classes.map(|(n, h)| spread(n, h)).collect()
+    let classes = ms.classes().into_iter();
+    classes
+        .filter(|(name, _)| *name != ALL_CLASSES)
+        .map(|(name, histogram)| spread(name, histogram))
+        .collect()
+}
+
+/// A job in the order in which operators see jobs.
+struct RankedJob<'a> {
+    standing: Standing,
+    id: &'a str,
+    job: &'a Job,
 }
 
 impl Scheduler {
-    /// Why nothing of the job runs or could be added now.
+    /// Why no further task of the job starts now.
     fn reason(&self, job: &Job, usage: &TeamUsage, now: f64) -> String {
         if !self.fence.open {
             return "waits until all machines are accounted for after a takeover".into();
         }
         if job.is_suspect() {
-            let (tries, on) = (job.failures, job.failed_on.len());
+            let (failures, machines) = (job.failures, job.failed_on.len());
             return format!(
-                "fails on every machine it was tried on ({tries} failures on {on} machines): look at the job"
+                "fails on every machine it was tried on ({failures} failures on {machines} machines): look at the job"
             );
         }
         if job.unplaced_tasks() == 0 {
@@ -50,32 +65,36 @@
         if job.not_before > now {
             return "waits after a failure or a refused start".into();
         }
-        if !within_limit(self.team(job.team), usage.of(job.team), &job.spec, 1.0) {
+        let used = usage.of(job.team);
+        if !used.admits(self.team(job.team), &job.spec, 1.0) {
             return "its team is at its limit".into();
         }
-        if !self
+        self.capacity_reason(job).into()
+    }
+
+    /// What the job lacks, if it is capacity.
+    fn capacity_reason(&self, job: &Job) -> &'static str {
+        let pools = self
             .capacity_index
-            .pools_for(&job.spec, &self.types, |_| true)
-            .is_empty()
-        {
-            return "waits for room".into();
-        }
-        let aside = |m: &Machine| m.cordoned && self.may_use(&job.spec, m);
-        if self.machines.values().any(aside) {
-            "every machine that it may use is drained".into()
+            .pools_for(&job.spec, &self.types, |_| true);
+        if !pools.is_empty() {
+            return "waits for room";
+        }
+        let mut machines = self.machines.values();
+        if machines.any(|machine| machine.cordoned && self.may_use(&job.spec, machine)) {
+            "every machine that it may use is drained"
         } else {
-            "no machine that it may use is up".into()
+            "no machine that it may use is up"
         }
     }
 
-    /// How the job stands: nothing of it runs although several leases passed, it
-    /// only fails, or every aim is out of reach.
+    /// Whether the job needs attention: none of its tasks runs although several leases have
+    /// passed, it only fails, or it can meet none of its objectives any more.
     fn standing(&self, job: &Job, now: f64) -> Standing {
-        let age_s = now - job.accepted_at;
+        let nothing_runs = job.running == 0 && job.unplaced_tasks() > 0;
         if job.is_suspect() {
             Standing::Failing
-        } else if job.running == 0 && job.unplaced_tasks() > 0 && age_s > 3.0 * self.config.lease_s
-        {
+        } else if nothing_runs && now - job.accepted_at > STUCK_LEASES * self.config.lease_s {
             Standing::Stuck
         } else if !self.has_reachable_objective(job, now) {
             Standing::Late
@@ -84,152 +103,169 @@
         }
     }
 
-    /// Live jobs, the worst first, and at most so many of them.
-    pub fn job_rows(&self, now: f64, most: usize) -> Jobs {
+    /// Live jobs, those first that need attention most, and at most `limit` of them.
+    pub fn job_rows(&self, now: f64, limit: usize) -> Jobs {
         let usage = self.count_usage();
-        let mut ranked: Vec<(Standing, f64, &str, &Job)> = self
-            .jobs
-            .iter()
-            .filter(|(_, j)| !j.finished)
-            .map(|(id, j)| (self.standing(j, now), j.accepted_at, &**id, j))
+        let ranked = self.ranked_jobs(now);
+        let count = |standing: Standing| ranked.iter().filter(|r| r.standing == standing).count();
+        Jobs {
+            live: ranked.len(),
+            stuck: count(Standing::Stuck),
+            failing: count(Standing::Failing),
+            late: count(Standing::Late),
+            rows: ranked
+                .iter()
+                .take(limit)
+                .map(|ranked| self.job_row(ranked, &usage, now))
+                .collect(),
+        }
+    }
+
+    fn ranked_jobs(&self, now: f64) -> Vec<RankedJob<'_>> {
+        let live = self.jobs.iter().filter(|(_, job)| !job.finished);
+        let mut ranked: Vec<RankedJob> = live
+            .map(|(id, job)| RankedJob {
+                standing: self.standing(job, now),
+                id,
+                job,
+            })
             .collect();
-        ranked.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(b.2)));
-        let count = |s: Standing| ranked.iter().filter(|r| r.0 == s).count();
-        let row = |&(standing, at, id, job): &(Standing, f64, &str, &Job)| JobRow {
+        ranked.sort_by(|a, b| {
+            a.standing
+                .cmp(&b.standing)
+                .then(a.job.accepted_at.total_cmp(&b.job.accepted_at))
+                .then(a.id.cmp(b.id))
+        });
+        ranked
+    }
+
+    fn job_row(&self, ranked: &RankedJob, usage: &TeamUsage, now: f64) -> JobRow {
+        let RankedJob { standing, id, job } = *ranked;
+        JobRow {
             id: id.into(),
             class: job.spec.class.clone(),
             team: job.spec.team.clone(),
             urgency: job.spec.urgency,
             standing,
-            why: self.reason(job, &usage, now),
-            age_s: now - at,
+            why: self.reason(job, usage, now),
+            age_s: now - job.accepted_at,
             slack_s: self.slack_s(job, now),
             tasks: job.spec.tasks,
             done: job.saved.len() as u32,
             running: job.running,
             waiting: job.unplaced_tasks(),
-        };
-        Jobs {
-            live: ranked.len(),
-            stuck: count(Standing::Stuck),
-            failing: count(Standing::Failing),
-            late: count(Standing::Late),
-            rows: ranked.iter().take(most).map(row).collect(),
         }
     }
 
-    /// Teams against their guarantees and limits.
+    /// Teams with their usage, guarantees and limits.
     pub fn team_rows(&self) -> Vec<TeamRow> {
         let usage = self.count_usage();
         let teams = self.config.teams.iter().enumerate();
         teams
-            .map(|(at, team)| {
-                let used = usage.of(Some(at));
-                let mut row = TeamRow {
-                    name: team.name.clone(),
-                    cpus: used.0,
-                    cpus_guaranteed: team.cpus,
-                    cpus_max: team.cpus_max,
-                    gpus: used.1,
-                    gpus_guaranteed: team.gpus,
-                    gpus_max: team.gpus_max,
-                    jobs: 0,
-                    waiting_tasks: 0,
-                    waiting_cpus: 0.0,
-                };
-                let own = |j: &&Job| j.team == Some(at) && !j.finished;
-                for job in self.jobs.values().filter(own) {
-                    row.jobs += 1;
-                    row.waiting_tasks += job.unplaced_tasks();
-                    row.waiting_cpus += f64::from(job.unplaced_tasks()) * job.spec.cpus;
-                }
-                row
-            })
+            .map(|(at, team)| self.team_row(at, team, &usage))
             .collect()
     }
 
-    /// A machine's state, and what that rests on.
-    fn machine_state(&self, m: &Machine, now: f64) -> (MachineState, String) {
-        let silent_s = self.silent_for(m.heard_at, now);
-        let wish = self.drains.get(&*m.info.id);
-        let aside = |w: &crate::coordination::fleet::drains::DrainTarget| {
-            format!("by {}: {}", w.drain.by, w.drain.why)
+    fn team_row(&self, at: usize, team: &Team, usage: &TeamUsage) -> TeamRow {
+        let used = usage.of(Some(at));
+        let mut row = TeamRow {
+            name: team.name.clone(),
+            cpus: used.cpus,
+            cpus_guaranteed: team.cpus,
+            cpus_max: team.cpus_max,
+            gpus: used.gpus,
+            gpus_guaranteed: team.gpus,
+            gpus_max: team.gpus_max,
+            jobs: 0,
+            waiting_tasks: 0,
+            waiting_cpus: 0.0,
         };
-        match (m.status, wish) {
-            (_, Some(w)) if w.drain.drained.is_some() => (MachineState::Drained, aside(w)),
-            (_, Some(w)) => (MachineState::Draining, aside(w)),
-            (MachineStatus::Draining, _) => {
-                let why = format!(
-                    "taken out of use; {} failures in a row",
-                    m.recent_failures.len()
-                );
+        let is_own = |job: &&Job| job.team == Some(at) && !job.finished;
+        for job in self.jobs.values().filter(is_own) {
+            row.jobs += 1;
+            row.waiting_tasks += job.unplaced_tasks();
+            row.waiting_cpus += f64::from(job.unplaced_tasks()) * job.spec.cpus;
+        }
+        row
+    }
+
+    /// A machine's state, and what that follows from.
+    fn machine_state(&self, machine: &Machine, now: f64) -> (MachineState, String) {
+        if let Some(target) = self.drains.get(&*machine.info.id) {
+            return drain_state(target);
+        }
+        match machine.status {
+            MachineStatus::Draining => {
+                let failures = machine.recent_failures.len();
+                let why = format!("taken out of use; {failures} failures in a row");
                 (MachineState::Returning, why)
             }
-            (MachineStatus::Expired, _) => {
+            MachineStatus::Expired => {
                 let why = "silent for a lease that nobody can have renewed";
                 (MachineState::Expired, why.into())
             }
-            _ if !m.recorded => {
-                let why = "not in our written record yet";
-                (MachineState::Unproven, why.into())
-            }
-            _ if !m.fenced => {
-                let why = format!("no report under term {} yet", self.term);
-                (MachineState::Unproven, why)
-            }
-            _ if m.unknown_attempts > 0 => {
-                let why = format!(
-                    "runs {} tasks of jobs that we do not know",
-                    m.unknown_attempts
-                );
-                (MachineState::Unproven, why)
-            }
-            _ if m.notice_at.is_some() => {
-                let left = m.notice_at.map_or(0.0, |t| t - now);
-                (
-                    MachineState::Noticed,
-                    format!("the cloud takes it in {left:.0} s"),
-                )
-            }
-            _ if silent_s >= self.config.silent_s() => {
-                (MachineState::Silent, format!("silent for {silent_s:.0} s"))
-            }
-            _ => (MachineState::Usable, String::new()),
+            MachineStatus::Up => self.up_state(machine, now),
         }
     }
 
+    /// The state of a machine that is up, and what that follows from.
+    fn up_state(&self, machine: &Machine, now: f64) -> (MachineState, String) {
+        if !machine.recorded {
+            let why = "not in our written record yet";
+            return (MachineState::Unproven, why.into());
+        }
+        if !machine.fenced {
+            let why = format!("no report under term {} yet", self.term);
+            return (MachineState::Unproven, why);
+        }
+        if machine.unknown_attempts > 0 {
+            let attempts = machine.unknown_attempts;
+            let why = format!("runs {attempts} tasks of jobs that we do not know");
+            return (MachineState::Unproven, why);
+        }
+        if let Some(notice_at) = machine.notice_at {
+            let left_s = notice_at - now;
+            let why = format!("the cloud takes it in {left_s:.0} s");
+            return (MachineState::Noticed, why);
+        }
+        let silent_s = self.silent_for(machine.heard_at, now);
+        if silent_s >= self.config.silent_s() {
+            return (MachineState::Silent, format!("silent for {silent_s:.0} s"));
+        }
+        (MachineState::Usable, String::new())
+    }
+
     /// Machines, those first that are of least use.
     pub fn machine_rows(&self, now: f64) -> Vec<MachineRow> {
-        let mut rows: Vec<MachineRow> = self
-            .machines
-            .values()
-            .map(|m| {
-                let (state, why) = self.machine_state(m, now);
-                MachineRow {
-                    id: m.info.id.clone(),
-                    kind: m.info.kind.clone(),
-                    zone: m.info.zone.clone(),
-                    spot: m.info.spot,
-                    state,
-                    why,
-                    silent_s: self.silent_for(m.heard_at, now).max(0.0),
-                    tasks: m.live_attempts().count() as u32,
-                    bound: m.queue.len() as u32,
-                    free_cpus: m.free_capacity.cpus,
-                }
-            })
-            .collect();
+        let machines = self.machines.values();
+        let mut rows: Vec<MachineRow> = machines.map(|m| self.machine_row(m, now)).collect();
         rows.sort_by(|a, b| b.state.cmp(&a.state).then_with(|| a.id.cmp(&b.id)));
         rows
     }
 
+    fn machine_row(&self, machine: &Machine, now: f64) -> MachineRow {
+        let (state, why) = self.machine_state(machine, now);
+        MachineRow {
+            id: machine.info.id.clone(),
+            kind: machine.info.kind.clone(),
+            zone: machine.info.zone.clone(),
+            spot: machine.info.spot,
+            state,
+            why,
+            silent_s: self.silent_for(machine.heard_at, now).max(0.0),
+            tasks: machine.live_attempts().count() as u32,
+            bound: machine.queue.len() as u32,
+            free_cpus: machine.free_capacity.cpus,
+        }
+    }
+
     /// How many machines are in each state.
     pub fn machine_counts(&self, now: f64) -> Vec<(MachineState, usize)> {
         let mut counts: Vec<(MachineState, usize)> = Vec::new();
-        for m in self.machines.values() {
-            let state = self.machine_state(m, now).0;
-            match counts.iter_mut().find(|c| c.0 == state) {
-                Some(c) => c.1 += 1,
+        for machine in self.machines.values() {
+            let (state, _) = self.machine_state(machine, now);
+            match counts.iter_mut().find(|(known, _)| *known == state) {
+                Some((_, count)) => *count += 1,
                 None => counts.push((state, 1)),
             }
         }
@@ -237,7 +273,7 @@
         counts
     }
 
-    /// Waits of jobs for their first task.
+    /// How long jobs of each class waited for their first task.
     pub fn waits(&self) -> Waits {
         Waits {
             first_start: spreads(&self.predictor.wait_ms),
@@ -245,3 +281,14 @@
         }
     }
 }
+
+/// The state of a machine that an operator drains.
+fn drain_state(target: &DrainTarget) -> (MachineState, String) {
+    let drain = &target.drain;
+    let state = if drain.drained.is_some() {
+        MachineState::Drained
+    } else {
+        MachineState::Draining
+    };
+    (state, format!("by {}: {}", drain.by, drain.why))
+}
--- a/src/coordination/scheduler/zone_constraint.rs
+++ b/src/coordination/scheduler/zone_constraint.rs
@@ -1,92 +1,113 @@
-//! In which zones another task of a job may start, given where its others are or may be.
+//! In which zones another task of a job may start, given where its other tasks are or may
+//! be: all in one zone, or spread over several.
 
-use crate::coordination::scheduler::capacity::Resources;
-use crate::coordination::scheduler::job::{Job, Name};
+use crate::coordination::scheduler::job::Job;
+use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::JobSpec;
 
-/// Where tasks of a job may go, given its other tasks.
+/// Tasks of a job in one zone.
+#[derive(Debug, Clone)]
+struct ZoneCount {
+    zone: String,
+    tasks: u32,
+}
+
+/// The zones in which another task of a job may start. The default allows any.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Zones {
-    /// Only this zone.
+pub(crate) struct ZoneConstraint {
+    /// The only zone for the job.
     only: Option<String>,
-    /// Tasks in each zone.
-    count: Vec<(String, u32)>,
-    /// At most this many in one.
-    most: Option<u32>,
+    /// Where its placed tasks are.
+    placed: Vec<ZoneCount>,
+    /// Bound on its tasks in any one zone.
+    max_per_zone: Option<u32>,
 }
 
-impl Zones {
+impl ZoneConstraint {
     /// Whether another task of the job may start in this zone.
     pub fn allows(&self, zone: &str) -> bool {
         if let Some(only) = &self.only {
-            // Guards against an old report that shows tasks in another zone than where they
-            // are: as long as either may be so, none may start in any. (A machine that was
-            // proven empty holds up no takeover; an old report of it arrived first, and a
-            // job whose tasks must be together was started beside what was gone.)
-            let elsewhere = self.count.iter().any(|(z, _)| z != only);
-            if zone != only || elsewhere {
+            // Guards against an old heartbeat that shows tasks in another zone than where they
+            // are: as long as either may be true, none may start in any zone. (A machine that
+            // was proven empty blocks no placement after a takeover; an old heartbeat of it
+            // arrived first, and a job whose tasks must be together was started beside
+            // what was gone.)
+            let any_elsewhere = self.placed.iter().any(|count| count.zone != *only);
+            if zone != only || any_elsewhere {
                 return false;
             }
         }
-        let here = self
-            .count
-            .iter()
-            .find(|(z, _)| z == zone)
-            .map_or(0, |z| z.1);
-        self.most.is_none_or(|most| here < most)
+        let here = self.placed.iter().find(|count| count.zone == zone);
+        let tasks_here = here.map_or(0, |count| count.tasks);
+        self.max_per_zone.is_none_or(|max| tasks_here < max)
     }
 }
 
 impl Scheduler {
-    pub(crate) fn zone_constraint(&self, job: &Job) -> Zones {
+    /// The zones in which another task of the job may start.
+    pub(crate) fn zone_constraint(&self, job: &Job) -> ZoneConstraint {
         let spec = &job.spec;
         if !spec.one_zone && !spec.spread {
-            return Zones::default();
-        }
-        let mut count: Vec<(String, u32)> = Vec::new();
-        for (machine, _) in job.placed.values() {
-            if let Some(m) = self.machines.get(machine) {
-                match count.iter_mut().find(|(z, _)| *z == m.info.zone) {
-                    Some(c) => c.1 += 1,
-                    None => count.push((m.info.zone.clone(), 1)),
-                }
-            }
+            return ZoneConstraint::default();
         }
+        let placed = self.placed_by_zone(job);
         let only = if !spec.one_zone {
             None
-        } else if let Some((zone, _)) = count.first() {
-            Some(zone.clone())
+        } else if let Some(first) = placed.first() {
+            Some(first.zone.clone())
         } else {
-            self.roomiest_zone(spec)
+            self.zone_with_most_capacity(spec)
         };
-        Zones {
+        ZoneConstraint {
             only,
-            count,
-            most: spec.spread.then(|| spec.tasks.div_ceil(2)),
+            placed,
+            max_per_zone: spec.spread.then(|| spec.tasks.div_ceil(2)),
         }
     }
 
-    /// The zone with most room for the job, which decides for all of its tasks. Only
-    /// machines that a task fits on count: with free CPUs beside tasks that take all
-    /// memory a zone was the roomiest for ever, and the job waited while another had room.
-    fn roomiest_zone(&self, spec: &JobSpec) -> Option<String> {
-        let mut room: Vec<(&str, f64)> = Vec::new();
-        let need = Resources::of_task(spec);
-        for p in self.capacity_index.pools_for(spec, &self.types, |_| true) {
-            let zone = self.capacity_index.pool(p).zone.as_str();
-            let roomy = self.capacity_index.with_cpus(p, spec.cpus).iter();
-            let fits = |name: &Name| {
-                let m = self.machines.get(name);
-                m.is_some_and(|m| m.free_capacity.fits(&need))
-            };
-            let free: f64 = roomy.filter(|(_, n)| fits(n)).map(|(cpus, _)| cpus).sum();
-            match room.iter_mut().find(|(z, _)| *z == zone) {
-                Some(z) => z.1 += free,
-                None => room.push((zone, free)),
+    fn placed_by_zone(&self, job: &Job) -> Vec<ZoneCount> {
+        let mut counts: Vec<ZoneCount> = Vec::new();
+        let machines = job.placed.values();
+        for machine in machines.filter_map(|(name, _)| self.machines.get(name)) {
+            let zone = &machine.info.zone;
+            match counts.iter_mut().find(|count| count.zone == *zone) {
+                Some(count) => count.tasks += 1,
+                None => counts.push(ZoneCount {
+                    zone: zone.clone(),
+                    tasks: 1,
+                }),
+            }
+        }
+        counts
+    }
+
+    /// The zone with most free CPUs for the job, which decides for all of its tasks. Only
+    /// machines that a task fits on count. (When free CPUs beside tasks that occupy all memory
+    /// counted, such a zone came first for ever, and the job waited while another zone had
+    /// capacity.)
+    fn zone_with_most_capacity(&self, spec: &JobSpec) -> Option<String> {
+        let mut free_cpus: Vec<(&str, f64)> = Vec::new();
+        for at in self.capacity_index.pools_for(spec, &self.types, |_| true) {
+            let zone = self.capacity_index.pool(at).zone.as_str();
+            let free = self.fitting_free_cpus(at, spec);
+            match free_cpus.iter_mut().find(|(known, _)| *known == zone) {
+                Some((_, sum)) => *sum += free,
+                None => free_cpus.push((zone, free)),
             }
         }
-        let best = room.into_iter().max_by(|a, b| a.1.total_cmp(&b.1));
+        let best = free_cpus.into_iter().max_by(|a, b| a.1.total_cmp(&b.1));
         best.map(|(zone, _)| zone.to_string())
     }
+
+    /// Free CPUs of the pool's machines that a task of the job fits on.
+    fn fitting_free_cpus(&self, pool: usize, spec: &JobSpec) -> f64 {
+        let need = Resources::of_task(spec);
+        let candidates = self.capacity_index.with_cpus(pool, spec.cpus).iter();
+        let fitting = candidates.filter(|entry| {
+            let machine = self.machines.get(&entry.machine);
+            machine.is_some_and(|machine| machine.free_capacity.fits(&need))
+        });
+        fitting.map(|entry| entry.cpus).sum()
+    }
 }
