--- a/src/coordination/recent.rs
+++ b/src/coordination/recent.rs
@@ -1,21 +1,21 @@
-//! A map of bounded size that forgets its oldest entries first.
+//! A map of bounded size that evicts its oldest entries first.
 
 use foldhash::fast::RandomState;
 use std::borrow::Borrow;
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Remembers the latest `capacity` keys that were inserted, with their values.
+/// A map that holds the `capacity` keys inserted last, with their values.
 #[derive(Debug)]
 pub struct RecentMap<K, V> {
     entries: HashMap<K, V, RandomState>,
-    /// Keys in the order in which they came, oldest first.
+    /// Keys in the order of their first insertion, oldest first.
     order: VecDeque<K>,
     capacity: usize,
 }
 
 impl<K: Clone + Eq + Hash, V> RecentMap<K, V> {
-    /// An empty map for so many entries.
+    /// An empty map that holds up to `capacity` entries.
     pub fn new(capacity: usize) -> RecentMap<K, V> {
         RecentMap {
             entries: HashMap::default(),
@@ -24,11 +24,11 @@
         }
     }
 
-    /// Inserts or replaces a value and returns the one before. A key that is replaced keeps
-    /// its age; a new one beyond the capacity evicts the oldest.
+    /// Inserts or replaces a value and returns the previous one. A key that is inserted again
+    /// keeps its age; a new one beyond the capacity evicts the oldest.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
-        let before = self.entries.insert(key.clone(), value);
-        if before.is_none() {
+        let previous = self.entries.insert(key.clone(), value);
+        if previous.is_none() {
             self.order.push_back(key);
             if self.order.len() > self.capacity {
                 if let Some(oldest) = self.order.pop_front() {
@@ -36,10 +36,10 @@
                 }
             }
         }
-        before
+        previous
     }
 
-    /// The value of a key that is still remembered.
+    /// The value of a key, unless the key was evicted.
     pub fn get<Q>(&self, key: &Q) -> Option<&V>
     where
         K: Borrow<Q>,
@@ -48,7 +48,7 @@
         self.entries.get(key)
     }
 
-    /// Whether the key is still remembered.
+    /// Whether the map still holds the key.
     pub fn contains<Q>(&self, key: &Q) -> bool
     where
         K: Borrow<Q>,
--- a/src/coordination/scheduler/capacity_index.rs
+++ b/src/coordination/scheduler/capacity_index.rs
@@ -84,11 +84,19 @@
     }
 }
 
+/// What of a machine the index depends on, beside its pool.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct Availability {
+    pub free_cpus: f64,
+    /// Whether its queue has a place left.
+    pub has_short_queue: bool,
+}
+
 /// Where the index has a machine.
 #[derive(Debug, Clone, Copy)]
 struct IndexEntry {
     pool: usize,
-    cpus: f64,
+    free_cpus: f64,
     /// Position in the pool's list of short queues, if it stands there.
     short_queue_position: Option<usize>,
 }
@@ -112,6 +120,15 @@
     exhausted: Vec<Exhausted>,
 }
 
+impl IndexEntry {
+    fn availability(&self) -> Availability {
+        Availability {
+            free_cpus: self.free_cpus,
+            has_short_queue: self.short_queue_position.is_some(),
+        }
+    }
+}
+
 impl CapacityIndex {
     /// Removes a machine.
     pub(crate) fn remove(&mut self, name: &str) {
@@ -119,7 +136,7 @@
             return;
         };
         let pool = &mut self.pools[entry.pool];
-        if let Ok(at) = pool.position(entry.cpus, name) {
+        if let Ok(at) = pool.position(entry.free_cpus, name) {
             pool.by_free_cpus.remove(at);
         }
         if pool.by_free_cpus.is_empty() {
@@ -136,20 +153,15 @@
     }
 
     /// Inserts a usable machine, or moves it to where it belongs now.
-    pub(crate) fn put(
-        &mut self,
-        name: &Name,
-        info: &MachineInfo,
-        free_cpus: f64,
-        has_short_queue: bool,
-    ) {
+    pub(crate) fn put(&mut self, name: &Name, info: &MachineInfo, availability: Availability) {
         let known = self.entries.get(name).copied();
-        let unchanged = |entry: IndexEntry| {
-            entry.cpus == free_cpus && entry.short_queue_position.is_some() == has_short_queue
-        };
-        if known.is_some_and(unchanged) {
+        if known.is_some_and(|entry| entry.availability() == availability) {
             return;
         }
+        let Availability {
+            free_cpus,
+            has_short_queue,
+        } = availability;
         self.remove(name);
         // A machine stays in its pool.
         let at = match known {
@@ -169,7 +181,7 @@
         }
         let entry = IndexEntry {
             pool: at,
-            cpus: free_cpus,
+            free_cpus,
             short_queue_position: has_short_queue.then_some(pool.short_queue.len()),
         };
         if has_short_queue {
--- a/src/coordination/scheduler/fair_share.rs
+++ b/src/coordination/scheduler/fair_share.rs
@@ -64,7 +64,7 @@
 
 impl FairShare {
     /// A job of the group met its first finishing objective, or missed it.
-    pub fn outcome(&mut self, group: &FairShareGroup, met: bool) {
+    pub fn record_outcome(&mut self, group: &FairShareGroup, met: bool) {
         if let Some(track) = self.groups.get_mut(group) {
             track.record(met);
             return;
@@ -86,7 +86,7 @@
     }
 
     /// The fraction of the group's jobs that meet their objective, 1 if nothing is known.
-    pub fn share(&self, group: &FairShareGroup) -> f64 {
+    pub fn fraction_met(&self, group: &FairShareGroup) -> f64 {
         self.groups.get(group).map_or(1.0, |track| track.met)
     }
 }
--- a/src/coordination/scheduler/job.rs
+++ b/src/coordination/scheduler/job.rs
@@ -109,6 +109,31 @@
     number: u64,
 }
 
+/// A job's claims to capacity that others use, as of when the order of jobs was last made.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Claims {
+    /// The job fits into its team's guarantee (see `quota`).
+    pub guaranteed: bool,
+    /// It goes first, on the floor that its class or team is owed (see `fair_share`).
+    pub on_floor: bool,
+    /// It can still meet an objective, or has none.
+    pub objective_reachable: bool,
+    /// Capacity that becomes free by itself would come too late for it.
+    pub preemption_needed: bool,
+}
+
+impl Default for Claims {
+    /// The claims of a job that has not been in the order yet.
+    fn default() -> Claims {
+        Claims {
+            guaranteed: false,
+            on_floor: false,
+            objective_reachable: true,
+            preemption_needed: true,
+        }
+    }
+}
+
 /// A live job.
 #[derive(Debug)]
 pub struct Job {
@@ -155,21 +180,15 @@
     pub description_unknown: bool,
     /// Backoff after failures: no start before this time.
     pub not_before: f64,
-    /// Whether the job fits into its team's guarantee (see `quota`).
-    pub guaranteed: bool,
     /// Pools of machines that it may use.
     pub(crate) pool_cache: PoolCache,
     /// Tasks began to wait since placement last went as far as it could. It is shared with
     /// the order of jobs, which reads it without looking up the job.
     pub has_new_tasks: Rc<Cell<bool>>,
-    /// Whether an objective could still be met when the order was last made.
-    pub objective_reachable: bool,
+    /// What was determined when the order of jobs was last made.
+    pub(crate) claims: Claims,
     /// Its first finishing objective is met or missed, and counted.
     pub outcome_recorded: bool,
-    /// It goes first, on the floor that its class or team is owed.
-    pub on_floor: bool,
-    /// Capacity that becomes free by itself would come too late for it.
-    pub preemption_needed: bool,
     /// How many attempts this leader has started.
     pub starts: u32,
     /// When a task of it last started, or began to wait.
@@ -211,13 +230,10 @@
             began_late: false,
             description_unknown: false,
             not_before: 0.0,
-            guaranteed: false,
             pool_cache: PoolCache::empty(),
             has_new_tasks: Rc::new(Cell::new(true)),
-            objective_reachable: true,
+            claims: Claims::default(),
             outcome_recorded: false,
-            on_floor: false,
-            preemption_needed: true,
             starts: 0,
             served_at: accepted_at,
             longest_wait_s: 0.0,
@@ -381,7 +397,7 @@
     /// Order of precedence, lowest first: `prod`, `high`, guaranteed jobs, then the rest
     /// by urgency.
     pub fn rank(&self) -> u8 {
-        match (self.spec.urgency, self.guaranteed) {
+        match (self.spec.urgency, self.claims.guaranteed) {
             (Urgency::Prod, _) => 0,
             (Urgency::High, _) => 1,
             (_, true) => 2,
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -16,6 +16,15 @@
 /// A lease less the bound on clock drift: the least time that a session lasts.
 const LEAST_LEASE_PART: f64 = 0.999;
 
+/// Why a task is in a machine's queue.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum QueueReason {
+    /// The queue was the shortest of a sample; the task may also start elsewhere.
+    ShortestQueue,
+    /// Attempts on this machine are being stopped to free capacity for the task.
+    Preemption,
+}
+
 /// A task in a machine's queue.
 #[derive(Debug, Clone)]
 pub struct QueuedTask {
@@ -27,8 +36,15 @@
     pub predicted_s: f64,
     /// When it was queued.
     pub since: f64,
-    /// Tasks on this machine are being stopped to free capacity for it.
-    pub reserved: bool,
+    /// Why it is in this queue.
+    pub reason: QueueReason,
+}
+
+impl QueuedTask {
+    /// Whether capacity that becomes free on the machine is reserved for it.
+    pub fn is_reserved(&self) -> bool {
+        self.reason == QueueReason::Preemption
+    }
 }
 
 /// Whether a machine may be used.
--- a/src/coordination/scheduler/machines.rs
+++ b/src/coordination/scheduler/machines.rs
@@ -3,6 +3,7 @@
 //! Nothing starts on a machine before the record that lists it is written: whoever takes
 //! over reads the record to know which machines may run tasks.
 
+use crate::coordination::scheduler::capacity_index::Availability;
 use crate::coordination::scheduler::job::AttemptId;
 use crate::coordination::scheduler::machine::{self, Machine, MachineStatus};
 use crate::coordination::scheduler::resources::Resources;
@@ -50,18 +51,20 @@
         let free = kind.map_or(Resources::default(), |kind| machine.unused(kind));
         let usable = kind.is_some() && machine.is_usable(self.now, silent_s);
         if usable {
-            let has_short_queue = machine.queue.len() < queue_depth;
-            self.capacity_index
-                .put(key, &machine.info, free.cpus, has_short_queue);
+            let availability = Availability {
+                free_cpus: free.cpus,
+                has_short_queue: machine.queue.len() < queue_depth,
+            };
+            self.capacity_index.put(key, &machine.info, availability);
         } else {
             self.capacity_index.remove(key);
         }
         let grew = !machine.indexed || !machine.free_capacity.fits(&free);
         if usable && grew {
             self.capacity_index.capacity_grew(&free);
-            self.grown_capacity.push(free);
+            self.capacity_changes.grown.push(free);
             if !machine.queue.is_empty() {
-                self.freed_machines.insert(key.clone());
+                self.capacity_changes.freed_machines.insert(key.clone());
             }
         }
         machine.free_capacity = free;
--- a/src/coordination/scheduler/order_refresh.rs
+++ b/src/coordination/scheduler/order_refresh.rs
@@ -86,7 +86,7 @@
         let Some(job) = self.jobs.get_mut(&name) else {
             return;
         };
-        job.objective_reachable = objective_reachable;
+        job.claims.objective_reachable = objective_reachable;
         let left = f64::from(job.tasks_left());
         order.preemption_candidates.push(PreemptionCandidate {
             cost_factor: cost_factor(job),
@@ -109,9 +109,10 @@
             };
             job.outcome_recorded = true;
             let class = FairShareGroup::Class(job.spec.class.clone());
-            self.fair_share.outcome(&class, met);
+            self.fair_share.record_outcome(&class, met);
             if let Some(team) = job.team {
-                self.fair_share.outcome(&FairShareGroup::Team(team), met);
+                self.fair_share
+                    .record_outcome(&FairShareGroup::Team(team), met);
             }
         }
     }
@@ -133,7 +134,7 @@
     /// group's floor.
     fn apply_fair_share_floor(&mut self, order: &mut JobOrder) {
         for job in self.jobs.values_mut() {
-            job.on_floor = false;
+            job.claims.on_floor = false;
         }
         let owed: Vec<FairShareGroup> = self.fair_share.owed().into_iter().cloned().collect();
         if owed.is_empty() {
@@ -160,7 +161,7 @@
             }
             let tasks = job.unplaced_tasks() + job.placed.len() as u32;
             used_cpus += f64::from(tasks) * job.spec.cpus;
-            job.on_floor = true;
+            job.claims.on_floor = true;
             entry.precedence.rank = entry.precedence.rank.min(FLOOR_RANK);
         }
     }
@@ -218,7 +219,7 @@
             let slack_s = self.slack_s(job, now).unwrap_or(0.0);
             let needed = cpus_ahead > cpus_per_s * slack_s * self.config.policy.patience;
             if let Some(job) = self.jobs.get_mut(&entry.name) {
-                job.preemption_needed = needed;
+                job.claims.preemption_needed = needed;
             }
         }
     }
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -15,10 +15,8 @@
 use crate::coordination::scheduler::capacity_index::may_use;
 use crate::coordination::scheduler::job::{Job, Name, TaskId};
 use crate::coordination::scheduler::job_order::OrderedJob;
-use crate::coordination::scheduler::machine::Machine;
-use crate::coordination::scheduler::placement_pass::{
-    Effort, PassChanges, PassKind, PlacementPass,
-};
+use crate::coordination::scheduler::machine::{Machine, QueueReason};
+use crate::coordination::scheduler::placement_pass::{Effort, PassKind, PassScope, PlacementPass};
 use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::{JobSpec, Urgency};
@@ -72,7 +70,7 @@
         self.now = now;
         if !self.fencing_complete() {
             // To the first pass, all jobs are new.
-            self.grown_capacity.clear();
+            self.capacity_changes.grown.clear();
             return;
         }
         self.placement_due = false;
@@ -82,13 +80,9 @@
             self.team_usage = self.count_usage();
         }
         let mut pass = PlacementPass::new(self.team_usage.clone());
-        let changes = PassChanges::new(
-            kind,
-            std::mem::take(&mut self.freed_machines),
-            std::mem::take(&mut self.grown_capacity),
-        );
+        let scope = PassScope::new(kind, std::mem::take(&mut self.capacity_changes));
         let order = std::mem::take(&mut self.job_order.jobs);
-        self.place_in_order(&order, changes, &mut pass, now);
+        self.place_in_order(&order, scope, &mut pass, now);
         self.job_order.jobs = order;
     }
 
@@ -97,20 +91,20 @@
     fn place_in_order(
         &mut self,
         order: &[OrderedJob],
-        mut changes: PassChanges,
+        mut scope: PassScope,
         pass: &mut PlacementPass,
         now: f64,
     ) {
         for jobs in order.chunk_by(|a, b| a.precedence.rank == b.precedence.rank) {
             let rank = jobs[0].precedence.rank;
-            self.start_reserved(rank, &changes.freed_machines, pass, now);
+            self.start_reserved(rank, scope.freed_machines(), pass, now);
             for entry in jobs {
-                if let Some(effort) = changes.effort_for(entry) {
+                if let Some(effort) = scope.effort_for(entry) {
                     self.place_entry(entry, effort, pass, now);
                 }
             }
         }
-        self.start_reserved(u8::MAX, &changes.freed_machines, pass, now);
+        self.start_reserved(u8::MAX, scope.freed_machines(), pass, now);
     }
 
     fn place_entry(
@@ -261,12 +255,12 @@
     ) -> ControlFlow<()> {
         if request.effort == Effort::Thorough {
             if let Some(machine) = self.preempt_for(request.name, &options.pools, pass, now) {
-                self.enqueue(&machine, task, true, now);
+                self.enqueue(&machine, task, QueueReason::Preemption, now);
                 return ControlFlow::Continue(());
             }
             if options.within_limit {
                 if let Some(machine) = self.sample_queues(&task, &options.pools, now) {
-                    self.enqueue(&machine, task, false, now);
+                    self.enqueue(&machine, task, QueueReason::ShortestQueue, now);
                     return ControlFlow::Continue(());
                 }
             }
--- a/src/coordination/scheduler/placement_pass.rs
+++ b/src/coordination/scheduler/placement_pass.rs
@@ -31,38 +31,44 @@
     Thorough,
 }
 
-/// What changed since the last pass.
-#[derive(Debug)]
-pub(crate) struct PassChanges {
-    kind: PassKind,
+/// Where capacity became free since the last pass.
+#[derive(Debug, Default)]
+pub(crate) struct CapacityChanges {
     /// Machines on which a queued task may start now.
     pub freed_machines: Names,
-    /// Free capacity of machines that have more of it than before.
-    grown_capacity: Vec<Resources>,
+    /// Free capacity of machines that have more of it than at the last pass.
+    pub grown: Vec<Resources>,
+}
+
+/// What a pass goes over.
+#[derive(Debug)]
+pub(crate) struct PassScope {
+    kind: PassKind,
+    changes: CapacityChanges,
     thorough_retries_left: usize,
 }
 
-impl PassChanges {
-    /// The changes that a pass begins with.
-    pub fn new(
-        kind: PassKind,
-        freed_machines: Names,
-        grown_capacity: Vec<Resources>,
-    ) -> PassChanges {
-        PassChanges {
+impl PassScope {
+    /// The scope of a pass that begins with these changes.
+    pub fn new(kind: PassKind, changes: CapacityChanges) -> PassScope {
+        PassScope {
             kind,
-            freed_machines,
-            grown_capacity,
+            changes,
             thorough_retries_left: MAX_THOROUGH_RETRIES,
         }
     }
 
+    /// Machines on which a queued task may start now.
+    pub fn freed_machines(&self) -> &Names {
+        &self.changes.freed_machines
+    }
+
     /// How hard to try for this job; `None` if nothing has changed for it.
     pub fn effort_for(&mut self, job: &OrderedJob) -> Option<Effort> {
         if self.kind == PassKind::Full || job.has_new_tasks.get() {
             return Some(Effort::Thorough);
         }
-        let mut grown = self.grown_capacity.iter();
+        let mut grown = self.changes.grown.iter();
         if !grown.any(|free| free.fits(&job.requirements)) {
             return None;
         }
--- a/src/coordination/scheduler/precedence.rs
+++ b/src/coordination/scheduler/precedence.rs
@@ -62,7 +62,7 @@
             .objectives
             .iter()
             .filter_map(|objective| {
-                if objective.kind == "guarantee" && job.guaranteed {
+                if objective.kind == "guarantee" && job.claims.guaranteed {
                     return Some(objective.within_s? - age_s);
                 }
                 time_left_s(objective, job, times)
@@ -117,7 +117,7 @@
         let times = self.job_times(job, now);
         let late = self.is_late(job, times);
         let mut rank = if late { LATE_RANK } else { job.rank() };
-        if job.on_floor && !late {
+        if job.claims.on_floor && !late {
             rank = rank.min(FLOOR_RANK);
         }
         // The smallest predicted work left comes first, as in a queue: if not all can be
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -55,7 +55,7 @@
 
 impl PreemptionRequest<'_> {
     fn freed_by(&self) -> FreedBy {
-        if self.job.spec.urgency >= Urgency::High || self.job.guaranteed {
+        if self.job.spec.urgency >= Urgency::High || self.job.claims.guaranteed {
             FreedBy::AtOnce
         } else {
             FreedBy::Checkpoint
@@ -133,7 +133,7 @@
         let requirements = TaskRequirements {
             team,
             urgency: spec.urgency,
-            guaranteed: job.guaranteed,
+            guaranteed: job.claims.guaranteed,
             pools: pools.clone(),
         };
         if pools.is_empty() || pass.is_infeasible(&requirements, &need) {
@@ -168,16 +168,16 @@
 
     /// Whether `job` may preempt a task of `victim`.
     fn may_preempt(&self, job: &Job, victim: &Job, usage: &TeamUsage) -> bool {
-        if victim.on_floor && !job.guaranteed && !job.on_floor {
+        if victim.claims.on_floor && !job.claims.guaranteed && !job.claims.on_floor {
             return false;
         }
         if victim.spec.urgency < job.spec.urgency && job.spec.urgency > Urgency::Idle {
             // Guaranteed work yields to no borrowed work, not even of its own team: it would
             // take its capacity from a third job, which took it from the first, and so on in
             // a circle.
-            return !victim.guaranteed || job.guaranteed;
+            return !victim.claims.guaranteed || job.claims.guaranteed;
         }
-        if !job.guaranteed || victim.guaranteed || victim.team == job.team {
+        if !job.claims.guaranteed || victim.claims.guaranteed || victim.team == job.team {
             return false;
         }
         let used = usage.of(victim.team);
@@ -224,7 +224,7 @@
             .machines_with_queue
             .iter()
             .filter_map(|name| self.machines.get(name))
-            .flat_map(|machine| machine.queue.iter().filter(|queued| queued.reserved))
+            .flat_map(|machine| machine.queue.iter().filter(|queued| queued.is_reserved()))
             .map(|queued| (&queued.task, -1.0));
         for (task, count) in stopped.chain(reserving) {
             let Some(job) = self.jobs.get(&task.job) else {
@@ -330,7 +330,7 @@
     /// Free capacity of the machine less what is reserved by tasks in its queue.
     fn unreserved_capacity(&self, machine: &Machine) -> Resources {
         let mut capacity = machine.free_capacity;
-        for queued in machine.queue.iter().filter(|queued| queued.reserved) {
+        for queued in machine.queue.iter().filter(|queued| queued.is_reserved()) {
             if let Some(job) = self.jobs.get(&queued.task.job) {
                 capacity.subtract(&Resources::of_task(&job.spec));
             }
@@ -368,8 +368,8 @@
 
 /// Whether others may be preempted for the job at all.
 fn may_ask_for_preemption(job: &Job) -> bool {
-    let has_precedence = job.spec.urgency != Urgency::Idle || job.guaranteed;
-    has_precedence && job.objective_reachable && job.preemption_needed
+    let has_precedence = job.spec.urgency != Urgency::Idle || job.claims.guaranteed;
+    has_precedence && job.claims.objective_reachable && job.claims.preemption_needed
 }
 
 /// Chooses victims, cheapest first, until a task of the request fits into the capacity; if
--- a/src/coordination/scheduler/preemption_cost.rs
+++ b/src/coordination/scheduler/preemption_cost.rs
@@ -64,7 +64,7 @@
         Urgency::High => 16.0,
         Urgency::Prod => 64.0,
     };
-    if victim.objective_reachable {
+    if victim.claims.objective_reachable {
         by_urgency
     } else {
         by_urgency / LATE_JOB_DISCOUNT
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -8,7 +8,7 @@
 //! for which others were preempted: they keep the machine on which that was done.
 
 use crate::coordination::scheduler::job::{Name, Names, TaskId};
-use crate::coordination::scheduler::machine::{Machine, QueuedTask};
+use crate::coordination::scheduler::machine::{Machine, QueueReason, QueuedTask};
 use crate::coordination::scheduler::placement_pass::PlacementPass;
 use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
@@ -24,8 +24,14 @@
         2.0 * (self.config.policy.age_reports * self.config.report_s)
     }
 
-    /// Puts a task into a machine's queue; `reserved` if others are preempted for it there.
-    pub(crate) fn enqueue(&mut self, machine_name: &Name, task: TaskId, reserved: bool, now: f64) {
+    /// Puts a task into a machine's queue.
+    pub(crate) fn enqueue(
+        &mut self,
+        machine_name: &Name,
+        task: TaskId,
+        reason: QueueReason,
+        now: f64,
+    ) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
         };
@@ -33,7 +39,7 @@
             rank: self.precedence(job, now).rank,
             predicted_s: self.predict(job),
             since: now,
-            reserved,
+            reason,
             task,
         };
         if let Some(job) = self.jobs.get_mut(&queued.task.job) {
@@ -91,7 +97,7 @@
                 self.machines_with_queue.swap_remove(&name);
             } else {
                 // A limit may admit more meanwhile.
-                self.freed_machines.insert(name);
+                self.capacity_changes.freed_machines.insert(name);
             }
             for task in expired {
                 self.dequeue(&task);
@@ -111,7 +117,8 @@
             .live_attempts()
             .any(|(_, attempt)| attempt.stop_grace_s.is_some());
         let is_expired = |queued: &&QueuedTask| {
-            let keeps_place = now - queued.since < max_age_s || queued.reserved && is_preempting;
+            let keeps_place =
+                now - queued.since < max_age_s || queued.is_reserved() && is_preempting;
             is_unusable || !keeps_place
         };
         let expired = machine.queue.iter().filter(is_expired);
@@ -158,7 +165,7 @@
     fn is_reserved(&self, job: &Name, index: u32, machine_name: &Name) -> bool {
         self.machines.get(machine_name).is_some_and(|machine| {
             let mut queue = machine.queue.iter();
-            queue.any(|q| q.reserved && q.task.index == index && q.task.job == *job)
+            queue.any(|q| q.is_reserved() && q.task.index == index && q.task.job == *job)
         })
     }
 
@@ -226,7 +233,7 @@
     let mut reserved: Vec<QueuedTask> = machine
         .queue
         .iter()
-        .filter(|queued| queued.reserved && queued.rank <= rank)
+        .filter(|queued| queued.is_reserved() && queued.rank <= rank)
         .cloned()
         .collect();
     reserved.sort_by(|a, b| {
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -59,7 +59,7 @@
             sums.add(job.team, &job.spec, f64::from(job.spec.tasks));
             let sum = sums.of(job.team);
             let team = job.team.and_then(|at| self.config.teams.get(at));
-            job.guaranteed =
+            job.claims.guaranteed =
                 team.is_some_and(|team| has_guarantee(team) && !sum.exceeds_guarantee(team));
         }
     }
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -19,7 +19,7 @@
 use crate::coordination::scheduler::job::{AttemptId, ByName, Job, Name, Names};
 use crate::coordination::scheduler::job_order::JobOrder;
 use crate::coordination::scheduler::machine::Machine;
-use crate::coordination::scheduler::resources::Resources;
+use crate::coordination::scheduler::placement_pass::CapacityChanges;
 use crate::coordination::scheduler::run_time_predictor::RunTimePredictor;
 use crate::coordination::scheduler::team_usage::TeamUsage;
 use foldhash::fast::RandomState;
@@ -83,8 +83,8 @@
     pub(crate) machines_with_queue: Names,
     /// Machines that have an image, and some that had.
     pub(crate) image_holders: HashMap<String, Vec<Name>, RandomState>,
-    /// Free capacity of machines that have more of it than at the last pass.
-    pub(crate) grown_capacity: Vec<Resources>,
+    /// Where capacity became free since the last placement pass.
+    pub(crate) capacity_changes: CapacityChanges,
     /// Resource usage of teams: updated with every task that is placed or released, and
     /// counted anew at each full pass.
     pub(crate) team_usage: TeamUsage,
@@ -100,8 +100,6 @@
     pub(crate) returned_machines: RecentMap<Name, ()>,
     /// Machines with a start whose outcome is unknown, and some that had.
     pub(crate) unresolved_starts: Names,
-    /// Machines on which a queued task may start now.
-    pub(crate) freed_machines: Names,
     /// Attempts being stopped, and some that were.
     pub(crate) stopping_attempts: IndexSet<(Name, AttemptId), RandomState>,
     /// Unfinished jobs in their order of precedence.
@@ -142,14 +140,13 @@
             capacity_index: CapacityIndex::default(),
             machines_with_queue: Names::default(),
             image_holders: HashMap::default(),
-            grown_capacity: Vec::new(),
+            capacity_changes: CapacityChanges::default(),
             team_usage: TeamUsage::default(),
             unfenced: Names::default(),
             unfenced_before: 0,
             suspects: Names::default(),
             returned_machines: RecentMap::new(MAX_RETURNED_MACHINES),
             unresolved_starts: Names::default(),
-            freed_machines: Names::default(),
             stopping_attempts: IndexSet::default(),
             job_order: JobOrder::default(),
             fair_share: FairShare::default(),
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -96,8 +96,8 @@
         let mut fair = FairShare::default();
         for &(met, n) in outcomes {
             for _ in 0..n {
-                fair.outcome(&class, met);
-                fair.outcome(&other, true);
+                fair.record_outcome(&class, met);
+                fair.record_outcome(&other, true);
             }
         }
         let found = fair.owed();
@@ -105,7 +105,7 @@
             found.contains(&&class),
             owed,
             "{name}: {}",
-            fair.share(&class)
+            fair.fraction_met(&class)
         );
         assert!(!found.contains(&&other), "{name}");
     }
@@ -117,7 +117,7 @@
     let mut fair = FairShare::default();
     for n in 0..2000 {
         for _ in 0..10 {
-            fair.outcome(&FairShareGroup::Class(format!("c-{n}")), false);
+            fair.record_outcome(&FairShareGroup::Class(format!("c-{n}")), false);
         }
     }
     assert_eq!(fair.owed().len(), 256);
