--- a/src/coordination/leadership/cancellation_horizon.rs
+++ b/src/coordination/leadership/cancellation_horizon.rs
@@ -1,123 +1,92 @@
-//! As of when an owner knows every cancellation that a user was told of: pure,
-//! time passed in.
+//! The cancellation horizon: as of when a leader knows every cancellation that was
+//! confirmed to a user. It is pure, with time passed in.
 //!
-//! Whoever answers a cancellation writes it; the owner learns of it from its watch
-//! of live jobs. While that tells nothing (the state service is away, refuses the
-//! owner, or a cut lies between) users elsewhere may be told `withdrawn`, and an
-//! owner that goes on renewing its workers' leases keeps their tasks running. So it
-//! answers workers only while it knows all that was told until a bounded time ago:
-//! no answer after `told + blind_s` renews a lease without the stop in it, and a
-//! worker's lease later the task is gone.
+//! The controller that confirms a cancellation writes it; the leader learns of it from its
+//! watch of live jobs. While that watch is not answered (the state service is away, refuses
+//! the leader, or a partition lies between) users of other controllers may be told
+//! `withdrawn`, and a leader that goes on renewing its workers' leases keeps their tasks
+//! running. So it answers workers only while its horizon is less than a bounded time ago:
+//! no answer later than that bound after a confirmation renews a lease without the stop in
+//! it, and a worker's lease later the task is gone.
 //!
-//! What proves knowledge, each as of when it was asked for:
+//! What moves the horizon, each to when it was asked for:
 //!
-//! - an answer of the watch, as far as a check of the ownership is as new: after
-//!   that another owner may have begun its own count;
-//! - the word of *all* other controllers, each of which says what it told users
-//!   since the watch last answered. One that began since cannot speak for its former
-//!   self, one that made a claim of its own does not answer, and one out of reach may
-//!   be telling users: then there is no proof.
+//! - a response of the watch, but not past the last check of the leadership: after that
+//!   another leader may have begun its own term;
+//! - the reports of *all* other controllers, each of the cancellations that it confirmed
+//!   since the watch was last answered. A controller that started since cannot speak for
+//!   its former process, one that attempted a takeover does not answer, and one out of
+//!   reach may be confirming cancellations: then nothing is proven.
 
+use crate::coordination::leadership::peer_queries::PeerAnswer;
 use crate::coordination::scheduler::state::with_margin;
-use std::collections::{HashMap, VecDeque};
+use std::collections::HashMap;
 
-/// For how long an owner may answer workers on what it knew of cancellations: a
-/// worker's lease later all must be gone. A fortieth of `cancel_s` covers drift, late
-/// timers, and the way of the last answer.
+pub use crate::coordination::leadership::confirmed_cancellations::ConfirmedCancellations;
+
+/// How old a leader's knowledge of cancellations may be while it answers workers, in
+/// seconds: a worker's lease later all cancelled tasks must be gone. A fortieth of
+/// `cancel_s` covers clock drift, late timers, and the way of the last answer.
 pub fn blind_s(cancel_s: f64, lease_s: f64) -> f64 {
     cancel_s * 39.0 / 40.0 - with_margin(lease_s)
 }
 
-/// How much longer than the gap peers look back: half for the way of an answer (later
-/// ones do not count), half for the drift of clocks over the gap.
-pub const SLACK_S: f64 = 1.0;
+/// How much longer than the gap peers look back, in seconds: half for the way of an answer
+/// (later ones do not count), half for the drift of clocks over the gap.
+const LOOKBACK_MARGIN_S: f64 = 1.0;
 
-/// As of when an owner knows all cancellations.
+/// As of when a leader knows all cancellations.
 #[derive(Debug, Default)]
 pub struct CancellationHorizon {
-    /// When the last answer of the watch was asked for.
+    /// When the last answered request of the watch was sent.
     watched_until: Option<f64>,
-    /// When the last word of each peer was asked for.
+    /// When the last answered query to each peer was sent.
     reported_until: HashMap<String, f64>,
 }
 
 impl CancellationHorizon {
-    /// The watch, or a listing, told all until after `asked_at`.
-    pub fn watched(&mut self, asked_at: f64) {
-        self.watched_until = Some(self.watched_until.map_or(asked_at, |t| t.max(asked_at)));
+    /// The watch, or a listing, reported all changes until after `asked_at`.
+    pub fn watch_answered(&mut self, asked_at: f64) {
+        let known = self.watched_until.map_or(asked_at, |at| at.max(asked_at));
+        self.watched_until = Some(known);
     }
 
     /// For how long a peer that is asked now must look back to fill the gap.
-    pub fn lookback_s(&self, confirmed: f64, now: f64) -> Option<f64> {
-        Some(now - self.observed_until(confirmed)? + SLACK_S)
+    pub fn lookback_s(&self, confirmed_at: f64, now: f64) -> Option<f64> {
+        Some(now - self.observed_until(confirmed_at)? + LOOKBACK_MARGIN_S)
     }
 
-    /// The peer told what it told users over the gap, when asked at `asked_at`.
-    pub fn reported(&mut self, peer: &str, asked_at: f64, now: f64) {
-        if now - asked_at < SLACK_S / 2.0 {
-            let at = self
+    /// A peer reported the cancellations that it confirmed over the gap.
+    pub fn peer_reported(&mut self, answer: PeerAnswer) {
+        if answer.received_at - answer.asked_at < LOOKBACK_MARGIN_S / 2.0 {
+            let reported_until = self
                 .reported_until
-                .entry(peer.to_string())
-                .or_insert(asked_at);
-            *at = at.max(asked_at);
+                .entry(answer.peer.to_string())
+                .or_insert(answer.asked_at);
+            *reported_until = reported_until.max(answer.asked_at);
         }
     }
 
-    fn observed_until(&self, confirmed: f64) -> Option<f64> {
-        self.watched_until.map(|t| t.min(confirmed))
-    }
-
-    /// As of when all is known, if these are all the other controllers.
-    pub fn known_until(&self, confirmed: f64, peers: &[String]) -> f64 {
-        let seen = self.observed_until(confirmed).unwrap_or(f64::NEG_INFINITY);
-        let words = peers.iter().map(|p| self.reported_until.get(p).copied());
-        let words = words.map(|w| w.unwrap_or(f64::NEG_INFINITY));
-        // Without peers nobody else tells anyone anything, but it may have been told
-        // by a former life of ours.
-        let least = words.fold(f64::INFINITY, f64::min);
-        if least.is_finite() {
-            seen.max(least)
+    /// As of when all cancellations are known, if `peers` are all the other controllers.
+    pub fn known_until(&self, confirmed_at: f64, peers: &[String]) -> f64 {
+        let observed = self
+            .observed_until(confirmed_at)
+            .unwrap_or(f64::NEG_INFINITY);
+        let reported = |peer: &String| {
+            let reported_until = self.reported_until.get(peer).copied();
+            reported_until.unwrap_or(f64::NEG_INFINITY)
+        };
+        let all_reported = peers.iter().map(reported).fold(f64::INFINITY, f64::min);
+        // Infinite without peers: nobody else confirms anything, but our own former process
+        // may have done so.
+        if all_reported.is_finite() {
+            observed.max(all_reported)
         } else {
-            seen
-        }
-    }
-}
-
-/// Cancellations that this process told users of, the latest ones.
-#[derive(Debug, Default)]
-pub struct ConfirmedCancellations {
-    latest: VecDeque<(f64, String)>,
-    /// It is complete from here on; the process began at 0.
-    complete_from: f64,
-}
-
-/// Most cancellations kept: as many as terminal states.
-const MOST: usize = 16_384;
-
-impl ConfirmedCancellations {
-    /// Of a process that began at this time by its clock.
-    pub fn since(from: f64) -> ConfirmedCancellations {
-        ConfirmedCancellations {
-            complete_from: from,
-            ..ConfirmedCancellations::default()
-        }
-    }
-
-    /// A user is about to be told.
-    pub fn record(&mut self, id: &str, now: f64) {
-        self.latest.push_back((now, id.to_string()));
-        if self.latest.len() > MOST {
-            if let Some((at, _)) = self.latest.pop_front() {
-                self.complete_from = at;
-            }
+            observed
         }
     }
 
-    /// What was told over the last `for_s`, if that is known.
-    pub fn within(&self, for_s: f64, now: f64) -> Option<Vec<String>> {
-        let from = now - for_s;
-        let late = self.latest.iter().rev().take_while(|(at, _)| *at >= from);
-        (from >= self.complete_from && for_s.is_finite())
-            .then(|| late.map(|(_, id)| id.clone()).collect())
+    fn observed_until(&self, confirmed_at: f64) -> Option<f64> {
+        self.watched_until.map(|at| at.min(confirmed_at))
     }
 }
--- /dev/null
+++ b/src/coordination/leadership/loops/control_watch.rs
@@ -0,0 +1,80 @@
+//! Lists the control prefix of the state service and follows its changes.
+
+use super::shard_changes::react_to_shard_changes;
+use super::sleep;
+use crate::coordination::leadership::cluster_view::ClusterView;
+use crate::coordination::node::Node;
+use crate::protocol::state::Seen;
+use crate::storage::records;
+use crate::transport::clients::{Failure, Lane};
+use std::rc::Rc;
+
+/// How long a watch request waits for changes, in seconds.
+const WATCH_WAIT_S: f64 = 20.0;
+
+/// Wait before a listing that failed is tried again, in seconds.
+const LISTING_RETRY_S: f64 = 0.2;
+
+/// Wait before a watch that failed is tried again, in seconds.
+const WATCH_RETRY_S: f64 = 0.25;
+
+/// Keeps the cluster view up to date until the process ends.
+pub(super) async fn watch_control_prefix(node: Rc<Node>) {
+    loop {
+        match list(&node).await {
+            Some(revision) => follow_changes(&node, revision).await,
+            None => sleep(LISTING_RETRY_S).await,
+        }
+    }
+}
+
+/// Lists the prefix; the revision of the listing.
+async fn list(node: &Rc<Node>) -> Option<u64> {
+    let listed = node
+        .state
+        .list(records::CONTROL_PREFIX, Lane::Control)
+        .await;
+    let (entries, revision) = listed.ok()?;
+    node.leadership
+        .borrow_mut()
+        .view
+        .apply_listing(&entries, revision);
+    react_to_shard_changes(node);
+    Some(revision)
+}
+
+/// Follows the changes from this revision on until the state service has no longer all of
+/// them.
+async fn follow_changes(node: &Rc<Node>, mut revision: u64) {
+    loop {
+        let changes = node
+            .state
+            .watch(records::CONTROL_PREFIX, revision, WATCH_WAIT_S)
+            .await;
+        match changes {
+            Ok(changes) => {
+                revision = changes.revision;
+                let view = &mut node.leadership.borrow_mut().view;
+                for event in changes.events {
+                    apply(view, event.seen());
+                }
+                view.advance_to(revision);
+            }
+            Err(Failure::Gone) => return,
+            // Changes missed while the state service is away are still in its history.
+            Err(_) => {
+                sleep(WATCH_RETRY_S).await;
+                continue;
+            }
+        }
+        react_to_shard_changes(node);
+    }
+}
+
+fn apply(view: &mut ClusterView, seen: Option<Seen>) {
+    match seen {
+        Some(Seen::Put(entry)) => view.apply_entry(&entry),
+        Some(Seen::Deleted { key, version }) => view.apply_deletion(&key, version),
+        None => {}
+    }
+}
--- /dev/null
+++ b/src/coordination/leadership/loops/failover.rs
@@ -0,0 +1,215 @@
+//! Failover: takes the shard over in one conditional transaction under a fresh term, then
+//! loads its records into a new scheduler.
+
+use super::sleep;
+use super::step_down::step_down;
+use crate::coordination::agents::dispatcher;
+use crate::coordination::jobs::completion_writer;
+use crate::coordination::leadership::takeover::TakeoverAttempt;
+use crate::coordination::node::Node;
+use crate::coordination::scheduler::fence::Fence;
+use crate::coordination::scheduler::state::{Scheduler, SchedulerConfig};
+use crate::storage::chunks::MachineRecord;
+use crate::storage::records::{self, LiveJob, ShardRecord};
+use crate::transport::clients::{Failure, Lane};
+use std::rc::Rc;
+
+/// Wait before records that could not be read are read again, in seconds.
+const LOAD_RETRY_S: f64 = 0.2;
+
+/// Wait after a takeover whose outcome is unknown, before the shard is read again, in
+/// seconds.
+const UNKNOWN_OUTCOME_WAIT_S: f64 = 0.1;
+
+/// A new scheduler and what it was built from.
+struct LoadedShard {
+    scheduler: Scheduler,
+    machine_record: MachineRecord,
+    /// The live jobs were listed after this time.
+    listed_at: f64,
+}
+
+/// Takes the shard over and loads its records.
+pub(super) async fn take_over(node: &Rc<Node>, attempt: TakeoverAttempt) {
+    match node.state.txn(&attempt.txn, Lane::Control).await {
+        Ok(version) => {
+            let term = attempt.shard.term;
+            let holds =
+                node.leadership
+                    .borrow_mut()
+                    .takeover_written(&attempt, version, node.now());
+            if !holds {
+                tracing::warn!(term, "takeover overtaken by another controller");
+                return;
+            }
+            tracing::info!(term, "shard taken over");
+            load_until_done(node, &attempt.shard).await;
+        }
+        Err(Failure::Conflict(_)) => reread(node).await,
+        Err(error) => {
+            tracing::info!(%error, "takeover failed");
+            sleep(UNKNOWN_OUTCOME_WAIT_S).await;
+            reread(node).await;
+        }
+    }
+}
+
+/// Loads the shard, and tries again as long as it is ours.
+async fn load_until_done(node: &Rc<Node>, shard: &ShardRecord) {
+    while let Err(error) = load(node, shard).await {
+        tracing::warn!(%error, "shard not loaded yet");
+        sleep(LOAD_RETRY_S).await;
+        if !node.leadership.borrow().holds_term(shard.term) {
+            return;
+        }
+    }
+    dispatcher::drain(node);
+}
+
+/// Reads the shard record and the term counter afresh, and its leader's alive key; steps
+/// down if the shard is not ours any more.
+pub async fn reread(node: &Rc<Node>) {
+    for key in [records::SHARD_KEY, records::TERM_KEY] {
+        if let Ok(Some(entry)) = node.state.get(key, Lane::Control).await {
+            node.leadership.borrow_mut().view.apply_entry(&entry);
+        }
+    }
+    reread_leader_alive_key(node).await;
+    if node.leadership.borrow().is_deposed() {
+        step_down(node);
+    }
+}
+
+/// Reads the alive key of another controller that leads: a watch may be behind.
+async fn reread_leader_alive_key(node: &Rc<Node>) {
+    let (leader, shard_version) = {
+        let leadership = node.leadership.borrow();
+        let shard = leadership.view.shard.as_ref();
+        let leader = shard.map(|(shard, _)| shard.leader.clone());
+        (leader, leadership.view.shard_version())
+    };
+    let Some(leader) = leader.filter(|leader| *leader != node.settings.host_name) else {
+        return;
+    };
+    let key = records::alive_key(&leader);
+    let found = node.state.get(&key, Lane::Control).await;
+    let view = &mut node.leadership.borrow_mut().view;
+    match found {
+        Ok(Some(entry)) => view.apply_entry(&entry),
+        Ok(None) => view.leader_not_alive(&leader, shard_version),
+        Err(_) => {}
+    }
+}
+
+/// Builds the scheduler from the records of the shard and begins the term with it, unless
+/// the shard was lost meanwhile.
+async fn load(node: &Rc<Node>, shard: &ShardRecord) -> Result<(), Failure> {
+    let mut scheduler = empty_scheduler(node, shard);
+    load_drains(node, &mut scheduler).await?;
+    let machine_record = load_machines(node, &mut scheduler).await?;
+    let listed_at = node.now();
+    load_jobs(node, &mut scheduler).await?;
+    finish_cancelled_jobs(node, &mut scheduler, listed_at);
+    let loaded = LoadedShard {
+        scheduler,
+        machine_record,
+        listed_at,
+    };
+    begin_term(node, shard.term, loaded);
+    Ok(())
+}
+
+fn empty_scheduler(node: &Node, shard: &ShardRecord) -> Scheduler {
+    let silent_since = shard.former_leaders.is_empty().then(|| node.now());
+    let fence = Fence::new(shard.term, silent_since);
+    let config = SchedulerConfig::new(&node.settings, &node.policy);
+    let seed = shard.incarnation ^ shard.term;
+    let mut scheduler = Scheduler::new(config, shard.term, fence, seed);
+    scheduler.wall_clock_offset_s = node.wall_ms() as f64 / 1000.0 - node.now();
+    scheduler
+}
+
+/// Reads the drains, after the shard was taken over, so that no drain ordered under the
+/// leader before us is missed: its machines must get nothing new.
+async fn load_drains(node: &Node, scheduler: &mut Scheduler) -> Result<(), Failure> {
+    let (drains, revision) = node
+        .state
+        .list(records::DRAINS_PREFIX, Lane::Control)
+        .await?;
+    let view = &mut node.leadership.borrow_mut().view;
+    view.apply_drain_listing(&drains, revision);
+    scheduler.set_drains(&view.drains);
+    Ok(())
+}
+
+async fn load_machines(node: &Node, scheduler: &mut Scheduler) -> Result<MachineRecord, Failure> {
+    let (listed, _) = node
+        .state
+        .list(records::MACHINES_PREFIX, Lane::Control)
+        .await?;
+    let now = node.now();
+    let written = MachineRecord::read(&listed);
+    for info in written.machines() {
+        scheduler.add_recorded_machine(info.clone(), now);
+    }
+    Ok(written)
+}
+
+async fn load_jobs(node: &Rc<Node>, scheduler: &mut Scheduler) -> Result<(), Failure> {
+    let (jobs, revision) = node.state.list(records::LIVE_PREFIX, Lane::Control).await?;
+    for entry in jobs {
+        let Ok(record) = entry.read::<LiveJob>() else {
+            tracing::error!(key = %entry.key, "unreadable job record");
+            continue;
+        };
+        let completed = completion_writer::marks_apart(node, &record, Lane::Control).await?;
+        scheduler.add_job(record, entry.version, completed);
+    }
+    scheduler.watched_revision = revision;
+    Ok(())
+}
+
+/// Finishes the jobs whose cancellation was written while the live jobs were read: of those
+/// that were confirmed to users here, or that peers told us of, nobody else could tell us;
+/// of all others the watch will tell, which is later.
+fn finish_cancelled_jobs(node: &Node, scheduler: &mut Scheduler, listed_at: f64) {
+    let now = node.now();
+    for cancellations in [&node.confirmed_cancellations, &node.relayed_cancellations] {
+        let since = cancellations.borrow().within(now - listed_at, now);
+        since
+            .iter()
+            .flatten()
+            .for_each(|id| scheduler.finish_job(id));
+    }
+}
+
+/// Acts for the shard from now on, if it is still ours: much may have happened while its
+/// records were read, or while we were paused.
+fn begin_term(node: &Rc<Node>, term: u64, loaded: LoadedShard) {
+    let LoadedShard {
+        mut scheduler,
+        machine_record,
+        listed_at,
+    } = loaded;
+    let begun = node.leadership.borrow_mut().begin_term(term, listed_at);
+    if !begun {
+        tracing::warn!(term, "leadership lost while the shard was loaded");
+        return;
+    }
+    tracing::info!(
+        term,
+        machines = scheduler.machines.len(),
+        jobs = scheduler.jobs.len(),
+        "shard loaded"
+    );
+    // After the last wait: types that became known while the records were read would else be
+    // missed until the cloud is asked again, half a minute in which nothing is placed (see
+    // `fleet::manager`).
+    if let Some(types) = &node.leadership.borrow().view.types {
+        scheduler.set_types(types);
+    }
+    let revision = scheduler.watched_revision;
+    *node.machine_record.borrow_mut() = machine_record;
+    *node.scheduler.borrow_mut() = Some(scheduler);
+    completion_writer::follow(node.clone(), term, revision);
+}
--- /dev/null
+++ b/src/coordination/leadership/loops/leader_loop.rs
@@ -0,0 +1,100 @@
+//! The periodic work of the leader: keeps what its leadership rests on, writes its records,
+//! raises the term, and learns when former leaders are fenced.
+
+use super::drain_records::record_drained;
+use super::failover::reread;
+use super::peer_calls::{query_cancellations, query_lease_extensions, query_promises};
+use super::shard_changes::react_to_shard_changes;
+use super::sleep;
+use crate::coordination::fleet::machine_record_writer::write_machines;
+use crate::coordination::fleet::rollout_writer;
+use crate::coordination::leadership::shard_update::ShardUpdate;
+use crate::coordination::node::Node;
+use crate::transport::clients::{Failure, Lane};
+use std::rc::Rc;
+
+/// Turns of the loop in a lease, within the bounds below: takeovers are decided by the end
+/// of a lease.
+const TURNS_PER_LEASE: f64 = 10.0;
+
+/// Shortest and longest time between two turns, in seconds.
+const MIN_INTERVAL_S: f64 = 0.1;
+const MAX_INTERVAL_S: f64 = 0.5;
+
+/// Takes the shard over when it is free, and does what is due while it is ours.
+pub(super) async fn run(node: Rc<Node>) {
+    let interval_s = (node.lease_ttl_s() / TURNS_PER_LEASE).clamp(MIN_INTERVAL_S, MAX_INTERVAL_S);
+    loop {
+        sleep(interval_s).await;
+        confirm_under_new_lease(&node).await;
+        react_to_shard_changes(&node);
+        query_lease_extensions(&node);
+        query_cancellations(&node);
+        query_promises(&node);
+        note_fenced_former_leaders(&node);
+        record_drained(&node).await;
+        rollout_writer::carry_on(&node).await;
+        while write_machines(&node).await {}
+        raise_term(&node).await;
+    }
+}
+
+/// Writes the shard record under a lease that we got after the last one expired.
+async fn confirm_under_new_lease(node: &Rc<Node>) {
+    let update = node.leadership.borrow().reassert(node.now());
+    if let Some(update) = update {
+        tracing::info!("new lease: rewriting the shard record to confirm our leadership");
+        carry_out(node, update).await;
+    }
+}
+
+/// Writes a higher term when starts whose fate is unknown must be ruled out.
+async fn raise_term(node: &Rc<Node>) {
+    let now = node.now();
+    let wanted = node
+        .scheduler
+        .borrow_mut()
+        .as_mut()
+        .is_some_and(|scheduler| scheduler.needs_higher_term(now));
+    if !wanted {
+        return;
+    }
+    let update = node.leadership.borrow().raise_term(now);
+    if let Some(update) = update {
+        tracing::info!("raising the term to rule out lost commands");
+        carry_out(node, update).await;
+    }
+}
+
+/// Writes the shard record once more, under the same or a higher term.
+async fn carry_out(node: &Rc<Node>, update: ShardUpdate) {
+    match node.state.txn(&update.txn, Lane::Control).await {
+        Ok(version) => {
+            let term = node
+                .leadership
+                .borrow_mut()
+                .shard_record_written(&update, version);
+            if let (Some(term), Some(scheduler)) = (term, node.scheduler.borrow_mut().as_mut()) {
+                scheduler.raise_term(term);
+            }
+        }
+        Err(Failure::Conflict(_)) => reread(node).await,
+        Err(_) => {}
+    }
+}
+
+/// Notices that no former leader can answer a worker any more.
+fn note_fenced_former_leaders(node: &Node) {
+    let mut scheduler = node.scheduler.borrow_mut();
+    let unfenced = scheduler
+        .as_mut()
+        .filter(|scheduler| scheduler.fence.former_leaders_silent_since.is_none());
+    let Some(scheduler) = unfenced else {
+        return;
+    };
+    let (now, now_ms) = (node.now(), node.wall_ms());
+    if node.leadership.borrow().former_leaders_fenced(now, now_ms) {
+        tracing::info!(term = scheduler.term, "all former leaders are fenced");
+        scheduler.fence.former_leaders_silent_since = Some(now);
+    }
+}
--- /dev/null
+++ b/src/coordination/leadership/loops/shard_changes.rs
@@ -0,0 +1,64 @@
+//! Reacts when what is known of the shard may have changed: steps down, adopts a raised
+//! term, tells those who wait, or starts a takeover.
+
+use super::drain_records::apply_drains;
+use super::failover;
+use super::step_down::step_down;
+use crate::coordination::node::Node;
+use std::rc::Rc;
+
+/// Does what follows from the present view of the shard.
+pub(super) fn react_to_shard_changes(node: &Rc<Node>) {
+    if node.leadership.borrow().is_deposed() {
+        tracing::warn!("leadership lost: stepping down");
+        step_down(node);
+    }
+    adopt_raised_term(node);
+    announce_term(node);
+    // Only now: a drain that ended under a later leader frees nothing for us.
+    apply_drains(node);
+    start_takeover(node);
+}
+
+fn adopt_raised_term(node: &Node) {
+    let raised = node.leadership.borrow_mut().adopt_raised_term();
+    if let (Some(term), Some(scheduler)) = (raised, node.scheduler.borrow_mut().as_mut()) {
+        tracing::info!(
+            term,
+            "adopting our raised term, whose write had no response"
+        );
+        scheduler.raise_term(term);
+    }
+}
+
+/// Wakes those who wait for the shard to change hands.
+fn announce_term(node: &Node) {
+    let term = node
+        .leadership
+        .borrow()
+        .view
+        .shard
+        .as_ref()
+        .map_or(0, |(shard, _)| shard.term);
+    if node.announced_term.replace(term) != term {
+        node.leadership_changed.notify_waiters();
+    }
+}
+
+/// Starts a takeover if the shard may be taken, and none is under way.
+fn start_takeover(node: &Rc<Node>) {
+    let (now, now_ms) = (node.now(), node.wall_ms());
+    if node.taking_over.get() {
+        return;
+    }
+    let attempt = node.leadership.borrow_mut().attempt_takeover(now, now_ms);
+    if let Some(attempt) = attempt {
+        node.taking_over.set(true);
+        let node = node.clone();
+        actix_rt::spawn(async move {
+            failover::take_over(&node, attempt).await;
+            node.taking_over.set(false);
+            node.leadership_changed.notify_waiters();
+        });
+    }
+}
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -1,6 +1,6 @@
-//! What was cancelled is gone in time: what an owner knows of cancellations and as of
-//! when, and what may not bring a task back. tests/pause.rs and tests/simulation.rs look
-//! for the cases that are not here.
+//! What was cancelled is gone in time: what a leader knows of cancellations and as of when,
+//! and what may not bring a task back. The simulations in tests/pause and tests/simulation
+//! look for the cases that are not here.
 
 mod common;
 
@@ -10,6 +10,7 @@
 use foxspur::coordination::leadership::cancellation_horizon::{
     blind_s, CancellationHorizon, ConfirmedCancellations,
 };
+use foxspur::coordination::leadership::peer_queries::PeerAnswer;
 use foxspur::coordination::node::Node;
 use foxspur::protocol::job::{JobState, Urgency};
 use foxspur::protocol::policy::Policy;
@@ -19,15 +20,15 @@
 use foxspur::storage::records::TerminalRecord;
 use foxspur::transport::sockets::Sockets;
 
-/// As of when all cancellations are known: by the watch, never later than the check of
-/// the ownership, or by the word of every other controller. (A majority's vouches kept
-/// an owner answering for six leases while users outside were told `withdrawn`.)
+/// As of when all cancellations are known: by the watch, never later than the check of the
+/// leadership, or by the reports of every other controller. (Leases extended by a majority
+/// kept a leader answering for six leases while users elsewhere were told `withdrawn`.)
 #[test]
-fn an_owner_knows_as_of_what_was_asked() {
+fn a_leader_knows_cancellations_as_of_when_it_asked() {
     let peers = ["b", "c", "d"].map(String::from);
-    // The watch, the check, words (who, asked at, came at), known as of.
-    type Word = (&'static str, f64, f64);
-    type Case = (&'static str, Option<f64>, f64, &'static [Word], f64);
+    // The watch, the check, reports (peer, asked at, received at), known as of.
+    type Report = (&'static str, f64, f64);
+    type Case = (&'static str, Option<f64>, f64, &'static [Report], f64);
     let cases: [Case; 8] = [
         ("nothing yet", None, 9.0, &[], f64::NEG_INFINITY),
         ("the watch", Some(7.0), 9.0, &[], 7.0),
@@ -47,14 +48,14 @@
             20.0,
         ),
         (
-            "one came late: it stood still",
+            "one came late: it was paused",
             Some(7.0),
             9.0,
             &[("b", 20.0, 20.1), ("c", 20.0, 20.1), ("d", 20.0, 20.6)],
             7.0,
         ),
         (
-            "an older word does not count back",
+            "an older report does not count back",
             Some(7.0),
             9.0,
             &[
@@ -73,13 +74,20 @@
             30.0,
         ),
     ];
-    for (what, watched, confirmed, words, known) in cases {
-        let mut cover = CancellationHorizon::default();
-        watched.into_iter().for_each(|t| cover.watched(t));
-        for (peer, asked_at, now) in words {
-            cover.reported(peer, *asked_at, *now);
+    for (what, watched, confirmed_at, reports, known) in cases {
+        let mut horizon = CancellationHorizon::default();
+        watched
+            .into_iter()
+            .for_each(|at| horizon.watch_answered(at));
+        for (peer, asked_at, received_at) in reports {
+            horizon.peer_reported(PeerAnswer {
+                term: 1,
+                peer,
+                asked_at: *asked_at,
+                received_at: *received_at,
+            });
         }
-        assert_eq!(cover.known_until(confirmed, &peers), known, "{what}");
+        assert_eq!(horizon.known_until(confirmed_at, &peers), known, "{what}");
     }
     // Alone, there is nobody to tell anything.
     assert_eq!(
@@ -92,14 +100,14 @@
     }
 }
 
-/// A word covers all of the time asked for or is not given: a process knows nothing of
-/// its former life, and keeps the latest ones only.
+/// A report covers all of the time asked for or is not given: a process knows nothing of the
+/// one before it, and keeps the latest cancellations only.
 #[test]
-fn a_word_covers_the_time_asked_for() {
-    let mut told = ConfirmedCancellations::since(100.0);
-    told.record("run-1", 110.0);
-    told.record("run-2", 120.0);
-    for (for_s, now, word) in [
+fn a_report_covers_the_time_asked_for() {
+    let mut confirmed = ConfirmedCancellations::since(100.0);
+    confirmed.record("run-1", 110.0);
+    confirmed.record("run-2", 120.0);
+    for (for_s, now, report) in [
         (5.0, 121.0, Some(vec!["run-2"])),
         (15.0, 121.0, Some(vec!["run-2", "run-1"])),
         (21.0, 121.0, Some(vec!["run-2", "run-1"])),
@@ -108,14 +116,19 @@
         (f64::INFINITY, 121.0, None),
         (0.5, 121.0, Some(vec![])),
     ] {
-        let word = word.map(|w| w.iter().map(|s| s.to_string()).collect::<Vec<_>>());
-        assert_eq!(told.within(for_s, now), word, "{for_s}");
+        let report = report.map(|jobs| jobs.iter().map(|id| id.to_string()).collect::<Vec<_>>());
+        assert_eq!(confirmed.within(for_s, now), report, "{for_s}");
     }
     for n in 0..4096 {
-        told.record(&format!("run-x{n}"), 130.0 + f64::from(n));
+        confirmed.record(&format!("run-x{n}"), 130.0 + f64::from(n));
     }
-    assert!(told.within(4115.0, 4230.0).is_none(), "some were let go");
-    assert!(told.within(100.0, 4230.0).is_some_and(|w| w.len() == 96));
+    assert!(
+        confirmed.within(4115.0, 4230.0).is_none(),
+        "some were dropped"
+    );
+    assert!(confirmed
+        .within(100.0, 4230.0)
+        .is_some_and(|jobs| jobs.len() == 96));
 }
 
 /// What is known to be over does not come back by an older answer, of a submission of
@@ -266,12 +279,12 @@
         let scheduler = node.scheduler.borrow();
         let job = scheduler.as_ref().and_then(|c| c.jobs.get("run-1"));
         assert_eq!(job.map(|j| j.finished), Some(over), "{state:?}");
-        let told = node
+        let confirmed = node
             .confirmed_cancellations
             .borrow()
             .within(0.0, 0.0)
             .map(|t| t.len());
-        assert_eq!(told.is_some_and(|n| n > 0), over, "{state:?}");
+        assert_eq!(confirmed.is_some_and(|n| n > 0), over, "{state:?}");
     }
 }
 
--- /dev/null
+++ b/tests/pause/checks.rs
@@ -0,0 +1,113 @@
+//! What is checked after each event, and the digest of the history.
+
+use super::*;
+
+impl Simulation {
+    pub(crate) fn check(&self, seed: u64) {
+        let is_awake = |controller: &&Controller| {
+            controller.paused_until <= self.now && controller.down_until <= self.now
+        };
+        let fenced_term = |controller: &Controller| {
+            let acting = controller.acting?;
+            acting.former_leaders_silent_since.map(|_| acting.base_term)
+        };
+        let awake = self.controllers.iter().filter(is_awake);
+        let fenced = awake.filter_map(fenced_term).max();
+        for (node, controller) in self.controllers.iter().enumerate() {
+            let Some(acting) = controller.acting.filter(|_| is_awake(&controller)) else {
+                continue;
+            };
+            let context = format!("seed {seed}, {:.2}: {}", self.now, host_name(node));
+            let base_term = acting.base_term;
+            let answers = controller
+                .leadership
+                .may_answer_workers(self.local_time(node));
+            assert!(
+                !answers || fenced.is_none_or(|term| term <= base_term),
+                "{context} answers under term {base_term}, {fenced:?} takes it for silent",
+            );
+            let unknown = self.unknown_cancellation(controller);
+            assert!(
+                !answers || unknown.is_none(),
+                "{context} answers and does not know of {unknown:?}",
+            );
+            Self::check_acting_term(controller, &context);
+            self.check_confirmation(controller, base_term, &context);
+        }
+    }
+
+    /// A cancellation that was confirmed is known to whoever renews workers' leases, with
+    /// time for the last of them to end: one that is not.
+    fn unknown_cancellation(&self, controller: &Controller) -> Option<u64> {
+        let bound = self.now - self.staleness_bound_s * 1.002 - 0.01;
+        let newest_first = self.confirmed.iter().rev();
+        let due = newest_first.skip_while(|known| known.at >= bound);
+        due.take(9)
+            .map(|known| known.job)
+            .find(|job| !controller.known_cancellations.contains(job))
+    }
+
+    /// Under an older term than its own record's nobody extends a leader's lease.
+    fn check_acting_term(controller: &Controller, context: &str) {
+        let leadership = &controller.leadership;
+        let own_shard = leadership
+            .own_shard_version()
+            .and(leadership.view.shard.as_ref());
+        let own_term = own_shard.map(|(shard, _)| shard.term);
+        let acting_term = leadership.acting_term();
+        assert!(
+            own_term <= acting_term,
+            "{context} acts under {acting_term:?}, its record says {own_term:?}",
+        );
+    }
+
+    /// No check of the leadership counts as newer than the takeover by which it was lost.
+    fn check_confirmation(&self, controller: &Controller, base_term: u64, context: &str) {
+        let later = self.takeovers.iter().filter(|t| t.term > base_term);
+        let lost_at = later.map(|t| t.at).fold(f64::MAX, f64::min);
+        let confirmed_at = (controller.leadership.confirmed_at() - controller.clock_offset_s)
+            / (1.0 + controller.clock_drift);
+        assert!(
+            confirmed_at <= lost_at + 1e-3,
+            "{context} of term {base_term} is sure as of {confirmed_at:.2}, lost at {lost_at:.2}",
+        );
+    }
+
+    /// The leaders that would answer workers now.
+    pub(crate) fn answering_leaders(&self) -> impl Iterator<Item = &Controller> {
+        let answers = |(node, controller): &(usize, &Controller)| {
+            let now = self.local_time(*node);
+            controller.acting.is_some() && controller.leadership.may_answer_workers(now)
+        };
+        let controllers = self.controllers.iter().enumerate();
+        controllers
+            .filter(answers)
+            .map(|(_, controller)| controller)
+    }
+
+    /// At the end one leader answers, and knows that all former ones are silent.
+    pub(crate) fn check_one_leader(&self, seed: u64) {
+        let leaders = self.answering_leaders().filter(|controller| {
+            controller
+                .acting
+                .is_some_and(|acting| acting.former_leaders_silent_since.is_some())
+        });
+        assert_eq!(leaders.count(), 1, "seed {seed}: leaders at the end");
+    }
+
+    /// Adds what each controller takes itself for to the digest of the history.
+    pub(crate) fn record(&mut self) {
+        self.digest.time(self.now);
+        self.digest.number(self.events.len() as u64);
+        for node in 0..self.controllers.len() {
+            let now = self.local_time(node);
+            let leadership = &self.controllers[node].leadership;
+            let may_answer = u64::from(leadership.may_answer_workers(now));
+            let certain = u64::from(leadership.is_certain_leader(now));
+            self.digest.number(2 * may_answer + certain);
+            self.digest.number(leadership.acting_term().unwrap_or(0));
+            self.digest.number(leadership.incarnation());
+            self.digest.time(leadership.confirmed_at());
+        }
+    }
+}
--- a/tests/pause/controller.rs
+++ b/tests/pause/controller.rs
@@ -1,241 +1,225 @@
-//! The controllers' loops, and what follows from each answer.
+//! One controller, and the turns of its loops.
 
 use super::*;
+use foxspur::coordination::leadership::lease::LeaseStep;
+use foxspur::coordination::leadership::state::{Leadership, LeadershipConfig};
+
+/// The leadership that a controller acts under, with its shard loaded.
+#[derive(Clone, Copy)]
+pub(crate) struct Acting {
+    /// The term of the takeover.
+    pub(crate) base_term: u64,
+    /// Since when no former leader is left.
+    pub(crate) former_leaders_silent_since: Option<f64>,
+}
+
+/// What a takeover under way has read of the cancellations, and when it asked.
+#[derive(Default)]
+pub(crate) struct JobListing {
+    pub(crate) asked_at: f64,
+    pub(crate) cancelled_jobs: BTreeSet<u64>,
+}
+
+pub(crate) struct Controller {
+    pub(crate) leadership: Leadership,
+    /// Restarts of the process so far: what was meant for an earlier one is void.
+    pub(crate) process: usize,
+    pub(crate) clock_offset_s: f64,
+    pub(crate) clock_drift: f64,
+    pub(crate) wall_clock_error_ms: f64,
+    pub(crate) paused_until: f64,
+    /// Messages to it are held back or lost.
+    pub(crate) partitioned_until: f64,
+    /// The state service refuses it.
+    pub(crate) refused_until: f64,
+    /// It reaches neither the state service nor the other controllers, but its workers.
+    pub(crate) isolated_until: f64,
+    pub(crate) down_until: f64,
+    pub(crate) taking_over: bool,
+    /// Requests under way; a response to any other comes after its timeout.
+    pub(crate) pending_requests: Vec<u64>,
+    /// Incarnations drawn so far.
+    pub(crate) incarnations: u64,
+    pub(crate) acting: Option<Acting>,
+    /// Cancellations that it confirmed to users.
+    pub(crate) confirmed_cancellations: ConfirmedCancellations,
+    pub(crate) terminal_jobs: BTreeSet<u64>,
+    /// Cancellations that its scheduler knows.
+    pub(crate) known_cancellations: BTreeSet<u64>,
+    pub(crate) job_listing: JobListing,
+}
+
+impl Controller {
+    /// An incarnation that no controller had before.
+    pub(crate) fn draw_incarnation(&mut self, node: usize) -> u64 {
+        self.incarnations += 1;
+        1000 * self.incarnations + node as u64
+    }
+}
+
+pub(crate) fn host_name(node: usize) -> String {
+    format!("berth-{node}")
+}
+
+/// A controller's leadership as its process starts.
+pub(crate) fn leadership(
+    node: usize,
+    count: usize,
+    incarnation: u64,
+    longest_silence_s: f64,
+    staleness_bound_s: f64,
+) -> Leadership {
+    let peers = (0..count).filter(|peer| *peer != node);
+    let config = LeadershipConfig {
+        host: host_name(node),
+        peers: peers.map(host_name).collect(),
+        teams: Vec::new(),
+        lease_ttl_s: LEASE_TTL_S,
+        longest_silence_s,
+        worker_lease_s: WORKER_LEASE_S,
+        staleness_bound_s,
+        clock_bound_ms: CLOCK_BOUND_MS,
+    };
+    Leadership::new(config, incarnation)
+}
 
 impl Simulation {
-    pub(crate) fn start(&mut self, n: usize) {
-        let start = self.nodes[n].start;
-        for each in [Loop::Lease, Loop::Mind, Loop::Area, Loop::Live] {
-            self.at(self.now + 0.01, Event::Loop(n, start, each));
+    /// The loops of the controller's present process begin at this time.
+    pub(crate) fn start_loops(&mut self, node: usize, at: f64) {
+        let process = self.controllers[node].process;
+        for each in Loop::ALL {
+            let turn = Event::LoopTurn {
+                node,
+                process,
+                each,
+            };
+            self.schedule(at, turn);
         }
     }
 
+    /// The loop goes on after a pause.
+    pub(crate) fn continue_loop(&mut self, node: usize, each: Loop, pause_s: f64) {
+        let process = self.controllers[node].process;
+        let turn = Event::LoopTurn {
+            node,
+            process,
+            each,
+        };
+        self.schedule(self.now + pause_s, turn);
+    }
+
     /// A loop of the controller goes on.
-    pub(crate) fn turn(&mut self, n: usize, each: Loop) {
-        let now = self.local(n);
+    pub(crate) fn loop_turn(&mut self, node: usize, each: Loop) {
+        let now = self.local_time(node);
         match each {
-            Loop::Lease => {
-                let request = match self.nodes[n].tenure.next_lease_step(now) {
-                    LeaseStep::Rest => return self.later(n, each, 0.2),
-                    LeaseStep::Grant => Request::Grant,
-                    LeaseStep::End(lease) => Request::End(lease),
-                    LeaseStep::Write { lease, boot, over } => Request::Write(lease, boot, over),
-                    LeaseStep::Renew(lease) => Request::Renew(lease, now),
-                };
-                self.ask(n, request);
-            }
-            Loop::Mind => {
-                let pause = self.rng.random_bool(0.002);
-                let rewrite = match self.nodes[n].tenure.reassert(now) {
-                    None if pause || self.rng.random_bool(0.002) => {
-                        self.nodes[n].tenure.raise_term(now)
-                    }
-                    other => other,
-                };
-                self.look(n);
-                self.seek(n);
-                match rewrite {
-                    Some(rewrite) => self.ask(n, Request::ShardUpdate(Box::new(rewrite))),
-                    None => self.later(n, each, LIFE_S / 10.0),
-                }
+            Loop::Lease => self.lease_turn(node, now),
+            Loop::Leader => self.leader_turn(node, now),
+            Loop::ControlWatch => self.send(node, Request::ListControlPrefix),
+            Loop::JobWatch if self.controllers[node].acting.is_none() => {
+                self.continue_loop(node, each, 0.3);
             }
-            Loop::Area => self.ask(n, Request::List),
-            Loop::Live if self.nodes[n].core.is_none() => self.later(n, each, 0.3),
-            Loop::Live => self.ask(n, Request::Live(now)),
+            Loop::JobWatch => self.send(node, Request::WatchJobs { asked_at: now }),
         }
     }
 
-    pub(crate) fn later(&mut self, n: usize, each: Loop, s: f64) {
-        let start = self.nodes[n].start;
-        self.at(self.now + s, Event::Loop(n, start, each));
+    fn lease_turn(&mut self, node: usize, now: f64) {
+        let request = match self.controllers[node].leadership.next_lease_step(now) {
+            LeaseStep::Wait => return self.continue_loop(node, Loop::Lease, 0.2),
+            LeaseStep::Grant => Request::Grant,
+            LeaseStep::Revoke(lease) => Request::Revoke(lease),
+            LeaseStep::WriteAliveKey(write) => Request::WriteAliveKey(write),
+            LeaseStep::Renew(lease) => Request::Renew {
+                lease,
+                asked_at: now,
+            },
+        };
+        self.send(node, request);
     }
 
-    pub(crate) fn step_down(&mut self, n: usize) {
-        self.nodes[n].boots += 1;
-        let boot = 1000 * self.nodes[n].boots + n as u64;
-        self.nodes[n].core = None;
-        self.nodes[n].tenure.step_down(boot);
+    fn leader_turn(&mut self, node: usize, now: f64) {
+        let raises_term = self.rng.random_bool(0.002);
+        let update = match self.controllers[node].leadership.reassert(now) {
+            None if raises_term || self.rng.random_bool(0.002) => {
+                self.controllers[node].leadership.raise_term(now)
+            }
+            other => other,
+        };
+        self.react_to_shard_changes(node);
+        self.query_peers(node);
+        self.note_fenced_former_leaders(node);
+        match update {
+            Some(update) => self.send(node, Request::UpdateShard(Box::new(update))),
+            None => self.continue_loop(node, Loop::Leader, LEASE_TTL_S / 10.0),
+        }
     }
 
-    pub(crate) fn look(&mut self, n: usize) {
-        if self.nodes[n].tenure.is_deposed() {
-            self.step_down(n);
-        }
-        if self.nodes[n].tenure.adopt_raised_term().is_some() {
-            self.adopted += 1;
+    pub(crate) fn step_down(&mut self, node: usize) {
+        let controller = &mut self.controllers[node];
+        let incarnation = controller.draw_incarnation(node);
+        controller.acting = None;
+        controller.leadership.step_down(incarnation);
+    }
+
+    /// As `loops::shard_changes`.
+    pub(crate) fn react_to_shard_changes(&mut self, node: usize) {
+        if self.controllers[node].leadership.is_deposed() {
+            self.step_down(node);
         }
-        if self.nodes[n].claiming {
+        let adopted = self.controllers[node].leadership.adopt_raised_term();
+        self.counters.adopted_terms += usize::from(adopted.is_some());
+        if self.controllers[node].taking_over {
             return;
         }
-        let (now, wall) = (self.local(n), self.wall_ms(n));
-        if let Some(claim) = self.nodes[n].tenure.attempt_takeover(now, wall) {
-            self.nodes[n].claiming = true;
-            self.ask(n, Request::TakeoverAttempt(Box::new(claim)));
+        let (now, now_ms) = (self.local_time(node), self.wall_ms(node));
+        let controller = &mut self.controllers[node];
+        if let Some(attempt) = controller.leadership.attempt_takeover(now, now_ms) {
+            controller.taking_over = true;
+            self.send(node, Request::TakeOver(Box::new(attempt)));
         }
     }
 
-    pub(crate) fn seek(&mut self, n: usize) {
-        let now = self.local(n);
-        let vouch = self.nodes[n].tenure.extension_due(now);
-        let seeks = self.nodes[n].core.is_some_and(|c| c.1.is_none());
-        let promise = match seeks {
-            true => self.nodes[n].tenure.promise_due(now),
-            false => None,
-        };
-        for peer in 0..self.nodes.len() {
-            let missing = |(term, names): &(u64, Vec<String>)| {
-                names.contains(&name(peer)).then_some((false, *term))
-            };
-            let asks = vouch.map(|term| (true, term));
-            let asks = asks.into_iter().chain(promise.as_ref().and_then(missing));
-            for (vouch, term) in asks.collect::<Vec<_>>() {
-                let lost = self.now < self.nodes[n].cut_until || self.rng.random_bool(0.1);
-                if peer != n && !lost {
-                    let at = self.now + 0.005;
-                    self.at(at, Event::Ask(n, peer, vouch, term, now));
-                }
-            }
-        }
-        if let Some((term, gap_s)) = self.nodes[n].tenure.cancellation_query_due(now) {
-            for peer in (0..self.nodes.len()).filter(|p| *p != n) {
-                let lost = self.now < self.nodes[n].cut_until || self.rng.random_bool(0.1);
-                if !lost {
-                    let ask = Event::AskTold(n, peer, term, gap_s, now);
-                    self.at(self.now + 0.005, ask);
-                }
-            }
-        }
-        let quiet = self.nodes[n]
-            .tenure
-            .former_leaders_fenced(now, self.wall_ms(n));
-        let at = self.now;
-        if let Some(core) = self.nodes[n].core.as_mut().filter(|_| quiet) {
-            core.1.get_or_insert(at);
+    fn note_fenced_former_leaders(&mut self, node: usize) {
+        let (now, now_ms) = (self.local_time(node), self.wall_ms(node));
+        let controller = &mut self.controllers[node];
+        let fenced = controller.leadership.former_leaders_fenced(now, now_ms);
+        if let Some(acting) = controller.acting.as_mut().filter(|_| fenced) {
+            acting.former_leaders_silent_since.get_or_insert(self.now);
         }
     }
 
-    pub(crate) fn answered(&mut self, n: usize, request: Request, answer: Answer) {
-        let now = self.local(n);
-        let tenure = &mut self.nodes[n].tenure;
-        match (request, answer) {
-            (Request::Grant, Answer::Lease(lease)) => {
-                tenure.lease_granted(lease);
-                self.turn(n, Loop::Lease);
-            }
-            (Request::Write(lease, boot, _), Answer::Done(version)) => {
-                tenure.alive_written(lease, boot, version);
-                self.look(n);
-                self.turn(n, Loop::Lease);
-            }
-            (Request::Write(..), Answer::Conflict) => self.ask(n, Request::OwnKey),
-            (Request::OwnKey, answer) => {
-                if let Answer::Entry(found) = answer {
-                    tenure.alive_read(found.as_ref());
-                }
-                self.later(n, Loop::Lease, 0.05);
-            }
-            (Request::Write(lease, ..) | Request::Renew(lease, _), Answer::NoLease)
-            | (Request::End(lease), _) => {
-                tenure.lease_ended(lease);
-                self.turn(n, Loop::Lease);
-            }
-            (Request::Renew(lease, asked_at), Answer::Done(_)) => {
-                tenure.lease_renewed(lease, asked_at);
-                self.later(n, Loop::Lease, LIFE_S / 5.0);
-            }
-            (Request::Grant | Request::Write(..) | Request::Renew(..), _) => {
-                self.later(n, Loop::Lease, 0.2);
-            }
-            (Request::TakeoverAttempt(claim), Answer::Done(version)) => {
-                let holds = tenure.takeover_written(&claim, version, now);
-                let (start, term) = (self.nodes[n].start, claim.shard.term);
-                let s = self.rng.random_range(0.02..2.0);
-                if holds {
-                    self.nodes[n].listed = (now, self.written.clone());
-                    self.at(self.now + s, Event::Loaded(n, start, term));
-                } else {
-                    self.nodes[n].claiming = false;
-                }
-            }
-            (Request::TakeoverAttempt(_), _) => {
-                self.nodes[n].claiming = false;
-                self.ask(n, Request::Reread);
-            }
-            (Request::ShardUpdate(rewrite), answer) => {
-                if let Answer::Done(version) = answer {
-                    tenure.shard_record_written(&rewrite, version);
-                } else {
-                    self.ask(n, Request::Reread);
-                }
-                self.later(n, Loop::Mind, 0.05);
-            }
-            (Request::Reread, Answer::Entry(Some(entry))) => {
-                tenure.view.apply_entry(&entry);
-                let seen = tenure.view.shard_version();
-                let owner = entry.read::<ShardRecord>().map(|s| s.leader);
-                if let Some(owner) = owner.ok().filter(|o| *o != name(n)) {
-                    self.ask(n, Request::AliveOf(owner, seen));
-                }
-                self.look(n);
-            }
-            (Request::AliveOf(owner, seen), Answer::Entry(found)) => match found {
-                Some(entry) => tenure.view.apply_entry(&entry),
-                None => tenure.view.leader_not_alive(&owner, seen),
-            },
-            (Request::Reread | Request::AliveOf(..), _) => {}
-            (Request::List, Answer::Listed(entries, revision)) => {
-                tenure.view.apply_listing(&entries, revision);
-                self.look(n);
-                self.ask(n, Request::Watch(revision));
-            }
-            (Request::Watch(since), answer) => {
-                let mut since = since;
-                if let Answer::News(news, revision) = answer {
-                    for (version, key, value) in news {
-                        match value {
-                            None => tenure.view.apply_deletion(&key, version),
-                            Some(value) => tenure.view.apply_entry(&Entry {
-                                key,
-                                value,
-                                version,
-                            }),
-                        }
-                    }
-                    since = revision;
-                }
-                self.look(n);
-                self.ask(n, Request::Watch(since));
-            }
-            (Request::List, _) => self.later(n, Loop::Area, 0.2),
-            (request @ (Request::Cancel(id) | Request::Poll(id)), Answer::Done(_)) => {
-                let first = !self.told.iter().any(|(_, told)| *told == id);
-                self.found_late += usize::from(first && matches!(request, Request::Poll(_)));
-                // As `Node::learnt_final`.
-                if self.nodes[n].finals.insert(id) {
-                    self.nodes[n].told.record(&id.to_string(), now);
-                    self.learns(n, id);
-                }
-                self.told.push((self.now, id));
-                self.gap_told += usize::from(self.now < self.gap_until && !self.is_away());
-            }
-            (Request::Cancel(_) | Request::Poll(_), _) => {}
-            (Request::Live(asked_at), answer) => {
-                if let Answer::Over(over) = answer {
-                    tenure.job_watch_answered(asked_at);
-                    self.nodes[n].knows.extend(over);
-                }
-                self.later(n, Loop::Live, 0.3);
-            }
+    /// The records of the shard were read by a takeover.
+    pub(crate) fn shard_loaded(&mut self, node: usize, term: u64) {
+        let now = self.local_time(node);
+        let controller = &mut self.controllers[node];
+        controller.taking_over = false;
+        let listing = std::mem::take(&mut controller.job_listing);
+        if !controller.leadership.begin_term(term, listing.asked_at) {
+            return;
         }
+        // What we confirmed to users ourselves while we read.
+        let confirmed = controller
+            .confirmed_cancellations
+            .within(now - listing.asked_at, now);
+        let confirmed = confirmed.into_iter().flatten();
+        controller.known_cancellations = listing.cancelled_jobs;
+        controller
+            .known_cancellations
+            .extend(confirmed.filter_map(|id| id.parse::<u64>().ok()));
+        let shard = controller.leadership.view.shard.as_ref();
+        let nobody_before = shard.is_some_and(|(shard, _)| shard.former_leaders.is_empty());
+        controller.acting = Some(Acting {
+            base_term: term,
+            former_leaders_silent_since: nobody_before.then_some(self.now),
+        });
     }
 
-    /// The core of an owner learns of a cancellation, otherwise than by its watch.
-    pub(crate) fn learns(&mut self, n: usize, id: u64) {
-        let (now, gap) = (self.now, self.now < self.gap_until && self.is_away());
-        let node = &mut self.nodes[n];
-        if node.core.is_some() && node.knows.insert(id) {
-            let refused = node.refused_until > now || gap;
-            self.gap_learnt += usize::from(refused);
+    /// The scheduler of a leader learns of a cancellation, otherwise than by its watch.
+    pub(crate) fn learn_cancellation(&mut self, node: usize, job: u64) {
+        let in_refusal_outage = self.now < self.refusal_until && self.is_outage();
+        let controller = &mut self.controllers[node];
+        if controller.acting.is_some() && controller.known_cancellations.insert(job) {
+            let refused = controller.refused_until > self.now || in_refusal_outage;
+            self.counters.learnt_while_refused += usize::from(refused);
         }
     }
 }
--- a/tests/pause/network.rs
+++ b/tests/pause/network.rs
@@ -1,129 +1,206 @@
 //! The network to the state service, and what becomes of each request there.
 
 use super::*;
+use foxspur::storage::records;
+use foxspur_testbed::store::{Logged, Refusal};
+
+/// How long a message takes on an undisturbed network, in seconds.
+const DELAY_S: f64 = 0.005;
+
+/// How long a watch request waits for changes, in seconds.
+const WATCH_TIMEOUT_S: f64 = 20.0;
 
 impl Simulation {
-    /// Sends a request; it may stand still before it leaves, the way may be
-    /// long, and who asked gives up after a while.
-    pub(crate) fn ask(&mut self, n: usize, request: Request) {
+    /// Sends a request to the state service; the controller may be paused before the request
+    /// leaves, the way may be long, and a request times out after a while.
+    pub(crate) fn send(&mut self, node: usize, request: Request) {
         if !self.calm && self.rng.random_bool(0.01) {
-            self.pause(n, 3.0 * LEASE_S);
-        }
-        let leaves = self.now.max(self.nodes[n].paused_until);
-        let mut way = 0.005;
-        if !self.calm && self.rng.random_bool(0.02) {
-            way = self.rng.random_range(0.5..60.0);
-        }
-        let mut arrives = leaves + way;
-        if self.nodes[n].cut_until > leaves {
-            // Held back, or lost.
-            arrives = self.nodes[n].cut_until + 0.01;
-            if self.rng.random_bool(0.4) {
-                arrives = f64::MAX;
-            }
+            self.pause(node, 3.0 * WORKER_LEASE_S);
         }
+        let leaves_at = self.now.max(self.controllers[node].paused_until);
+        let arrives_at = self.arrival(node, leaves_at);
         self.next_id += 1;
-        let (id, start) = (self.next_id, self.nodes[n].start);
-        self.nodes[n].waiting.push(id);
-        let patience = match request {
-            Request::Watch(_) => 20.0,
-            _ => TIMEOUT_S,
+        let id = self.next_id;
+        let controller = &mut self.controllers[node];
+        let process = controller.process;
+        controller.pending_requests.push(id);
+        let timeout_s = match request {
+            Request::WatchControlPrefix(_) => WATCH_TIMEOUT_S,
+            _ => REQUEST_TIMEOUT_S,
         };
-        let given_up = Event::Reply(n, start, id, request.clone(), Answer::Nothing);
-        self.at(leaves + patience, given_up);
-        if arrives < f64::MAX {
-            self.at(arrives, Event::Arrive(n, start, id, request));
+        let timed_out = Event::ResponseArrives {
+            node,
+            process,
+            id,
+            request: request.clone(),
+            response: Response::None,
+        };
+        self.schedule(leaves_at + timeout_s, timed_out);
+        if let Some(arrives_at) = arrives_at {
+            let arrives = Event::RequestArrives {
+                node,
+                process,
+                id,
+                request,
+            };
+            self.schedule(arrives_at, arrives);
         }
     }
 
-    pub(crate) fn arrive(&mut self, n: usize, start: usize, id: u64, request: Request) {
-        let now = self.now;
-        let refused = self.is_away() || now < self.nodes[n].refused_until;
+    /// When a request of the controller arrives, if it does.
+    fn arrival(&mut self, node: usize, leaves_at: f64) -> Option<f64> {
+        let mut delay_s = DELAY_S;
+        if !self.calm && self.rng.random_bool(0.02) {
+            delay_s = self.rng.random_range(0.5..60.0);
+        }
+        let partitioned_until = self.controllers[node].partitioned_until;
+        if partitioned_until <= leaves_at {
+            return Some(leaves_at + delay_s);
+        }
+        // Held back, or lost.
+        let lost = self.rng.random_bool(0.4);
+        (!lost).then_some(partitioned_until + 0.01)
+    }
+
+    pub(crate) fn request_arrives(
+        &mut self,
+        node: usize,
+        process: usize,
+        id: u64,
+        request: Request,
+    ) {
+        let refused = self.is_outage() || self.now < self.controllers[node].refused_until;
         if refused {
-            if !matches!(request, Request::Watch(_)) {
-                self.reply(n, start, id, request, Answer::Nothing);
+            if !matches!(request, Request::WatchControlPrefix(_)) {
+                self.respond(node, process, id, request, Response::None);
             }
             return;
         }
-        let done = |r: Result<u64, Refusal>| match r {
-            Ok(version) => Answer::Done(version),
-            Err(Refusal::Conflict(_)) => Answer::Conflict,
-            Err(Refusal::NoLease) => Answer::NoLease,
+        let Some(response) = self.carry_out(node, id, &request) else {
+            let arrives = Event::RequestArrives {
+                node,
+                process,
+                id,
+                request,
+            };
+            return self.schedule(self.now + 0.1, arrives);
         };
-        let answer = match &request {
-            Request::Grant => Answer::Lease(self.store.grant(LIFE_S, now)),
-            Request::Write(lease, boot, over) => {
-                let txn = records::write_alive(&name(n), *boot, *lease, *over);
-                done(self.store.apply(&txn))
+        if !self.loses_response(&request, &response) {
+            self.respond(node, process, id, request, response);
+        }
+    }
+
+    /// Carries a request out; `None` for a watch that waits for changes.
+    fn carry_out(&mut self, node: usize, id: u64, request: &Request) -> Option<Response> {
+        let now = self.now;
+        let response = match request {
+            Request::Grant => Response::Lease(self.store.grant(LEASE_TTL_S, now)),
+            Request::WriteAliveKey(write) => {
+                Response::of(self.store.apply(&write.txn(&host_name(node))))
             }
-            Request::OwnKey => Answer::Entry(self.store.get(&records::alive_key(&name(n)))),
-            Request::Renew(lease, _) => match self.store.extend(*lease, now) {
-                true => Answer::Done(0),
-                false => Answer::NoLease,
+            Request::ReadOwnAliveKey => self.read(&records::alive_key(&host_name(node))),
+            Request::Renew { lease, .. } => match self.store.extend(*lease, now) {
+                true => Response::Done(0),
+                false => Response::NoLease,
             },
-            Request::End(lease) => {
+            Request::Revoke(lease) => {
                 self.store.end(*lease);
-                Answer::Done(0)
+                Response::Done(0)
             }
-            Request::TakeoverAttempt(claim) => {
-                let answer = done(self.store.apply(&claim.txn));
-                if matches!(answer, Answer::Done(_)) {
-                    self.taken.push((claim.shard.term, now));
+            Request::TakeOver(attempt) => {
+                let response = Response::of(self.store.apply(&attempt.txn));
+                if matches!(response, Response::Done(_)) {
+                    self.takeovers.push(Takeover {
+                        term: attempt.shard.term,
+                        at: now,
+                    });
                 }
-                answer
+                response
             }
-            Request::ShardUpdate(rewrite) => done(self.store.apply(&rewrite.txn)),
-            Request::Reread => Answer::Entry(self.store.get(records::SHARD_KEY)),
-            Request::AliveOf(host, _) => Answer::Entry(self.store.get(&records::alive_key(host))),
-            Request::List => Answer::Listed(
+            Request::UpdateShard(update) => Response::of(self.store.apply(&update.txn)),
+            Request::ReadShard => self.read(records::SHARD_KEY),
+            Request::ReadLeaderAliveKey { leader, .. } => self.read(&records::alive_key(leader)),
+            Request::ListControlPrefix => Response::Listed(
                 self.store.list(records::CONTROL_PREFIX),
                 self.store.revision,
             ),
-            Request::Watch(since) => {
-                let since = *since;
-                let news = self.store.log.iter().filter(|l| l.0 > since).cloned();
-                let news: Vec<Logged> = news.collect();
-                if news.is_empty() && self.nodes[n].waiting.contains(&id) {
-                    self.at(now + 0.1, Event::Arrive(n, start, id, request));
-                    return;
+            Request::WatchControlPrefix(since) => {
+                let changes = self.store.log.iter().filter(|change| change.0 > *since);
+                let changes: Vec<Logged> = changes.cloned().collect();
+                let pending = self.controllers[node].pending_requests.contains(&id);
+                if changes.is_empty() && pending {
+                    return None;
                 }
-                Answer::News(news, self.store.revision)
+                Response::Changes(changes, self.store.revision)
             }
-            Request::Cancel(id) => {
-                self.written.insert(*id);
-                Answer::Done(0)
+            Request::Cancel(job) => {
+                self.cancelled_jobs.insert(*job);
+                Response::Done(0)
             }
-            Request::Poll(id) => match self.written.contains(id) {
-                true => Answer::Done(0),
-                false => Answer::Nothing,
+            Request::Poll(job) => match self.cancelled_jobs.contains(job) {
+                true => Response::Done(0),
+                false => Response::None,
             },
-            Request::Live(_) => Answer::Over(self.written.clone()),
+            Request::WatchJobs { .. } => Response::CancelledJobs(self.cancelled_jobs.clone()),
         };
-        let carried_out = !matches!(answer, Answer::Conflict | Answer::NoLease | Answer::Nothing);
-        if let Some(kind) = request.write().filter(|_| carried_out && !self.calm) {
-            // Others see what was written; who asked gives up after a while.
-            let rare = matches!(request, Request::ShardUpdate(_) | Request::End(_));
-            if self.rng.random_bool(if rare { 0.5 } else { 0.06 }) {
-                *self.lost.entry(kind).or_default() += 1;
-                return;
-            }
+        Some(response)
+    }
+
+    fn read(&self, key: &str) -> Response {
+        Response::Entry(self.store.get(key))
+    }
+
+    /// Whether the response to a write that was carried out is lost: others see what was
+    /// written, and the request times out.
+    fn loses_response(&mut self, request: &Request, response: &Response) -> bool {
+        let carried_out = !matches!(
+            response,
+            Response::Conflict | Response::NoLease | Response::None
+        );
+        let write = request.kind_of_write();
+        let Some(kind) = write.filter(|_| carried_out && !self.calm) else {
+            return false;
+        };
+        let rare = matches!(request, Request::UpdateShard(_) | Request::Revoke(_));
+        let lost = self.rng.random_bool(if rare { 0.5 } else { 0.06 });
+        if lost {
+            *self.counters.lost_responses.entry(kind).or_default() += 1;
         }
-        self.reply(n, start, id, request, answer);
+        lost
     }
 
-    pub(crate) fn reply(
+    fn respond(
         &mut self,
-        n: usize,
-        start: usize,
+        node: usize,
+        process: usize,
         id: u64,
         request: Request,
-        answer: Answer,
+        response: Response,
     ) {
-        let mut way = 0.005;
+        let mut delay_s = DELAY_S;
         if !self.calm && self.rng.random_bool(0.02) {
-            way = self.rng.random_range(0.1..3.0);
+            delay_s = self.rng.random_range(0.1..3.0);
+        }
+        let partitioned_until = self.controllers[node].partitioned_until;
+        let arrives_at = (self.now + delay_s).max(partitioned_until);
+        let arrives = Event::ResponseArrives {
+            node,
+            process,
+            id,
+            request,
+            response,
+        };
+        self.schedule(arrives_at, arrives);
+    }
+}
+
+impl Response {
+    /// The response to a transaction.
+    fn of(result: Result<u64, Refusal>) -> Response {
+        match result {
+            Ok(version) => Response::Done(version),
+            Err(Refusal::Conflict(_)) => Response::Conflict,
+            Err(Refusal::NoLease) => Response::NoLease,
         }
-        let at = (self.now + way).max(self.nodes[n].cut_until);
-        self.at(at, Event::Reply(n, start, id, request, answer));
     }
 }
