--- a/src/coordination/leadership/loops/drain_records.rs
+++ b/src/coordination/leadership/loops/drain_records.rs
@@ -49,7 +49,7 @@
             let versions = proven.iter().map(|(_, version)| *version);
             node.noted_drains.borrow_mut().extend(versions);
         }
-        // Another leader, or the drain ended: the watch tells.
+        // Another controller leads, or the drain ended: the watch will report it.
         Err(Failure::Conflict(_)) => reread(node).await,
         Err(_) => {}
     }
--- a/src/coordination/leadership/loops/failover.rs
+++ b/src/coordination/leadership/loops/failover.rs
@@ -171,7 +171,7 @@
 
 /// Finishes the jobs whose cancellation was written while the live jobs were read: of those
 /// that were confirmed to users here, or that peers told us of, nobody else could tell us;
-/// of all others the watch will tell, which is later.
+/// all others the watch will report, which is later.
 fn finish_cancelled_jobs(node: &Node, scheduler: &mut Scheduler, listed_at: f64) {
     let now = node.now();
     for cancellations in [&node.confirmed_cancellations, &node.relayed_cancellations] {
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -52,7 +52,7 @@
 
 /// Tells the controller of all changes since this revision.
 fn follow(controller: &mut Leadership, store: &Store, since: u64) {
-    for (version, key, value) in store.log.iter().filter(|l| l.0 > since).cloned() {
+    for (version, key, value) in store.log.iter().filter(|change| change.0 > since).cloned() {
         match value {
             Some(value) => controller.view.apply_entry(&Entry {
                 key,
@@ -64,49 +64,50 @@
     }
 }
 
-/// Two controllers; the first leads the shard under term 1 since 0.
+/// Two controllers: `a` leads the shard under term 1 since 0, `b` is alive.
 struct Pair {
     store: Store,
-    a: Leadership,
-    b: Leadership,
-    a_lease: u64,
+    leader: Leadership,
+    standby: Leadership,
+    leader_lease: u64,
 }
 
 impl Pair {
     fn new() -> Pair {
         let mut store = Store::default();
-        let mut a = leadership("a", &["b"], 1);
-        let mut b = leadership("b", &["a"], 2);
-        let a_lease = enlist(&mut a, "a", &mut store, 0.0);
-        read(&mut a, &store);
-        let attempt = a.attempt_takeover(0.0, 0).expect("free");
+        let mut leader = leadership("a", &["b"], 1);
+        let mut standby = leadership("b", &["a"], 2);
+        let leader_lease = enlist(&mut leader, "a", &mut store, 0.0);
+        read(&mut leader, &store);
+        let attempt = leader.attempt_takeover(0.0, 0).expect("free");
         let version = store.apply(&attempt.txn).expect("taken over");
-        assert!(a.takeover_written(&attempt, version, 0.0) && a.begin_term(1, LISTED_AT));
-        enlist(&mut b, "b", &mut store, 0.0);
-        read(&mut b, &store);
+        assert!(leader.takeover_written(&attempt, version, 0.0));
+        assert!(leader.begin_term(1, LISTED_AT));
+        enlist(&mut standby, "b", &mut store, 0.0);
+        read(&mut standby, &store);
         Pair {
             store,
-            a,
-            b,
-            a_lease,
+            leader,
+            standby,
+            leader_lease,
         }
     }
 
-    /// A's lease ends, b hears of it, and attempts a takeover.
+    /// The leader's lease ends, the standby hears of it, and attempts a takeover.
     fn lose_lease(&mut self) -> TakeoverAttempt {
         let since = self.store.revision;
-        self.store.end(self.a_lease);
-        follow(&mut self.b, &self.store, since);
-        self.b
+        self.store.end(self.leader_lease);
+        follow(&mut self.standby, &self.store, since);
+        self.standby
             .attempt_takeover(5.0, 5000)
             .expect("the leader is gone")
     }
 
-    /// A notices that its lease ended, and gets another one.
+    /// The leader notices that its lease ended, and gets another one.
     fn get_new_lease(&mut self) -> u64 {
-        self.a.lease_ended(self.a_lease);
-        self.a_lease = enlist(&mut self.a, "a", &mut self.store, 5.5);
-        self.a_lease
+        self.leader.lease_ended(self.leader_lease);
+        self.leader_lease = enlist(&mut self.leader, "a", &mut self.store, 5.5);
+        self.leader_lease
     }
 }
 
@@ -118,11 +119,11 @@
     let mut pair = Pair::new();
     let late = pair.lose_lease();
     pair.get_new_lease();
-    let update = pair.a.reassert(5.6).expect("the lease is new");
+    let update = pair.leader.reassert(5.6).expect("the lease is new");
     let version = pair.store.apply(&update.txn).expect("still ours");
-    assert_eq!(pair.a.shard_record_written(&update, version), Some(1));
-    assert_eq!(pair.a.confirmed_at(), 5.6);
-    pair.store.end(pair.a_lease);
+    assert_eq!(pair.leader.shard_record_written(&update, version), Some(1));
+    assert_eq!(pair.leader.confirmed_at(), 5.6);
+    pair.store.end(pair.leader_lease);
     assert!(pair.store.apply(&late.txn).is_err());
 }
 
@@ -133,18 +134,18 @@
     for known in [true, false] {
         let mut pair = Pair::new();
         let since = pair.store.revision;
-        let update = pair.a.raise_term(1.0).expect("it is ours");
+        let update = pair.leader.raise_term(1.0).expect("it is ours");
         pair.store.apply(&update.txn).expect("carried out");
-        follow(&mut pair.b, &pair.store, since);
+        follow(&mut pair.standby, &pair.store, since);
         if known {
-            follow(&mut pair.a, &pair.store, since);
+            follow(&mut pair.leader, &pair.store, since);
         }
-        let adopted = pair.a.adopt_raised_term();
+        let adopted = pair.leader.adopt_raised_term();
         assert_eq!(adopted.is_some(), known);
-        assert_eq!(pair.a.adopt_raised_term(), None, "twice");
-        let term = pair.a.extension_due(10.0).expect("no contact");
-        assert_eq!(pair.b.knows_no_later_leader(term), known, "{term}");
-        assert!(!pair.a.is_deposed());
+        assert_eq!(pair.leader.adopt_raised_term(), None, "twice");
+        let term = pair.leader.extension_due(10.0).expect("no contact");
+        assert_eq!(pair.standby.knows_no_later_leader(term), known, "{term}");
+        assert!(!pair.leader.is_deposed());
     }
 }
 
@@ -154,20 +155,20 @@
 #[test]
 fn a_controller_that_attempted_a_takeover_reports_nothing_to_the_leader() {
     let mut pair = Pair::new();
-    assert!(pair.b.may_report_to(1));
+    assert!(pair.standby.may_report_to(1));
     let late = pair.lose_lease();
-    assert!(pair.b.knows_no_later_leader(1) && !pair.b.may_report_to(1));
+    assert!(pair.standby.knows_no_later_leader(1) && !pair.standby.may_report_to(1));
     // The leader is back, the record as it was: the attempt is still valid.
     let since = pair.store.revision;
     pair.get_new_lease();
-    follow(&mut pair.b, &pair.store, since);
-    assert!(!pair.b.may_report_to(1));
+    follow(&mut pair.standby, &pair.store, since);
+    assert!(!pair.standby.may_report_to(1));
     // It is written once more: the attempt is void.
     let since = pair.store.revision;
-    let update = pair.a.reassert(5.6).expect("the lease is new");
+    let update = pair.leader.reassert(5.6).expect("the lease is new");
     pair.store.apply(&update.txn).expect("still ours");
-    follow(&mut pair.b, &pair.store, since);
-    assert!(pair.b.may_report_to(1) && pair.store.apply(&late.txn).is_err());
+    follow(&mut pair.standby, &pair.store, since);
+    assert!(pair.standby.may_report_to(1) && pair.store.apply(&late.txn).is_err());
 }
 
 /// Guards against a successor that counts on the silence of a leader of an older program,
@@ -185,7 +186,7 @@
         let since = pair.store.revision;
         let txn = Txn::default().put(records::SHARD_KEY, &shard);
         pair.store.apply(&txn).expect("written");
-        follow(&mut pair.b, &pair.store, since);
+        follow(&mut pair.standby, &pair.store, since);
         let attempt = pair.lose_lease();
         let until = attempt
             .shard
@@ -206,16 +207,16 @@
     let mut pair = Pair::new();
     let attempt = pair.lose_lease();
     let version = pair.store.apply(&attempt.txn).expect("taken over");
-    assert!(pair.b.takeover_written(&attempt, version, 5.1));
-    // A was paused and has heard of nothing.
+    assert!(pair.standby.takeover_written(&attempt, version, 5.1));
+    // The leader was paused and has heard of nothing.
     let lease = pair.get_new_lease();
-    pair.a.lease_renewed(lease, 6.0);
-    assert_eq!(pair.a.confirmed_at(), 0.0);
-    let update = pair.a.reassert(6.1).expect("the lease is new");
+    pair.leader.lease_renewed(lease, 6.0);
+    assert_eq!(pair.leader.confirmed_at(), 0.0);
+    let update = pair.leader.reassert(6.1).expect("the lease is new");
     assert!(pair.store.apply(&update.txn).is_err());
     // The renewal of an old lease, answered late, says nothing new either.
-    pair.a.lease_renewed(lease - 1, 7.0);
-    assert!(!pair.a.is_certain_leader(7.0) && !pair.a.may_answer_workers(7.0));
+    pair.leader.lease_renewed(lease - 1, 7.0);
+    assert!(!pair.leader.is_certain_leader(7.0) && !pair.leader.may_answer_workers(7.0));
 }
 
 /// Guards against the response to a rewrite that comes under the next lease but one: it
@@ -223,24 +224,24 @@
 #[test]
 fn a_rewrite_counts_for_the_lease_it_was_made_under() {
     let mut pair = Pair::new();
-    pair.store.end(pair.a_lease);
+    pair.store.end(pair.leader_lease);
     pair.get_new_lease();
-    let update = pair.a.reassert(5.6).expect("the lease is new");
+    let update = pair.leader.reassert(5.6).expect("the lease is new");
     let version = pair.store.apply(&update.txn).expect("still ours");
     let attempt = {
         let since = pair.store.revision;
-        pair.store.end(pair.a_lease);
-        read(&mut pair.b, &pair.store);
-        follow(&mut pair.b, &pair.store, since);
-        pair.b
+        pair.store.end(pair.leader_lease);
+        read(&mut pair.standby, &pair.store);
+        follow(&mut pair.standby, &pair.store, since);
+        pair.standby
             .attempt_takeover(9.0, 9000)
             .expect("the leader is gone")
     };
     pair.store.apply(&attempt.txn).expect("taken over");
     let lease = pair.get_new_lease();
-    pair.a.shard_record_written(&update, version);
-    pair.a.lease_renewed(lease, 12.0);
-    assert_eq!(pair.a.confirmed_at(), 5.6);
+    pair.leader.shard_record_written(&update, version);
+    pair.leader.lease_renewed(lease, 12.0);
+    assert_eq!(pair.leader.confirmed_at(), 5.6);
 }
 
 /// Guards against a takeover that was itself overtaken before its response came: while the
@@ -251,15 +252,15 @@
         let mut pair = Pair::new();
         let attempt = pair.lose_lease();
         let version = pair.store.apply(&attempt.txn).expect("taken over");
-        // B is paused; a is back and takes the shard from it.
+        // The standby is paused; the former leader is back and takes the shard from it.
         pair.store.end(2);
         pair.get_new_lease();
-        read(&mut pair.a, &pair.store);
-        assert!(pair.a.is_deposed());
-        pair.a.step_down(3);
+        read(&mut pair.leader, &pair.store);
+        assert!(pair.leader.is_deposed());
+        pair.leader.step_down(3);
         let write = AliveKeyWrite {
-            lease: pair.a_lease,
-            ..next_alive_key(&pair.a, 9.0)
+            lease: pair.leader_lease,
+            ..next_alive_key(&pair.leader, 9.0)
         };
         let alive = AliveRecord {
             incarnation: write.incarnation,
@@ -267,25 +268,26 @@
         let key = records::alive_key("a");
         let txn = Txn::default().put_leased(&key, &alive, Some(write.lease));
         let alive_version = pair.store.apply(&txn).expect("written");
-        pair.a.alive_key_written(write, alive_version);
+        pair.leader.alive_key_written(write, alive_version);
         let later_attempt = pair
-            .a
+            .leader
             .attempt_takeover(9.0, 9000)
-            .expect("b's lease is gone");
+            .expect("the standby's lease is gone");
         pair.store.apply(&later_attempt.txn).expect("taken back");
-        // B goes on.
+        // The standby goes on.
         if heard_before_response {
-            follow(&mut pair.b, &pair.store, version - 1);
-            assert!(!pair.b.takeover_written(&attempt, version, 20.0));
+            follow(&mut pair.standby, &pair.store, version - 1);
+            assert!(!pair.standby.takeover_written(&attempt, version, 20.0));
         } else {
-            assert!(pair.b.takeover_written(&attempt, version, 20.0));
+            assert!(pair.standby.takeover_written(&attempt, version, 20.0));
             match promised {
-                true => pair.b.promise(later_attempt.shard.term),
-                false => follow(&mut pair.b, &pair.store, version - 1),
+                true => pair.standby.promise(later_attempt.shard.term),
+                false => follow(&mut pair.standby, &pair.store, version - 1),
             }
         }
         assert!(
-            !pair.b.begin_term(attempt.shard.term, LISTED_AT) && !pair.b.may_answer_workers(20.0)
+            !pair.standby.begin_term(attempt.shard.term, LISTED_AT)
+                && !pair.standby.may_answer_workers(20.0)
         );
     }
 }
@@ -295,37 +297,44 @@
 #[test]
 fn what_is_older_does_not_replace_what_is_newer() {
     let mut pair = Pair::new();
-    pair.store.end(pair.a_lease);
+    pair.store.end(pair.leader_lease);
     // Listed while its leader had no lease, and answered after it was back.
     let (old_listing, listed_at) = (
         pair.store.list(records::CONTROL_PREFIX),
         pair.store.revision,
     );
     pair.get_new_lease();
-    let update = pair.a.reassert(5.6).expect("the lease is new");
+    let update = pair.leader.reassert(5.6).expect("the lease is new");
     pair.store.apply(&update.txn).expect("still ours");
-    follow(&mut pair.b, &pair.store, listed_at);
-    let known = pair.b.view.shard_version();
-    pair.b.view.apply_listing(&old_listing, listed_at);
-    assert_eq!(pair.b.view.shard_version(), known);
+    follow(&mut pair.standby, &pair.store, listed_at);
+    let known = pair.standby.view.shard_version();
+    pair.standby.view.apply_listing(&old_listing, listed_at);
+    assert_eq!(pair.standby.view.shard_version(), known);
     assert!(
-        pair.b.attempt_takeover(6.0, 6000).is_none(),
+        pair.standby.attempt_takeover(6.0, 6000).is_none(),
         "its leader is alive"
     );
     // A read of the leader's key, begun before the record changed.
-    pair.b.view.leader_not_alive("a", listed_at);
+    pair.standby.view.leader_not_alive("a", listed_at);
     assert!(
-        pair.b.attempt_takeover(6.0, 6000).is_none(),
+        pair.standby.attempt_takeover(6.0, 6000).is_none(),
         "its leader is alive"
     );
     // A write of an earlier incarnation comes late, over ours.
     let key = records::alive_key("a");
-    let txn = Txn::default().put_leased(&key, &AliveRecord { incarnation: 77 }, Some(pair.a_lease));
+    let txn = Txn::default().put_leased(
+        &key,
+        &AliveRecord { incarnation: 77 },
+        Some(pair.leader_lease),
+    );
     let version = pair.store.apply(&txn).expect("the lease lives");
-    assert!(matches!(pair.a.next_lease_step(7.0), LeaseStep::Renew(_)));
-    pair.a.view.see_alive("a".into(), 77, version);
     assert!(matches!(
-        pair.a.next_lease_step(7.0),
+        pair.leader.next_lease_step(7.0),
+        LeaseStep::Renew(_)
+    ));
+    pair.leader.view.see_alive("a".into(), 77, version);
+    assert!(matches!(
+        pair.leader.next_lease_step(7.0),
         LeaseStep::WriteAliveKey(_)
     ));
 }
--- a/tests/lease_extension.rs
+++ b/tests/lease_extension.rs
@@ -66,6 +66,88 @@
     asked_at: f64,
 }
 
+/// A random course of who reaches whom around one takeover.
+struct Course {
+    rng: StdRng,
+    controllers: usize,
+    taken_over_at: f64,
+    reach_probability: f64,
+    promise_probability: f64,
+    /// Which controllers have promised.
+    promised: Vec<bool>,
+    /// The former leader's extensions, and the new one's promises.
+    extensions: QuorumRound,
+    promises: QuorumRound,
+    pending: Vec<Pending>,
+    /// The former leader knows that it is not the leader any more.
+    deposed: bool,
+}
+
+impl Course {
+    fn new(seed: u64) -> Course {
+        let mut rng = StdRng::seed_from_u64(seed);
+        let controllers: usize = rng.random_range(2..=7);
+        Course {
+            controllers,
+            // The former leader's lease ended before the new one took over.
+            taken_over_at: LEASE_TTL_S + rng.random_range(0.0..20.0),
+            reach_probability: rng.random_range(0.2..1.0),
+            // The new leader may reach the others late only.
+            promise_probability: rng.random_range(0.002..0.1),
+            rng,
+            promised: vec![false; controllers],
+            extensions: round(FORMER_TERM, controllers),
+            promises: round(NEW_TERM, controllers),
+            pending: Vec::new(),
+            deposed: false,
+        }
+    }
+
+    /// Both leaders may ask each controller: it answers now, the answer arrives a little
+    /// later.
+    fn ask_all(&mut self, now: f64) {
+        let taken_over = now >= self.taken_over_at;
+        for peer in 0..self.controllers {
+            let arrives_at = now + self.rng.random_range(0.0..0.3);
+            let asks = self.rng.random_bool(0.2);
+            let answer = |extends| Pending {
+                arrives_at,
+                extends,
+                peer,
+                asked_at: now,
+            };
+            if peer != FORMER && asks && self.rng.random_bool(self.reach_probability) {
+                let knows_later = self.promised[peer] || (peer == NEW && taken_over);
+                if !knows_later {
+                    self.pending.push(answer(true));
+                }
+            }
+            if peer != NEW && taken_over && self.rng.random_bool(self.promise_probability) {
+                self.promised[peer] = true;
+                self.deposed |= peer == FORMER;
+                self.pending.push(answer(false));
+            }
+        }
+    }
+
+    fn receive_answers(&mut self, now: f64) {
+        let pending = std::mem::take(&mut self.pending);
+        let (due, later) = pending.into_iter().partition(|a| a.arrives_at <= now);
+        self.pending = later;
+        let due: Vec<Pending> = due;
+        for due in due {
+            let peer = due.peer.to_string();
+            if due.extends {
+                let extension = answer(FORMER_TERM, &peer, due.asked_at, now);
+                self.extensions.acknowledge(extension);
+            } else {
+                let promise = answer(NEW_TERM, &peer, due.asked_at, now);
+                self.promises.acknowledge(promise);
+            }
+        }
+    }
+}
+
 /// Guards against a new leader that takes machines for empty while a former one still keeps
 /// them alive with its lease extended by a majority.
 #[test]
@@ -73,59 +155,17 @@
     let spans = LeaseSpans::new(LEASE_TTL_S, LONGEST_S);
     let (mut settled, mut extended) = (0, 0);
     for seed in 0..400 {
-        let mut rng = StdRng::seed_from_u64(seed);
-        let controllers: usize = rng.random_range(2..=7);
-        // The former leader's lease ended before the new one took over.
-        let taken_over_at: f64 = LEASE_TTL_S + rng.random_range(0.0..20.0);
-        let mut promised = vec![false; controllers];
-        let mut extensions = round(FORMER_TERM, controllers);
-        let mut promises = round(NEW_TERM, controllers);
-        let reach_probability = rng.random_range(0.2..1.0);
-        // The new leader may reach the others late only.
-        let promise_probability = rng.random_range(0.002..0.1);
-        let mut pending: Vec<Pending> = Vec::new();
-        let mut deposed = false;
+        let mut course = Course::new(seed);
         let mut now = 0.0;
         while now < 70.0 {
             now += 0.1;
-            for (peer, promised) in promised.iter_mut().enumerate() {
-                let delay_s = rng.random_range(0.0..0.3);
-                let asks = rng.random_bool(0.2);
-                // The peer answers now, the answer arrives a little later.
-                let mut answers = |extends| {
-                    pending.push(Pending {
-                        arrives_at: now + delay_s,
-                        extends,
-                        peer,
-                        asked_at: now,
-                    });
-                };
-                if peer != FORMER && asks && rng.random_bool(reach_probability) {
-                    let knows_later = *promised || (peer == NEW && now >= taken_over_at);
-                    if !knows_later {
-                        answers(true);
-                    }
-                }
-                if peer != NEW && now >= taken_over_at && rng.random_bool(promise_probability) {
-                    *promised = true;
-                    deposed |= peer == FORMER;
-                    answers(false);
-                }
-            }
-            let (due, later): (Vec<Pending>, Vec<Pending>) =
-                pending.into_iter().partition(|a| a.arrives_at <= now);
-            pending = later;
-            for due in due {
-                let peer = due.peer.to_string();
-                if due.extends {
-                    extensions.acknowledge(answer(FORMER_TERM, &peer, due.asked_at, now));
-                } else {
-                    promises.acknowledge(answer(NEW_TERM, &peer, due.asked_at, now));
-                }
-            }
-            let goes_on = !deposed && spans.may_answer(&extensions, 0.0, now);
+            course.ask_all(now);
+            course.receive_answers(now);
+            let goes_on = !course.deposed && spans.may_answer(&course.extensions, 0.0, now);
             extended += usize::from(goes_on && now > spans.unconfirmed_s);
-            if let Some(silent_from) = spans.former_leaders_silent_from(&promises, taken_over_at) {
+            let silent_from =
+                spans.former_leaders_silent_from(&course.promises, course.taken_over_at);
+            if let Some(silent_from) = silent_from {
                 settled += 1;
                 assert!(!(now >= silent_from && goes_on), "seed {seed}, at {now:.1}");
             }
--- a/tests/pause/events.rs
+++ b/tests/pause/events.rs
@@ -160,18 +160,18 @@
     }
 
     pub(crate) fn play(&mut self, seed: u64, until: f64) {
-        let mut next_beat = 0.0;
+        let mut next_tick = 0.0;
         while self.now < until {
             let due = self
                 .queue
                 .peek()
                 .map_or(f64::MAX, |(Reverse(micros), _)| *micros as f64 / 1e6);
-            self.now = self.now.max(due.min(next_beat));
-            if due <= next_beat {
+            self.now = self.now.max(due.min(next_tick));
+            if due <= next_tick {
                 self.handle_next();
             } else {
-                next_beat += 0.1;
-                self.beat(until);
+                next_tick += 0.1;
+                self.tick(until);
             }
             self.check(seed);
             self.record();
@@ -188,7 +188,7 @@
     }
 
     /// The state service's time goes on, faults happen, and users ask.
-    fn beat(&mut self, until: f64) {
+    fn tick(&mut self, until: f64) {
         self.follow_outage();
         // Half a minute is left for what is late, and as much to settle.
         self.calm = self.now > until - 120.0;
--- a/tests/pause/network.rs
+++ b/tests/pause/network.rs
@@ -1,6 +1,7 @@
 //! The network to the state service, and what becomes of each request there.
 
 use super::*;
+use foxspur::coordination::leadership::takeover::TakeoverAttempt;
 use foxspur::storage::records;
 use foxspur_testbed::store::{Logged, Refusal};
 
@@ -107,16 +108,7 @@
                 self.store.end(*lease);
                 Response::Done(0)
             }
-            Request::TakeOver(attempt) => {
-                let response = Response::of(self.store.apply(&attempt.txn));
-                if matches!(response, Response::Done(_)) {
-                    self.takeovers.push(Takeover {
-                        term: attempt.shard.term,
-                        at: now,
-                    });
-                }
-                response
-            }
+            Request::TakeOver(attempt) => self.take_over(attempt),
             Request::UpdateShard(update) => Response::of(self.store.apply(&update.txn)),
             Request::ReadShard => self.read(records::SHARD_KEY),
             Request::ReadLeaderAliveKey { leader, .. } => self.read(&records::alive_key(leader)),
@@ -125,13 +117,8 @@
                 self.store.revision,
             ),
             Request::WatchControlPrefix(since) => {
-                let changes = self.store.log.iter().filter(|change| change.0 > *since);
-                let changes: Vec<Logged> = changes.cloned().collect();
                 let pending = self.controllers[node].pending_requests.contains(&id);
-                if changes.is_empty() && pending {
-                    return None;
-                }
-                Response::Changes(changes, self.store.revision)
+                return self.changes_since(*since, pending);
             }
             Request::Cancel(job) => {
                 self.cancelled_jobs.insert(*job);
@@ -146,6 +133,28 @@
         Some(response)
     }
 
+    fn take_over(&mut self, attempt: &TakeoverAttempt) -> Response {
+        let response = Response::of(self.store.apply(&attempt.txn));
+        if matches!(response, Response::Done(_)) {
+            self.takeovers.push(Takeover {
+                term: attempt.shard.term,
+                at: self.now,
+            });
+        }
+        response
+    }
+
+    /// The changes since this revision; `None` if there are none and the request, still
+    /// pending, waits for some.
+    fn changes_since(&self, since: u64, pending: bool) -> Option<Response> {
+        let changes = self.store.log.iter().filter(|change| change.0 > since);
+        let changes: Vec<Logged> = changes.cloned().collect();
+        if changes.is_empty() && pending {
+            return None;
+        }
+        Some(Response::Changes(changes, self.store.revision))
+    }
+
     fn read(&self, key: &str) -> Response {
         Response::Entry(self.store.get(key))
     }
