--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -1,6 +1,6 @@
-//! What was cancelled is gone in time: what an owner knows of cancellations and as of
-//! when, and what may not bring a task back. tests/pause.rs and tests/simulation.rs look
-//! for the cases that are not here.
+//! What was cancelled is gone in time: what a leader knows of cancellations and as of when,
+//! and what may not bring a task back. The simulations in tests/pause and tests/simulation
+//! look for the cases that are not here.
 
 mod common;
 
@@ -10,6 +10,7 @@
 use foxspur::coordination::leadership::cancellation_horizon::{
     blind_s, CancellationHorizon, ConfirmedCancellations,
 };
+use foxspur::coordination::leadership::peer_queries::PeerAnswer;
 use foxspur::coordination::node::Node;
 use foxspur::protocol::job::{JobState, Urgency};
 use foxspur::protocol::policy::Policy;
@@ -19,15 +20,15 @@
 use foxspur::storage::records::TerminalRecord;
 use foxspur::transport::sockets::Sockets;
 
-/// As of when all cancellations are known: by the watch, never later than the check of
-/// the ownership, or by the word of every other controller. (A majority's vouches kept
-/// an owner answering for six leases while users outside were told `withdrawn`.)
+/// As of when all cancellations are known: by the watch, never later than the check of the
+/// leadership, or by the reports of every other controller. (Leases extended by a majority
+/// kept a leader answering for six leases while users elsewhere were told `withdrawn`.)
 #[test]
-fn an_owner_knows_as_of_what_was_asked() {
+fn a_leader_knows_cancellations_as_of_when_it_asked() {
     let peers = ["b", "c", "d"].map(String::from);
-    // The watch, the check, words (who, asked at, came at), known as of.
-    type Word = (&'static str, f64, f64);
-    type Case = (&'static str, Option<f64>, f64, &'static [Word], f64);
+    // The watch, the check, reports (peer, asked at, received at), known as of.
+    type Report = (&'static str, f64, f64);
+    type Case = (&'static str, Option<f64>, f64, &'static [Report], f64);
     let cases: [Case; 8] = [
         ("nothing yet", None, 9.0, &[], f64::NEG_INFINITY),
         ("the watch", Some(7.0), 9.0, &[], 7.0),
@@ -47,14 +48,14 @@
             20.0,
         ),
         (
-            "one came late: it stood still",
+            "one came late: it was paused",
             Some(7.0),
             9.0,
             &[("b", 20.0, 20.1), ("c", 20.0, 20.1), ("d", 20.0, 20.6)],
             7.0,
         ),
         (
-            "an older word does not count back",
+            "an older report does not count back",
             Some(7.0),
             9.0,
             &[
@@ -73,13 +74,20 @@
             30.0,
         ),
     ];
-    for (what, watched, confirmed, words, known) in cases {
-        let mut cover = CancellationHorizon::default();
-        watched.into_iter().for_each(|t| cover.watched(t));
-        for (peer, asked_at, now) in words {
-            cover.reported(peer, *asked_at, *now);
+    for (what, watched, confirmed_at, reports, known) in cases {
+        let mut horizon = CancellationHorizon::default();
+        watched
+            .into_iter()
+            .for_each(|at| horizon.watch_answered(at));
+        for (peer, asked_at, received_at) in reports {
+            horizon.peer_reported(PeerAnswer {
+                term: 1,
+                peer,
+                asked_at: *asked_at,
+                received_at: *received_at,
+            });
         }
-        assert_eq!(cover.known_until(confirmed, &peers), known, "{what}");
+        assert_eq!(horizon.known_until(confirmed_at, &peers), known, "{what}");
     }
     // Alone, there is nobody to tell anything.
     assert_eq!(
@@ -92,14 +100,14 @@
     }
 }
 
-/// A word covers all of the time asked for or is not given: a process knows nothing of
-/// its former life, and keeps the latest ones only.
+/// A report covers all of the time asked for or is not given: a process knows nothing of the
+/// one before it, and keeps the latest cancellations only.
 #[test]
-fn a_word_covers_the_time_asked_for() {
-    let mut told = ConfirmedCancellations::since(100.0);
-    told.record("run-1", 110.0);
-    told.record("run-2", 120.0);
-    for (for_s, now, word) in [
+fn a_report_covers_the_time_asked_for() {
+    let mut confirmed = ConfirmedCancellations::since(100.0);
+    confirmed.record("run-1", 110.0);
+    confirmed.record("run-2", 120.0);
+    for (for_s, now, report) in [
         (5.0, 121.0, Some(vec!["run-2"])),
         (15.0, 121.0, Some(vec!["run-2", "run-1"])),
         (21.0, 121.0, Some(vec!["run-2", "run-1"])),
@@ -108,14 +116,19 @@
         (f64::INFINITY, 121.0, None),
         (0.5, 121.0, Some(vec![])),
     ] {
-        let word = word.map(|w| w.iter().map(|s| s.to_string()).collect::<Vec<_>>());
-        assert_eq!(told.within(for_s, now), word, "{for_s}");
+        let report = report.map(|jobs| jobs.iter().map(|id| id.to_string()).collect::<Vec<_>>());
+        assert_eq!(confirmed.within(for_s, now), report, "{for_s}");
     }
     for n in 0..4096 {
-        told.record(&format!("run-x{n}"), 130.0 + f64::from(n));
+        confirmed.record(&format!("run-x{n}"), 130.0 + f64::from(n));
     }
-    assert!(told.within(4115.0, 4230.0).is_none(), "some were let go");
-    assert!(told.within(100.0, 4230.0).is_some_and(|w| w.len() == 96));
+    assert!(
+        confirmed.within(4115.0, 4230.0).is_none(),
+        "some were dropped"
+    );
+    assert!(confirmed
+        .within(100.0, 4230.0)
+        .is_some_and(|jobs| jobs.len() == 96));
 }
 
 /// What is known to be over does not come back by an older answer, of a submission of
@@ -143,13 +156,13 @@
     }
 }
 
-/// A machine that was back at once counts its sessions anew, and what its former life
-/// sent may come later: each session lasts a lease, so one cannot be three further on
-/// within a second. (What had just started was taken for gone and started elsewhere.)
+/// A worker that restarted at once counts its sessions anew, and what its former process sent
+/// may come later: each session lasts a lease, so one cannot be three further on within a
+/// second. (What had just started was taken for lost and started elsewhere.)
 #[test]
-fn a_session_that_cannot_have_begun_is_of_an_earlier_life() {
+fn a_session_that_cannot_have_begun_is_of_an_earlier_process() {
     // Sessions further on, how much later in leases, whether it can be.
-    for (further, leases, can) in [
+    for (further, leases, possible) in [
         (1, 0.1, true),
         (3, 0.1, false),
         (3, 1.9, false),
@@ -158,17 +171,20 @@
         let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0);
         let now = leases * LEASE_S;
-        let verdict = scheduler.handle_heartbeat(&report("m1", 1 + further, 97, 5, &[]), now);
-        let taken = matches!(verdict, HeartbeatReply::Commands(_));
-        assert_eq!(taken, can, "{further} further after {leases} leases");
+        let reply = scheduler.handle_heartbeat(&report("m1", 1 + further, 97, 5, &[]), now);
+        let accepted = matches!(reply, HeartbeatReply::Commands(_));
+        assert_eq!(
+            accepted, possible,
+            "{further} further after {leases} leases"
+        );
     }
 }
 
-/// A start that is on its way to a machine which was back at once lives for a lease from
-/// then, not from the last report that was answered.
+/// A start that is on its way to a worker which restarted at once lives for a lease from
+/// then, not from the last heartbeat that was answered.
 #[test]
 fn a_start_on_its_way_lives_for_a_lease() {
-    for (started_at, at, empty) in [
+    for (started_at, checked_at, empty) in [
         (2.0, LEASE_S + 1.0, false),
         (2.0, LEASE_S + 2.5, true),
         (0.1, LEASE_S + 1.0, true),
@@ -184,20 +200,24 @@
             .expect("a start");
         assert!(matches!(call.commands[..], [Command::Start { .. }]));
         scheduler.direct_call_finished(&name, &call, CallResult::Unknown, started_at + 0.5);
-        // Ticks as they come, so that our own silence is none of the machine's.
-        for n in 0..=(at * 2.0) as u32 {
-            scheduler.tick(f64::from(n) / 2.0, f64::from(n) / 2.0);
+        // Ticks at their pace, so that our own pause is not taken for the machine's silence.
+        for tick in 0..=(checked_at * 2.0) as u32 {
+            let now = f64::from(tick) / 2.0;
+            scheduler.tick(now, now);
         }
-        scheduler.tick(at, at);
-        let gone = scheduler.machines["m1"].attempts.is_empty();
-        assert_eq!(gone, empty, "started at {started_at}, looked at {at}");
+        scheduler.tick(checked_at, checked_at);
+        let proven_empty = scheduler.machines["m1"].attempts.is_empty();
+        assert_eq!(
+            proven_empty, empty,
+            "started at {started_at}, checked at {checked_at}"
+        );
     }
 }
 
-/// A task that saves when its job is cancelled is ended by a second stop, at once and in
-/// every answer until it is seen to end.
+/// A task that writes a checkpoint when its job is cancelled is ended by a second stop, at
+/// once and in every reply until it is seen to end.
 #[test]
-fn a_task_that_saves_is_ended() {
+fn a_task_that_writes_a_checkpoint_is_ended() {
     let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
     let mut job = spec("run-1", "t", Urgency::Standard, 1, 1.0);
     (job.checkpoint_s, job.save_s) = (10.0, 5.0);
@@ -220,14 +240,14 @@
         else {
             panic!("refused");
         };
-        assert!(ends(&reply.commands), "answer {seq}: {:?}", reply.commands);
+        assert!(ends(&reply.commands), "reply {seq}: {:?}", reply.commands);
     }
 }
 
-/// The parts of the sockets never sum to more than there are, and one for each worker of
-/// the largest fleets, and users beside them, is there.
+/// The budgets of sockets never sum to more than there are, and leave one for each worker of
+/// the largest fleets, and some for users.
 #[test]
-fn sockets_are_parted() {
+fn sockets_are_divided() {
     for (all, workers) in [(800, 324), (2832, 1126), (3198, 1905), (32, 12)] {
         let sockets = Sockets::new(all);
         assert!(sockets.front() >= workers + workers / 10, "{all}");
@@ -239,11 +259,11 @@
     }
 }
 
-/// Whoever tells a user of a cancellation tells its own scheduler first. (A cancellation
-/// without an answer was carried out late, and only a poll at the owner found it: the
-/// other controllers' words do not have it, and its tasks ran on in an outage.)
+/// A controller that confirms a cancellation to a user tells its own scheduler first. (A
+/// cancellation without a response was carried out late, and only a poll at the leader found
+/// it: the other controllers' reports do not have it, and its tasks ran on in an outage.)
 #[test]
-fn a_cancellation_found_by_a_poll_at_the_owner_is_known_to_it() {
+fn a_cancellation_found_by_a_poll_at_the_leader_is_known_to_it() {
     let settings = Settings::parse(SETTINGS).expect("good settings");
     // Its clients need a runtime, though nothing is sent.
     let system = actix_rt::System::new();
@@ -256,35 +276,37 @@
             0.0,
         );
         *node.scheduler.borrow_mut() = Some(scheduler);
-        let last = TerminalRecord {
+        let terminal = TerminalRecord {
             state,
             tasks: 2,
             done: 0,
         };
         node.terminal_states.take();
-        node.learn_terminal_state("run-1", last);
+        node.learn_terminal_state("run-1", terminal);
         let scheduler = node.scheduler.borrow();
-        let job = scheduler.as_ref().and_then(|c| c.jobs.get("run-1"));
-        assert_eq!(job.map(|j| j.finished), Some(over), "{state:?}");
-        let told = node
+        let job = scheduler
+            .as_ref()
+            .and_then(|scheduler| scheduler.jobs.get("run-1"));
+        assert_eq!(job.map(|job| job.finished), Some(over), "{state:?}");
+        let confirmed = node
             .confirmed_cancellations
             .borrow()
             .within(0.0, 0.0)
-            .map(|t| t.len());
-        assert_eq!(told.is_some_and(|n| n > 0), over, "{state:?}");
+            .map(|jobs| jobs.len());
+        assert_eq!(confirmed.is_some_and(|count| count > 0), over, "{state:?}");
     }
 }
 
-/// A start without an answer may be carried out once a machine that counts its sessions
-/// anew comes to the session that it was sent to: silence does not prove such a machine
-/// empty. (Seed 1665 of tests/simulation.rs: the task started elsewhere, then here.)
+/// A start without a response may be carried out once a worker that counts its sessions anew
+/// comes to the session that it was sent to: silence does not prove its machine empty. (Seed
+/// 1665 of tests/simulation: the task started elsewhere, then here.)
 #[test]
-fn a_machine_that_counts_anew_is_not_proven_empty_by_silence() {
-    // What the call for a report shows: the session, if the machine answers at all.
+fn a_machine_with_restarted_sessions_is_not_proven_empty_by_silence() {
+    // What the call for a heartbeat shows: the session, if the worker answers at all.
     let cases = [
         ("it counts anew", Some(1), false),
         ("the same session", Some(3), true),
-        ("no answer", None, true),
+        ("no response", None, true),
     ];
     for (what, session, proven) in cases {
         let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
