--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -1,5 +1,5 @@
-//! Commands for machines: in answers to their reports, in direct calls, and the
-//! calls that ask for a report.
+//! Commands for machines: in answers to their heartbeats, in direct calls, and the probes
+//! that ask for a report.
 
 use crate::coordination::scheduler::job::{AttemptId, Name};
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus, MessageId};
@@ -7,185 +7,236 @@
 use crate::protocol::worker::{Cause, Command, Direct, Phase};
 use crate::storage::records::TOKENS_PER_TERM;
 
+/// What the answer to a heartbeat tells a machine, by kind.
+#[derive(Default)]
+struct AnswerCommands {
+    forgets: Vec<AttemptId>,
+    stops: Vec<Command>,
+    starts: Vec<AttemptId>,
+    /// The token of the answer.
+    token: u64,
+}
+
+fn start_command(key: &AttemptId) -> Command {
+    Command::Start {
+        task: key.task.wire(),
+        attempt: key.number,
+    }
+}
+
+fn stop_command(key: &AttemptId, grace_s: f64) -> Command {
+    Command::Stop {
+        task: key.task.wire(),
+        attempt: key.number,
+        grace_s,
+    }
+}
+
+fn forget_command(key: &AttemptId) -> Command {
+    Command::Forget {
+        task: key.task.wire(),
+        attempt: key.number,
+    }
+}
+
+/// The token with which the worker may be told to forget an exited attempt: above that of
+/// any direct call with its start. `None` while a call under way would be refused under the
+/// higher token, or when the term has no token above it left.
+///
+/// A worker that forgot an attempt starts it anew when a copy of a direct call with
+/// its start arrives, however late. (A task of a job cancelled long ago ran, and one
+/// ran twice.) With the higher token copies are refused from then on.
+fn forget_token(machine: &Machine, attempt: &Attempt, term: u64) -> Option<u64> {
+    let token = machine.token_under(term);
+    let above = attempt.copies_up_to.map_or(token, |t| token.max(t + 1));
+    let available = above == token || !machine.call_in_flight && above < term + TOKENS_PER_TERM;
+    available.then_some(above)
+}
+
+/// Notes that the answer tells the machine of its stops and of these attempts to forget:
+/// a later message must show that it did.
+fn mark_told(machine: &mut Machine, forgets: &[AttemptId]) {
+    for attempt in machine.attempts.values_mut() {
+        if !attempt.call_in_flight {
+            attempt.unsent = false;
+        }
+        // A task that saves was told before.
+        let stoppable = !matches!(attempt.phase, None | Some(Phase::Saving | Phase::Exited));
+        attempt.told_to_end = stoppable && attempt.stop_grace_s.is_some();
+    }
+    for key in forgets {
+        if let Some(attempt) = machine.attempts.get_mut(key) {
+            attempt.told_to_end = true;
+        }
+    }
+}
+
+/// Takes the stops and starts of the machine that wait to be sent, for a call with this
+/// token.
+fn take_unsent_commands(machine: &mut Machine, token: u64) -> Vec<Command> {
+    let mut commands = Vec::new();
+    for (key, attempt) in machine.attempts.iter_mut() {
+        if !attempt.unsent || attempt.has_exited() {
+            continue;
+        }
+        attempt.unsent = false;
+        if let Some(grace_s) = attempt.stop_grace_s {
+            commands.push(stop_command(key, grace_s));
+        } else if attempt.phase.is_none() {
+            attempt.call_in_flight = true;
+            attempt.copies_up_to = Some(token);
+            commands.push(start_command(key));
+        }
+    }
+    commands
+}
+
 impl Scheduler {
     /// Whether an exited attempt can be forgotten by its worker: what it says
-    /// is in the books, and no copy of its start may still come.
-    fn forgettable(&self, key: &AttemptId, active: &Attempt) -> bool {
-        if active.is_in_flight() {
+    /// is recorded, and no copy of its start may still come.
+    fn is_forgettable(&self, key: &AttemptId, attempt: &Attempt) -> bool {
+        if attempt.is_in_flight() {
             return false;
         }
         match self.jobs.get(&key.task.job) {
-            Some(job) if active.cause == Some(Cause::Done) => {
+            Some(job) if attempt.cause == Some(Cause::Done) => {
                 job.finished || job.saved.contains(key.task.index)
             }
             _ => true,
         }
     }
 
-    /// Commands for the answer to this report.
-    ///
-    /// A worker that forgot an attempt starts it anew when a copy of a direct call with
-    /// its start arrives, however late. (A task of a job cancelled long ago ran, and one
-    /// ran twice.) So the answer that has it forget one carries a token above that of
-    /// any such call, and copies are refused from then on.
+    /// Commands for the answer to this heartbeat.
     pub(crate) fn heartbeat_commands(
         &mut self,
         name: &Name,
-        order: MessageId,
+        message: MessageId,
         now: f64,
     ) -> Vec<Command> {
-        let term = self.term;
-        let Some(m) = self.machines.get(name) else {
+        let Some(machine) = self.machines.get(name) else {
             return Vec::new();
         };
-        let token = m.token_under(term);
-        let mut raised = token;
-        let mut forget = Vec::new();
-        let mut forgets = Vec::new();
-        let mut stops = Vec::new();
-        let mut starts = Vec::new();
-        for (key, active) in &m.attempts {
-            let (task, attempt) = (key.task.wire(), key.number);
-            if active.has_exited() {
-                let above = active.copies_up_to.map_or(token, |t| token.max(t + 1));
-                // A call under way would be refused under the higher token, and beyond
-                // the last one the share's term is raised first.
-                let can = above == token || !m.call_in_flight && above < term + TOKENS_PER_TERM;
-                if can && self.forgettable(key, active) {
-                    raised = raised.max(above);
-                    forgets.push(key.clone());
-                    forget.push(Command::Forget { task, attempt });
-                }
-            } else if let Some(grace_s) = active.stop_grace_s {
-                stops.push(Command::Stop {
-                    task,
-                    attempt,
-                    grace_s,
-                });
-            } else if active.phase.is_none() && !active.call_in_flight && m.recorded {
-                starts.push((key.clone(), Command::Start { task, attempt }));
-            }
-        }
-        let Some(m) = self.machines.get_mut(name) else {
+        let answer = self.answer_commands(machine);
+        let last_token = self.term + TOKENS_PER_TERM - 1;
+        let Some(machine) = self.machines.get_mut(name) else {
             return Vec::new();
         };
-        m.raised_token = raised;
-        if raised + 1 == term + TOKENS_PER_TERM {
-            // All of the term's tokens are used: see `wants_new_term`.
+        machine.raised_token = answer.token;
+        if answer.token == last_token {
+            // All of the term's tokens are used: see `needs_higher_term`.
             self.unresolved_starts.insert(name.clone());
         }
-        for active in m.attempts.values_mut() {
-            if !active.call_in_flight {
-                active.unsent = false;
-            }
-            // A task that saves was told before.
-            let plain = !matches!(active.phase, None | Some(Phase::Saving | Phase::Exited));
-            active.told_to_end = plain && active.stop_grace_s.is_some();
-        }
-        for id in forgets {
-            if let Some(active) = m.attempts.get_mut(&id) {
-                active.told_to_end = true;
-            }
-        }
-        let mut commands = forget;
-        commands.append(&mut stops);
-        for (key, command) in starts {
-            if let Some(active) = m.attempts.get_mut(&key) {
-                active.sent_in_reply_to = Some(order);
-                active.sent_at = now;
+        mark_told(machine, &answer.forgets);
+        let mut commands: Vec<Command> = answer.forgets.iter().map(forget_command).collect();
+        commands.extend(answer.stops);
+        for key in answer.starts {
+            commands.push(start_command(&key));
+            if let Some(attempt) = machine.attempts.get_mut(&key) {
+                attempt.sent_in_reply_to = Some(message);
+                attempt.sent_at = now;
             }
-            commands.push(command);
         }
         self.outbox.swap_remove(name);
         commands
     }
 
-    /// A direct call for the machine, if one is due.
+    /// What the machine is to be told of its attempts.
+    fn answer_commands(&self, machine: &Machine) -> AnswerCommands {
+        let mut answer = AnswerCommands {
+            token: machine.token_under(self.term),
+            ..AnswerCommands::default()
+        };
+        for (key, attempt) in &machine.attempts {
+            if attempt.has_exited() {
+                let token = forget_token(machine, attempt, self.term);
+                if let Some(token) = token.filter(|_| self.is_forgettable(key, attempt)) {
+                    answer.token = answer.token.max(token);
+                    answer.forgets.push(key.clone());
+                }
+            } else if let Some(grace_s) = attempt.stop_grace_s {
+                answer.stops.push(stop_command(key, grace_s));
+            } else if attempt.phase.is_none() && !attempt.call_in_flight && machine.recorded {
+                answer.starts.push(key.clone());
+            }
+        }
+        answer
+    }
+
+    /// A direct call for the machine, if one is due, with the worker's address.
     pub fn next_direct_call(&mut self, name: &Name, now: f64) -> Option<(String, Direct)> {
         let term = self.term;
-        let m = self.machines.get_mut(name)?;
-        let token = m.token_under(term);
-        if m.call_in_flight || m.status == MachineStatus::Expired {
+        let machine = self.machines.get_mut(name)?;
+        if machine.call_in_flight || machine.status == MachineStatus::Expired {
             return None;
         }
-        let probe = m.recorded && !m.fenced || m.delivery.is_doubted();
-        let mut commands = Vec::new();
-        for (key, active) in m.attempts.iter_mut() {
-            if !active.unsent || active.has_exited() {
-                continue;
-            }
-            active.unsent = false;
-            let (task, attempt) = (key.task.wire(), key.number);
-            if let Some(grace_s) = active.stop_grace_s {
-                commands.push(Command::Stop {
-                    task,
-                    attempt,
-                    grace_s,
-                });
-            } else if active.phase.is_none() {
-                active.call_in_flight = true;
-                active.copies_up_to = Some(token);
-                commands.push(Command::Start { task, attempt });
-            }
-        }
+        let token = machine.token_under(term);
+        let probe = machine.recorded && !machine.fenced || machine.delivery.is_doubted();
+        let commands = take_unsent_commands(machine, token);
         if commands.is_empty() && !probe {
             return None;
         }
-        m.call_in_flight = true;
-        m.called_at = now;
-        m.called_at_message = m.last_message;
-        if !m.fenced {
-            m.probed_at.get_or_insert(now);
+        machine.call_in_flight = true;
+        machine.called_at = now;
+        machine.called_at_message = machine.last_message;
+        if !machine.fenced {
+            machine.probed_at.get_or_insert(now);
         }
         let call = Direct {
             token,
-            session: m.last_message.session,
+            session: machine.last_message.session,
             commands,
         };
-        Some((m.info.addr.clone(), call))
+        Some((machine.info.addr.clone(), call))
     }
 
-    /// Asks machines in doubt whether they hear us: an answer is proof. One that does
-    /// not is asked again when it may have come round to us once more.
+    /// Probes machines that our answers may not reach: an answer to the call is proof. One
+    /// that does not answer is probed again after a part of a lease.
     pub(crate) fn probe_suspects(&mut self, now: f64) {
         let machines = &self.machines;
         self.suspects
-            .retain(|n| machines.get(n).is_some_and(|m| m.delivery.is_doubted()));
-        let every = self.config.lease_s / 4.0;
-        let due = self.suspects.iter().filter(|n| {
-            let m = self.machines.get(*n);
-            m.is_some_and(|m| !m.call_in_flight && now - m.called_at >= every)
-        });
-        let due: Vec<Name> = due.cloned().collect();
+            .retain(|name| machines.get(name).is_some_and(|m| m.delivery.is_doubted()));
+        let interval_s = self.config.lease_s / 4.0;
+        let is_due =
+            |machine: &Machine| !machine.call_in_flight && now - machine.called_at >= interval_s;
+        let due: Vec<Name> = self
+            .suspects
+            .iter()
+            .filter(|name| machines.get(*name).is_some_and(is_due))
+            .cloned()
+            .collect();
         self.outbox.extend(due);
     }
 
-    /// Asks up to `most` machines for a report under our term, so that placing
-    /// can begin.
-    pub fn probe_unfenced(&mut self, now: f64, most: usize) {
+    /// Probes up to `max_probes` machines for a report under our term, so that placement
+    /// can begin after a takeover.
+    pub fn probe_unfenced(&mut self, now: f64, max_probes: usize) {
         let machines = &self.machines;
         self.unfenced
-            .retain(|n| machines.get(n).is_some_and(Machine::blocks_placement));
-        // Workers that lost their owner try another controller every second and
-        // are sent here, so most come by themselves. While they do, asking them
+            .retain(|name| machines.get(name).is_some_and(Machine::blocks_placement));
+        // Workers that lost their leader try another controller every second and
+        // are sent here, so most come by themselves. While they do, probing them
         // as well would double the work of a takeover.
         let came = self.unfenced_before.saturating_sub(self.unfenced.len());
         self.unfenced_before = self.unfenced.len();
-        if came > most / 4 {
+        if came > max_probes / 4 {
             return;
         }
-        let every = self.config.report_s.min(1.0);
-        let patience = self.config.report_s / 4.0;
-        let due = |m: &&Machine| {
-            m.recorded
-                && !m.fenced
-                && !m.call_in_flight
-                && now - m.session_seen_at >= patience
-                && now - m.called_at >= every
+        let interval_s = self.config.report_s.min(1.0);
+        let grace_s = self.config.report_s / 4.0;
+        let is_due = |machine: &Machine| {
+            machine.recorded
+                && !machine.fenced
+                && !machine.call_in_flight
+                && now - machine.session_seen_at >= grace_s
+                && now - machine.called_at >= interval_s
         };
-        let awaited = self.unfenced.iter();
-        let machines = awaited.filter(|n| self.machines.get(*n).as_ref().is_some_and(due));
-        let names: Vec<Name> = machines.take(most).cloned().collect();
-        self.outbox.extend(names);
+        let due: Vec<Name> = self
+            .unfenced
+            .iter()
+            .filter(|name| machines.get(*name).is_some_and(is_due))
+            .take(max_probes)
+            .cloned()
+            .collect();
+        self.outbox.extend(due);
     }
 }
--- a/src/coordination/agents/mod.rs
+++ b/src/coordination/agents/mod.rs
@@ -1,5 +1,5 @@
-//! Workers, as the leader meets them: their heartbeats, the commands they get, and what
-//! their silence proves.
+//! The leader's side of the workers (agents): their heartbeats, the commands they get, and
+//! what their silence proves.
 
 pub mod commands;
 pub mod direct_calls;
@@ -7,4 +7,8 @@
 pub mod failure_detector;
 pub mod heartbeat;
 pub mod leader_reachability;
+mod lease_expiry;
+mod partitions;
 mod reconciliation;
+mod task_reconciliation;
+mod unhealthy_machines;
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -1,167 +1,283 @@
-//! One task of a report: adopted, counted, ended, or to be stopped.
+//! Reconciles a worker's report with what the leader holds of its machine.
+//!
+//! A report lists all attempts that the worker has, so an attempt that it does not list is
+//! not there, unless a command that starts it may still be on its way. What the report
+//! shows of our earlier answers is evidence of whether answers reach the machine
+//! (see `scheduler::delivery`).
 
+use super::task_reconciliation::ShownTask;
 use crate::coordination::scheduler::capacity::Resources;
-use crate::coordination::scheduler::delivery::Evidence;
-use crate::coordination::scheduler::job::{AttemptId, Name};
-use crate::coordination::scheduler::machine::Attempt;
+use crate::coordination::scheduler::delivery::{Evidence, EvidenceSummary};
+use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
+use crate::coordination::scheduler::machine::{Attempt, Machine, MessageId};
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::worker::{Cause, Phase};
+use crate::protocol::worker::{Phase, Report, Shown};
+
+/// How a report reached us.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub(crate) enum ReportSource {
+    /// A heartbeat of the worker, whose lease our answer renews.
+    Heartbeat,
+    /// The answer to a direct call.
+    DirectCall,
+}
+
+/// How a report relates to the sessions that were known before it.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum SessionChange {
+    /// The session that was known.
+    Same,
+    /// The first one that is known of the machine.
+    First,
+    /// A newer one: the one before is over, with all that ran in it.
+    Newer,
+}
+
+impl SessionChange {
+    fn of(report: &Report, machine: &Machine) -> SessionChange {
+        if report.session <= machine.last_message.session {
+            SessionChange::Same
+        } else if machine.last_message == MessageId::NONE {
+            SessionChange::First
+        } else {
+            SessionChange::Newer
+        }
+    }
+}
+
+/// Notes what the heartbeat's term, time and session say of our earlier answers. What the
+/// machine did not hear of before is seen from its tasks.
+fn note_heartbeat_evidence(
+    machine: &mut Machine,
+    report: &Report,
+    ended_session_counts: bool,
+    now: f64,
+    evidence: &mut EvidenceSummary,
+) {
+    let told_term = machine.delivery.told_term;
+    if report.token < told_term {
+        evidence.note(Evidence::Undelivered);
+    } else if machine.seen_token < told_term {
+        evidence.note(Evidence::Delivered);
+    }
+    machine
+        .delivery
+        .next_heartbeat_after(now - machine.heard_at);
+    let newer_session = report.session > machine.last_message.session;
+    if newer_session && machine.delivery.session_ended() && ended_session_counts {
+        evidence.note(Evidence::Undelivered);
+    }
+}
+
+/// Takes over the report's session, sequence number, token and termination notice.
+fn record_message(machine: &mut Machine, report: &Report, now: f64) {
+    machine.heard_at = now;
+    machine.renumbered_at = None;
+    machine.unanswered_calls = 0;
+    machine.repeatable_tasks = None;
+    if report.session > machine.last_message.session {
+        machine.session_seen_at = now;
+        machine.renumbers = false;
+    }
+    machine.last_message = MessageId::of(report);
+    machine.seen_token = machine.seen_token.max(report.token);
+    machine.notice_at = report.notice_s.map(|s| now + s);
+}
+
+/// Notes what it says of our answers that this attempt is, or is not, in the machine's
+/// newest message, and settles the starts which that message proves executed or dropped.
+fn settle_commands(
+    attempt: &mut Attempt,
+    shown: bool,
+    source: ReportSource,
+    seen_token: u64,
+    evidence: &mut EvidenceSummary,
+) {
+    // Answers to earlier heartbeats were executed or dropped before this one was sent;
+    // answers to direct calls say nothing about them.
+    if source == ReportSource::Heartbeat && attempt.sent_in_reply_to.take().is_some() {
+        evidence.note(if shown {
+            Evidence::Delivered
+        } else {
+            Evidence::Undelivered
+        });
+    }
+    if attempt.told_to_end && !shown {
+        evidence.note(Evidence::Delivered);
+    }
+    if attempt
+        .unresolved_call
+        .is_some_and(|(term, _)| term < seen_token)
+    {
+        attempt.unresolved_call = None;
+    }
+}
+
+/// Settles the commands to all attempts of the machine; returns those that are gone: not
+/// in the newest message, and no start of theirs may still be executed.
+fn settle_attempts(
+    machine: &mut Machine,
+    source: ReportSource,
+    evidence: &mut EvidenceSummary,
+) -> Vec<AttemptId> {
+    let mut gone = Vec::new();
+    for (key, attempt) in machine.attempts.iter_mut() {
+        let shown = attempt.last_shown == machine.last_message;
+        settle_commands(attempt, shown, source, machine.seen_token, evidence);
+        let shown_before = attempt.phase.is_some();
+        let unwanted = attempt.stop_grace_s.is_some() || !machine.recorded;
+        if !shown && !attempt.is_in_flight() && (shown_before || unwanted) {
+            gone.push(key.clone());
+        }
+    }
+    gone
+}
 
 impl Scheduler {
-    /// One task of a report; what it takes of the machine if its job is known.
-    pub(crate) fn reconcile_task(
+    /// Reconciles a report that is newer than what is known of its machine.
+    pub(crate) fn reconcile_report(
         &mut self,
         name: &Name,
-        key: &AttemptId,
-        phase: Phase,
-        cause: Option<Cause>,
-        holds: Option<Resources>,
+        report: &Report,
+        source: ReportSource,
         now: f64,
-    ) -> Evidence {
-        let Some(m) = self.machines.get_mut(name) else {
-            return Evidence::Neutral;
+    ) {
+        // A session that ended while we stood still says nothing of delivery.
+        let steady = now - self.listening_since(now) > self.config.lease_s;
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
         };
-        let mut fresh = false;
-        let active = m.attempts.entry(key.clone()).or_insert_with(|| {
-            fresh = true;
-            let mut adopted = Attempt::new(now, Resources::default());
-            adopted.unsent = false;
-            adopted
-        });
-        active.last_shown = m.last_message;
-        active.resources = holds.unwrap_or_default();
-        let was_exited = active.has_exited();
-        let sign = match std::mem::take(&mut active.told_to_end) {
-            true if active.phase == Some(phase) => Evidence::Undelivered,
-            true => Evidence::Delivered,
-            false => Evidence::Neutral,
+        let session = SessionChange::of(report, machine);
+        let mut evidence = EvidenceSummary::default();
+        match source {
+            ReportSource::DirectCall => evidence.note(Evidence::Delivered),
+            ReportSource::Heartbeat => {
+                let counts = session == SessionChange::Newer && steady;
+                note_heartbeat_evidence(machine, report, counts, now, &mut evidence);
+            }
+        }
+        record_message(machine, report, now);
+        self.record_fencing_and_address(name, report, now);
+        if session == SessionChange::Newer {
+            // All tasks of the old session were killed, and commands to it are dropped.
+            tracing::info!(machine = %name, session = report.session, "new session");
+            self.clear_machine(name);
+        }
+        self.reconcile_tasks(name, report, now, &mut evidence);
+        self.remove_gone_attempts(name, source, &mut evidence);
+        self.conclude_delivery(name, &evidence, now);
+        self.update_capacity(name);
+    }
+
+    /// A machine that has seen our term is fenced: it drops the answers and calls of all
+    /// former leaders.
+    fn record_fencing_and_address(&mut self, name: &Name, report: &Report, now: f64) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
         };
-        active.phase = Some(phase);
-        if phase == Phase::Running && active.running_since.is_none() {
-            active.running_since = Some(now);
+        if report.token >= self.fence.base_term && !machine.fenced {
+            machine.fenced = true;
+            machine.fenced_at = now;
+            self.placement_due = true;
         }
-        let started = active.running_since;
-        let job = self.jobs.get_mut(&key.task.job).filter(|_| holds.is_some());
-        let Some(job) = job else {
-            // Its job is over, or was never accepted: it must go.
-            if phase != Phase::Exited && active.stop_grace_s.is_none() {
-                active.stop_grace_s = Some(0.0);
-                active.unsent = true;
-                self.outbox.insert(name.clone());
+        if machine.info.addr != report.addr {
+            machine.info.addr = report.addr.clone();
+            self.machine_record_dirty = true;
+        }
+    }
+
+    /// Reconciles the report's tasks one by one. Live attempts of unknown jobs hold up
+    /// placement until they are gone.
+    fn reconcile_tasks(
+        &mut self,
+        name: &Name,
+        report: &Report,
+        now: f64,
+        evidence: &mut EvidenceSummary,
+    ) {
+        let mut unknown_attempts = 0;
+        for entry in &report.tasks {
+            let Some(shown) = self.shown_task(entry) else {
+                continue;
+            };
+            if shown.resources.is_none() && shown.phase != Phase::Exited {
+                unknown_attempts += 1;
             }
-            return sign;
+            evidence.note(self.reconcile_task(name, &shown, now));
+        }
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.unknown_attempts = unknown_attempts;
+        }
+        if unknown_attempts > 0 {
+            self.unfenced.insert(name.clone());
+        }
+    }
+
+    /// A report's entry with what is known of its job; `None` if the task's name does not
+    /// parse.
+    fn shown_task(&self, entry: &Shown) -> Option<ShownTask> {
+        let (job, index) = TaskId::split(&entry.task)?;
+        let known = self.jobs.get_key_value(job);
+        let resources = known
+            .filter(|(_, job)| index < job.spec.tasks)
+            .map(|(_, job)| Resources::of_task(&job.spec));
+        let job = known.map_or_else(|| job.into(), |(name, _)| name.clone());
+        Some(ShownTask {
+            attempt: AttemptId::new(TaskId { index, job }, entry.attempt),
+            phase: entry.phase,
+            cause: entry.cause,
+            resources,
+        })
+    }
+
+    /// Removes attempts that the newest message proves gone.
+    fn remove_gone_attempts(
+        &mut self,
+        name: &Name,
+        source: ReportSource,
+        evidence: &mut EvidenceSummary,
+    ) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
         };
-        let index = key.task.index;
-        let runs = phase != Phase::Exited && started.is_some();
-        if runs != active.counted_as_running {
-            active.counted_as_running = runs;
-            // One that is shown for the first time began before we knew of it.
-            if runs && job.note_running() {
-                tracing::info!(job = %key.task.job, waited_s = now - job.accepted_at, "begun");
-                if !fresh {
-                    self.predictor
-                        .waited(&job.spec.class, now - job.accepted_at);
-                }
-            }
-            job.running = if runs {
-                job.running + 1
-            } else {
-                job.running.saturating_sub(1)
-            };
+        for key in settle_attempts(machine, source, evidence) {
+            self.remove_attempt(name, &key);
         }
-        if phase != Phase::Exited {
-            let on = job.placed.get(&index).map(|(_, attempt)| *attempt);
-            let elsewhere = on.is_some_and(|attempt| attempt != key.number);
-            if on.is_none() {
-                // A former owner's task: adopted. It need not be the first
-                // report that shows it: a job can become known to us after its
-                // task did, and while that is being stopped it is still on.
-                job.set_placed(index, name.clone(), key.number);
-                self.team_usage.add(job.team, &job.spec, 1.0);
-            } else if elsewhere && job.add_copy(index, name.clone(), key.number) {
-                // One of the two reports is older, and we cannot tell which: as
-                // long as either may be on, the task must not start again. (The
-                // one seen first went with its session, the task started a third
-                // time while the other one ran: ran_twice.)
-                self.team_usage.add(job.team, &job.spec, 1.0);
-            }
-            let unwanted = elsewhere || job.finished || job.completed.contains(index);
-            if fresh || phase == Phase::Running && started == Some(now) {
-                let spec = &job.spec;
-                let cache = self
-                    .types
-                    .get(&m.info.kind)
-                    .map_or(f64::MAX, |t| t.cache_gb);
-                if !m.has_image(&spec.image) {
-                    match self.image_holders.get_mut(&spec.image) {
-                        Some(holders) => holders.push(name.clone()),
-                        None => {
-                            let first = vec![name.clone()];
-                            self.image_holders.insert(spec.image.clone(), first);
-                        }
-                    }
-                }
-                m.used_image(&spec.image, spec.image_gb, cache);
-            }
-            if on.is_none() {
-                self.dequeue(&key.task);
-            }
-            if unwanted {
-                self.stop_attempt(name, key, 0.0);
-            }
-            return sign;
+    }
+
+    /// Draws the conclusion from the evidence of one message: a machine that answers may
+    /// not reach gets nothing new.
+    fn conclude_delivery(&mut self, name: &Name, evidence: &EvidenceSummary, now: f64) {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return;
+        };
+        if !machine.attempts.is_empty() {
+            machine.idle_since = now;
         }
-        if was_exited {
-            return sign;
+        let doubted_before = machine.delivery.is_doubted();
+        machine
+            .delivery
+            .message_received(evidence.conclusion(), now);
+        let doubted = machine.delivery.is_doubted();
+        if doubted != doubted_before {
+            tracing::info!(machine = %name, doubted, "delivery of answers doubted or confirmed");
+            self.suspects.insert(name.clone());
+            self.placement_due = true;
         }
-        active.cause = cause;
-        let spec = job.spec.clone();
-        match cause {
-            Some(Cause::Done) => {
-                job.set_completed(index);
-                self.unsaved_jobs.insert(key.task.job.clone());
-                self.dequeue(&key.task);
-                if let Some(m) = self.machines.get_mut(name) {
-                    m.recent_failures.clear();
-                }
-                if let Some(at) = started {
-                    self.record_run_time(&spec, now - at);
-                }
-            }
-            Some(Cause::Error) => {
-                job.failed_on.insert(name.clone());
-                job.failures += 1;
-                // A bad job is tried ever more rarely, and with one task, a good one
-                // at once.
-                if job.is_suspect() {
-                    job.retries += u32::from(job.placed.len() <= 1);
-                    let tries = f64::from(job.retries + 1);
-                    job.not_before = now + self.config.report_s * tries.powi(2).min(100.0);
-                    if job.retries <= 1 {
-                        tracing::warn!(job = %key.task.job, machine = %name, "fails everywhere");
-                    }
-                    // It was not the machines' fault: a job of hundreds of tasks
-                    // would take a part of a healthy fleet out of use.
-                    for blamed in job.failed_on.iter() {
-                        if let Some(m) = self.machines.get_mut(blamed) {
-                            m.recent_failures.retain(|j| *j != key.task.job);
-                        }
-                    }
-                } else if let Some(m) = self.machines.get_mut(name) {
-                    if job.has_succeeded() || !m.recent_failures.contains(&key.task.job) {
-                        m.recent_failures.push(key.task.job.clone());
-                    }
-                    tracing::info!(job = %key.task.job, task = index, machine = %name, "task failed");
-                }
-            }
-            Some(Cause::NoRoom | Cause::Busy | Cause::Unknown) => {
-                tracing::info!(task = %key.task.wire(), machine = %name, cause = ?cause, "start refused");
-                job.description_unknown = cause == Some(Cause::Unknown);
-                job.not_before = now + self.config.report_s / 2.0;
-            }
-            _ => {}
+    }
+
+    /// Removes an attempt from its machine; the caller updates the machine's capacity
+    /// afterwards.
+    pub(crate) fn remove_attempt(&mut self, name: &Name, key: &AttemptId) {
+        let mut removed = None;
+        if let Some(machine) = self.machines.get_mut(name) {
+            removed = machine.attempts.remove(key);
+            machine.repeatable_tasks = None;
+            machine.idle_since = self.now;
+        }
+        if let Some(mut attempt) = removed {
+            self.uncount_running(key, &mut attempt);
         }
         self.release_attempt(key);
-        sign
     }
 }
--- /dev/null
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -0,0 +1,268 @@
+//! Reconciles one attempt of a worker's report: it is adopted, counted as running, taken
+//! for ended, or stopped as unwanted.
+//!
+//! As long as any message shows a task on a machine, the task is placed and must not start
+//! again elsewhere, also if two machines show it.
+
+use crate::coordination::scheduler::capacity::Resources;
+use crate::coordination::scheduler::delivery::Evidence;
+use crate::coordination::scheduler::job::{AttemptId, Job, Name, TaskId};
+use crate::coordination::scheduler::machine::{Attempt, MessageId};
+use crate::coordination::scheduler::state::Scheduler;
+use crate::protocol::worker::{Cause, Phase};
+
+/// An attempt as a report shows it.
+pub(crate) struct ShownTask {
+    pub(crate) attempt: AttemptId,
+    pub(crate) phase: Phase,
+    pub(crate) cause: Option<Cause>,
+    /// What it takes of the machine; `None` if its job is not known.
+    pub(crate) resources: Option<Resources>,
+}
+
+/// What is known of an attempt beside the report that shows it.
+struct ShownBefore {
+    /// No message has shown it before, and it was not started by us.
+    adopted: bool,
+    running_since: Option<f64>,
+}
+
+/// An attempt that we did not start: a former leader did.
+fn adopted_attempt(now: f64) -> Attempt {
+    let mut attempt = Attempt::new(now, Resources::default());
+    attempt.unsent = false;
+    attempt
+}
+
+/// Takes over what the message shows of the attempt; returns what that says of an answer
+/// that told the machine to stop or forget it.
+fn record_shown(
+    attempt: &mut Attempt,
+    shown: &ShownTask,
+    message: MessageId,
+    now: f64,
+) -> Evidence {
+    attempt.last_shown = message;
+    attempt.resources = shown.resources.unwrap_or_default();
+    let told_to_end = std::mem::take(&mut attempt.told_to_end);
+    let evidence = match told_to_end {
+        true if attempt.phase == Some(shown.phase) => Evidence::Undelivered,
+        true => Evidence::Delivered,
+        false => Evidence::Neutral,
+    };
+    attempt.phase = Some(shown.phase);
+    if shown.phase == Phase::Running && attempt.running_since.is_none() {
+        attempt.running_since = Some(now);
+    }
+    evidence
+}
+
+/// Keeps the job's count of running tasks; whether its first task began to run.
+fn update_running_count(job: &mut Job, attempt: &mut Attempt) -> bool {
+    let runs = !attempt.has_exited() && attempt.running_since.is_some();
+    if runs == attempt.counted_as_running {
+        return false;
+    }
+    attempt.counted_as_running = runs;
+    let first = runs && job.note_running();
+    job.running = if runs {
+        job.running + 1
+    } else {
+        job.running.saturating_sub(1)
+    };
+    first
+}
+
+impl Scheduler {
+    /// Reconciles one attempt of a report that is already the machine's newest message.
+    pub(crate) fn reconcile_task(&mut self, name: &Name, shown: &ShownTask, now: f64) -> Evidence {
+        let Some(machine) = self.machines.get_mut(name) else {
+            return Evidence::Neutral;
+        };
+        let mut adopted = false;
+        let attempt = machine
+            .attempts
+            .entry(shown.attempt.clone())
+            .or_insert_with(|| {
+                adopted = true;
+                adopted_attempt(now)
+            });
+        let exited_before = attempt.has_exited();
+        let evidence = record_shown(attempt, shown, machine.last_message, now);
+        let job_name = &shown.attempt.task.job;
+        let job = self.jobs.get_mut(job_name);
+        let Some(job) = job.filter(|_| shown.resources.is_some()) else {
+            // Its job is over, or was never accepted: it must go.
+            if shown.phase != Phase::Exited && attempt.stop_grace_s.is_none() {
+                attempt.stop_grace_s = Some(0.0);
+                attempt.unsent = true;
+                self.outbox.insert(name.clone());
+            }
+            return evidence;
+        };
+        if update_running_count(job, attempt) {
+            let waited_s = now - job.accepted_at;
+            tracing::info!(job = %job_name, waited_s, "begun");
+            // One that is shown for the first time began before we knew of it.
+            if !adopted {
+                self.predictor.waited(&job.spec.class, waited_s);
+            }
+        }
+        let before = ShownBefore {
+            adopted,
+            running_since: attempt.running_since,
+        };
+        if shown.phase != Phase::Exited {
+            self.reconcile_live_attempt(name, shown, &before, now);
+        } else if !exited_before {
+            attempt.cause = shown.cause;
+            self.reconcile_exited_attempt(name, shown, &before, now);
+        }
+        evidence
+    }
+
+    /// The attempt is on the machine: its task is placed here, or here as well.
+    fn reconcile_live_attempt(
+        &mut self,
+        name: &Name,
+        shown: &ShownTask,
+        before: &ShownBefore,
+        now: f64,
+    ) {
+        let AttemptId { task, number } = &shown.attempt;
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        let placed_attempt = job.placed.get(&task.index).map(|(_, attempt)| *attempt);
+        let elsewhere = placed_attempt.is_some_and(|attempt| attempt != *number);
+        if placed_attempt.is_none() {
+            // A former leader's task: adopted. It need not be the first report that shows
+            // it: a job can become known to us after its task did, and while that is being
+            // stopped it is still on.
+            job.set_placed(task.index, name.clone(), *number);
+            self.team_usage.add(job.team, &job.spec, 1.0);
+        } else if elsewhere && job.add_copy(task.index, name.clone(), *number) {
+            // One of the two reports is older, and we cannot tell which: as long as either
+            // attempt may be on, the task must not start again. (The one seen first went
+            // with its session, and the task started a third time while the other ran.)
+            self.team_usage.add(job.team, &job.spec, 1.0);
+        }
+        let unwanted = elsewhere || job.finished || job.completed.contains(task.index);
+        let just_began = shown.phase == Phase::Running && before.running_since == Some(now);
+        if before.adopted || just_began {
+            self.record_image_use(name, &task.job);
+        }
+        if placed_attempt.is_none() {
+            self.dequeue(task);
+        }
+        if unwanted {
+            self.stop_attempt(name, &shown.attempt, 0.0);
+        }
+    }
+
+    /// The machine has the job's image, used last.
+    fn record_image_use(&mut self, name: &Name, job: &Name) {
+        let (Some(machine), Some(job)) = (self.machines.get_mut(name), self.jobs.get(job)) else {
+            return;
+        };
+        let spec = &job.spec;
+        let machine_type = self.types.get(&machine.info.kind);
+        let cache_gb = machine_type.map_or(f64::MAX, |t| t.cache_gb);
+        if !machine.has_image(&spec.image) {
+            match self.image_holders.get_mut(&spec.image) {
+                Some(holders) => holders.push(name.clone()),
+                None => {
+                    let holders = vec![name.clone()];
+                    self.image_holders.insert(spec.image.clone(), holders);
+                }
+            }
+        }
+        machine.used_image(&spec.image, spec.image_gb, cache_gb);
+    }
+
+    /// The attempt has ended, and no earlier message said so.
+    fn reconcile_exited_attempt(
+        &mut self,
+        name: &Name,
+        shown: &ShownTask,
+        before: &ShownBefore,
+        now: f64,
+    ) {
+        let task = &shown.attempt.task;
+        match shown.cause {
+            Some(Cause::Done) => self.task_completed(name, task, before.running_since, now),
+            Some(Cause::Error) => self.task_failed(name, task, now),
+            Some(cause @ (Cause::NoRoom | Cause::Busy | Cause::Unknown)) => {
+                self.start_refused(name, task, cause, now);
+            }
+            _ => {}
+        }
+        self.release_attempt(&shown.attempt);
+    }
+
+    fn task_completed(&mut self, name: &Name, task: &TaskId, running_since: Option<f64>, now: f64) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        job.set_completed(task.index);
+        let spec = job.spec.clone();
+        self.unsaved_jobs.insert(task.job.clone());
+        self.dequeue(task);
+        if let Some(machine) = self.machines.get_mut(name) {
+            machine.recent_failures.clear();
+        }
+        if let Some(since) = running_since {
+            self.record_run_time(&spec, now - since);
+        }
+    }
+
+    /// A task failed, by the fault of its job or of its machine.
+    fn task_failed(&mut self, name: &Name, task: &TaskId, now: f64) {
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return;
+        };
+        job.failed_on.insert(name.clone());
+        job.failures += 1;
+        if job.is_suspect() {
+            self.back_off_suspect_job(name, &task.job, now);
+            return;
+        }
+        if let Some(machine) = self.machines.get_mut(name) {
+            if job.has_succeeded() || !machine.recent_failures.contains(&task.job) {
+                machine.recent_failures.push(task.job.clone());
+            }
+            tracing::info!(job = %task.job, task = task.index, machine = %name, "task failed");
+        }
+    }
+
+    /// A job that fails on machine after machine is retried ever more rarely, and with one
+    /// task at a time, so that a good one that was suspected starts at once. It was not
+    /// the machines' fault: a job of hundreds of tasks would take a part of a healthy
+    /// fleet out of use.
+    fn back_off_suspect_job(&mut self, name: &Name, job_name: &Name, now: f64) {
+        let Some(job) = self.jobs.get_mut(job_name) else {
+            return;
+        };
+        job.retries += u32::from(job.placed.len() <= 1);
+        let tries = f64::from(job.retries + 1);
+        job.not_before = now + self.config.report_s * tries.powi(2).min(100.0);
+        if job.retries <= 1 {
+            tracing::warn!(job = %job_name, machine = %name, "fails everywhere");
+        }
+        for blamed in job.failed_on.iter() {
+            if let Some(machine) = self.machines.get_mut(blamed) {
+                machine.recent_failures.retain(|failed| failed != job_name);
+            }
+        }
+    }
+
+    /// The worker did not start the task: it had no room, was busy, or did not know the
+    /// job's description.
+    fn start_refused(&mut self, name: &Name, task: &TaskId, cause: Cause, now: f64) {
+        tracing::info!(task = %task.wire(), machine = %name, cause = ?Some(cause), "start refused");
+        if let Some(job) = self.jobs.get_mut(&task.job) {
+            job.description_unknown = cause == Cause::Unknown;
+            job.not_before = now + self.config.report_s / 2.0;
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/agents/unhealthy_machines.rs
@@ -0,0 +1,74 @@
+//! Machines that will be taken away, or that fail task after task.
+
+use crate::coordination::scheduler::job::{AttemptId, Name};
+use crate::coordination::scheduler::machine::{Attempt, MachineStatus};
+use crate::coordination::scheduler::state::Scheduler;
+
+/// A stop that is due, and its grace in seconds.
+struct DueStop {
+    machine: Name,
+    attempt: AttemptId,
+    grace_s: f64,
+}
+
+impl Scheduler {
+    /// Acts on the cloud's termination notices for spot machines: what can save a
+    /// checkpoint is stopped, what ends in time may finish.
+    pub(crate) fn handle_termination_notices(&mut self, now: f64) {
+        let mut stops = Vec::new();
+        for (name, machine) in &self.machines {
+            let Some(terminated_at) = machine.notice_at else {
+                continue;
+            };
+            for (key, attempt) in machine.live_attempts() {
+                if self.stops_before_termination(key, attempt, terminated_at, now) {
+                    stops.push(DueStop {
+                        machine: name.clone(),
+                        attempt: key.clone(),
+                        grace_s: self.save_grace(&key.task.job),
+                    });
+                }
+            }
+        }
+        for stop in stops {
+            self.stop_attempt(&stop.machine, &stop.attempt, stop.grace_s);
+        }
+    }
+
+    fn stops_before_termination(
+        &self,
+        key: &AttemptId,
+        attempt: &Attempt,
+        terminated_at: f64,
+        now: f64,
+    ) -> bool {
+        let Some(job) = self.jobs.get(&key.task.job) else {
+            return false;
+        };
+        let Some(running_since) = attempt.running_since else {
+            return true;
+        };
+        let ran_s = now - running_since;
+        let remaining_s = (self.predict(job) - ran_s).max(0.0);
+        let ends_in_time = remaining_s <= terminated_at - now;
+        let saves_checkpoints = job.spec.checkpoint_s > 0.0;
+        !ends_in_time && saves_checkpoints
+    }
+
+    /// Takes machines that fail task after task out of use.
+    pub(crate) fn retire_failing_machines(&mut self) {
+        let limit = self.config.policy.cordon_errors as usize;
+        let failing: Vec<Name> = self
+            .machines
+            .iter()
+            .filter(|(_, m)| {
+                m.status == MachineStatus::Up && !m.cordoned && m.recent_failures.len() >= limit
+            })
+            .map(|(name, _)| name.clone())
+            .collect();
+        for name in failing {
+            tracing::warn!(machine = %name, "fails its tasks: cordoned");
+            self.retire_machine(&name);
+        }
+    }
+}
