--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -1,372 +1,198 @@
-//! The fleet: rents what is wanted, returns what is broken, silent or idle.
+//! The fleet manager: the leader's loop that scales out for what waits, and scales in what
+//! is broken, silent or idle. What to do is decided in `scale_out` and `scale_in`; here
+//! the decisions are carried out.
 
-use crate::coordination::fleet::scale_out::{wanted, Demand, Offer};
+use super::fleet_state::FleetState;
+use super::machine_types::keep_machine_types;
+use super::scale_in;
+use super::scale_out::{self, Demand, RentalPlan};
+use crate::coordination::agents::dispatcher;
 use crate::coordination::node::Node;
-use crate::coordination::scheduler::machine::MachineStatus;
-use crate::protocol::cloud::{Listed, ListedState, Rental, TypeList};
-use crate::protocol::state::Txn;
-use crate::storage::records::{self, MachineInfo};
-use crate::transport::clients::{Failure, Lane};
+use crate::protocol::cloud::Rental;
+use crate::transport::clients::Failure;
 use actix::prelude::*;
-use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Keeps the fleet.
+/// Between two rounds.
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
+/// Between two rounds while silent machines hold up all placement after a takeover.
+const TAKEOVER_ROUND_INTERVAL: Duration = Duration::from_millis(250);
+
+/// The actor that runs the fleet manager.
 pub struct FleetManager {
+    /// The controller whose fleet it manages.
     pub node: Rc<Node>,
 }
 
-/// What the loop remembers.
-#[derive(Default)]
-struct FleetState {
-    /// Rented and not reporting yet, since when.
-    booting: HashMap<String, (MachineInfo, f64)>,
-    /// Offers refused: not before this time.
-    sold_out: HashMap<Offer, (f64, f64)>,
-    /// To be returned until the cloud says so.
-    returning: BTreeSet<String>,
-    next_booking: u64,
-    listed_at: f64,
-    cloud_list: Vec<Listed>,
-}
-
 impl Actor for FleetManager {
     type Context = Context<Self>;
 
     fn started(&mut self, _: &mut Self::Context) {
-        let node = self.node.clone();
-        actix_rt::spawn(async move { keep_types(node).await });
-        let node = self.node.clone();
-        actix_rt::spawn(async move {
-            let mut books = FleetState::default();
-            let mut base = 0;
-            loop {
-                // Silent machines hold up all placing after a takeover.
-                let gate = node
-                    .scheduler
-                    .borrow()
-                    .as_ref()
-                    .is_none_or(|c| c.fence.open);
-                let pause = if gate { 1.0 } else { 0.25 };
-                actix_rt::time::sleep(Duration::from_secs_f64(pause)).await;
-                let term = node.scheduler.borrow().as_ref().map(|c| c.fence.base_term);
-                // Only while nobody can have taken the share: a deposed owner
-                // would see all machines go silent and return them.
-                let Some(term) = term.filter(|_| node.is_certain_leader()) else {
-                    continue;
-                };
-                if term != base {
-                    base = term;
-                    books = FleetState {
-                        next_booking: books.next_booking,
-                        ..FleetState::default()
-                    };
-                }
-                round(&node, &mut books).await;
-            }
-        });
+        actix_rt::spawn(keep_machine_types(self.node.clone()));
+        actix_rt::spawn(manage_fleet(self.node.clone()));
     }
 }
 
-/// Learns the machine types, and keeps them where a restart finds them.
-async fn keep_types(node: Rc<Node>) {
+/// Runs rounds while this controller leads for certain, for ever.
+async fn manage_fleet(node: Rc<Node>) {
+    let mut state = FleetState::default();
+    let mut state_term = 0;
     loop {
-        let known = node.leadership.borrow().view.types.is_some();
-        let owner = node.scheduler.borrow().is_some();
-        if !known || owner {
-            if let Ok(list) = node.cloud.types().await {
-                let news = node
-                    .leadership
-                    .borrow()
-                    .view
-                    .types
-                    .as_ref()
-                    .is_none_or(|old| {
-                        // Prices wander; only what decides a fit is news.
-                        old.len() != list.types.len()
-                            || old.iter().zip(&list.types).any(|(a, b)| {
-                                a.name != b.name
-                                    || a.cpus != b.cpus
-                                    || a.gpus != b.gpus
-                                    || a.memory_gb != b.memory_gb
-                                    || a.zones != b.zones
-                            })
-                    });
-                node.leadership.borrow_mut().view.types = Some(list.types.clone());
-                if news {
-                    let value = TypeList {
-                        types: list.types.clone(),
-                    };
-                    let txn = Txn::default().put(records::TYPES_KEY, &value);
-                    if node.state.txn(&txn, Lane::Control).await.is_err() {
-                        node.leadership.borrow_mut().view.types = None;
-                    }
-                }
-            }
-        }
-        if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
-            if scheduler.types.is_empty() {
-                if let Some(types) = &node.leadership.borrow().view.types {
-                    scheduler.set_types(types);
-                }
-            }
+        let scheduler_term = |node: &Node| {
+            let scheduler = node.scheduler.borrow();
+            scheduler.as_ref().map(|s| s.fence.base_term)
+        };
+        let pause = if is_placing(&node).unwrap_or(true) {
+            ROUND_INTERVAL
+        } else {
+            TAKEOVER_ROUND_INTERVAL
+        };
+        actix_rt::time::sleep(pause).await;
+        // Only while nobody can have taken the shard: a deposed leader
+        // would see all machines go silent and return them.
+        let term = scheduler_term(&node).filter(|_| node.is_certain_leader());
+        let Some(term) = term else {
+            continue;
+        };
+        if term != state_term {
+            state_term = term;
+            state.reset();
         }
-        let known = node.leadership.borrow().view.types.is_some();
-        let pause = if known { 30.0 } else { 1.0 };
-        actix_rt::time::sleep(Duration::from_secs_f64(pause)).await;
+        run_round(&node, &mut state).await;
     }
 }
 
-async fn round(node: &Rc<Node>, books: &mut FleetState) {
-    let lag = node.settings.cluster.cloud.list_lag_s;
-    let gate = node
-        .scheduler
-        .borrow()
-        .as_ref()
-        .is_some_and(|c| c.fence.open);
-    if gate && node.now() - books.listed_at > lag / 2.0 {
+/// Whether tasks are placed, as all machines are accounted for; `None` without a scheduler.
+fn is_placing(node: &Node) -> Option<bool> {
+    let scheduler = node.scheduler.borrow();
+    scheduler.as_ref().map(|s| s.fence.open)
+}
+
+async fn run_round(node: &Rc<Node>, state: &mut FleetState) {
+    let list_lag_s = node.settings.cluster.cloud.list_lag_s;
+    let placing = is_placing(node).unwrap_or(false);
+    if placing && state.list_is_older_than(list_lag_s / 2.0, node.now()) {
         if let Ok(list) = node.cloud.machines().await {
-            books.listed_at = node.now();
-            books.cloud_list = list;
-            compare(node, books);
+            state.list_received(list, node.now());
+            compare_with_list(node, state);
         }
     }
-    give_back(node, books).await;
-    // Calls to rent take their time, and the share waits for what is returned.
-    if gate {
-        rent(node, books).await;
+    scale_in(node, state).await;
+    // Calls that rent take their time, and the shard waits for what is returned.
+    if placing {
+        scale_out(node, state).await;
     }
 }
 
-/// Compares the machine list with what we know.
-fn compare(node: &Rc<Node>, books: &mut FleetState) {
+/// Compares the cloud's machine list with what we know.
+fn compare_with_list(node: &Node, state: &mut FleetState) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut() else {
         return;
     };
-    let lease = scheduler.config.lease_s;
-    let cut = scheduler.partitioned_zones(now);
-    for listed in &books.cloud_list {
-        let boot_s = scheduler.types.get(&listed.kind).map_or(60.0, |t| t.boot_s);
-        let machine = scheduler.machines.get(listed.id.as_str());
-        let give_up = match listed.state {
-            ListedState::Failed => true,
-            // Up to 1.5 times is usual; some take several times as long.
-            ListedState::Booting => machine.is_none() && listed.age_s > 4.0 * boot_s,
-            ListedState::Running => {
-                machine.is_some_and(|m| {
-                    // Past its lease nothing is lost by waiting a while for a
-                    // cut to end; after twice a boot a new one would be up,
-                    // but not where the whole zone is cut off.
-                    // Nor where an operator switched it off.
-                    // One that hears nobody is as good as silent.
-                    let after_s = 2.0 * lease + boot_s;
-                    let silent = m.status == MachineStatus::Expired && now - m.heard_at > after_s;
-                    (silent || m.is_unreachable(now, after_s))
-                        && !m.cordoned
-                        && !cut.contains(&m.info.zone)
-                })
-            }
-        };
-        if give_up {
-            books.returning.insert(listed.id.clone());
-        }
-        if listed.state == ListedState::Booting && machine.is_none() {
-            let info = MachineInfo {
-                id: listed.id.clone(),
-                addr: String::new(),
-                kind: listed.kind.clone(),
-                zone: listed.zone.clone(),
-                spot: listed.spot,
-            };
-            books
-                .booting
-                .entry(listed.id.clone())
-                .or_insert((info, now - listed.age_s));
-        }
-    }
-    let gone: Vec<String> = scheduler
-        .machines
-        .iter()
-        .filter(|(n, m)| {
-            m.status == MachineStatus::Expired
-                && now - m.heard_at > 4.0 * node.settings.cluster.cloud.list_lag_s
-                && !books.cloud_list.iter().any(|l| l.id == ***n)
-        })
-        .map(|(n, _)| n.to_string())
-        .collect();
-    for name in gone {
+    let broken = scale_in::broken_machines(scheduler, state.cloud_list(), now);
+    state.request_return(broken);
+    state.add_listed_booting(scheduler, now);
+    let list_lag_s = node.settings.cluster.cloud.list_lag_s;
+    for name in scale_in::vanished_machines(scheduler, state.cloud_list(), list_lag_s, now) {
         scheduler.remove_machine(&name);
     }
 }
 
-/// Returns machines; only the cloud's 200 proves them gone.
-async fn give_back(node: &Rc<Node>, books: &mut FleetState) {
+/// Takes machines out of use that are to be returned.
+fn retire_machines(node: &Node, state: &mut FleetState) {
     let now = node.now();
-    {
-        let mut scheduler = node.scheduler.borrow_mut();
-        let Some(scheduler) = scheduler.as_mut() else {
-            return;
-        };
-        retire_idle(node, scheduler, now);
-        books.returning.extend(scheduler.machines_given_up(now));
-        for (name, m) in &scheduler.machines {
-            // A draining machine may save first, but not for ever.
-            let empty = m.live_attempts().next().is_none();
-            if m.status == MachineStatus::Draining && (empty || now - m.idle_since > 60.0) {
-                books.returning.insert(name.to_string());
-            }
-        }
-        for name in &books.returning {
-            scheduler.retire_machine(name);
-        }
-    }
-    if books.returning.is_empty() {
+    let mut scheduler = node.scheduler.borrow_mut();
+    let Some(scheduler) = scheduler.as_mut() else {
         return;
+    };
+    if let Some(name) = scale_in::idle_machine(scheduler, &node.policy, now) {
+        scheduler.retire_machine(&name);
     }
-    let names: Vec<String> = books.returning.iter().take(100).cloned().collect();
-    if node.cloud.give_back(names.clone()).await.is_ok() {
-        tracing::info!(machines = ?names, "returned");
-        if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
-            for name in &names {
-                scheduler.confirm_machine_returned(name);
-            }
-        }
-        for name in names {
-            books.returning.remove(&name);
-            books.booting.remove(&name);
-            books.cloud_list.retain(|l| l.id != name);
-        }
-        crate::coordination::agents::dispatcher::drain(node);
+    state.request_return(scheduler.machines_given_up(now));
+    state.request_return(scale_in::retired_machines(scheduler, now));
+    for name in state.returning() {
+        scheduler.retire_machine(name);
     }
 }
 
-/// Drains one machine that has been idle for long while much is free.
-fn retire_idle(
-    node: &Rc<Node>,
-    scheduler: &mut crate::coordination::scheduler::state::Scheduler,
-    now: f64,
-) {
-    let used: f64 = scheduler.usage().cpus();
-    let waiting = scheduler.jobs.values().any(|j| j.waiting_tasks() > 0);
-    let have: f64 = scheduler
-        .machines
-        .values()
-        .filter(|m| m.status == MachineStatus::Up && !m.cordoned)
-        .filter_map(|m| scheduler.types.get(&m.info.kind))
-        .map(|t| t.cpus)
-        .sum();
-    if waiting || used * (1.0 + 2.0 * node.policy.headroom) > have {
+/// Returns machines; only the cloud's confirmation proves them gone.
+async fn scale_in(node: &Rc<Node>, state: &mut FleetState) {
+    if node.scheduler.borrow().is_none() {
         return;
     }
-    let idle = scheduler
-        .machines
-        .iter()
-        .filter(|(_, m)| m.status == MachineStatus::Up && !m.cordoned)
-        .filter(|(_, m)| m.attempts.is_empty() && m.queue.is_empty())
-        .find(|(_, m)| {
-            let boot_s = scheduler.types.get(&m.info.kind).map_or(60.0, |t| t.boot_s);
-            now - m.idle_since > node.policy.idle_boots * boot_s
-        })
-        .map(|(n, _)| n.clone());
-    if let Some(name) = idle {
-        scheduler.retire_machine(&name);
+    retire_machines(node, state);
+    let names = state.next_returns();
+    if names.is_empty() || node.cloud.give_back(names.clone()).await.is_err() {
+        return;
     }
+    tracing::info!(machines = ?names, "scaled in");
+    if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
+        for name in &names {
+            scheduler.confirm_machine_returned(name);
+        }
+    }
+    state.returns_confirmed(&names);
+    dispatcher::drain(node);
 }
 
 /// Rents what is wanted.
-async fn rent(node: &Rc<Node>, books: &mut FleetState) {
+async fn scale_out(node: &Rc<Node>, state: &mut FleetState) {
     let now = node.now();
-    let plan = {
-        let scheduler = node.scheduler.borrow();
-        let Some(scheduler) = scheduler.as_ref() else {
-            return;
-        };
-        if scheduler.types.is_empty() {
-            return;
-        }
-        let types = &scheduler.types;
-        books.booting.retain(|id, (info, since)| {
-            let boot_s = types.get(&info.kind).map_or(60.0, |t| t.boot_s);
-            // A machine that takes this long is no help to count on.
-            !scheduler.machines.contains_key(id.as_str()) && now - *since < 2.0 * boot_s
-        });
-        let mut demand = Demand {
-            used_cpus: scheduler.usage().cpus(),
-            ..Demand::default()
-        };
-        for job in scheduler.jobs.values() {
-            let n = job.unplaced_tasks();
-            if !job.finished && n > 0 {
-                demand.waiting.push((job.spec.clone(), n));
-            }
-        }
-        let cut = scheduler.partitioned_zones(now);
-        let deaf_s = scheduler.config.silent_s();
-        demand.have_cpus = scheduler
-            .machines
-            .values()
-            .filter(|m| {
-                m.status == MachineStatus::Up && !m.cordoned && !m.is_unreachable(now, deaf_s)
-            })
-            .map(|m| &m.info)
-            .chain(books.booting.values().map(|b| &b.0))
-            .filter(|info| !cut.contains(&info.zone))
-            .filter_map(|info| types.get(&info.kind))
-            .map(|t| t.cpus)
-            .sum();
-        wanted(&demand, types, node.policy.headroom, |offer| {
-            books.sold_out.get(offer).is_none_or(|c| now >= c.0) && !cut.contains(&offer.zone)
-        })
-    };
-    for (offer, count) in plan {
-        books.next_booking += 1;
+    for RentalPlan { offer, count } in plan_rentals(node, state, now) {
         let rental = Rental {
             request: format!(
                 "{}-{:x}-{}",
                 node.settings.host_name,
                 node.leadership.borrow().incarnation(),
-                books.next_booking
+                state.next_rental_request()
             ),
             kind: offer.kind.clone(),
             zone: offer.zone.clone(),
             spot: offer.spot,
             count,
         };
-        let given = match node.cloud.rent(&rental).await {
-            Ok(names) => names.machines,
-            Err(Failure::Refused) => Vec::new(),
-            Err(error) => {
-                // It may come true later: unexpected machines are adopted.
-                tracing::info!(%error, "rental without an answer");
-                Vec::new()
-            }
-        };
-        if (given.len() as u32) < count {
-            // Sold out: ask again after a boot time or so, then more rarely.
-            let first = node.settings.cluster.cloud.list_lag_s;
-            let pause = books
-                .sold_out
-                .get(&offer)
-                .map_or(first, |c| (c.1 * 1.5).min(first * 4.0));
-            books.sold_out.insert(offer.clone(), (now + pause, pause));
+        let rented = rent(node, &rental).await;
+        if (rented.len() as u32) < count {
+            let first_pause_s = node.settings.cluster.cloud.list_lag_s;
+            state.offer_sold_out(&offer, first_pause_s, now);
         } else {
-            books.sold_out.remove(&offer);
+            state.offer_fulfilled(&offer);
         }
-        if !given.is_empty() {
-            tracing::info!(kind = %offer.kind, zone = %offer.zone, spot = offer.spot, asked = count, got = given.len(), "rented");
+        if !rented.is_empty() {
+            tracing::info!(kind = %offer.kind, zone = %offer.zone, spot = offer.spot, asked = count, got = rented.len(), "scaled out");
         }
-        for id in given {
-            let info = MachineInfo {
-                id: id.clone(),
-                addr: String::new(),
-                kind: offer.kind.clone(),
-                zone: offer.zone.clone(),
-                spot: offer.spot,
-            };
-            books.booting.insert(id, (info, now));
+        for id in rented {
+            state.add_rented(id, &offer, now);
+        }
+    }
+}
+
+/// What to rent now.
+fn plan_rentals(node: &Node, state: &mut FleetState, now: f64) -> Vec<RentalPlan> {
+    let scheduler = node.scheduler.borrow();
+    let Some(scheduler) = scheduler.as_ref().filter(|s| !s.types.is_empty()) else {
+        return Vec::new();
+    };
+    state.drop_booted(scheduler, now);
+    let partitioned_zones = scheduler.partitioned_zones(now);
+    let demand = Demand::of(scheduler, state.booting(), &partitioned_zones, now);
+    scale_out::plan(&demand, &scheduler.types, node.policy.headroom, |offer| {
+        state.is_available(offer, now) && !partitioned_zones.contains(&offer.zone)
+    })
+}
+
+/// Rents machines; returns the names of those that the cloud gave.
+async fn rent(node: &Node, rental: &Rental) -> Vec<String> {
+    match node.cloud.rent(rental).await {
+        Ok(names) => names.machines,
+        Err(Failure::Refused) => Vec::new(),
+        Err(error) => {
+            // It may come true later: unexpected machines are adopted.
+            tracing::info!(%error, "rental request without an answer");
+            Vec::new()
         }
     }
 }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -1,9 +1,12 @@
-//! The fleet: machines rented and returned, drained for operators, rolled over in turn, and
+//! The fleet: machines scaled out and in, drained for operators, rolled over in turn, and
 //! the durable record of those that tasks may start on.
 
 pub mod drains;
+mod fleet_state;
 pub mod machine_record_writer;
+mod machine_types;
 pub mod manager;
 pub mod rollout;
 pub mod rollout_writer;
+mod scale_in;
 pub mod scale_out;
