--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics in Prometheus' text format, of this controller and, if it is the
-//! owner, of its share. Made anew for each look; nothing is kept between.
+//! Metrics in Prometheus' text format, of this controller and, if it leads, of the shard.
+//! Made anew for each request; nothing is kept between.
 
-use super::services;
+use super::views::service_rows;
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::state::Scheduler;
 use prometheus::{GaugeVec, Opts, Registry, TextEncoder};
@@ -18,117 +18,141 @@
     Ok(gauges)
 }
 
-fn of_share(registry: &Registry, scheduler: &Scheduler, now: f64) -> prometheus::Result<()> {
+/// Registers a gauge without labels.
+fn gauge(registry: &Registry, name: &str, help: &str, value: f64) -> prometheus::Result<()> {
+    let gauges = gauges(registry, name, help, &[])?;
+    gauges.with_label_values::<&str>(&[]).set(value);
+    Ok(())
+}
+
+fn job_metrics(registry: &Registry, scheduler: &Scheduler, now: f64) -> prometheus::Result<()> {
     let jobs = scheduler.job_rows(now, 0);
-    let live = gauges(
+    let gauges = gauges(
         registry,
         "foxspur_jobs",
         "Live jobs by how they stand",
         &["standing"],
     )?;
-    let bad = jobs.stuck + jobs.failing + jobs.late;
-    for (standing, n) in [
+    let unhealthy = jobs.stuck + jobs.failing + jobs.late;
+    for (standing, count) in [
         ("stuck", jobs.stuck),
         ("failing", jobs.failing),
         ("late", jobs.late),
-        ("ok", jobs.live.saturating_sub(bad)),
+        ("ok", jobs.live.saturating_sub(unhealthy)),
     ] {
-        live.with_label_values(&[standing]).set(n as f64);
+        gauges.with_label_values(&[standing]).set(count as f64);
     }
-    let fleet = gauges(
+    Ok(())
+}
+
+fn machine_metrics(registry: &Registry, scheduler: &Scheduler, now: f64) -> prometheus::Result<()> {
+    let gauges = gauges(
         registry,
         "foxspur_machines",
         "Machines by state",
         &["state"],
     )?;
-    for (state, n) in scheduler.machine_counts(now) {
+    for (state, count) in scheduler.machine_counts(now) {
         let name = format!("{state:?}").to_lowercase();
-        fleet.with_label_values(&[&name]).set(n as f64);
+        gauges.with_label_values(&[&name]).set(count as f64);
     }
-    let cpus = gauges(
+    Ok(())
+}
+
+fn team_metrics(registry: &Registry, scheduler: &Scheduler) -> prometheus::Result<()> {
+    let gauges = gauges(
         registry,
         "foxspur_team_cpus",
         "CPUs of a team",
         &["team", "what"],
     )?;
     for team in scheduler.team_rows() {
-        for (what, value) in [
+        for (what, cpus) in [
             ("used", team.cpus),
             ("waiting", team.waiting_cpus),
             ("guaranteed", team.cpus_guaranteed),
             ("limit", team.cpus_max),
         ] {
-            cpus.with_label_values(&[&team.name, what]).set(value);
+            gauges.with_label_values(&[&team.name, what]).set(cpus);
         }
     }
-    let help = "From acceptance to the first task that runs";
-    let waits = gauges(
+    Ok(())
+}
+
+fn wait_metrics(registry: &Registry, scheduler: &Scheduler) -> prometheus::Result<()> {
+    let gauges = gauges(
         registry,
         "foxspur_first_start_seconds",
-        help,
+        "From acceptance to the first task that runs",
         &["class", "quantile"],
     )?;
     for class in scheduler.waits().first_start {
-        for (quantile, value) in [
+        for (quantile, seconds) in [
             ("0.5", class.p50_s),
             ("0.9", class.p90_s),
             ("0.99", class.p99_s),
         ] {
-            waits.with_label_values(&[&class.name, quantile]).set(value);
+            let labels = [&class.name, quantile];
+            gauges.with_label_values(&labels).set(seconds);
         }
     }
-    let missing = gauges(
+    Ok(())
+}
+
+fn shard_metrics(registry: &Registry, scheduler: &Scheduler, now: f64) -> prometheus::Result<()> {
+    job_metrics(registry, scheduler, now)?;
+    machine_metrics(registry, scheduler, now)?;
+    team_metrics(registry, scheduler)?;
+    wait_metrics(registry, scheduler)?;
+    gauge(
         registry,
         "foxspur_unaccounted_machines",
         "Machines that hold up placing after a takeover",
-        &[],
-    )?;
-    let n = scheduler.unfenced_count().unwrap_or(0);
-    missing.with_label_values::<&str>(&[]).set(n as f64);
-    Ok(())
+        scheduler.unfenced_count().unwrap_or(0) as f64,
+    )
 }
 
-/// The metrics page.
-pub(super) fn text(node: &Node) -> prometheus::Result<String> {
-    let registry = Registry::new();
-    let owns = gauges(
-        &registry,
+fn leadership_metrics(registry: &Registry, node: &Node) -> prometheus::Result<()> {
+    gauge(
+        registry,
         "foxspur_owner",
         "1 where this controller owns the share",
-        &[],
+        f64::from(u8::from(node.may_answer_workers())),
     )?;
-    owns.with_label_values::<&str>(&[])
-        .set(f64::from(u8::from(node.may_answer_workers())));
-    let term = gauges(
-        &registry,
+    let leadership = node.leadership.borrow();
+    let shard = leadership.view.shard.as_ref();
+    gauge(
+        registry,
         "foxspur_term",
         "Term of the share as known here",
-        &[],
-    )?;
-    let known = node
-        .leadership
-        .borrow()
-        .view
-        .shard
-        .as_ref()
-        .map_or(0, |(s, _)| s.term);
-    term.with_label_values::<&str>(&[]).set(known as f64);
-    let calls = gauges(
-        &registry,
+        shard.map_or(0, |(shard, _)| shard.term) as f64,
+    )
+}
+
+fn service_metrics(registry: &Registry, node: &Node) -> prometheus::Result<()> {
+    let gauges = gauges(
+        registry,
         "foxspur_service_calls",
         "Calls to an outside service since the start",
         &["service", "result"],
     )?;
-    for row in services(node) {
-        calls
-            .with_label_values(&[row.name.as_str(), "answered"])
-            .set(row.answered as f64);
-        calls
-            .with_label_values(&[row.name.as_str(), "failed"])
-            .set(row.failed as f64);
+    for row in service_rows(node) {
+        for (result, calls) in [("answered", row.answered), ("failed", row.failed)] {
+            gauges
+                .with_label_values(&[row.name.as_str(), result])
+                .set(calls as f64);
+        }
     }
+    Ok(())
+}
+
+/// The metrics page.
+pub(super) fn text(node: &Node) -> prometheus::Result<String> {
+    let registry = Registry::new();
+    leadership_metrics(&registry, node)?;
+    service_metrics(&registry, node)?;
     if let Some(scheduler) = node.scheduler.borrow().as_ref() {
-        of_share(&registry, scheduler, node.now())?;
+        shard_metrics(&registry, scheduler, node.now())?;
     }
     TextEncoder::new().encode_to_string(&registry.gather())
 }
--- a/src/admin/orders.rs
+++ b/src/admin/orders.rs
@@ -1,9 +1,12 @@
-//! Orders of operators: drains begun and ended. An order is carried out by its
-//! record in the state service alone; whoever owns the share reads it there.
-//! The write is conditional on the share's record, so it belongs to one term,
-//! and on the drain's own, so that of two operators at once one is told.
+//! Operators' orders about drains: begun and ended.
+//!
+//! An order is carried out by its record in the state service alone; whoever leads the
+//! shard reads it there. The write is a compare-and-swap on the shard's record, so it
+//! belongs to one term, and on the drain's own, so that of two operators at once one is
+//! told of the conflict. An order that is given again has no further effect.
 
-use super::{problem, Shared, MAX_BODY};
+use super::error::{OrderError, OUTCOME_UNKNOWN, STATE_UNAVAILABLE, TOO_MANY_CONFLICTS};
+use super::{Shared, MAX_BODY};
 use crate::coordination::node::Node;
 use crate::protocol::admin::{Drain, DrainOrder, UndrainOrder};
 use crate::protocol::state::Txn;
@@ -18,244 +21,284 @@
 
 /// Drains at most, a fleet and a half of 6,000 machines and more: all controllers keep them
 /// in memory, and read them at a start.
-const MOST: usize = 10_000;
-/// Longest text of an order, and longest name.
-const TEXT: usize = 500;
-const NAME: usize = 150;
+const MAX_DRAINS: usize = 10_000;
+/// Longest text of an order, in bytes.
+const MAX_TEXT: usize = 500;
+/// Longest name, in bytes.
+const MAX_NAME: usize = 150;
 /// Longest time to a deadline, in seconds: a month.
-const LONGEST_S: f64 = 31.0 * 86_400.0;
-/// Tries against changes by others: the share changes hands, drains end.
-pub(super) const TRIES: usize = 4;
+const MAX_DEADLINE_S: f64 = 31.0 * 86_400.0;
+/// Attempts to write against changes by others: the leader changes, drains end.
+pub(super) const MAX_ATTEMPTS: usize = 4;
 
-/// Why an order was not carried out.
-#[derive(Debug, PartialEq)]
-pub enum Refused {
-    /// The field is wrong.
-    Field(&'static str, String),
-    /// Something that is named does not exist.
-    Unknown(String),
-    /// It goes against what stands.
-    Against(String),
-    /// Not now.
-    Later(&'static str),
-}
-
-impl Refused {
-    pub(super) fn response(&self) -> HttpResponse {
-        match self {
-            Refused::Field(field, why) => problem(400, Some(field), &format!("{field}: {why}")),
-            Refused::Unknown(why) => problem(404, Some("hosts"), why),
-            Refused::Against(why) => problem(409, None, why),
-            Refused::Later(why) => problem(503, None, why),
-        }
-    }
-}
-
-/// The state service did not answer, so nothing is known.
-pub(super) const NOT_NOW: Refused =
-    Refused::Later("the state service does not answer now: nothing was ordered");
-/// It may have been written all the same.
-pub(super) const UNSURE: Refused =
-    Refused::Later("no answer from the state service: give the same order again to be sure");
-
-pub(super) fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, Refused> {
+/// Parses an order.
+pub(super) fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, OrderError> {
     let mut json = serde_json::Deserializer::from_slice(body);
-    serde_path_to_error::deserialize(&mut json).map_err(|e| {
-        let at = e.path().to_string();
-        let at = if at == "." {
+    serde_path_to_error::deserialize(&mut json).map_err(|error| {
+        let path = error.path().to_string();
+        let prefix = if path == "." {
             String::new()
         } else {
-            format!("{at}: ")
+            format!("{path}: ")
         };
-        Refused::Field("body", format!("{at}{}", e.inner()))
+        OrderError::invalid("body", format!("{prefix}{}", error.inner()))
     })
 }
 
-pub(super) fn named(field: &'static str, text: &str) -> Result<(), Refused> {
-    if text.trim().is_empty() || text.len() > NAME || text.chars().any(char::is_control) {
-        return Err(Refused::Field(field, "is empty or too long".into()));
+/// Checks a field that names something.
+pub(super) fn check_name(field: &'static str, text: &str) -> Result<(), OrderError> {
+    if text.trim().is_empty() || text.len() > MAX_NAME || text.chars().any(char::is_control) {
+        return Err(OrderError::invalid(field, "is empty or too long"));
     }
     Ok(())
 }
 
 /// The machines named, each once.
-fn hosts(named: &[String]) -> Result<BTreeSet<String>, Refused> {
-    let bad = |why: String| Err(Refused::Field("hosts", why));
-    if named.is_empty() || named.len() > MOST {
-        return bad(format!("names none or more than {MOST} machines"));
+fn check_hosts(named: &[String]) -> Result<BTreeSet<String>, OrderError> {
+    let invalid = |reason: String| Err(OrderError::invalid("hosts", reason));
+    if named.is_empty() || named.len() > MAX_DRAINS {
+        return invalid(format!("names none or more than {MAX_DRAINS} machines"));
     }
-    let odd = |h: &&String| h.is_empty() || h.len() > NAME || h.contains([' ', '/']);
-    if let Some(host) = named.iter().find(odd) {
-        return bad(format!("{host:?} is no machine's name"));
+    let is_odd =
+        |host: &&String| host.is_empty() || host.len() > MAX_NAME || host.contains([' ', '/']);
+    if let Some(host) = named.iter().find(is_odd) {
+        return invalid(format!("{host:?} is no machine's name"));
     }
     Ok(named.iter().cloned().collect())
 }
 
-/// Checks what can be told from the order alone.
-pub fn check(order: &DrainOrder) -> Result<BTreeSet<String>, Refused> {
-    named("order", &order.order)?;
-    named("by", &order.by)?;
-    if order.why.trim().is_empty() || order.why.len() > TEXT {
-        return Err(Refused::Field("why", "is empty or too long".into()));
+/// Checks what can be told from the order alone; returns its machines.
+///
+/// # Errors
+/// The first field that is wrong.
+pub fn check(order: &DrainOrder) -> Result<BTreeSet<String>, OrderError> {
+    check_name("order", &order.order)?;
+    check_name("by", &order.by)?;
+    if order.why.trim().is_empty() || order.why.len() > MAX_TEXT {
+        return Err(OrderError::invalid("why", "is empty or too long"));
     }
-    if let Some(s) = order.deadline_s {
-        if !s.is_finite() || s <= 0.0 || s > LONGEST_S {
-            return Err(Refused::Field(
-                "deadline_s",
-                "is not within 0 and a month".into(),
-            ));
-        }
+    let in_range = |s: f64| s.is_finite() && s > 0.0 && s <= MAX_DEADLINE_S;
+    if order.deadline_s.is_some_and(|s| !in_range(s)) {
+        let reason = "is not within 0 and a month";
+        return Err(OrderError::invalid("deadline_s", reason));
     }
-    hosts(&order.hosts)
+    check_hosts(&order.hosts)
+}
+
+/// A drain's record.
+struct RecordedDrain {
+    /// `None` if this version cannot read it.
+    drain: Option<Drain>,
+    version: u64,
 }
 
-/// Drains as they stand, each with its version.
-async fn standing(node: &Node) -> Result<BTreeMap<String, (Option<Drain>, u64)>, Refused> {
-    let (listed, _) =
-        (node.state.list(records::DRAINS_PREFIX, Lane::Data).await).map_err(|_| NOT_NOW)?;
+/// All recorded drains, by machine.
+async fn recorded_drains(node: &Node) -> Result<BTreeMap<String, RecordedDrain>, OrderError> {
+    let listed = node.state.list(records::DRAINS_PREFIX, Lane::Data).await;
+    let (listed, _) = listed.map_err(|_| STATE_UNAVAILABLE)?;
     let drains = listed.iter().filter_map(|entry| {
         let host = entry.key.strip_prefix(records::DRAINS_PREFIX)?;
-        Some((host.to_string(), (entry.read().ok(), entry.version)))
+        let recorded = RecordedDrain {
+            drain: entry.read().ok(),
+            version: entry.version,
+        };
+        Some((host.to_string(), recorded))
     });
     Ok(drains.collect())
 }
 
-/// Version and term of the share's record.
-pub(super) async fn share(node: &Node) -> Result<(u64, u64), Refused> {
+/// Version and term of the shard's record.
+pub(super) struct ShardVersion {
+    pub(super) version: u64,
+    pub(super) term: u64,
+}
+
+/// The shard's record as it stands, for a compare-and-swap.
+pub(super) async fn shard_version(node: &Node) -> Result<ShardVersion, OrderError> {
     let entry = node.state.get(records::SHARD_KEY, Lane::Data).await;
-    let entry = entry.map_err(|_| NOT_NOW)?;
-    let entry = entry.ok_or(Refused::Later("nobody has owned the share yet"))?;
-    let share: records::ShardRecord = entry.read().map_err(|_| NOT_NOW)?;
-    Ok((entry.version, share.term))
+    let entry = entry.map_err(|_| STATE_UNAVAILABLE)?;
+    let entry = entry.ok_or(OrderError::Unavailable("nobody has owned the share yet"))?;
+    let shard: records::ShardRecord = entry.read().map_err(|_| STATE_UNAVAILABLE)?;
+    Ok(ShardVersion {
+        version: entry.version,
+        term: shard.term,
+    })
 }
 
-/// Records the drains that an order wants.
-async fn record(node: &Rc<Node>, order: &DrainOrder) -> Result<Vec<String>, Refused> {
-    let wanted = check(order)?;
-    for _ in 0..TRIES {
-        let (version, term) = share(node).await?;
-        if let Some(planned) = order.term.filter(|t| *t != term) {
-            let why =
-                format!("the plan was made under term {planned}, now it is {term}: plan anew");
-            return Err(Refused::Against(why));
-        }
-        let machines = node.state.list(records::MACHINES_PREFIX, Lane::Data).await;
-        let machines = MachineRecord::read(&machines.map_err(|_| NOT_NOW)?.0);
-        let known: HashSet<&str> = machines.machines().map(|m| m.id.as_str()).collect();
-        if let Some(host) = wanted.iter().find(|h| !known.contains(h.as_str())) {
-            return Err(Refused::Unknown(format!("no machine {host} is in use")));
+/// The shard's recorded machines.
+pub(super) async fn recorded_machines(node: &Node) -> Result<MachineRecord, OrderError> {
+    let listed = node.state.list(records::MACHINES_PREFIX, Lane::Data).await;
+    let (listed, _) = listed.map_err(|_| STATE_UNAVAILABLE)?;
+    Ok(MachineRecord::read(&listed))
+}
+
+/// How far the writes of an order came.
+enum WriteProgress {
+    Complete,
+    /// A transaction conflicted; this many machines before it are written.
+    Conflict {
+        written: usize,
+    },
+}
+
+/// Writes a change for each machine, in transactions as large as the state service takes,
+/// each on condition that the shard's record is unchanged.
+async fn write_in_batches(
+    node: &Node,
+    shard_version: u64,
+    hosts: &[&String],
+    change: impl Fn(Txn, &str) -> Txn,
+) -> Result<WriteProgress, OrderError> {
+    let mut written = 0;
+    for batch in hosts.chunks(node.settings.cluster.state.txn_ops) {
+        let condition = Txn::default().when(records::SHARD_KEY, shard_version);
+        let txn = batch.iter().fold(condition, |txn, host| change(txn, host));
+        match node.state.txn(&txn, Lane::Data).await {
+            Ok(_) => written += batch.len(),
+            Err(Failure::Conflict(_)) => return Ok(WriteProgress::Conflict { written }),
+            Err(_) => return Err(OUTCOME_UNKNOWN),
         }
-        let drains = standing(node).await?;
-        let mut left = Vec::new();
-        for host in &wanted {
-            match drains.get(host) {
-                None => left.push(host),
-                Some((Some(drain), _)) if drain.order == order.order => {}
-                Some((drain, _)) => {
-                    let by = drain.as_ref().map_or("somebody", |d| &d.by);
-                    return Err(Refused::Against(format!(
-                        "{host} is drained already, by {by}"
-                    )));
-                }
+    }
+    Ok(WriteProgress::Complete)
+}
+
+/// Checks that the order was planned under the term that holds now.
+fn check_term(order: &DrainOrder, term: u64) -> Result<(), OrderError> {
+    match order.term {
+        Some(planned) if planned != term => Err(OrderError::Conflict(format!(
+            "the plan was made under term {planned}, now it is {term}: plan anew"
+        ))),
+        _ => Ok(()),
+    }
+}
+
+/// Checks that all machines are recorded.
+async fn check_machines_known(node: &Node, hosts: &BTreeSet<String>) -> Result<(), OrderError> {
+    let record = recorded_machines(node).await?;
+    let known: HashSet<&str> = record.machines().map(|m| m.id.as_str()).collect();
+    match hosts.iter().find(|host| !known.contains(host.as_str())) {
+        Some(host) => Err(OrderError::NotFound(format!("no machine {host} is in use"))),
+        None => Ok(()),
+    }
+}
+
+/// The machines whose drains are still to be written. The same order may have been written
+/// in part before.
+fn hosts_to_drain<'a>(
+    order: &DrainOrder,
+    wanted: &'a BTreeSet<String>,
+    drains: &BTreeMap<String, RecordedDrain>,
+) -> Result<Vec<&'a String>, OrderError> {
+    let mut hosts = Vec::new();
+    for host in wanted {
+        match drains.get(host).map(|recorded| &recorded.drain) {
+            None => hosts.push(host),
+            Some(Some(drain)) if drain.order == order.order => {}
+            Some(drain) => {
+                let by = drain.as_ref().map_or("somebody", |d| &d.by);
+                let reason = format!("{host} is drained already, by {by}");
+                return Err(OrderError::Conflict(reason));
             }
         }
-        if drains.len() + left.len() > MOST {
-            let why = format!("more than {MOST} drains stand already");
-            return Err(Refused::Against(why));
-        }
+    }
+    if drains.len() + hosts.len() > MAX_DRAINS {
+        let reason = format!("more than {MAX_DRAINS} drains stand already");
+        return Err(OrderError::Conflict(reason));
+    }
+    Ok(hosts)
+}
+
+fn ordered_drain(order: &DrainOrder, host: &str, now_ms: u64) -> Drain {
+    Drain {
+        host: host.to_string(),
+        order: order.order.clone(),
+        by: order.by.clone(),
+        why: order.why.clone(),
+        at_ms: now_ms,
+        deadline_ms: order.deadline_s.map(|s| now_ms + (s * 1000.0) as u64),
+        rest: order.rest,
+        drained: None,
+        roll: None,
+    }
+}
+
+/// Records the drains that an order wants.
+async fn begin_drains(node: &Rc<Node>, order: &DrainOrder) -> Result<Vec<String>, OrderError> {
+    let wanted = check(order)?;
+    for _ in 0..MAX_ATTEMPTS {
+        let shard = shard_version(node).await?;
+        check_term(order, shard.term)?;
+        check_machines_known(node, &wanted).await?;
+        let drains = recorded_drains(node).await?;
+        let hosts = hosts_to_drain(order, &wanted, &drains)?;
         let now_ms = node.wall_ms();
-        let mut again = false;
-        for batch in left.chunks(node.settings.cluster.state.txn_ops) {
-            let mut txn = Txn::default().when(records::SHARD_KEY, version);
-            for host in batch {
-                let drain = Drain {
-                    host: host.to_string(),
-                    order: order.order.clone(),
-                    by: order.by.clone(),
-                    why: order.why.clone(),
-                    at_ms: now_ms,
-                    deadline_ms: order.deadline_s.map(|s| now_ms + (s * 1000.0) as u64),
-                    rest: order.rest,
-                    drained: None,
-                    roll: None,
-                };
-                let key = records::drain_key(host);
-                txn = txn.when(&key, 0).put(&key, &drain);
-            }
-            match node.state.txn(&txn, Lane::Data).await {
-                Ok(_) => {}
-                Err(Failure::Conflict(_)) => {
-                    again = true;
-                    break;
-                }
-                Err(_) => return Err(UNSURE),
-            }
-        }
-        if !again {
+        let add_drain = |txn: Txn, host: &str| {
+            let key = records::drain_key(host);
+            txn.when(&key, 0)
+                .put(&key, &ordered_drain(order, host, now_ms))
+        };
+        let progress = write_in_batches(node, shard.version, &hosts, add_drain).await?;
+        if matches!(progress, WriteProgress::Complete) {
             tracing::info!(order = %order.order, by = %order.by, machines = ?wanted, "drain ordered");
             return Ok(wanted.into_iter().collect());
         }
     }
-    Err(Refused::Later("others change the same: try again"))
+    Err(TOO_MANY_CONFLICTS)
 }
 
-/// Ends drains.
-async fn erase(node: &Rc<Node>, order: &UndrainOrder) -> Result<Vec<String>, Refused> {
-    named("by", &order.by)?;
-    let wanted = hosts(&order.hosts)?;
+/// Deletes the records of drains.
+async fn end_drains(node: &Rc<Node>, order: &UndrainOrder) -> Result<Vec<String>, OrderError> {
+    check_name("by", &order.by)?;
+    let wanted = check_hosts(&order.hosts)?;
     let mut ended: BTreeSet<String> = BTreeSet::new();
-    for _ in 0..TRIES {
-        let (version, _) = share(node).await?;
-        let drains = standing(node).await?;
+    for _ in 0..MAX_ATTEMPTS {
+        let shard = shard_version(node).await?;
+        let drains = recorded_drains(node).await?;
         let missing = wanted
             .iter()
-            .find(|h| !drains.contains_key(*h) && !ended.contains(*h));
+            .find(|host| !drains.contains_key(*host) && !ended.contains(*host));
         if let Some(host) = missing {
-            return Err(Refused::Unknown(format!("{host} is not drained")));
+            return Err(OrderError::NotFound(format!("{host} is not drained")));
         }
-        let left: Vec<&String> = wanted.iter().filter(|h| drains.contains_key(*h)).collect();
-        let mut again = false;
-        for batch in left.chunks(node.settings.cluster.state.txn_ops) {
-            let mut txn = Txn::default().when(records::SHARD_KEY, version);
-            for host in batch {
-                let key = records::drain_key(host);
-                txn = txn.when(&key, drains[*host].1).delete(&key);
+        let is_drained = |host: &&String| drains.contains_key(*host);
+        let hosts: Vec<&String> = wanted.iter().filter(is_drained).collect();
+        let delete_drain = |txn: Txn, host: &str| {
+            let key = records::drain_key(host);
+            txn.when(&key, drains[host].version).delete(&key)
+        };
+        match write_in_batches(node, shard.version, &hosts, delete_drain).await? {
+            WriteProgress::Complete => {
+                tracing::info!(by = %order.by, machines = ?wanted, "drain ended");
+                return Ok(wanted.into_iter().collect());
             }
-            match node.state.txn(&txn, Lane::Data).await {
-                Ok(_) => ended.extend(batch.iter().map(|h| h.to_string())),
-                Err(Failure::Conflict(_)) => {
-                    again = true;
-                    break;
-                }
-                Err(_) => return Err(UNSURE),
+            WriteProgress::Conflict { written } => {
+                ended.extend(hosts[..written].iter().map(|host| host.to_string()));
             }
         }
-        if !again {
-            tracing::info!(by = %order.by, machines = ?wanted, "drain ended");
-            return Ok(wanted.into_iter().collect());
-        }
     }
-    Err(Refused::Later("others change the same: try again"))
+    Err(TOO_MANY_CONFLICTS)
 }
 
-fn respond(result: Result<Vec<String>, Refused>) -> HttpResponse {
+fn respond(result: Result<Vec<String>, OrderError>) -> HttpResponse {
     match result {
         Ok(hosts) => HttpResponse::Ok().json(serde_json::json!({ "hosts": hosts })),
-        Err(refused) => refused.response(),
+        Err(error) => error.response(),
     }
 }
 
+/// `POST /admin/v1/drains`: begins drains.
 pub(super) async fn drain(node: Shared, body: Bytes) -> HttpResponse {
     debug_assert!(body.len() <= MAX_BODY);
     match read::<DrainOrder>(&body) {
-        Ok(order) => respond(record(&node, &order).await),
-        Err(refused) => refused.response(),
+        Ok(order) => respond(begin_drains(&node, &order).await),
+        Err(error) => error.response(),
     }
 }
 
+/// `POST /admin/v1/undrain`: ends drains.
 pub(super) async fn undrain(node: Shared, body: Bytes) -> HttpResponse {
     match read::<UndrainOrder>(&body) {
-        Ok(order) => respond(erase(&node, &order).await),
-        Err(refused) => refused.response(),
+        Ok(order) => respond(end_drains(&node, &order).await),
+        Err(error) => error.response(),
     }
 }
--- /dev/null
+++ b/src/admin/rollouts.rs
@@ -0,0 +1,263 @@
+//! Operators' orders about rollouts: begun, halted, resumed, taken back. As with drains the
+//! record is all that is written here; whoever leads the shard carries it on.
+
+use super::error::{OrderError, OUTCOME_UNKNOWN, STATE_UNAVAILABLE, TOO_MANY_CONFLICTS};
+use super::orders::{check_name, read, recorded_machines, shard_version, MAX_ATTEMPTS};
+use super::reply::answer;
+use super::Shared;
+use crate::coordination::fleet::rollout::round_robin_by_zone;
+use crate::coordination::node::Node;
+use crate::protocol::roll::{Among, AtMost, Roll, RollOrder, RollState, Turn, TurnOrder};
+use crate::protocol::state::Txn;
+use crate::storage::records::{self, MachineInfo};
+use crate::transport::clients::{Failure, Lane};
+use actix_web::web::Bytes;
+use actix_web::HttpResponse;
+use std::rc::Rc;
+
+/// Rollouts at most.
+const MAX_ROLLOUTS: usize = 100;
+/// Share of a value that a new record may fill; the rest stays free for what is added to
+/// it on the way.
+const VALUE_FILL: f64 = 0.9;
+
+fn invalid<T>(field: &'static str, reason: &str) -> Result<T, OrderError> {
+    Err(OrderError::invalid(field, reason))
+}
+
+/// Checks what can be told from the order alone.
+///
+/// # Errors
+/// The first field that is wrong.
+pub fn check(order: &RollOrder) -> Result<(), OrderError> {
+    check_name("name", &order.name)?;
+    if order.name.contains(['/', ' ']) {
+        return invalid("name", "holds a slash or a space");
+    }
+    check_name("by", &order.by)?;
+    check_name("why", &order.why)?;
+    match order.at_most {
+        AtMost::Machines(0) => return invalid("at_most", "is 0: nothing would ever be drained"),
+        AtMost::Share(s) if !(s > 0.0 && s <= 1.0) => {
+            return invalid("at_most", "is no share above 0 and up to 1")
+        }
+        _ => {}
+    }
+    for (name, seconds) in [
+        ("deadline_s", order.deadline_s),
+        ("promise.step_s", order.promise.step_s),
+        ("promise.back_s", order.promise.back_s),
+    ] {
+        if seconds.is_some_and(|s| !s.is_finite() || s <= 0.0) {
+            return invalid(name, "is not above 0");
+        }
+    }
+    let Among { hosts, kind, zone } = &order.among;
+    if hosts.is_empty() && kind.is_none() && zone.is_none() {
+        return invalid("among", "names neither machines nor a type nor a zone");
+    }
+    Ok(())
+}
+
+/// The machines that the order is for, in the order in which they are drained.
+fn selected_hosts(among: &Among, machines: &[&MachineInfo]) -> Result<Vec<String>, OrderError> {
+    let is_known = |host: &&String| machines.iter().any(|m| m.id == **host);
+    if let Some(host) = among.hosts.iter().find(|host| !is_known(host)) {
+        return Err(OrderError::NotFound(format!("no machine {host} is in use")));
+    }
+    let is_selected = |m: &&&MachineInfo| {
+        (among.hosts.is_empty() || among.hosts.contains(&m.id))
+            && among.kind.as_ref().is_none_or(|kind| *kind == m.kind)
+            && among.zone.as_ref().is_none_or(|zone| *zone == m.zone)
+    };
+    let selected: Vec<(String, String)> = machines
+        .iter()
+        .filter(is_selected)
+        .map(|m| (m.id.clone(), m.zone.clone()))
+        .collect();
+    if selected.is_empty() {
+        let reason = "among: no machine in use is like that";
+        return Err(OrderError::NotFound(reason.into()));
+    }
+    Ok(round_robin_by_zone(&selected))
+}
+
+/// A rollout's record.
+struct RecordedRollout {
+    rollout: Roll,
+    version: u64,
+}
+
+/// The record of the rollout of this name, if there is one.
+async fn recorded_rollout(node: &Node, name: &str) -> Result<Option<RecordedRollout>, OrderError> {
+    let key = records::rollout_key(name);
+    let entry = node.state.get(&key, Lane::Data).await;
+    let Some(entry) = entry.map_err(|_| STATE_UNAVAILABLE)? else {
+        return Ok(None);
+    };
+    let unreadable = |_| OrderError::Conflict("a record that this version cannot read".into());
+    Ok(Some(RecordedRollout {
+        rollout: entry.read().map_err(unreadable)?,
+        version: entry.version,
+    }))
+}
+
+/// The rollout that the order describes, on the machines that are recorded now.
+async fn new_rollout(node: &Node, order: &RollOrder) -> Result<Roll, OrderError> {
+    let record = recorded_machines(node).await?;
+    let machines: Vec<&MachineInfo> = record.machines().collect();
+    let rollout = Roll {
+        name: order.name.clone(),
+        by: order.by.clone(),
+        why: order.why.clone(),
+        at_ms: node.wall_ms(),
+        hosts: selected_hosts(&order.among, &machines)?,
+        at_most: order.at_most,
+        rest: order.rest,
+        deadline_s: order.deadline_s,
+        promise: order.promise,
+        state: RollState::Running,
+        reason: String::new(),
+        next: 0,
+        late_before: None,
+    };
+    let bytes = serde_json::to_vec(&rollout).map_or(usize::MAX, |json| json.len());
+    if bytes as f64 > node.settings.cluster.state.value_kb * 1024.0 * VALUE_FILL {
+        let reason = "too many machines for one record: roll zone by zone";
+        return invalid("among", reason);
+    }
+    Ok(rollout)
+}
+
+/// How a write ended that may be tried again.
+enum WriteOutcome {
+    Written,
+    Conflict,
+}
+
+async fn write(node: &Node, txn: &Txn) -> Result<WriteOutcome, OrderError> {
+    match node.state.txn(txn, Lane::Data).await {
+        Ok(_) => Ok(WriteOutcome::Written),
+        Err(Failure::Conflict(_)) => Ok(WriteOutcome::Conflict),
+        Err(_) => Err(OUTCOME_UNKNOWN),
+    }
+}
+
+async fn begin_rollout(node: &Rc<Node>, order: &RollOrder) -> Result<Roll, OrderError> {
+    check(order)?;
+    for _ in 0..MAX_ATTEMPTS {
+        let shard = shard_version(node).await?;
+        if let Some(RecordedRollout { rollout, .. }) = recorded_rollout(node, &order.name).await? {
+            // The same order again: its answer was lost.
+            if rollout.by == order.by && rollout.why == order.why {
+                return Ok(rollout);
+            }
+            let reason = format!("a roll {} stands already, by {}", rollout.name, rollout.by);
+            return Err(OrderError::Conflict(reason));
+        }
+        if node.leadership.borrow().view.rolls.len() >= MAX_ROLLOUTS {
+            let reason = format!("{MAX_ROLLOUTS} rolls stand already");
+            return Err(OrderError::Conflict(reason));
+        }
+        let rollout = new_rollout(node, order).await?;
+        let key = records::rollout_key(&rollout.name);
+        let txn = Txn::default()
+            .when(records::SHARD_KEY, shard.version)
+            .when(&key, 0)
+            .put(&key, &rollout);
+        if matches!(write(node, &txn).await?, WriteOutcome::Written) {
+            return Ok(rollout);
+        }
+    }
+    Err(TOO_MANY_CONFLICTS)
+}
+
+/// What becomes of a rollout by an order; `None` if its record is deleted.
+///
+/// # Errors
+/// A rollout in this state cannot be turned like that.
+pub fn turned(rollout: &Roll, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
+    let mut next = rollout.clone();
+    match (order.turn, rollout.state) {
+        (Turn::Halt, RollState::Running) => {
+            next.state = RollState::Halted;
+            next.reason = format!("halted by {}", order.by);
+        }
+        (Turn::Resume, RollState::Halted) => {
+            next.state = RollState::Running;
+            next.reason = String::new();
+            // What was lost until now is known to whoever resumes it.
+            next.late_before = None;
+        }
+        (Turn::Back, RollState::Running | RollState::Halted) => {
+            next.state = RollState::Back;
+            next.reason = format!("taken back by {}", order.by);
+        }
+        (Turn::Forget, RollState::Done) => return Ok(None),
+        (turn, state) => {
+            let reason = format!("cannot {turn:?} a roll that is {state:?}").to_lowercase();
+            return Err(OrderError::Conflict(reason));
+        }
+    }
+    Ok(Some(next))
+}
+
+async fn turn(node: &Rc<Node>, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
+    check_name("name", &order.name)?;
+    check_name("by", &order.by)?;
+    for _ in 0..MAX_ATTEMPTS {
+        let shard = shard_version(node).await?;
+        let Some(recorded) = recorded_rollout(node, &order.name).await? else {
+            let reason = format!("there is no roll {}", order.name);
+            return Err(OrderError::NotFound(reason));
+        };
+        let next = turned(&recorded.rollout, order)?;
+        let key = records::rollout_key(&order.name);
+        let condition = Txn::default()
+            .when(records::SHARD_KEY, shard.version)
+            .when(&key, recorded.version);
+        let txn = match &next {
+            Some(next) => condition.put(&key, next),
+            None => condition.delete(&key),
+        };
+        if matches!(write(node, &txn).await?, WriteOutcome::Written) {
+            return Ok(next);
+        }
+    }
+    Err(TOO_MANY_CONFLICTS)
+}
+
+fn respond<T: serde::Serialize>(result: Result<T, OrderError>) -> HttpResponse {
+    match result {
+        Ok(rollout) => HttpResponse::Ok().json(rollout),
+        Err(error) => error.response(),
+    }
+}
+
+/// `GET /admin/v1/rolls`: all rollouts, by name.
+pub(super) async fn list(node: Shared) -> HttpResponse {
+    let (rollouts, term) = {
+        let leadership = node.leadership.borrow();
+        let view = &leadership.view;
+        let mut rollouts: Vec<Roll> = view.rolls.values().map(|(r, _)| r.clone()).collect();
+        rollouts.sort_by(|a, b| a.name.cmp(&b.name));
+        (rollouts, view.shard.as_ref().map_or(0, |(s, _)| s.term))
+    };
+    answer(&node, term, 0.0, rollouts)
+}
+
+/// `POST /admin/v1/rolls`: begins a rollout.
+pub(super) async fn start(node: Shared, body: Bytes) -> HttpResponse {
+    match read::<RollOrder>(&body) {
+        Ok(order) => respond(begin_rollout(&node, &order).await),
+        Err(error) => error.response(),
+    }
+}
+
+/// `POST /admin/v1/rolls/turn`: halts, resumes, takes back or forgets a rollout.
+pub(super) async fn change(node: Shared, body: Bytes) -> HttpResponse {
+    match read::<TurnOrder>(&body) {
+        Ok(order) => respond(turn(&node, &order).await),
+        Err(error) => error.response(),
+    }
+}
--- a/src/coordination/agents/failure_detector.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -36,7 +36,7 @@
         self.expire_leases(now, confirmed);
         self.probe_suspects(now);
         self.handle_termination_notices(now);
-        self.advance_drains(now);
+        self.advance_drains();
         self.retire_failing_machines();
     }
 
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -2,6 +2,7 @@
 //! the durable record of those that tasks may start on.
 
 pub mod drains;
+pub mod eviction;
 mod fleet_state;
 pub mod machine_record_writer;
 mod machine_types;
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -1,15 +1,18 @@
-//! Drains and rolls: tables of cases for the pure decisions, and the owner's scheduler
-//! with machines that are set aside.
+//! Drains and rollouts: tables of cases for the pure decisions, and the leader's scheduler
+//! with cordoned machines.
 
 mod common;
 
 use common::*;
-use foxspur::admin::orders::{check, Refused};
-use foxspur::admin::rolls;
+use foxspur::admin::error::OrderError;
+use foxspur::admin::orders::check;
+use foxspur::admin::rollouts;
 use foxspur::coordination::agents::direct_calls::CallResult;
 use foxspur::coordination::agents::heartbeat::HeartbeatReply;
-use foxspur::coordination::fleet::drains::{verdict, AttemptOutlook, DrainDecision};
-use foxspur::coordination::fleet::rollout::{in_turn, step, FleetView};
+use foxspur::coordination::fleet::eviction::{
+    decide, AttemptOutlook, DrainDecision, Relocation, StopCost,
+};
+use foxspur::coordination::fleet::rollout::{next_step, round_robin_by_zone, FleetView, ZoneCount};
 use foxspur::coordination::leadership::cluster_view::ClusterView;
 use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::admin::{Drain, DrainOrder, DrainState, Drained, Proof, Rest};
@@ -50,33 +53,71 @@
     scheduler
 }
 
-fn told(answer: HeartbeatReply) -> Vec<Command> {
-    match answer {
+fn commands(reply: HeartbeatReply) -> Vec<Command> {
+    match reply {
         HeartbeatReply::Commands(reply) => reply.commands,
         other => panic!("{other:?}"),
     }
 }
 
+/// Submits a standard job of the only team.
+fn submit(scheduler: &mut Scheduler, id: &str, tasks: u32, cpus: f64, at: f64) {
+    add(scheduler, spec(id, "t", Urgency::Standard, tasks, cpus), at);
+}
+
+/// Where the first task of `run-1` is placed, and the other one of two machines.
+struct Placement {
+    host: String,
+    other: &'static str,
+    attempt: u64,
+}
+
+impl Placement {
+    fn of(scheduler: &Scheduler) -> Placement {
+        let (host, attempt) = scheduler.jobs["run-1"].placed[&0].clone();
+        Placement {
+            host: host.to_string(),
+            other: if &*host == "m-0" { "m-1" } else { "m-0" },
+            attempt,
+        }
+    }
+
+    /// The task as a report shows it.
+    fn shown(&self, phase: Phase, cause: Option<Cause>) -> [(&str, u64, Phase, Option<Cause>); 1] {
+        [("run-1/0", self.attempt, phase, cause)]
+    }
+}
+
+/// Proof that a machine was seen empty in its first session.
+fn reported_empty(at_ms: u64) -> Drained {
+    Drained {
+        at_ms,
+        term: 5,
+        proof: Proof::Reported,
+        session: 1,
+    }
+}
+
 /// Guards against work that is stopped for nothing, or kept although the
 /// operator said otherwise.
 #[test]
-fn what_becomes_of_an_attempt() {
+fn drain_decisions() {
     let plain = AttemptOutlook {
         endless: false,
         ran_s: 40.0,
         predicted_s: 100.0,
-        loss: (80.0, 0.0),
+        stop_cost: StopCost {
+            lost_cpu_s: 80.0,
+            grace_s: 0.0,
+        },
         rerun_s: 101.0,
         due_s: [None, None],
         until_deadline_s: None,
         rest: Rest::Leave,
-        elsewhere: (true, true),
+        relocation: Relocation::Possible,
     };
     let short = Some(30.0);
-    let moves = DrainDecision::Moves {
-        lost: 80.0,
-        grace_s: 0.0,
-    };
+    let moves = DrainDecision::Moves(plain.stop_cost);
     let cases = [
         ("no deadline", plain, DrainDecision::Finishes),
         (
@@ -122,7 +163,7 @@
             DrainDecision::Stays("would miss its deadline elsewhere"),
         ),
         (
-            "one aim is lost either way, the other only elsewhere",
+            "one objective is lost either way, the other only elsewhere",
             AttemptOutlook {
                 until_deadline_s: short,
                 due_s: [Some(50.0), Some(95.0)],
@@ -143,7 +184,7 @@
             "nothing else may run it",
             AttemptOutlook {
                 until_deadline_s: short,
-                elsewhere: (false, false),
+                relocation: Relocation::NotAllowed,
                 ..plain
             },
             DrainDecision::Stays("no other machine may run it"),
@@ -152,7 +193,7 @@
             "no room now",
             AttemptOutlook {
                 until_deadline_s: short,
-                elsewhere: (true, false),
+                relocation: Relocation::NoRoom,
                 ..plain
             },
             DrainDecision::Stays("waits for room elsewhere"),
@@ -161,7 +202,7 @@
             "over, and it may stay",
             AttemptOutlook {
                 until_deadline_s: Some(0.0),
-                elsewhere: (false, false),
+                relocation: Relocation::NotAllowed,
                 ..plain
             },
             DrainDecision::Stays("no other machine may run it"),
@@ -171,43 +212,35 @@
             AttemptOutlook {
                 until_deadline_s: Some(0.0),
                 rest: Rest::Stop,
-                elsewhere: (false, false),
+                relocation: Relocation::NotAllowed,
                 ..plain
             },
             moves,
         ),
     ];
-    for (name, look, expected) in cases {
-        assert_eq!(verdict(&look), expected, "{name}");
+    for (name, outlook, expected) in cases {
+        assert_eq!(decide(&outlook), expected, "{name}");
     }
 }
 
 /// Guards against a machine that gets work after its drain, and against one that
 /// is called drained before it is proven: while a task runs, while its end is not
-/// in the books, while a start is under way.
+/// recorded, while a start is under way.
 #[test]
-fn drained_only_by_proof() {
+fn drained_only_once_proven_empty() {
     let mut scheduler = ready(&["m-0"]);
-    add(
-        &mut scheduler,
-        spec("run-1", "t", Urgency::Standard, 10, 1.0),
-        0.0,
-    );
+    submit(&mut scheduler, "run-1", 10, 1.0, 0.0);
     scheduler.place_all(0.2);
     assert_eq!(scheduler.jobs["run-1"].queued.len(), 2);
     scheduler.set_drains(&wanted(&[drain("m-0", None, Rest::Leave)]));
     assert!(
         scheduler.jobs["run-1"].queued.is_empty(),
-        "its queue is drawn again"
+        "its queue is cleared"
     );
     let mut scheduler = ready(&["m-0", "m-1"]);
-    add(
-        &mut scheduler,
-        spec("run-1", "t", Urgency::Standard, 16, 1.0),
-        0.0,
-    );
+    submit(&mut scheduler, "run-1", 16, 1.0, 0.0);
     scheduler.place_all(0.2);
-    let run: Vec<String> = told(scheduler.handle_heartbeat(&report("m-0", 1, 2, 5, &[]), 0.3))
+    let run: Vec<String> = commands(scheduler.handle_heartbeat(&report("m-0", 1, 2, 5, &[]), 0.3))
         .iter()
         .filter_map(|c| match c {
             Command::Start { task, .. } => Some(task.clone()),
@@ -226,7 +259,7 @@
     scheduler.set_drains(&wanted(&[drain("m-0", None, Rest::Leave)]));
     assert!(
         scheduler.machines["m-0"].queue.is_empty(),
-        "its queue is drawn again"
+        "its queue is cleared"
     );
     // One was started, the others never were: they must not come later.
     let one = (run[0].as_str(), attempt(&scheduler, &run[0]));
@@ -240,21 +273,16 @@
     scheduler.handle_heartbeat(&report("m-0", 1, 4, 5, &done), 2.0);
     assert!(
         scheduler.proven_drains(0, 9).is_empty(),
-        "its end is not in the books"
+        "its end is not recorded"
     );
     let marks = scheduler.jobs["run-1"].completed.clone();
     scheduler.completions_written("run-1", &marks, 2);
-    let told = told(scheduler.handle_heartbeat(&report("m-0", 1, 5, 5, &done), 3.0));
-    assert!(matches!(told[..], [Command::Forget { .. }]), "{told:?}");
+    let answer = commands(scheduler.handle_heartbeat(&report("m-0", 1, 5, 5, &done), 3.0));
+    assert!(matches!(answer[..], [Command::Forget { .. }]), "{answer:?}");
     scheduler.handle_heartbeat(&report("m-0", 1, 6, 5, &[]), 4.0);
     scheduler.place_all(4.1);
     let proven = scheduler.proven_drains(9000, 9);
-    let proof = Drained {
-        at_ms: 9000,
-        term: 5,
-        proof: Proof::Reported,
-        session: 1,
-    };
+    let proof = reported_empty(9000);
     assert_eq!(proven.len(), 1);
     assert_eq!(proven[0].0.drained, Some(proof));
     let known = HashMap::from([("m-0".to_string(), (proven[0].0.clone(), 2))]);
@@ -271,19 +299,15 @@
 /// elsewhere. The fence decides: it starts elsewhere only when its machine is
 /// proven empty, and what that one says later changes nothing.
 #[test]
-fn a_job_that_ends_after_it_was_started_elsewhere() {
+fn late_completion_after_a_restart_elsewhere_is_ignored() {
     let mut scheduler = ready(&["m-0", "m-1"]);
-    add(
-        &mut scheduler,
-        spec("run-1", "t", Urgency::Standard, 1, 8.0),
-        0.0,
-    );
+    submit(&mut scheduler, "run-1", 1, 8.0, 0.0);
     scheduler.place_all(0.2);
-    let (host, attempt) = scheduler.jobs["run-1"].placed[&0].clone();
-    let other = if &*host == "m-0" { "m-1" } else { "m-0" };
-    let running = [("run-1/0", attempt, Phase::Running, None)];
-    scheduler.handle_heartbeat(&report(&host, 1, 2, 5, &running), 0.5);
-    scheduler.set_drains(&wanted(&[drain(&host, Some(1.0), Rest::Stop)]));
+    let placement = Placement::of(&scheduler);
+    let (host, other) = (placement.host.as_str(), placement.other);
+    let running = placement.shown(Phase::Running, None);
+    scheduler.handle_heartbeat(&report(host, 1, 2, 5, &running), 0.5);
+    scheduler.set_drains(&wanted(&[drain(host, Some(1.0), Rest::Stop)]));
     // It hangs: the stop is sent, no answer comes.
     for n in 0..9 {
         let now = 1.5 + f64::from(n);
@@ -310,13 +334,13 @@
         Proof::LeaseOver
     );
     // It wakes with the same session and says that it is done.
-    let done = [("run-1/0", attempt, Phase::Exited, Some(Cause::Done))];
-    let late = scheduler.handle_heartbeat(&report(&host, 1, 3, 5, &done), 12.5);
+    let done = placement.shown(Phase::Exited, Some(Cause::Done));
+    let late = scheduler.handle_heartbeat(&report(host, 1, 3, 5, &done), 12.5);
     assert!(matches!(late, HeartbeatReply::Refuse), "{late:?}");
     assert!(scheduler.jobs["run-1"].completed.is_empty());
-    let second = scheduler.jobs["run-1"].placed[&0].1;
-    assert!(second > attempt);
-    let done = [("run-1/0", second, Phase::Exited, Some(Cause::Done))];
+    let second = Placement::of(&scheduler);
+    assert!(second.attempt > placement.attempt);
+    let done = second.shown(Phase::Exited, Some(Cause::Done));
     scheduler.handle_heartbeat(&report(other, 1, 21, 5, &done), 13.0);
     assert_eq!(scheduler.jobs["run-1"].completed.len(), 1);
 }
@@ -324,7 +348,7 @@
 /// Guards against a takeover that waits for a machine that was switched off after
 /// it was drained, and against one that does not wait for a drain under way.
 #[test]
-fn a_takeover_knows_the_drains() {
+fn takeover_reads_the_drains() {
     for (proven, opens) in [(true, true), (false, false)] {
         let mut scheduler = Scheduler::new(
             scheduler_config(vec![team("t", 0.0, 0.0)]),
@@ -333,22 +357,13 @@
             7,
         );
         scheduler.set_types(&types());
-        let mut aside = drain("m-1", None, Rest::Leave);
-        aside.drained = proven.then_some(Drained {
-            at_ms: 0,
-            term: 5,
-            proof: Proof::Reported,
-            session: 1,
-        });
-        scheduler.set_drains(&wanted(&[aside]));
+        let mut cordoned = drain("m-1", None, Rest::Leave);
+        cordoned.drained = proven.then_some(reported_empty(0));
+        scheduler.set_drains(&wanted(&[cordoned]));
         for id in ["m-0", "m-1"] {
             scheduler.add_recorded_machine(machine(id, "a", false), 0.0);
         }
-        add(
-            &mut scheduler,
-            spec("run-1", "t", Urgency::Standard, 4, 8.0),
-            0.0,
-        );
+        submit(&mut scheduler, "run-1", 4, 8.0, 0.0);
         scheduler.handle_heartbeat(&report("m-0", 1, 1, 6, &[]), 0.5);
         scheduler.place_all(0.6);
         assert_eq!(scheduler.fence.open, opens, "proven: {proven}");
@@ -373,7 +388,7 @@
         assert!(scheduler.fence.open);
         assert!(
             scheduler.machines["m-1"].attempts.is_empty(),
-            "set aside from the start"
+            "cordoned from the start"
         );
     }
 }
@@ -381,17 +396,17 @@
 /// Guards against drains that stop what they should not: of all machines, of one
 /// with a replica, with a notice, while another one fails.
 #[test]
-fn drains_at_their_limits() {
+fn drain_of_a_service_with_nowhere_to_go() {
     let mut scheduler = ready(&["m-0", "m-1"]);
     let mut service = spec("run-1", "t", Urgency::Prod, 1, 2.0);
     service.shape = Shape::Service;
     service.estimate_s = 0.0;
     add(&mut scheduler, service, 0.0);
     scheduler.place_all(0.2);
-    let (host, attempt) = scheduler.jobs["run-1"].placed[&0].clone();
-    let other = if &*host == "m-0" { "m-1" } else { "m-0" };
-    let running = [("run-1/0", attempt, Phase::Running, None)];
-    scheduler.handle_heartbeat(&report(&host, 1, 2, 5, &running), 0.5);
+    let placement = Placement::of(&scheduler);
+    let (host, other) = (placement.host.as_str(), placement.other);
+    let running = placement.shown(Phase::Running, None);
+    scheduler.handle_heartbeat(&report(host, 1, 2, 5, &running), 0.5);
     // Everything is drained: the replica has nowhere to go and stays.
     let all = wanted(&[
         drain("m-0", None, Rest::Leave),
@@ -402,7 +417,7 @@
     let row = scheduler
         .drain_rows(1.0)
         .into_iter()
-        .find(|r| r.drain.host == *host);
+        .find(|r| r.drain.host == host);
     let row = row.unwrap();
     assert_eq!((row.state, row.tasks), (DrainState::Draining, 1));
     assert!(
@@ -410,11 +425,7 @@
         "{}",
         row.stays
     );
-    add(
-        &mut scheduler,
-        spec("run-2", "t", Urgency::Standard, 1, 1.0),
-        1.0,
-    );
+    submit(&mut scheduler, "run-2", 1, 1.0, 1.0);
     scheduler.place_all(1.1);
     let why = scheduler
         .job_rows(1.2, 9)
@@ -427,21 +438,21 @@
     assert_eq!(why, "every machine that it may use is drained");
     // The other one is back: the replica moves, and starts there only after it is
     // gone from here. A notice of the cloud meanwhile changes nothing.
-    scheduler.set_drains(&wanted(&[drain(&host, None, Rest::Leave)]));
+    scheduler.set_drains(&wanted(&[drain(host, None, Rest::Leave)]));
     scheduler.handle_heartbeat(&report(other, 1, 2, 5, &[]), 1.5);
     scheduler.place_all(1.6);
     scheduler.tick(1.7, 1.7);
-    let mut noticed = report(&host, 1, 3, 5, &running);
+    let mut noticed = report(host, 1, 3, 5, &running);
     noticed.notice_s = Some(30.0);
-    let told = told(scheduler.handle_heartbeat(&noticed, 2.0));
-    assert!(matches!(told[..], [Command::Stop { .. }]), "{told:?}");
+    let answer = commands(scheduler.handle_heartbeat(&noticed, 2.0));
+    assert!(matches!(answer[..], [Command::Stop { .. }]), "{answer:?}");
     assert_eq!(*scheduler.jobs["run-1"].placed[&0].0, *host);
-    let stopped = [("run-1/0", attempt, Phase::Exited, Some(Cause::Stopped))];
-    scheduler.handle_heartbeat(&report(&host, 1, 4, 5, &stopped), 2.5);
+    let stopped = placement.shown(Phase::Exited, Some(Cause::Stopped));
+    scheduler.handle_heartbeat(&report(host, 1, 4, 5, &stopped), 2.5);
     scheduler.place_all(2.6);
     assert_eq!(*scheduler.jobs["run-1"].placed[&0].0, *other);
     // The cloud takes the drained machine away: its drain says so.
-    scheduler.remove_machine(&host);
+    scheduler.remove_machine(host);
     assert_eq!(scheduler.drain_rows(3.0)[0].state, DrainState::Gone);
     // Undrained while something moves, then the second one fails: what it had is
     // on until the lease is over, as ever.
@@ -454,7 +465,7 @@
 /// Guards against orders that are taken although they make no sense; the answer
 /// names the field.
 #[test]
-fn orders_are_checked() {
+fn orders_are_validated() {
     let plain = DrainOrder {
         order: "o-1".into(),
         hosts: vec!["m-0".into()],
@@ -480,11 +491,11 @@
         let mut order = plain.clone();
         spoil(&mut order);
         match check(&order) {
-            Err(Refused::Field(named, _)) => assert_eq!(named, field),
+            Err(OrderError::InvalidField { field: named, .. }) => assert_eq!(named, field),
             other => panic!("{field}: {other:?}"),
         }
     }
-    let roll = RollOrder {
+    let rollout_order = RollOrder {
         name: "kernel".into(),
         by: "someone".into(),
         why: "a new kernel".into(),
@@ -497,9 +508,9 @@
         deadline_s: None,
         promise: Promise::default(),
     };
-    assert!(rolls::check(&roll).is_ok());
-    type SpoilRoll = fn(&mut RollOrder);
-    let cases: [(&str, SpoilRoll); 5] = [
+    assert!(rollouts::check(&rollout_order).is_ok());
+    type SpoilRollout = fn(&mut RollOrder);
+    let cases: [(&str, SpoilRollout); 5] = [
         ("name", |o| o.name = "a/b".into()),
         ("at_most", |o| o.at_most = AtMost::Machines(0)),
         ("at_most", |o| o.at_most = AtMost::Share(1.5)),
@@ -507,10 +518,10 @@
         ("among", |o| o.among = Among::default()),
     ];
     for (field, spoil) in cases {
-        let mut order = roll.clone();
+        let mut order = rollout_order.clone();
         spoil(&mut order);
-        match rolls::check(&order) {
-            Err(Refused::Field(named, _)) => assert_eq!(named, field),
+        match rollouts::check(&order) {
+            Err(OrderError::InvalidField { field: named, .. }) => assert_eq!(named, field),
             other => panic!("{field}: {other:?}"),
         }
     }
@@ -519,7 +530,7 @@
 /// Guards against drains that come back for good or are forgotten: a list that was
 /// read before the watch told of an end, a version that comes late.
 #[test]
-fn news_of_drains_in_any_order() {
+fn drain_updates_in_any_order() {
     let entry = |version: u64| Entry {
         key: records::drain_key("m-0"),
         value: serde_json::value::to_raw_value(&drain("m-0", None, Rest::Leave)).unwrap(),
@@ -576,7 +587,7 @@
         change(&mut view, entry(3), entry(5));
         assert_eq!(view.drains.get("m-0").map(|d| d.1), expected, "{name}");
     }
-    // What cannot be read sets its machine aside, and is never called drained.
+    // A record that cannot be read cordons its machine, which is never called drained.
     let mut view = ClusterView::default();
     view.apply_entry(&Entry {
         value: serde_json::value::to_raw_value(&7).unwrap(),
@@ -589,7 +600,7 @@
     assert!(scheduler.machines["m-0"].cordoned && scheduler.proven_drains(0, 9).is_empty());
 }
 
-fn roll(hosts: &[&str], at_most: AtMost) -> Roll {
+fn rollout(hosts: &[&str], at_most: AtMost) -> Roll {
     Roll {
         name: "kernel".into(),
         by: "someone".into(),
@@ -612,30 +623,72 @@
 }
 
 /// Six machines, three in each zone, of which so many are out of use.
-fn scene(out: (u32, u32)) -> FleetView {
+fn fleet_view(out_of_use: [u32; 2]) -> FleetView {
     let zone = |n: usize| if n < 3 { "a" } else { "b" };
     FleetView {
         now_ms: 100_000,
         zones: (0..6)
             .map(|n| (format!("m-{n}"), zone(n).to_string()))
             .collect(),
-        counts: HashMap::from([("a".into(), (3, out.0)), ("b".into(), (3, out.1))]),
+        counts: ["a", "b"]
+            .into_iter()
+            .zip(out_of_use)
+            .map(|(zone, out_of_use)| {
+                let count = ZoneCount {
+                    machines: 3,
+                    out_of_use,
+                };
+                (zone.to_string(), count)
+            })
+            .collect(),
         ..FleetView::default()
     }
 }
 
-/// Guards against a roll that takes more of a zone than it may, goes on although
+/// What a step of a rollout of four machines, one of each zone at once, comes to.
+struct RolloutCase<'a> {
+    name: &'a str,
+    /// Machines out of use in each zone.
+    out_of_use: [u32; 2],
+    drains: Vec<(String, (Drain, u64))>,
+    /// What else differs.
+    change: fn(&mut Roll, &mut FleetView),
+    begin: &'a [&'a str],
+    end: &'a [&'a str],
+    state: RollState,
+}
+
+impl RolloutCase<'_> {
+    fn check(self, hosts: &[&str]) {
+        let name = self.name;
+        let mut rollout = rollout(hosts, AtMost::Machines(1));
+        let mut fleet = fleet_view(self.out_of_use);
+        fleet.drains = self.drains.into_iter().collect();
+        (self.change)(&mut rollout, &mut fleet);
+        match next_step(&rollout, &fleet, 20) {
+            Some(next) => {
+                let reason = &next.rollout.reason;
+                let halted = self.state == RollState::Halted;
+                assert_eq!(next.begin, self.begin, "{name}");
+                assert_eq!(next.end, self.end, "{name}");
+                assert_eq!(next.rollout.state, self.state, "{name}: {reason}");
+                assert_eq!(reason.is_empty(), !halted, "{name}");
+            }
+            None => assert!(
+                self.begin.is_empty() && self.end.is_empty() && self.state == rollout.state,
+                "{name}"
+            ),
+        }
+    }
+}
+
+/// Guards against a rollout that takes more of a zone than it may, goes on although
 /// its promise is broken, or never ends.
 #[test]
-fn a_roll_step_by_step() {
+fn rollout_steps() {
     let hosts = ["m-0", "m-3", "m-1", "m-4"];
     let own = |host: &str, at_ms: u64, drained_ms: Option<u64>| {
-        let drained = drained_ms.map(|at_ms| Drained {
-            at_ms,
-            term: 5,
-            proof: Proof::Reported,
-            session: 1,
-        });
+        let drained = drained_ms.map(reported_empty);
         let drain = Drain {
             at_ms,
             drained,
@@ -644,205 +697,181 @@
         };
         (host.to_string(), (drain, 3))
     };
-    type Change = fn(&mut Roll, &mut FleetView);
-    type Case<'a> = (
-        &'a str,
-        (u32, u32),
-        Vec<(String, (Drain, u64))>,
-        Change,
-        &'a [&'a str],
-        &'a [&'a str],
-        RollState,
-    );
     use RollState::{Back, Done, Halted, Running};
-    let cases: Vec<Case> = vec![
-        (
-            "one of each zone",
-            (0, 0),
-            vec![],
-            |_, _| {},
-            &["m-0", "m-3"],
-            &[],
-            Running,
-        ),
-        (
-            "a zone has one out already",
-            (1, 0),
-            vec![],
-            |_, _| {},
-            &[],
-            &[],
-            Running,
-        ),
-        (
-            "two of each",
-            (0, 0),
-            vec![],
-            |r, _| r.at_most = AtMost::Machines(2),
-            &["m-0", "m-3", "m-1", "m-4"],
-            &[],
-            Running,
-        ),
-        (
-            "two thirds of each",
-            (0, 0),
-            vec![],
-            |r, _| r.at_most = AtMost::Share(0.67),
-            &["m-0", "m-3", "m-1", "m-4"],
-            &[],
-            Running,
-        ),
-        (
-            "a share below one",
-            (0, 0),
-            vec![],
-            |r, _| r.at_most = AtMost::Share(0.01),
-            &["m-0", "m-3"],
-            &[],
-            Running,
-        ),
-        (
-            "drained, not back yet",
-            (1, 1),
-            vec![own("m-0", 90_000, Some(95_000))],
-            |r, _| r.next = 2,
-            &[],
-            &[],
-            Running,
-        ),
-        (
-            "back",
-            (1, 1),
-            vec![own("m-0", 90_000, Some(95_000))],
-            |r, s| {
+    let cases: Vec<RolloutCase> = vec![
+        RolloutCase {
+            name: "one of each zone",
+            out_of_use: [0, 0],
+            drains: vec![],
+            change: |_, _| {},
+            begin: &["m-0", "m-3"],
+            end: &[],
+            state: Running,
+        },
+        RolloutCase {
+            name: "a zone has one out already",
+            out_of_use: [1, 0],
+            drains: vec![],
+            change: |_, _| {},
+            begin: &[],
+            end: &[],
+            state: Running,
+        },
+        RolloutCase {
+            name: "two of each",
+            out_of_use: [0, 0],
+            drains: vec![],
+            change: |r, _| r.at_most = AtMost::Machines(2),
+            begin: &["m-0", "m-3", "m-1", "m-4"],
+            end: &[],
+            state: Running,
+        },
+        RolloutCase {
+            name: "two thirds of each",
+            out_of_use: [0, 0],
+            drains: vec![],
+            change: |r, _| r.at_most = AtMost::Share(0.67),
+            begin: &["m-0", "m-3", "m-1", "m-4"],
+            end: &[],
+            state: Running,
+        },
+        RolloutCase {
+            name: "a share below one",
+            out_of_use: [0, 0],
+            drains: vec![],
+            change: |r, _| r.at_most = AtMost::Share(0.01),
+            begin: &["m-0", "m-3"],
+            end: &[],
+            state: Running,
+        },
+        RolloutCase {
+            name: "drained, not back yet",
+            out_of_use: [1, 1],
+            drains: vec![own("m-0", 90_000, Some(95_000))],
+            change: |r, _| r.next = 2,
+            begin: &[],
+            end: &[],
+            state: Running,
+        },
+        RolloutCase {
+            name: "back",
+            out_of_use: [1, 1],
+            drains: vec![own("m-0", 90_000, Some(95_000))],
+            change: |r, s| {
                 r.next = 2;
                 s.restarted = vec!["m-0".into()];
             },
-            &[],
-            &["m-0"],
-            Running,
-        ),
-        (
-            "the cloud took it",
-            (0, 1),
-            vec![own("m-0", 90_000, None)],
-            |r, s| {
+            begin: &[],
+            end: &["m-0"],
+            state: Running,
+        },
+        RolloutCase {
+            name: "the cloud took it",
+            out_of_use: [0, 1],
+            drains: vec![own("m-0", 90_000, None)],
+            change: |r, s| {
                 r.next = 2;
                 s.zones.remove("m-0");
             },
-            &["m-1"],
-            &["m-0"],
-            Running,
-        ),
-        (
-            "not drained in time",
-            (1, 0),
-            vec![own("m-0", 39_000, None)],
-            |r, _| r.next = 1,
-            &[],
-            &[],
-            Halted,
-        ),
-        (
-            "not back in time",
-            (1, 0),
-            vec![own("m-0", 0, Some(0))],
-            |r, s| {
+            begin: &["m-1"],
+            end: &["m-0"],
+            state: Running,
+        },
+        RolloutCase {
+            name: "not drained in time",
+            out_of_use: [1, 0],
+            drains: vec![own("m-0", 39_000, None)],
+            change: |r, _| r.next = 1,
+            begin: &[],
+            end: &[],
+            state: Halted,
+        },
+        RolloutCase {
+            name: "not back in time",
+            out_of_use: [1, 0],
+            drains: vec![own("m-0", 0, Some(0))],
+            change: |r, s| {
                 r.next = 1;
                 s.now_ms = 400_000;
             },
-            &[],
-            &[],
-            Halted,
-        ),
-        (
-            "more late than promised",
-            (0, 0),
-            vec![],
-            |r, s| {
+            begin: &[],
+            end: &[],
+            state: Halted,
+        },
+        RolloutCase {
+            name: "more late than promised",
+            out_of_use: [0, 0],
+            drains: vec![],
+            change: |r, s| {
                 r.late_before = Some(2);
                 s.late_jobs = 4;
             },
-            &[],
-            &[],
-            Halted,
-        ),
-        (
-            "as late as promised",
-            (0, 0),
-            vec![],
-            |r, s| {
+            begin: &[],
+            end: &[],
+            state: Halted,
+        },
+        RolloutCase {
+            name: "as late as promised",
+            out_of_use: [0, 0],
+            drains: vec![],
+            change: |r, s| {
                 r.late_before = Some(2);
                 s.late_jobs = 3;
             },
-            &["m-0", "m-3"],
-            &[],
-            Running,
-        ),
-        (
-            "the last one is back",
-            (0, 1),
-            vec![own("m-4", 90_000, Some(95_000))],
-            |r, s| {
+            begin: &["m-0", "m-3"],
+            end: &[],
+            state: Running,
+        },
+        RolloutCase {
+            name: "the last one is back",
+            out_of_use: [0, 1],
+            drains: vec![own("m-4", 90_000, Some(95_000))],
+            change: |r, s| {
                 r.next = 4;
                 s.restarted = vec!["m-4".into()];
             },
-            &[],
-            &["m-4"],
-            Done,
-        ),
-        (
-            "taken back",
-            (1, 1),
-            vec![own("m-0", 0, None), own("m-3", 0, Some(1))],
-            |r, _| r.state = Back,
-            &[],
-            &["m-0", "m-3"],
-            Back,
-        ),
-        (
-            "taken back, all ended",
-            (0, 0),
-            vec![],
-            |r, _| r.state = Back,
-            &[],
-            &[],
-            Done,
-        ),
+            begin: &[],
+            end: &["m-4"],
+            state: Done,
+        },
+        RolloutCase {
+            name: "taken back",
+            out_of_use: [1, 1],
+            drains: vec![own("m-0", 0, None), own("m-3", 0, Some(1))],
+            change: |r, _| r.state = Back,
+            begin: &[],
+            end: &["m-0", "m-3"],
+            state: Back,
+        },
+        RolloutCase {
+            name: "taken back, all ended",
+            out_of_use: [0, 0],
+            drains: vec![],
+            change: |r, _| r.state = Back,
+            begin: &[],
+            end: &[],
+            state: Done,
+        },
     ];
-    for (name, out, drains, change, begin, end, state) in cases {
-        let (mut roll, mut scene) = (roll(&hosts, AtMost::Machines(1)), scene(out));
-        scene.drains = drains.into_iter().collect();
-        change(&mut roll, &mut scene);
-        match step(&roll, &scene, 20) {
-            Some(next) => {
-                assert_eq!(next.begin, begin, "{name}");
-                assert_eq!(next.end, end, "{name}");
-                assert_eq!(next.rollout.state, state, "{name}: {}", next.rollout.reason);
-                assert_eq!(next.rollout.reason.is_empty(), state != Halted, "{name}");
-            }
-            None => assert!(
-                begin.is_empty() && end.is_empty() && state == roll.state,
-                "{name}"
-            ),
-        }
+    for case in cases {
+        case.check(&hosts);
     }
     // Halted or done: nothing, whatever happens.
     for state in [Halted, Done] {
-        let roll = Roll {
+        let rollout = Roll {
             state,
-            ..roll(&hosts, AtMost::Machines(1))
+            ..rollout(&hosts, AtMost::Machines(1))
         };
-        assert_eq!(step(&roll, &scene((0, 0)), 20), None);
+        assert_eq!(next_step(&rollout, &fleet_view([0, 0]), 20), None);
     }
     // Zone after zone in turn.
     let machines = [("m-1", "a"), ("m-0", "a"), ("m-5", "b")].map(|(m, z)| (m.into(), z.into()));
-    assert_eq!(in_turn(&machines), ["m-0", "m-5", "m-1"]);
+    assert_eq!(round_robin_by_zone(&machines), ["m-0", "m-5", "m-1"]);
 }
 
-/// Guards against a roll that an order leaves in a state that cannot be.
+/// Guards against a rollout that an order leaves in a state that cannot be.
 #[test]
-fn turns_of_a_roll() {
+fn orders_about_a_rollout() {
     use RollState::{Back, Done, Halted, Running};
     let cases = [
         (Turn::Halt, Running, Some(Halted)),
@@ -860,15 +889,15 @@
             by: "someone".into(),
             turn,
         };
-        let roll = Roll {
+        let rollout = Roll {
             state,
             late_before: Some(3),
-            ..roll(&["m-0"], AtMost::Machines(1))
+            ..rollout(&["m-0"], AtMost::Machines(1))
         };
-        let next = rolls::turned(&roll, &order);
+        let next = rollouts::turned(&rollout, &order);
         match (next, expected) {
             (Ok(Some(next)), Some(state)) => assert_eq!(next.state, state),
-            (Err(Refused::Against(_)), None) => {}
+            (Err(OrderError::Conflict(_)), None) => {}
             (next, _) => panic!("{turn:?} of {state:?}: {next:?}"),
         }
     }
