--- a/tests/delivery.rs
+++ b/tests/delivery.rs
@@ -1,5 +1,5 @@
-//! Machines whose reports arrive while they hear nothing, and copies of reports that
-//! arrive late.
+//! Machines whose heartbeats arrive while our answers do not reach them, and copies of
+//! heartbeats that arrive late.
 
 mod common;
 
@@ -13,8 +13,22 @@
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::worker::{Cause, Command, Phase};
 
-/// A scheduler that is placing, its clock beating until `now`.
-fn beat(scheduler: &mut Scheduler, from: u32, to: u32) {
+/// A leader under term 5 that places tasks, with these machines and one team.
+fn leader(machines: &[&str]) -> Scheduler {
+    scheduler(vec![team("t", 0.0, 0.0)], 5, machines)
+}
+
+/// Submits the job `run-1` of so many tasks.
+fn submit(scheduler: &mut Scheduler, tasks: u32, at: f64) {
+    add(
+        scheduler,
+        spec("run-1", "t", Urgency::Standard, tasks, 1.0),
+        at,
+    );
+}
+
+/// Ticks once a second.
+fn tick(scheduler: &mut Scheduler, from: u32, to: u32) {
     for s in from..=to {
         scheduler.tick(f64::from(s), f64::from(s));
     }
@@ -24,11 +38,12 @@
     scheduler.machines[id].delivery.is_doubted()
 }
 
-/// What says that a machine does not hear us, and what that it does. Guards against
-/// taking a report for proof that our answers arrive.
+/// Evidence that our answers do not reach a machine, and that they do. Guards against
+/// taking a heartbeat for proof that our answers arrive.
 #[test]
-fn signs_of_hearing() {
-    // Each report: at, session, serial, term, and whether it is in doubt then.
+fn evidence_of_delivery_from_terms_and_sessions() {
+    // Each heartbeat: at, session, sequence number, term, and whether the machine is in
+    // doubt then.
     type Row = (u32, u64, u64, u64, bool);
     let cases: [(&str, &[Row]); 4] = [
         (
@@ -40,7 +55,7 @@
             ],
         ),
         (
-            "one that hears",
+            "answers arrive",
             &[
                 (1, 1, 1, 3, false),
                 (2, 1, 2, 5, false),
@@ -61,15 +76,12 @@
         ),
     ];
     for (what, rows) in cases {
-        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        let mut scheduler = leader(&["m1"]);
         let mut at = 0;
-        for (now, session, serial, term, doubt) in rows {
-            beat(&mut scheduler, at, *now);
+        for (now, session, seq, term, doubt) in rows {
+            tick(&mut scheduler, at, *now);
             at = *now;
-            scheduler.handle_heartbeat(
-                &report("m1", *session, *serial, *term, &[]),
-                f64::from(*now),
-            );
+            scheduler.handle_heartbeat(&report("m1", *session, *seq, *term, &[]), f64::from(*now));
             assert_eq!(doubted(&scheduler, "m1"), *doubt, "{what} {now}");
         }
     }
@@ -77,7 +89,7 @@
 
 /// The same from what becomes of a start, a stop and a forgetting in our answers.
 #[test]
-fn signs_of_hearing_in_tasks() {
+fn evidence_of_delivery_from_tasks() {
     let shown = |phase, cause| vec![("run-1/0", (5 << 24) + 1, phase, cause)];
     let none = Vec::new();
     let runs = shown(Phase::Running, None);
@@ -108,34 +120,30 @@
         ),
     ];
     for (what, rows) in cases {
-        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        let mut scheduler = leader(&["m1"]);
         scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.5);
-        add(
-            &mut scheduler,
-            spec("run-1", "t", Urgency::Standard, 1, 1.0),
-            0.5,
-        );
+        submit(&mut scheduler, 1, 0.5);
         let HeartbeatReply::Commands(reply) =
             scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 1.0)
         else {
             panic!("refused");
         };
         assert_eq!(reply.commands.len(), 1, "{what}");
-        for (serial, (ends, tasks, doubt)) in rows.iter().enumerate() {
+        for (seq, (ends, tasks, doubt)) in rows.iter().enumerate() {
             if *ends {
                 scheduler.finish_job("run-1");
             }
-            let serial = serial as u64 + 3;
-            scheduler.handle_heartbeat(&report("m1", 1, serial, 5, tasks), serial as f64);
-            assert_eq!(doubted(&scheduler, "m1"), *doubt, "{what}, report {serial}");
+            let seq = seq as u64 + 3;
+            scheduler.handle_heartbeat(&report("m1", 1, seq, 5, tasks), seq as f64);
+            assert_eq!(doubted(&scheduler, "m1"), *doubt, "{what}, report {seq}");
         }
     }
 }
 
-/// Guards against taking what ended during our own pause for a machine's deafness.
+/// Guards against taking what ended during our own pause for evidence against delivery.
 #[test]
-fn our_own_pause_is_no_deafness() {
-    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+fn own_pause_is_no_evidence_against_delivery() {
+    let mut scheduler = leader(&["m1"]);
     scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 1.0);
     scheduler.tick(1.5, 1.5);
     // 25 s without a beat.
@@ -143,50 +151,46 @@
     assert!(!doubted(&scheduler, "m1"));
 }
 
-/// Guards against a deaf machine that, always empty, draws task after task: from the
-/// first sign on nothing new starts there, its CPUs do not count, and it is asked.
+/// Guards against an unreachable machine that, always empty, draws task after task: from the
+/// first evidence on nothing new starts there, its CPUs do not count, and it is probed.
 /// An answer to a call brings it back.
 #[test]
-fn a_deaf_machine_gets_nothing_new() {
-    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["deaf", "m2"]);
-    let hears = |scheduler: &mut Scheduler, serial: u64, at: f64| {
-        scheduler.handle_heartbeat(&report("m2", 1, serial, 5, &[]), at);
+fn machine_in_doubt_gets_no_new_tasks() {
+    let mut scheduler = leader(&["unreachable", "m2"]);
+    let hears = |scheduler: &mut Scheduler, seq: u64, at: f64| {
+        scheduler.handle_heartbeat(&report("m2", 1, seq, 5, &[]), at);
     };
-    scheduler.handle_heartbeat(&report("deaf", 1, 1, 5, &[]), 1.0);
+    scheduler.handle_heartbeat(&report("unreachable", 1, 1, 5, &[]), 1.0);
     hears(&mut scheduler, 1, 1.0);
-    beat(&mut scheduler, 1, 2);
-    scheduler.handle_heartbeat(&report("deaf", 1, 2, 3, &[]), 3.0);
+    tick(&mut scheduler, 1, 2);
+    scheduler.handle_heartbeat(&report("unreachable", 1, 2, 3, &[]), 3.0);
     hears(&mut scheduler, 2, 3.0);
-    add(
-        &mut scheduler,
-        spec("run-1", "t", Urgency::Standard, 12, 1.0),
-        3.0,
-    );
+    submit(&mut scheduler, 12, 3.0);
     scheduler.place_all(3.1);
-    assert!(scheduler.machines["deaf"].attempts.is_empty());
+    assert!(scheduler.machines["unreachable"].attempts.is_empty());
     assert_eq!(scheduler.machines["m2"].attempts.len(), 8);
     assert_eq!(scheduler.capacity().0, 1);
-    beat(&mut scheduler, 4, 6);
-    assert!(scheduler.outbox.contains("deaf"), "it is not asked");
+    tick(&mut scheduler, 4, 6);
+    assert!(scheduler.outbox.contains("unreachable"), "it is not probed");
     let (_, call) = scheduler
-        .next_direct_call(&"deaf".into(), 6.0)
+        .next_direct_call(&"unreachable".into(), 6.0)
         .expect("a call");
     assert!(call.commands.is_empty());
-    let heard = CallResult::Executed(report("deaf", 1, 3, 5, &[]));
-    scheduler.direct_call_finished(&"deaf".into(), &call, heard, 6.1);
+    let heard = CallResult::Executed(report("unreachable", 1, 3, 5, &[]));
+    scheduler.direct_call_finished(&"unreachable".into(), &call, heard, 6.1);
     scheduler.place_all(6.1);
-    assert_eq!(scheduler.machines["deaf"].attempts.len(), 4);
+    assert_eq!(scheduler.machines["unreachable"].attempts.len(), 4);
 }
 
 /// Guards against a takeover that waits for ever for a machine that hears nobody:
 /// each answer may have renewed its lease, so that never proved it empty. It is left
 /// alone, and after a lease it holds up nobody, in this session and the next.
 #[test]
-fn a_takeover_does_not_wait_for_the_deaf_for_ever() {
+fn takeover_does_not_wait_for_an_unreachable_machine() {
     let teams = vec![team("t", 0.0, 0.0)];
     let mut scheduler = Scheduler::new(scheduler_config(teams), 5, Fence::new(5, Some(0.0)), 7);
     scheduler.set_types(&types());
-    scheduler.add_recorded_machine(machine("deaf", "a", false), 0.0);
+    scheduler.add_recorded_machine(machine("unreachable", "a", false), 0.0);
     let mut open_at = None;
     let mut session = 1;
     for s in 0..80u32 {
@@ -195,7 +199,10 @@
         if s % 5 == 0 {
             // Its lease ends every ten seconds.
             session = 1 + u64::from(s) / 10;
-            scheduler.handle_heartbeat(&report("deaf", session, u64::from(s) + 1, 3, &[]), now);
+            scheduler.handle_heartbeat(
+                &report("unreachable", session, u64::from(s) + 1, 3, &[]),
+                now,
+            );
             let written: Vec<_> = scheduler
                 .wanted_machine_record()
                 .into_iter()
@@ -210,23 +217,23 @@
     assert!(session > 6);
     assert!(open_at.is_some_and(|t| t <= 35.0), "open at {open_at:?}");
     // It goes back to the cloud, and what comes of it then is old.
-    assert_eq!(scheduler.machines_given_up(80.0), ["deaf"]);
-    scheduler.confirm_machine_returned("deaf");
-    let late = scheduler.handle_heartbeat(&report("deaf", 1, 900, 5, &[]), 200.0);
+    assert_eq!(scheduler.machines_given_up(80.0), ["unreachable"]);
+    scheduler.confirm_machine_returned("unreachable");
+    let late = scheduler.handle_heartbeat(&report("unreachable", 1, 900, 5, &[]), 200.0);
     assert!(matches!(late, HeartbeatReply::Refuse));
     assert!(scheduler.machines.is_empty());
 }
 
-/// A report that is older than what is known: overtaken by an answer to a call it is
+/// A heartbeat that is older than what is known: overtaken by an answer to a call it is
 /// answered; long after that it is a copy, or a machine that counts anew, whose lease
 /// must not be renewed. Guards against a machine that is back at once with counters
 /// from the beginning and is answered for ever while its tasks count as on.
 #[test]
-fn older_reports() {
+fn overtaken_heartbeats() {
     for (after_s, answered) in [(1, true), (3, true), (8, false)] {
-        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        let mut scheduler = leader(&["m1"]);
         scheduler.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
-        beat(&mut scheduler, 1, 1 + after_s);
+        tick(&mut scheduler, 1, 1 + after_s);
         let answer =
             scheduler.handle_heartbeat(&report("m1", 1, 3, 5, &[]), f64::from(1 + after_s));
         let found = matches!(answer, HeartbeatReply::Commands(_));
@@ -234,7 +241,7 @@
         assert_eq!(doubted(&scheduler, "m1"), !answered);
     }
     // What was started by calls after it came back runs until its own lease ends.
-    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+    let mut scheduler = leader(&["m1"]);
     scheduler.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
     let mut expired_at = None;
     for s in 1..40u32 {
@@ -249,19 +256,15 @@
     assert!(expired_at.is_some_and(|s| s > 18), "{expired_at:?}");
 }
 
-/// A machine keeps the highest term: newer by session or serial and with a lower one is of
+/// A machine keeps the highest term: newer by session or sequence number and with a lower one is of
 /// another life, and clears nothing. (It did, and a task started twice: seed 69 of the
 /// simulation.) And a start that was executed there, by a message that is no newer than
 /// what we know, is neither shown nor ruled out: it stays in flight.
 #[test]
-fn other_lives_of_a_machine() {
-    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+fn heartbeats_of_an_earlier_life() {
+    let mut scheduler = leader(&["m1"]);
     scheduler.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
-    add(
-        &mut scheduler,
-        spec("run-1", "t", Urgency::Standard, 1, 1.0),
-        1.0,
-    );
+    submit(&mut scheduler, 1, 1.0);
     scheduler.place_all(1.2);
     let name = "m1".into();
     let call = scheduler.next_direct_call(&name, 1.2).expect("a start").1;
@@ -286,19 +289,15 @@
 }
 
 /// A machine that counts anew can be in the very session that its earlier life was in
-/// last: a report of that life, held up, then looks newer than all that it says. What it
+/// last: a heartbeat of that life, held up, then looks newer than all that it says. What it
 /// answers to a call made since is the truth. (Seed 6689 of tests/simulation.rs: a task
 /// that ran here was started elsewhere.)
 #[test]
-fn an_answer_to_a_call_outweighs_a_report_of_an_earlier_life() {
-    for (session, serial, believed) in [(2, 8, true), (2, 70, true), (1, 80, false)] {
-        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+fn call_result_outweighs_a_heartbeat_of_an_earlier_life() {
+    for (session, seq, believed) in [(2, 8, true), (2, 70, true), (1, 80, false)] {
+        let mut scheduler = leader(&["m1"]);
         scheduler.handle_heartbeat(&report("m1", 2, 5, 5, &[]), 1.0);
-        add(
-            &mut scheduler,
-            spec("run-1", "t", Urgency::Standard, 1, 1.0),
-            1.0,
-        );
+        submit(&mut scheduler, 1, 1.0);
         scheduler.place_all(1.1);
         let name = "m1".into();
         let (_, start) = scheduler.next_direct_call(&name, 1.1).expect("a start");
@@ -308,27 +307,27 @@
         let runs = [("run-1/0", attempt, Phase::Running, None)];
         let shows = report("m1", 2, 6, 5, &runs);
         scheduler.direct_call_finished(&name, &start, CallResult::Executed(shows), 1.2);
-        // Of the earlier life, sent before it ended, with a later serial.
+        // Of the earlier life, sent before it ended, with a later sequence number.
         scheduler.handle_heartbeat(&report("m1", 2, 69, 5, &[]), 1.3);
         let known = |scheduler: &Scheduler| {
             let known = scheduler.machines["m1"].attempts.keys();
             known.map(|id| id.number).collect::<Vec<u64>>()
         };
-        assert!(!known(&scheduler).contains(&attempt), "{session} {serial}");
+        assert!(!known(&scheduler).contains(&attempt), "{session} {seq}");
         // A start that it drew since is not the matter here.
         scheduler.finish_job("run-1");
         let (_, ask) = scheduler.next_direct_call(&name, 1.4).expect("asked");
-        let shows = report("m1", session, serial, 5, &runs);
+        let shows = report("m1", session, seq, 5, &runs);
         scheduler.direct_call_finished(&name, &ask, CallResult::Executed(shows), 1.5);
-        assert_eq!(known(&scheduler).contains(&attempt), believed, "{serial}");
+        assert_eq!(known(&scheduler).contains(&attempt), believed, "{seq}");
         let recounts = scheduler.machines["m1"].renumbers;
-        assert_eq!(recounts, (session, serial) < (2, 69), "{serial}");
-        // From then on reports say nothing until the next session, which ends all.
+        assert_eq!(recounts, (session, seq) < (2, 69), "{seq}");
+        // From then on heartbeats say nothing until the next session, which ends all.
         let late = scheduler.handle_heartbeat(&report("m1", 2, 90, 5, &[]), 1.6);
-        assert_eq!(matches!(late, HeartbeatReply::Refuse), recounts, "{serial}");
+        assert_eq!(matches!(late, HeartbeatReply::Refuse), recounts, "{seq}");
         assert_eq!(
             known(&scheduler).contains(&attempt),
-            (2, 8) == (session, serial)
+            (2, 8) == (session, seq)
         );
         let next = scheduler.handle_heartbeat(&report("m1", 3, 91, 5, &[]), 2.0 + LEASE_S);
         assert!(matches!(next, HeartbeatReply::Commands(_)) && !scheduler.machines["m1"].renumbers);
@@ -336,16 +335,12 @@
     }
 }
 
-/// Late copies at an owner that took over do not end its fence, bring back what was
+/// Late copies at a leader that took over do not end its fence, bring back what was
 /// forgotten or stop what has started since.
 #[test]
 fn late_copies_after_a_takeover() {
-    let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
-    add(
-        &mut scheduler,
-        spec("run-1", "t", Urgency::Standard, 1, 1.0),
-        0.0,
-    );
+    let mut scheduler = leader(&["m1"]);
+    submit(&mut scheduler, 1, 0.0);
     let old = [("run-1/0", 9, Phase::Running, None)];
     scheduler.handle_heartbeat(&report("m1", 1, 4, 3, &old), 1.0);
     assert!(!scheduler.fencing_complete());
@@ -360,14 +355,14 @@
     };
     let runs = [("run-1/0", attempt, Phase::Running, None)];
     scheduler.handle_heartbeat(&report("m1", 1, 10, 5, &runs), 2.8);
-    for serial in [4, 9] {
-        scheduler.handle_heartbeat(&report("m1", 1, serial, 3, &old), 3.0);
+    for seq in [4, 9] {
+        scheduler.handle_heartbeat(&report("m1", 1, seq, 3, &old), 3.0);
         let known: Vec<u64> = scheduler.machines["m1"]
             .attempts
             .keys()
             .map(|id| id.number)
             .collect();
-        assert_eq!(known, [attempt], "after a copy of {serial}");
+        assert_eq!(known, [attempt], "after a copy of {seq}");
     }
 }
 
@@ -417,7 +412,7 @@
     }
 }
 
-/// An owner that hears a report of several sessions ago first takes those since for too
+/// A leader that hears a report of several sessions ago first takes those since for too
 /// early, and refuses them; each refusal costs the machine its lease, so its count never
 /// comes late enough. It is taken back once its lease has proven it empty, also with a
 /// start without an answer on it. (Seed 7110 of tests/simulation.rs without machines that
@@ -425,14 +420,10 @@
 #[test]
 fn a_machine_first_heard_of_by_a_late_report_is_taken_back() {
     for unanswered in [false, true] {
-        let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
+        let mut scheduler = leader(&["m1"]);
         scheduler.handle_heartbeat(&report("m1", 3, 4, 5, &[]), 1.0);
         if unanswered {
-            add(
-                &mut scheduler,
-                spec("run-1", "t", Urgency::Standard, 1, 1.0),
-                1.0,
-            );
+            submit(&mut scheduler, 1, 1.0);
             scheduler.place_all(1.1);
             let name = "m1".into();
             let (_, start) = scheduler.next_direct_call(&name, 1.1).expect("a start");
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -10,10 +10,11 @@
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::worker::{Cause, Phase};
 
+/// The tasks of a heartbeat.
 type Shown = Vec<(String, u64, Phase, Option<Cause>)>;
 
-/// What a machine shows of what was started there: whether a task of the job fails.
-fn shows(scheduler: &Scheduler, id: &str, fails: impl Fn(&str) -> Option<Cause>) -> Shown {
+/// What a machine reports of what was started there: whether a task of the job fails.
+fn shown_tasks(scheduler: &Scheduler, id: &str, fails: impl Fn(&str) -> Option<Cause>) -> Shown {
     // What was shown as over has been forgotten since.
     let active = scheduler.machines[id].live_attempts().map(|(key, _)| key);
     active
@@ -28,24 +29,25 @@
 fn fleet(names: &[&str]) -> Scheduler {
     let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, names);
     for name in names {
-        tell(&mut scheduler, name, 1, &Vec::new(), 0.5);
+        heartbeat(&mut scheduler, name, 1, &Vec::new(), 0.5);
     }
     scheduler
 }
 
-fn tell(scheduler: &mut Scheduler, id: &str, serial: u64, shown: &Shown, at: f64) {
+/// The machine reports these tasks.
+fn heartbeat(scheduler: &mut Scheduler, id: &str, seq: u64, shown: &Shown, at: f64) {
     let tasks: Vec<_> = shown
         .iter()
         .map(|t| (t.0.as_str(), t.1, t.2, t.3))
         .collect();
-    scheduler.handle_heartbeat(&report(id, 1, serial, 5, &tasks), at);
+    scheduler.handle_heartbeat(&report(id, 1, seq, 5, &tasks), at);
 }
 
 /// Guards against blaming machines for a job's mistake: its tasks failed at once all
 /// over the fleet, and machines with three of them were taken out of use. And against
 /// a broken job that takes the fleet for each of its retries.
 #[test]
-fn a_broken_job_blames_no_machine_and_takes_one_place() {
+fn broken_job_blames_no_machine_and_retries_one_task_at_a_time() {
     let names: Vec<String> = (0..12).map(|i| format!("m{i}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut scheduler = fleet(&names);
@@ -58,16 +60,16 @@
     assert_eq!(scheduler.jobs["run-1"].placed.len(), 96);
     let mut most = 0;
     let mut tries = 0;
-    for s in 2..200u64 {
-        let now = s as f64;
+    for second in 2..200u64 {
+        let now = second as f64;
         for name in &names {
-            let shown = shows(&scheduler, name, |_| Some(Cause::Error));
+            let shown = shown_tasks(&scheduler, name, |_| Some(Cause::Error));
             tries += shown.len();
-            tell(&mut scheduler, name, s, &shown, now);
+            heartbeat(&mut scheduler, name, second, &shown, now);
         }
         scheduler.tick(now, now);
         scheduler.place_all(now + 0.5);
-        most = most.max(if s > 3 {
+        most = most.max(if second > 3 {
             scheduler.jobs["run-1"].placed.len()
         } else {
             0
@@ -90,7 +92,7 @@
 /// Guards against the same before a third machine has told: one machine with four tasks of
 /// the job stays in use, and four jobs that fail there do not leave it so.
 #[test]
-fn failures_count_by_job() {
+fn failures_are_counted_by_job() {
     for (jobs, tasks, standing) in [(1, 4, MachineStatus::Up), (4, 1, MachineStatus::Draining)] {
         let mut scheduler = fleet(&["m0"]);
         for n in 0..jobs {
@@ -102,9 +104,9 @@
             );
         }
         scheduler.place_all(1.0);
-        let shown = shows(&scheduler, "m0", |_| Some(Cause::Error));
+        let shown = shown_tasks(&scheduler, "m0", |_| Some(Cause::Error));
         assert_eq!(shown.len(), 4);
-        tell(&mut scheduler, "m0", 2, &shown, 2.0);
+        heartbeat(&mut scheduler, "m0", 2, &shown, 2.0);
         scheduler.tick(2.0, 2.0);
         assert_eq!(scheduler.machines["m0"].status, standing, "{jobs} jobs");
     }
@@ -113,7 +115,7 @@
 /// Guards against several broken jobs that together take healthy machines out of use: what
 /// turns out to be a job's fault is forgiven.
 #[test]
-fn what_broken_jobs_did_is_forgiven() {
+fn failures_of_broken_jobs_are_forgiven() {
     let names = ["m0", "m1", "m2", "m3"];
     let mut scheduler = fleet(&names);
     for n in 0..4 {
@@ -133,7 +135,7 @@
                 Some(Cause::Error),
             )
         };
-        tell(&mut scheduler, name, 2, &(0..4).map(failed).collect(), 2.0);
+        heartbeat(&mut scheduler, name, 2, &(0..4).map(failed).collect(), 2.0);
     }
     scheduler.tick(2.0, 2.0);
     for name in names {
@@ -144,7 +146,7 @@
 /// Guards against the reverse: a machine that fails everything is found although each
 /// job fails there once, and jobs of which a few tasks met it are not held back.
 #[test]
-fn a_sick_machine_is_found_and_its_jobs_are_not_suspect() {
+fn failing_machine_is_retired_and_its_jobs_are_not_suspect() {
     let names = ["m0", "m1", "m2", "m3"];
     let mut scheduler = fleet(&names);
     for n in 0..4 {
@@ -155,14 +157,20 @@
         );
     }
     scheduler.place_all(1.0);
-    for s in 2..9u64 {
-        let now = s as f64;
-        let next = spec(&format!("run-{}", s + 2), "t", Urgency::Standard, 2, 1.0);
+    for second in 2..9u64 {
+        let now = second as f64;
+        let next = spec(
+            &format!("run-{}", second + 2),
+            "t",
+            Urgency::Standard,
+            2,
+            1.0,
+        );
         add(&mut scheduler, next, now);
         for name in names {
-            let sick = name == "m0";
-            let shown = shows(&scheduler, name, |_| sick.then_some(Cause::Error));
-            tell(&mut scheduler, name, s, &shown, now);
+            let faulty = name == "m0";
+            let shown = shown_tasks(&scheduler, name, |_| faulty.then_some(Cause::Error));
+            heartbeat(&mut scheduler, name, second, &shown, now);
         }
         scheduler.tick(now, now);
         scheduler.place_all(now + 0.5);
@@ -182,7 +190,7 @@
 /// ones come: half of `begin-s` after it came one task of it goes first, not more, and
 /// is not stopped for others.
 #[test]
-fn the_first_task_of_the_largest_job_starts_in_time() {
+fn first_task_of_the_largest_job_starts_in_time() {
     for (begin_s, begins) in [(240.0, Some(121)), (0.0, None)] {
         let mut params = scheduler_config(vec![team("t", 0.0, 0.0)]);
         params.policy = Policy {
@@ -192,7 +200,7 @@
         };
         let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         scheduler.config = params;
-        tell(&mut scheduler, "m1", 1, &Vec::new(), 0.1);
+        heartbeat(&mut scheduler, "m1", 1, &Vec::new(), 0.1);
         // With a deadline, so that smallest-first holds.
         let due = |mut s: foxspur::protocol::job::JobSpec| {
             s.deadline_s = Some(5000.0);
@@ -204,29 +212,29 @@
             0.0,
         );
         let mut began = None;
-        for s in 1..230u64 {
-            let now = s as f64;
+        for second in 1..230u64 {
+            let now = second as f64;
             // Eight small ones come, those of before are done.
             for n in 0..10 {
-                let id = format!("run-{}", s * 10 + n);
+                let id = format!("run-{}", second * 10 + n);
                 add(
                     &mut scheduler,
                     due(spec(&id, "t", Urgency::Standard, 1, 1.0)),
                     now,
                 );
             }
-            let shown = shows(&scheduler, "m1", |job| {
+            let shown = shown_tasks(&scheduler, "m1", |job| {
                 (job != "run-9999").then_some(Cause::Done)
             });
-            tell(&mut scheduler, "m1", s + 1, &shown, now);
+            heartbeat(&mut scheduler, "m1", second + 1, &shown, now);
             scheduler.tick(now, now);
             scheduler.place_all(now + 0.5);
             let on = scheduler.jobs["run-9999"].placed.len();
-            assert!(on <= 1, "{on} of it at {s}");
+            assert!(on <= 1, "{on} of it at {second}");
             if on > 0 {
-                began.get_or_insert(s);
+                began.get_or_insert(second);
             }
-            assert!(began.is_none() || on == 1, "stopped again at {s}");
+            assert!(began.is_none() || on == 1, "stopped again at {second}");
         }
         assert_eq!(began, begins, "begin-s {begin_s}");
         // Urgent work takes the rest of the machine, not what has just begun.
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -3,8 +3,89 @@
 use super::*;
 use foxspur::coordination::scheduler::machine::MessageId;
 
+/// Send time of copies, whose answers nobody reads.
+const COPY: f64 = -1.0;
+/// The leader that copies go to: whoever it is when they arrive.
+const LATEST: u64 = u64::MAX;
+
+/// A message. Workers are given by their place, leaders by their base term.
+#[allow(clippy::large_enum_variant)]
+pub(crate) enum Message {
+    Heartbeat {
+        worker: usize,
+        leader: u64,
+        report: Report,
+        sent_at: f64,
+    },
+    Answer {
+        worker: usize,
+        session: u64,
+        /// When the heartbeat was sent.
+        sent_at: f64,
+        reply: Reply,
+    },
+    Call {
+        worker: usize,
+        leader: u64,
+        call: Direct,
+        /// Its sender knows already that it has no answer.
+        given_up: bool,
+    },
+    CallEnded {
+        worker: usize,
+        leader: u64,
+        call: Direct,
+        result: CallResult,
+    },
+}
+
+/// A message on its way.
+pub(crate) struct InFlight {
+    pub(crate) at: f64,
+    pub(crate) message: Message,
+}
+
+impl Message {
+    /// A copy of a heartbeat, to whoever leads when it arrives. Nobody reads the answer.
+    pub(crate) fn copy_of_heartbeat(worker: usize, report: Report) -> Message {
+        Message::Heartbeat {
+            worker,
+            leader: LATEST,
+            report,
+            sent_at: COPY,
+        }
+    }
+
+    /// The caller learns that its call has no answer.
+    pub(crate) fn no_answer(worker: usize, leader: u64, call: Direct) -> Message {
+        Message::CallEnded {
+            worker,
+            leader,
+            call,
+            result: CallResult::Unknown,
+        }
+    }
+
+    fn worker(&self) -> usize {
+        match self {
+            Message::Heartbeat { worker, .. }
+            | Message::Answer { worker, .. }
+            | Message::Call { worker, .. }
+            | Message::CallEnded { worker, .. } => *worker,
+        }
+    }
+
+    /// The leader that reads it, if one does.
+    fn reader(&self) -> Option<u64> {
+        match self {
+            Message::Heartbeat { leader, .. } | Message::CallEnded { leader, .. } => Some(*leader),
+            Message::Answer { .. } | Message::Call { .. } => None,
+        }
+    }
+}
+
 impl Simulation {
-    pub(crate) fn delay(&mut self) -> f64 {
+    fn delay(&mut self) -> f64 {
         match self.rng.random_range(0..40) {
             0 => self.rng.random_range(5.0..60.0),
             1..4 => self.rng.random_range(0.5..5.0),
@@ -12,218 +93,307 @@
         }
     }
 
+    /// The message arrives at this time.
+    pub(crate) fn arrive(&mut self, at: f64, message: Message) {
+        self.in_flight.push(InFlight { at, message });
+    }
+
     /// Adds a message to the digest of the history.
     fn record(&mut self, message: &Message) {
-        let (kind, worker, base) = match message {
-            Message::Hello(w, base, ..) => (0, *w, *base),
-            Message::Answer(w, session, ..) => (1, *w, *session),
-            Message::Direct(w, base, ..) => (2, *w, *base),
-            Message::Called(w, base, ..) => (3, *w, *base),
+        let (kind, peer) = match message {
+            Message::Heartbeat { leader, .. } => (0, *leader),
+            Message::Answer { session, .. } => (1, *session),
+            Message::Call { leader, .. } => (2, *leader),
+            Message::CallEnded { leader, .. } => (3, *leader),
         };
         let body = match message {
-            Message::Hello(_, _, report, _) => serde_json::to_vec(report),
-            Message::Answer(_, _, _, reply) => serde_json::to_vec(reply),
-            Message::Direct(_, _, call, _) | Message::Called(_, _, call, _) => {
+            Message::Heartbeat { report, .. } => serde_json::to_vec(report),
+            Message::Answer { reply, .. } => serde_json::to_vec(reply),
+            Message::Call { call, .. } | Message::CallEnded { call, .. } => {
                 serde_json::to_vec(call)
             }
         };
         self.digest.time(self.now);
         self.digest.number(kind);
-        self.digest.number(worker as u64);
-        self.digest.number(base);
+        self.digest.number(message.worker() as u64);
+        self.digest.number(peer);
         self.digest
             .bytes(&body.expect("a message that can be written"));
     }
 
+    /// Sends a message: it is lost, held back or late, or arrives.
     pub(crate) fn send(&mut self, message: Message) {
         self.record(&message);
-        let w = match &message {
-            Message::Hello(w, ..)
-            | Message::Answer(w, ..)
-            | Message::Direct(w, ..)
-            | Message::Called(w, ..) => *w,
+        let worker = message.worker();
+        let arrives_at = self.now + self.delay();
+        let Some(message) = self.pass_unreachable(worker, message) else {
+            return;
         };
-        let mut at = self.now + self.delay();
-        if self.workers[w].deaf_until > self.now {
-            match message {
-                Message::Answer(..) | Message::Direct(_, _, _, true) => return,
-                Message::Direct(w, base, call, false) => {
-                    let given_up = Message::Called(w, base, call, CallResult::Unknown);
-                    self.wire.push((self.now + 4.0, given_up));
-                    return;
-                }
-                Message::Hello(..) | Message::Called(..) => {}
+        let cut_until = self.workers[worker]
+            .cut_until
+            .max(self.cut_by_zone(worker, &message));
+        if cut_until <= self.now {
+            self.send_in_time(arrives_at, message);
+        } else if self.rng.random_bool(0.5) {
+            // Lost: a caller only learns that time is up.
+            if let Message::Call {
+                worker,
+                leader,
+                call,
+                given_up: false,
+            }
+            | Message::CallEnded {
+                worker,
+                leader,
+                call,
+                ..
+            } = message
+            {
+                let timeout = self.now + CALL_TIMEOUT_S;
+                self.arrive(timeout, Message::no_answer(worker, leader, call));
             }
+        } else {
+            self.send_in_time(arrives_at.max(cut_until), message);
         }
-        let cut = self.workers[w].cut_until.max(self.cut_by_zone(w, &message));
-        if cut > self.now {
-            // Held back, or lost: a caller then only learns that time is up.
-            if self.rng.random_bool(0.5) {
-                if let Message::Direct(w, base, call, false) | Message::Called(w, base, call, _) =
-                    message
-                {
-                    let given_up = Message::Called(w, base, call, CallResult::Unknown);
-                    self.wire.push((self.now + 4.0, given_up));
-                }
-                return;
+    }
+
+    /// What a leader sends to a machine that hears nothing is lost.
+    fn pass_unreachable(&mut self, worker: usize, message: Message) -> Option<Message> {
+        if self.workers[worker].deaf_until <= self.now {
+            return Some(message);
+        }
+        match message {
+            Message::Answer { .. } | Message::Call { given_up: true, .. } => None,
+            Message::Call {
+                worker,
+                leader,
+                call,
+                given_up: false,
+            } => {
+                let timeout = self.now + CALL_TIMEOUT_S;
+                self.arrive(timeout, Message::no_answer(worker, leader, call));
+                None
             }
-            at = at.max(cut);
-        }
-        // Every call has a timeout; what comes later is executed all the same.
-        let give_up = self.now + 4.0;
-        let message = match message {
-            Message::Direct(w, base, call, false) if at > give_up => {
-                let given_up = Message::Called(w, base, call.clone(), CallResult::Unknown);
-                self.wire.push((give_up, given_up));
-                Message::Direct(w, base, call, true)
+            Message::Heartbeat { .. } | Message::CallEnded { .. } => Some(message),
+        }
+    }
+
+    /// Every call has a timeout; what comes later is executed all the same.
+    fn send_in_time(&mut self, at: f64, message: Message) {
+        let timeout = self.now + CALL_TIMEOUT_S;
+        match message {
+            Message::Call {
+                worker,
+                leader,
+                call,
+                given_up: false,
+            } if at > timeout => {
+                self.arrive(timeout, Message::no_answer(worker, leader, call.clone()));
+                let late = Message::Call {
+                    worker,
+                    leader,
+                    call,
+                    given_up: true,
+                };
+                self.arrive(at, late);
             }
-            Message::Called(w, base, call, _) if at > give_up => {
-                at = give_up;
-                Message::Called(w, base, call, CallResult::Unknown)
+            Message::CallEnded {
+                worker,
+                leader,
+                call,
+                ..
+            } if at > timeout => {
+                self.arrive(timeout, Message::no_answer(worker, leader, call));
             }
-            other => other,
-        };
-        self.wire.push((at, message));
+            other => self.arrive(at, other),
+        }
     }
 
-    /// Until when a message of an owner outside a cut zone does not get through.
-    fn cut_by_zone(&self, w: usize, message: &Message) -> f64 {
-        let Some(cut) = self.workers[w].zone_cut else {
+    /// Until when a message of a leader outside a cut zone does not get through.
+    fn cut_by_zone(&self, worker: usize, message: &Message) -> f64 {
+        let Some(cut) = self.workers[worker].zone_cut else {
             return 0.0;
         };
         match message {
-            Message::Direct(_, base, ..) | Message::Called(_, base, ..) if *base != cut.owner => {
+            Message::Call { leader, .. } | Message::CallEnded { leader, .. }
+                if *leader != cut.leader =>
+            {
                 cut.until
             }
             _ => 0.0,
         }
     }
 
-    /// Counts an answer of a former owner in a cut zone.
-    fn note_cut_zone(&mut self, w: usize, base: u64) {
-        let cut = self.workers[w].zone_cut.filter(|cut| cut.owner == base);
+    /// Counts an answer of a former leader in a cut zone.
+    fn note_cut_zone(&mut self, worker: usize, leader: u64) {
+        let cut = self.workers[worker].zone_cut;
+        let cut = cut.filter(|cut| cut.leader == leader);
         let long = cut.is_some_and(|c| self.now - c.since > LEASE_S && self.now < c.until);
         self.met.add(Meeting::AnsweredInCutZone, usize::from(long));
     }
 
+    /// Delivers what has arrived.
     pub(crate) fn deliver(&mut self) {
         let now = self.now;
-        let mut due = Vec::new();
+        let mut due: Vec<InFlight> = Vec::new();
         let mut i = 0;
-        while i < self.wire.len() {
-            if self.wire[i].0 <= now {
-                due.push(self.wire.remove(i));
+        while i < self.in_flight.len() {
+            if self.in_flight[i].at <= now {
+                due.push(self.in_flight.remove(i));
             } else {
                 i += 1;
             }
         }
-        due.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (_, message) in due {
-            let message = match message {
-                Message::Hello(w, LATEST, report, sent) => {
-                    let base = self.owners.last().map_or(0, |o| o.0.fence.base_term);
-                    Message::Hello(w, base, report, sent)
+        due.sort_by(|a, b| a.at.total_cmp(&b.at));
+        for InFlight { mut message, .. } in due {
+            if let Message::Heartbeat { leader, .. } = &mut message {
+                if *leader == LATEST {
+                    *leader = self.leaders.last().map_or(0, Leader::base_term);
                 }
-                other => other,
-            };
-            let base = match &message {
-                Message::Hello(_, base, ..) | Message::Called(_, base, ..) => Some(*base),
-                _ => None,
-            };
+            }
             // What comes while it stands still is read when it goes on, in any
             // order among its connections.
-            if let Some(until) = base.and_then(|b| self.paused.get(&b)) {
+            let paused_until = message.reader().and_then(|leader| self.paused.get(&leader));
+            if let Some(until) = paused_until {
                 let at = until + self.rng.random_range(0.0..0.2);
-                self.wire.push((at, message));
+                self.arrive(at, message);
                 continue;
             }
-            match message {
-                Message::Hello(w, base, report, sent) => {
-                    if sent == COPY {
-                        self.note_old_report(w, base, &report);
-                    }
-                    let answer = match self.owner(base) {
-                        Some(scheduler) => scheduler.handle_heartbeat(&report, now),
-                        None => continue,
-                    };
-                    if let (HeartbeatReply::Commands(reply), true) = (answer, sent != COPY) {
-                        self.note_cut_zone(w, base);
-                        self.send(Message::Answer(w, report.session, sent, reply));
-                    }
-                }
-                Message::Answer(w, session, sent, reply) => {
-                    let worker = &mut self.workers[w];
-                    let ours = worker.asked.is_some_and(|(at, _)| at == sent);
-                    if worker.hung_until > now || !ours || worker.session != session {
-                        continue;
-                    }
-                    worker.asked = None;
-                    if reply.token < worker.token {
-                        continue;
-                    }
-                    worker.token = reply.token;
-                    worker.renewed = sent;
-                    self.execute(w, &reply.commands);
-                }
-                Message::Direct(w, base, call, known) => {
-                    if self.workers[w].hung_until > now {
-                        let at = self.workers[w].hung_until + 0.01;
-                        if !known {
-                            let given_up =
-                                Message::Called(w, base, call.clone(), CallResult::Unknown);
-                            self.wire.push((now + 4.0, given_up));
-                        }
-                        self.wire.push((at, Message::Direct(w, base, call, true)));
-                        continue;
-                    }
-                    // A worker that goes on notices its lease first.
-                    if now - self.workers[w].renewed > LEASE_S {
-                        self.session_over(w);
-                    }
-                    let fits = call.token >= self.workers[w].token
-                        && call.session == self.workers[w].session;
-                    self.workers[w].token = self.workers[w].token.max(call.token);
-                    if fits {
-                        let start = |c: &&Command| matches!(c, Command::Start { .. });
-                        let starts = call.commands.iter().filter(start).count();
-                        let held = if known { starts } else { 0 };
-                        self.met.add(Meeting::HeldStart, held);
-                        self.execute(w, &call.commands);
-                    }
-                    let report = self.report(w);
-                    let result = if fits {
-                        CallResult::Executed(report)
-                    } else {
-                        CallResult::Rejected(report)
-                    };
-                    // Half of the late ones were given up by their sender.
-                    if !known {
-                        self.send(Message::Called(w, base, call, result));
-                    }
-                }
-                Message::Called(w, base, call, result) => {
-                    let name = self.workers[w].id.as_str().into();
-                    if let Some(scheduler) = self.owner(base) {
-                        scheduler.direct_call_finished(&name, &call, result, now);
-                    }
+            self.receive(message);
+        }
+    }
+
+    /// The addressee reads the message.
+    fn receive(&mut self, message: Message) {
+        match message {
+            Message::Heartbeat {
+                worker,
+                leader,
+                report,
+                sent_at,
+            } => self.leader_gets_heartbeat(worker, leader, &report, sent_at),
+            Message::Answer {
+                worker,
+                session,
+                sent_at,
+                reply,
+            } => self.worker_gets_answer(worker, session, sent_at, &reply),
+            Message::Call {
+                worker,
+                leader,
+                call,
+                given_up,
+            } => self.worker_gets_call(worker, leader, call, given_up),
+            Message::CallEnded {
+                worker,
+                leader,
+                call,
+                result,
+            } => {
+                let now = self.now;
+                let name = self.workers[worker].id.as_str().into();
+                if let Some(scheduler) = self.scheduler_of(leader) {
+                    scheduler.direct_call_finished(&name, &call, result, now);
                 }
             }
         }
     }
 
-    /// Counts what an old report meets.
-    fn note_old_report(&mut self, w: usize, base: u64, report: &Report) {
-        let known = self.owners.iter().find(|o| o.0.fence.base_term == base);
-        let machine = known.and_then(|(scheduler, _)| scheduler.machines.get(&*report.machine));
+    fn leader_gets_heartbeat(&mut self, worker: usize, leader: u64, report: &Report, sent_at: f64) {
+        let now = self.now;
+        if sent_at == COPY {
+            self.note_old_heartbeat(worker, leader, report);
+        }
+        let Some(scheduler) = self.scheduler_of(leader) else {
+            return;
+        };
+        let answer = scheduler.handle_heartbeat(report, now);
+        if let (HeartbeatReply::Commands(reply), true) = (answer, sent_at != COPY) {
+            self.note_cut_zone(worker, leader);
+            self.send(Message::Answer {
+                worker,
+                session: report.session,
+                sent_at,
+                reply,
+            });
+        }
+    }
+
+    fn worker_gets_answer(&mut self, index: usize, session: u64, sent_at: f64, reply: &Reply) {
+        let worker = &mut self.workers[index];
+        let awaited = worker.awaited.is_some_and(|a| a.sent_at == sent_at);
+        if worker.hung_until > self.now || !awaited || worker.session != session {
+            return;
+        }
+        worker.awaited = None;
+        if reply.token < worker.token {
+            return;
+        }
+        worker.token = reply.token;
+        worker.lease_renewed_at = sent_at;
+        self.execute(index, &reply.commands);
+    }
+
+    fn worker_gets_call(&mut self, index: usize, leader: u64, call: Direct, given_up: bool) {
+        let now = self.now;
+        let hung_until = self.workers[index].hung_until;
+        if hung_until > now {
+            if !given_up {
+                let no_answer = Message::no_answer(index, leader, call.clone());
+                self.arrive(now + CALL_TIMEOUT_S, no_answer);
+            }
+            let late = Message::Call {
+                worker: index,
+                leader,
+                call,
+                given_up: true,
+            };
+            self.arrive(hung_until + 0.01, late);
+            return;
+        }
+        // A worker that goes on notices its lease first.
+        if now - self.workers[index].lease_renewed_at > LEASE_S {
+            self.session_over(index);
+        }
+        let worker = &mut self.workers[index];
+        let accepted = call.token >= worker.token && call.session == worker.session;
+        worker.token = worker.token.max(call.token);
+        if accepted {
+            let is_start = |c: &&Command| matches!(c, Command::Start { .. });
+            let starts = call.commands.iter().filter(is_start).count();
+            let held = if given_up { starts } else { 0 };
+            self.met.add(Meeting::HeldStart, held);
+            self.execute(index, &call.commands);
+        }
+        let report = self.report(index);
+        let result = if accepted {
+            CallResult::Executed(report)
+        } else {
+            CallResult::Rejected(report)
+        };
+        // Half of the late ones were given up by their sender.
+        if !given_up {
+            self.send(Message::CallEnded {
+                worker: index,
+                leader,
+                call,
+                result,
+            });
+        }
+    }
+
+    /// Counts what an old heartbeat meets.
+    fn note_old_heartbeat(&mut self, index: usize, leader: u64, report: &Report) {
+        let known = self.leaders.iter().find(|l| l.base_term() == leader);
+        let machine = known.and_then(|l| l.scheduler.machines.get(&*report.machine));
         let first = machine.is_some_and(|m| m.last_message == MessageId::NONE);
-        let worker = &self.workers[w];
-        let gone = |t: &Shown| !worker.tasks.contains_key(&(t.task.clone(), t.attempt));
+        let worker = &self.workers[index];
+        let is_gone = |t: &Shown| !worker.tasks.contains_key(&(t.task.clone(), t.attempt));
         let earlier = report.session < worker.session;
-        let gone = report.tasks.iter().any(gone);
-        self.met.add(Meeting::OldReportFirst, usize::from(first));
-        self.met
-            .add(Meeting::OldReportOfEarlierSession, usize::from(earlier));
-        self.met
-            .add(Meeting::OldReportOfGoneTask, usize::from(gone));
+        let gone = report.tasks.iter().any(is_gone);
+        let met = &mut self.met;
+        met.add(Meeting::OldHeartbeatFirst, usize::from(first));
+        met.add(Meeting::OldHeartbeatOfEarlierSession, usize::from(earlier));
+        met.add(Meeting::OldHeartbeatOfGoneTask, usize::from(gone));
     }
 }
--- a/tests/simulation/trouble.rs
+++ b/tests/simulation/trouble.rs
@@ -1,8 +1,146 @@
-//! Cancellations, machines that come, owners that go away, and what they meet.
+//! Submissions, cancellations, machines that come, leaders that go away, and what they meet.
 
 use super::*;
 
 impl Simulation {
+    /// Draws what goes wrong in this step, and what users and operators do. Nothing begins
+    /// to go wrong in the `calm` second half.
+    pub(crate) fn draw_troubles(&mut self, setup: &Setup, calm: bool) {
+        if !calm {
+            self.draw_jobs(setup);
+            self.draw_leader_and_zone_troubles(setup);
+        }
+        if self.away_until <= self.now {
+            self.one_returns();
+        }
+        if self.leader_ends_at <= self.now {
+            self.leader_ends_at = f64::MAX;
+            self.take_over(true);
+        }
+        if calm {
+            self.undrain_all();
+        } else {
+            self.draw_pause();
+            self.draw_machine_trouble(setup);
+            self.draw_drain(setup);
+        }
+    }
+
+    /// Jobs are submitted and cancelled.
+    fn draw_jobs(&mut self, setup: &Setup) {
+        if self.rng.random_bool(0.005 * setup.workers.min(20) as f64) {
+            self.submit_job(setup.workers);
+        }
+        if self.rng.random_bool(0.006) {
+            self.cancel(false);
+        }
+        if self.rng.random_bool(0.01) {
+            self.cancel(true);
+        }
+    }
+
+    /// Each leader hears of a new job in its own time, a former one perhaps first.
+    fn submit_job(&mut self, workers: usize) {
+        let now = self.now;
+        let id = format!("run-{}", self.specs.len() + 1);
+        let cpus = self.cpus(&format!("{id}/0"));
+        let most = (2 * workers).min(8 + workers / 4) as u32;
+        let tasks = self.rng.random_range(1..most);
+        let team = TEAMS[team_of(&id)];
+        let spec = with_zone_constraint(spec(&id, team, Urgency::Standard, tasks, cpus));
+        self.specs.insert(id.clone(), spec.clone());
+        let record = live(spec, now);
+        self.version += 1;
+        let version = self.version;
+        let stored = StoredJob {
+            record: record.clone(),
+            completed: CompletedTasks::default(),
+            version,
+        };
+        self.live.insert(id, stored);
+        for leader in &self.leaders {
+            self.unheard.push(JobNews {
+                at: now + self.rng.random_range(0.0..3.0),
+                leader: leader.base_term(),
+                record: record.clone(),
+                version,
+            });
+        }
+    }
+
+    fn draw_leader_and_zone_troubles(&mut self, setup: &Setup) {
+        if self.rng.random_bool(0.003) {
+            let crash = self.rng.random_bool(0.5);
+            self.take_over(crash);
+        }
+        if self.rng.random_bool(0.05) {
+            self.cancel_at_limits();
+        }
+        if self.workers.len() < 2 * setup.workers && self.rng.random_bool(0.003) {
+            self.new_machine();
+        }
+        if self.away_until == f64::MAX && self.rng.random_bool(0.0008) {
+            self.all_go_away();
+        }
+        if self.rng.random_bool(0.0008) {
+            self.cut_zone();
+        }
+    }
+
+    /// Any leader stands still, often just when another takes over.
+    fn draw_pause(&mut self) {
+        if !self.rng.random_bool(0.004) {
+            return;
+        }
+        let place = self.rng.random_range(0..self.leaders.len());
+        let leader = self.leaders[place].base_term();
+        let until = self.now + self.rng.random_range(0.5..3.0 * LEASE_S);
+        self.paused.insert(leader, until);
+        if self.rng.random_bool(0.3) {
+            self.take_over(false);
+        }
+    }
+
+    /// A machine hangs, is cut off in one direction or both, or is back at once.
+    fn draw_machine_trouble(&mut self, setup: &Setup) {
+        let now = self.now;
+        let chance = (0.001 * setup.workers as f64).clamp(0.005, 0.1);
+        if !self.rng.random_bool(chance) {
+            return;
+        }
+        let index = self.rng.random_range(0..self.workers.len());
+        let until = now + self.rng.random_range(1.0..20.0);
+        match self.rng.random_range(0..6) {
+            5 => {
+                self.workers[index].mute_until = now + 2.0 * (until - now);
+                if self.rng.random_bool(0.3) {
+                    self.take_over(true);
+                }
+            }
+            0 | 1 => self.workers[index].hung_until = until,
+            2 | 3 => self.workers[index].cut_until = until,
+            _ if self.rng.random_bool(0.5) => {
+                self.workers[index].deaf_until = now + 4.0 * (until - now);
+            }
+            _ if setup.counters == Counters::Lost => self.restart(index),
+            _ => {}
+        }
+    }
+
+    fn draw_drain(&mut self, setup: &Setup) {
+        let chance = (0.002 * setup.workers as f64).clamp(0.01, 0.1);
+        if self.rng.random_bool(chance) {
+            self.drain_or_undrain(setup.workers);
+        }
+    }
+
+    fn undrain_all(&mut self) {
+        if !self.drains.is_empty() {
+            self.drains.clear();
+            self.drains_heard_at = self.now;
+        }
+    }
+
     pub(crate) fn cpus(&self, task: &str) -> f64 {
         if job_of(task).ends_with(['0', '2', '4', '6', '8']) {
             1.0
@@ -23,10 +161,10 @@
         (0..TEAMS.len()).all(|team| self.used(team) + 2.0 > self.limits[team] + 1e-6)
     }
 
-    /// Whether the owner changed and does not know of all machines yet, or stands still.
-    pub(crate) fn owner_changes(&self) -> bool {
-        let owner = self.owners.last();
-        let fresh = owner.is_some_and(|(c, _)| c.unfenced_count() != Some(0));
+    /// Whether the leader changed and does not know of all machines yet, or stands still.
+    pub(crate) fn leader_changes(&self) -> bool {
+        let leader = self.leaders.last();
+        let fresh = leader.is_some_and(|l| l.scheduler.unfenced_count() != Some(0));
         fresh || !self.paused.is_empty()
     }
 
@@ -48,7 +186,7 @@
 
     pub(crate) fn cancel_job(&mut self, id: &str) {
         let now = self.now;
-        let changes = self.owner_changes();
+        let changes = self.leader_changes();
         let on_lost = |w: &&Worker| {
             let mut tasks = w.tasks.iter();
             w.is_lost(now) && tasks.any(|((t, _), s)| job_of(t) == id && s.phase != Phase::Exited)
@@ -62,13 +200,17 @@
         self.met.add(Meeting::CancelOnLostMachine, lost);
         self.met.add(Meeting::CancelAtLimits, usize::from(limits));
         self.live.remove(id);
-        self.over.insert(id.to_string(), (now, true));
-        if let Some((scheduler, _)) = self.owners.last_mut() {
-            scheduler.finish_job(id);
+        let end = JobEnd {
+            at: now,
+            cancelled: true,
+        };
+        self.over.insert(id.to_string(), end);
+        if let Some(leader) = self.leaders.last_mut() {
+            leader.scheduler.finish_job(id);
         }
     }
 
-    /// Every team is at its limit: a machine with tasks is lost, the owner changes, and
+    /// Every team is at its limit: a machine with tasks is lost, the leader changes, and
     /// one of the jobs on the machine is cancelled, in any order.
     pub(crate) fn cancel_at_limits(&mut self) {
         if !self.all_at_limits() {
@@ -102,16 +244,16 @@
         }
     }
 
-    /// A zone is cut off with the owner in it; another one takes over outside.
+    /// A zone is cut off with the leader in it; another one takes over outside.
     pub(crate) fn cut_zone(&mut self) {
-        let owner = self.owners.last().map(|(c, _)| c.fence.base_term);
+        let leader = self.leaders.last().map(Leader::base_term);
         let since = self.now;
         let until = since + self.rng.random_range(1.2..2.5) * LEASE_S;
         let half = self.rng.random_range(0..2);
         for (n, worker) in self.workers.iter_mut().enumerate() {
             let inside = n % 2 == half;
-            worker.zone_cut = owner.filter(|_| inside).map(|owner| CutZone {
-                owner,
+            worker.zone_cut = leader.filter(|_| inside).map(|leader| ZoneCut {
+                leader,
                 since,
                 until,
             });
@@ -119,27 +261,26 @@
         self.take_over(false);
     }
 
-    /// All owners stand still for longer than a lease.
+    /// All leaders stand still for longer than a lease.
     pub(crate) fn all_go_away(&mut self) {
         self.away_until = self.now + self.rng.random_range(1.2..2.5) * LEASE_S;
-        for (scheduler, _) in &self.owners {
-            self.paused
-                .insert(scheduler.fence.base_term, self.away_until);
+        for leader in &self.leaders {
+            self.paused.insert(leader.base_term(), self.away_until);
         }
     }
 
-    /// One owner is there again; the others ended meanwhile.
+    /// One leader is there again; the others ended meanwhile.
     pub(crate) fn one_returns(&mut self) {
         let silent_s = LEASE_S;
         self.away_until = f64::MAX;
         let expired = |w: &&Worker| w.tasks.is_empty() && self.now - w.session_since < silent_s;
         let expired = self.workers.iter().filter(expired).count();
         self.met.add(Meeting::NobodyForALease, expired);
-        self.owners.clear();
+        self.leaders.clear();
         self.take_over(true);
     }
 
-    /// Counts what a change of owner meets.
+    /// Counts what a change of leader meets.
     pub(crate) fn note_takeover(&mut self) {
         let now = self.now;
         let new = |w: &&Worker| now - w.up_since < NEW_S && now > NEW_S;
@@ -154,19 +295,19 @@
             .filter(lost)
             .flat_map(|w| w.tasks.values());
         let lost_tasks = tasks.filter(long).count();
-        let far_apart = |(id, (record, marks, _)): &(&String, &(LiveJob, CompletedTasks, u64))| {
+        let far_apart = |(id, stored): &(&String, &StoredJob)| {
             let runs = |w: &Worker| w.tasks.keys().any(|(t, _)| job_of(t) == id.as_str());
-            let few = (2..=3).contains(&record.spec.tasks);
-            few && !marks.is_empty() && self.workers.iter().any(runs)
+            let few = (2..=3).contains(&stored.record.spec.tasks);
+            few && !stored.completed.is_empty() && self.workers.iter().any(runs)
         };
         let far_apart = self.live.iter().filter(far_apart).count();
-        self.met.add(Meeting::OwnerEndsBeforeRecord, unrecorded);
-        self.met.add(Meeting::OwnerEndsWithLostTasks, lost_tasks);
+        self.met.add(Meeting::LeaderEndsBeforeRecord, unrecorded);
+        self.met.add(Meeting::LeaderEndsWithLostTasks, lost_tasks);
         self.met.add(Meeting::EndsFarApart, far_apart);
     }
 
     /// A machine comes up and may get work within a second, while its record is late and
-    /// the owner ends.
+    /// the leader ends.
     pub(crate) fn new_machine(&mut self) {
         let worker = Worker::new(self.workers.len(), self.now);
         self.workers.push(worker);
@@ -174,7 +315,7 @@
             self.record_lags_until = self.now + self.rng.random_range(0.5..5.0);
         }
         if self.rng.random_bool(0.6) {
-            self.ends_soon = self.now + self.rng.random_range(0.3..3.0);
+            self.leader_ends_at = self.now + self.rng.random_range(0.3..3.0);
         }
     }
 }
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -12,12 +12,27 @@
 
 /// A zone that is cut off with a controller in it: its workers reach that one alone.
 #[derive(Clone, Copy)]
-pub(crate) struct CutZone {
-    pub(crate) owner: u64,
+pub(crate) struct ZoneCut {
+    /// The base term of the only leader inside.
+    pub(crate) leader: u64,
     pub(crate) since: f64,
     pub(crate) until: f64,
 }
 
+/// A heartbeat whose answer is awaited.
+#[derive(Clone, Copy)]
+pub(crate) struct AwaitedAnswer {
+    pub(crate) sent_at: f64,
+    pub(crate) give_up_at: f64,
+}
+
+/// A heartbeat as it was sent.
+pub(crate) struct SentHeartbeat {
+    pub(crate) worker: usize,
+    pub(crate) at: f64,
+    pub(crate) report: Report,
+}
+
 /// A worker by the protocol.
 pub(crate) struct Worker {
     pub(crate) id: String,
@@ -26,17 +41,17 @@
     pub(crate) seq: u64,
     pub(crate) token: u64,
     pub(crate) tasks: BTreeMap<(String, u64), Task>,
-    pub(crate) renewed: f64,
-    /// Send time of the report under way, and when its answer is given up.
-    pub(crate) asked: Option<(f64, f64)>,
-    pub(crate) next: f64,
+    /// When the heartbeat was sent whose answer renewed its lease last.
+    pub(crate) lease_renewed_at: f64,
+    pub(crate) awaited: Option<AwaitedAnswer>,
+    pub(crate) next_heartbeat_at: f64,
     pub(crate) hung_until: f64,
     pub(crate) cut_until: f64,
-    /// Its reports arrive, answers and commands do not.
+    /// Its heartbeats arrive, answers and commands do not.
     pub(crate) deaf_until: f64,
-    /// It reaches no owner, while direct commands reach it.
+    /// It reaches no leader, while direct calls reach it.
     pub(crate) mute_until: f64,
-    pub(crate) zone_cut: Option<CutZone>,
+    pub(crate) zone_cut: Option<ZoneCut>,
     pub(crate) up_since: f64,
     pub(crate) session_since: f64,
 }
@@ -50,9 +65,9 @@
             seq: 0,
             token: 0,
             tasks: BTreeMap::new(),
-            renewed: now,
-            asked: None,
-            next: now,
+            lease_renewed_at: now,
+            awaited: None,
+            next_heartbeat_at: now,
             hung_until: 0.0,
             cut_until: 0.0,
             deaf_until: 0.0,
@@ -63,10 +78,10 @@
         }
     }
 
-    /// The only owner that it reaches, if its zone is cut off now.
+    /// The only leader that it reaches, if its zone is cut off now.
     pub(crate) fn reaches_only(&self, now: f64) -> Option<u64> {
         let cut = self.zone_cut.filter(|cut| cut.until > now)?;
-        Some(cut.owner)
+        Some(cut.leader)
     }
 
     /// It does not do what it is told, or nobody can know.
@@ -76,8 +91,9 @@
 }
 
 impl Simulation {
-    pub(crate) fn report(&mut self, w: usize) -> Report {
-        let worker = &mut self.workers[w];
+    /// A report of the worker, with the next sequence number.
+    pub(crate) fn report(&mut self, index: usize) -> Report {
+        let worker = &mut self.workers[index];
         worker.seq += 1;
         let tasks: Vec<_> = worker
             .tasks
@@ -92,115 +108,61 @@
     }
 
     /// `wrong_place`: the zone that the job allows, given its other tasks at this moment.
-    fn check_place(&mut self, w: usize, job: &str) {
+    fn check_zone_constraint(&mut self, index: usize, job: &str) {
         let Some(spec) = self.specs.get(job) else {
             return;
         };
-        let zone = self.workers[w].zone;
-        let on = |worker: &Worker| {
+        let zone = self.workers[index].zone;
+        let tasks_on = |worker: &Worker| {
             let tasks = worker.tasks.iter();
             let own = tasks.filter(|((t, _), s)| job_of(t) == job && s.phase != Phase::Exited);
             own.count()
         };
-        let in_zone = |z: &str| -> usize {
-            let inside = self.workers.iter().filter(|w| w.zone == z);
-            inside.map(on).sum()
+        let tasks_in = |zone: &str| -> usize {
+            let inside = self.workers.iter().filter(|w| w.zone == zone);
+            inside.map(tasks_on).sum()
         };
-        let here = in_zone(zone) + 1;
-        let elsewhere: usize = self.workers.iter().map(on).sum::<usize>() + 1 - here;
+        let here = tasks_in(zone) + 1;
+        let elsewhere: usize = self.workers.iter().map(tasks_on).sum::<usize>() + 1 - here;
         let wanted = spec.zone.as_deref();
         let most = spec.tasks.div_ceil(2) as usize;
-        let right = wanted.is_none_or(|z| z == zone)
+        let allowed = wanted.is_none_or(|z| z == zone)
             && !(spec.one_zone && elsewhere > 0)
             && !(spec.spread && here > most);
         assert!(
-            right,
+            allowed,
             "wrong_place: {job} in {zone}, {here} there, {elsewhere} elsewhere"
         );
-        let bound = wanted.is_some() || spec.one_zone || spec.spread;
+        let bound = has_zone_constraint(spec);
         self.met.add(Meeting::BoundStart, usize::from(bound));
     }
 
     /// A machine's session is over, and what ran there is lost.
-    pub(crate) fn session_over(&mut self, w: usize) {
+    pub(crate) fn session_over(&mut self, index: usize) {
         let now = self.now;
-        let worker = &mut self.workers[w];
-        let runs = worker
+        let worker = &mut self.workers[index];
+        let live = worker
             .tasks
             .iter()
             .filter(|(_, s)| s.phase != Phase::Exited);
-        let specs = runs.filter_map(|((t, _), _)| self.specs.get(job_of(t)));
-        let bound = specs.filter(|s| s.zone.is_some() || s.one_zone || s.spread);
-        let bound = bound.count();
+        let specs = live.filter_map(|((t, _), _)| self.specs.get(job_of(t)));
+        let bound = specs.filter(|spec| has_zone_constraint(spec)).count();
         self.met.add(Meeting::BoundJobLosesMachine, bound);
         worker.tasks.clear();
         worker.session += 1;
         worker.session_since = now;
-        worker.renewed = now;
-        worker.asked = None;
+        worker.lease_renewed_at = now;
+        worker.awaited = None;
     }
 
-    pub(crate) fn execute(&mut self, w: usize, commands: &[Command]) {
+    /// The worker carries out commands.
+    pub(crate) fn execute(&mut self, index: usize, commands: &[Command]) {
         for command in commands {
             match command {
-                Command::Start { task, attempt } => {
-                    let key = (task.clone(), *attempt);
-                    if self.workers[w].tasks.contains_key(&key) {
-                        continue;
-                    }
-                    let wish = self.drains.get(&self.workers[w].id);
-                    let aside = wish.and_then(|d| d.0.drained.as_ref());
-                    assert!(aside.is_none(), "{task} starts on a drained machine");
-                    // The rules, at each start.
-                    for other in &self.workers {
-                        for ((t, a), state) in &other.tasks {
-                            let on = state.phase != Phase::Exited;
-                            assert!(
-                                !(on && t == task),
-                                "ran_twice: {task} attempt {attempt} on {}, {a} on {} at {:.1}",
-                                self.workers[w].id,
-                                other.id,
-                                self.now
-                            );
-                        }
-                    }
-                    let job = job_of(task);
-                    if let Some((at, cancelled)) = self.over.get(job) {
-                        let late = *cancelled && self.now - at > CANCEL_S;
-                        assert!(!late, "ran_cancelled: {task} at {:.1}", self.now);
-                    }
-                    let team = team_of(job);
-                    let (used, more) = (self.used(team), self.cpus(task));
-                    assert!(
-                        used + more <= self.limits[team] + 1e-6,
-                        "quota: {used} + {more} of {}",
-                        TEAMS[team]
-                    );
-                    self.check_place(w, job);
-                    let id = &self.workers[w].id;
-                    assert!(
-                        self.record.iter().any(|m| m.id == *id),
-                        "{task} starts on {id}, which no record names"
-                    );
-                    let until = self.now + self.rng.random_range(1.0..15.0);
-                    self.started += 1;
-                    let mute = self.workers[w].mute_until > self.now;
-                    let new = self.now - self.workers[w].up_since < NEW_S && self.now > NEW_S;
-                    self.met.add(Meeting::MuteStart, usize::from(mute));
-                    self.met.add(Meeting::StartOnNewMachine, usize::from(new));
-                    self.workers[w].tasks.insert(
-                        key,
-                        Task {
-                            attempt: *attempt,
-                            phase: Phase::Running,
-                            cause: None,
-                            until,
-                        },
-                    );
-                }
+                Command::Start { task, attempt } => self.start(index, task, *attempt),
                 Command::Stop { task, attempt, .. } => {
                     let key = (task.clone(), *attempt);
-                    if let Some(t) = self.workers[w].tasks.get_mut(&key) {
+                    if let Some(t) = self.workers[index].tasks.get_mut(&key) {
                         if t.phase != Phase::Exited {
                             t.phase = Phase::Exited;
                             t.cause = Some(Cause::Stopped);
@@ -209,102 +171,185 @@
                 }
                 Command::Forget { task, attempt } => {
                     let key = (task.clone(), *attempt);
-                    let worker = &mut self.workers[w];
-                    let exited = worker
-                        .tasks
-                        .get(&key)
-                        .is_some_and(|t| t.phase == Phase::Exited);
+                    let tasks = &mut self.workers[index].tasks;
+                    let exited = tasks.get(&key).is_some_and(|t| t.phase == Phase::Exited);
                     if exited {
-                        worker.tasks.remove(&key);
+                        tasks.remove(&key);
                     }
                 }
             }
         }
     }
 
+    /// The worker starts an attempt that it does not have; the rules are checked.
+    fn start(&mut self, index: usize, task: &str, attempt: u64) {
+        let key = (task.to_string(), attempt);
+        if self.workers[index].tasks.contains_key(&key) {
+            return;
+        }
+        self.check_start(index, task, attempt);
+        let until = self.now + self.rng.random_range(1.0..15.0);
+        self.started += 1;
+        let worker = &self.workers[index];
+        let mute = worker.mute_until > self.now;
+        let new = self.now - worker.up_since < NEW_S && self.now > NEW_S;
+        self.met.add(Meeting::MuteStart, usize::from(mute));
+        self.met.add(Meeting::StartOnNewMachine, usize::from(new));
+        let running = Task {
+            attempt,
+            phase: Phase::Running,
+            cause: None,
+            until,
+        };
+        self.workers[index].tasks.insert(key, running);
+    }
+
+    /// The rules, at each start.
+    fn check_start(&mut self, index: usize, task: &str, attempt: u64) {
+        let id = &self.workers[index].id;
+        let drain = self.drains.get(id);
+        let drained = drain.and_then(|d| d.0.drained.as_ref());
+        assert!(drained.is_none(), "{task} starts on a drained machine");
+        for other in &self.workers {
+            for ((t, a), state) in &other.tasks {
+                let on = state.phase != Phase::Exited;
+                assert!(
+                    !(on && t == task),
+                    "ran_twice: {task} attempt {attempt} on {id}, {a} on {} at {:.1}",
+                    other.id,
+                    self.now
+                );
+            }
+        }
+        let job = job_of(task);
+        if let Some(end) = self.over.get(job) {
+            let late = end.cancelled && self.now - end.at > CANCEL_S;
+            assert!(!late, "ran_cancelled: {task} at {:.1}", self.now);
+        }
+        let team = team_of(job);
+        let (used, more) = (self.used(team), self.cpus(task));
+        assert!(
+            used + more <= self.limits[team] + 1e-6,
+            "quota: {used} + {more} of {}",
+            TEAMS[team]
+        );
+        self.check_zone_constraint(index, job);
+        let id = &self.workers[index].id;
+        assert!(
+            self.record.iter().any(|m| m.id == *id),
+            "{task} starts on {id}, which no record names"
+        );
+    }
+
     pub(crate) fn workers_step(&mut self) {
-        for w in 0..self.workers.len() {
+        for index in 0..self.workers.len() {
             let now = self.now;
             // What a hanging machine had is over with its lease: it goes on
             // within it or not at all.
-            if now - self.workers[w].renewed > LEASE_S {
-                self.session_over(w);
+            if now - self.workers[index].lease_renewed_at > LEASE_S {
+                self.session_over(index);
             }
-            if self.workers[w].hung_until > now {
+            if self.workers[index].hung_until > now {
                 continue;
             }
-            let bad = self.rng.random_bool(0.1);
-            for t in self.workers[w].tasks.values_mut() {
-                if t.phase == Phase::Running && t.until <= now {
-                    t.phase = Phase::Exited;
-                    t.cause = Some(if bad { Cause::Error } else { Cause::Done });
-                }
-            }
-            if self.workers[w]
-                .asked
-                .is_some_and(|(_, give_up)| now > give_up)
-            {
-                self.workers[w].asked = None;
+            self.end_tasks(index);
+            let worker = &mut self.workers[index];
+            if worker.awaited.is_some_and(|a| now > a.give_up_at) {
+                worker.awaited = None;
             }
-            if self.workers[w].mute_until > now {
-                // No connection: the next owner is tried a second later.
-                self.workers[w].next = self.workers[w].next.max(now + 1.0);
+            if worker.mute_until > now {
+                // No connection: the next leader is tried a second later.
+                worker.next_heartbeat_at = worker.next_heartbeat_at.max(now + 1.0);
                 continue;
             }
-            if self.workers[w].asked.is_none() && now >= self.workers[w].next {
-                self.workers[w].next = now + self.rng.random_range(0.75..1.25);
-                self.workers[w].asked = Some((now, now + 4.0));
-                let report = self.report(w);
-                self.sent_reports.push_back((w, now, report.clone()));
-                // Mostly to the real owner, sometimes to one that lingers.
-                let n = self.owners.len();
-                let o = if self.rng.random_bool(0.8) {
-                    n - 1
-                } else {
-                    self.rng.random_range(0..n)
-                };
-                let owner = self.owners[o].0.fence.base_term;
-                let owner = self.workers[w].reaches_only(now).unwrap_or(owner);
-                if self.rng.random_bool(0.03) {
-                    // A copy follows, from seconds to several leases later, to
-                    // whoever listens then. Nobody reads the answer.
-                    let late = now + self.rng.random_range(1.0..4.0 * LEASE_S);
-                    let copy = Message::Hello(w, LATEST, report.clone(), COPY);
-                    self.wire.push((late, copy));
-                }
-                self.send(Message::Hello(w, owner, report, now));
+            if worker.awaited.is_none() && now >= worker.next_heartbeat_at {
+                self.send_heartbeat(index);
+            }
+        }
+    }
+
+    /// Tasks end whose time is up, some of them with an error.
+    fn end_tasks(&mut self, index: usize) {
+        let now = self.now;
+        let fails = self.rng.random_bool(0.1);
+        for task in self.workers[index].tasks.values_mut() {
+            if task.phase == Phase::Running && task.until <= now {
+                task.phase = Phase::Exited;
+                task.cause = Some(if fails { Cause::Error } else { Cause::Done });
             }
         }
     }
 
+    /// The worker sends a heartbeat, mostly to the real leader, sometimes to one that
+    /// lingers.
+    fn send_heartbeat(&mut self, index: usize) {
+        let now = self.now;
+        self.workers[index].next_heartbeat_at = now + self.rng.random_range(0.75..1.25);
+        self.workers[index].awaited = Some(AwaitedAnswer {
+            sent_at: now,
+            give_up_at: now + 4.0,
+        });
+        let report = self.report(index);
+        self.sent_heartbeats.push_back(SentHeartbeat {
+            worker: index,
+            at: now,
+            report: report.clone(),
+        });
+        let leaders = self.leaders.len();
+        let place = if self.rng.random_bool(0.8) {
+            leaders - 1
+        } else {
+            self.rng.random_range(0..leaders)
+        };
+        let chosen = self.leaders[place].base_term();
+        let leader = self.workers[index].reaches_only(now).unwrap_or(chosen);
+        if self.rng.random_bool(0.03) {
+            // A copy follows, from seconds to several leases later.
+            let late = now + self.rng.random_range(1.0..4.0 * LEASE_S);
+            let copy = Message::copy_of_heartbeat(index, report.clone());
+            self.arrive(late, copy);
+        }
+        self.send(Message::Heartbeat {
+            worker: index,
+            leader,
+            report,
+            sent_at: now,
+        });
+    }
+
     /// The machine is back at once, with nothing on it and counters that begin anew.
     /// Its old connections are gone with what was on its way in them. The protocol has it
-    /// keep the highest term; one that forgets it too obeys former owners again, against
+    /// keep the highest term; one that forgets it too obeys former leaders again, against
     /// which nobody can do anything while there are any.
-    pub(crate) fn restart(&mut self, w: usize) {
+    pub(crate) fn restart(&mut self, index: usize) {
         let now = self.now;
-        let worker = &mut self.workers[w];
+        let worker = &mut self.workers[index];
         worker.tasks.clear();
-        (worker.session, worker.seq) = (1, 0);
-        if self.owners.len() == 1 {
+        worker.session = 1;
+        worker.seq = 0;
+        if self.leaders.len() == 1 {
             worker.token = 0;
         }
-        (worker.renewed, worker.asked, worker.next) = (now, None, now);
-        for (at, message) in &mut self.wire {
-            match message {
-                Message::Direct(to, base, call, known) if *to == w => {
-                    let lost = std::mem::replace(known, true);
-                    let result = Message::Called(w, *base, call.clone(), CallResult::Unknown);
-                    // Who was told already that it has no answer is not told again.
-                    (*at, *message) = if lost {
-                        (f64::MAX, result)
-                    } else {
-                        (now, result)
-                    };
-                }
-                _ => {}
+        worker.lease_renewed_at = now;
+        worker.awaited = None;
+        worker.next_heartbeat_at = now;
+        for in_flight in &mut self.in_flight {
+            let Message::Call {
+                worker,
+                leader,
+                call,
+                given_up,
+            } = &in_flight.message
+            else {
+                continue;
+            };
+            if *worker != index {
+                continue;
             }
+            // Who was told already that it has no answer is not told again.
+            in_flight.at = if *given_up { f64::MAX } else { now };
+            in_flight.message = Message::no_answer(index, *leader, call.clone());
         }
-        self.wire.retain(|(at, _)| *at < f64::MAX);
+        self.in_flight.retain(|in_flight| in_flight.at < f64::MAX);
     }
 }
