--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -1,5 +1,4 @@
-//! The order of precedence of jobs: data only. It is made in
-//! [`order_refresh`](super::order_refresh).
+//! The order of precedence of jobs: data only. It is made in `order_refresh`.
 
 use crate::coordination::scheduler::job::{Job, Name};
 use crate::coordination::scheduler::resources::Resources;
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -2,10 +2,7 @@
 //! indexes over them.
 //!
 //! The operations on it stand in the modules beside this one, each in an `impl Scheduler`
-//! block of its own: [jobs](super::jobs), [attempts](super::attempts),
-//! [machines](super::machines), [completions](super::completions), [terms](super::terms),
-//! [placement](super::placement), [queues](super::queue), [preemption](super::preemption)
-//! and [precedence](super::precedence).
+//! block of its own; the [parent module](super) lists them.
 //!
 //! Several sets here are work lists ("machines that have X, and some that had"): an entry
 //! is added as soon as the condition begins and removed lazily when the list is gone over,
