--- a/src/coordination/leadership/loops/drain_records.rs
+++ b/src/coordination/leadership/loops/drain_records.rs
@@ -58,11 +58,11 @@
 /// The drains that are proven, as the records to write with the version that each replaces,
 /// without those that we wrote and the watch has not shown yet; `None` if we do not lead.
 fn unrecorded_drains(node: &Node) -> Option<Vec<(Drain, u64)>> {
-    let most = node.settings.cluster.state.txn_ops;
+    let max_drains = node.settings.cluster.state.txn_ops;
     let now_ms = node.wall_ms();
     let scheduler = node.scheduler.borrow();
     let scheduler = scheduler.as_ref().filter(|_| node.is_certain_leader())?;
-    let mut proven = scheduler.proven_drains(now_ms, most);
+    let mut proven = scheduler.proven_drains(now_ms, max_drains);
     let mut noted = node.noted_drains.borrow_mut();
     noted.retain(|version| proven.iter().any(|(_, proven)| proven == version));
     proven.retain(|(_, version)| !noted.contains(version));
--- a/src/coordination/leadership/state.rs
+++ b/src/coordination/leadership/state.rs
@@ -23,8 +23,6 @@
 use crate::coordination::scheduler::fence::remaining;
 use crate::storage::records::{FormerLeader, ShardRecord};
 
-pub use crate::coordination::leadership::lease::LeaseStep;
-
 /// What the leadership needs of the settings.
 #[derive(Debug, Clone)]
 pub struct LeadershipConfig {
@@ -128,11 +126,6 @@
         self.confirmed_at
     }
 
-    /// The term of the takeover under which we act.
-    pub fn base_term(&self) -> Option<u64> {
-        self.leader_term.map(|acting| acting.base_term)
-    }
-
     /// The term under which we act, which may have been raised since the takeover.
     pub fn acting_term(&self) -> Option<u64> {
         self.leader_term.map(|acting| acting.term)
--- a/src/coordination/leadership/takeover.rs
+++ b/src/coordination/leadership/takeover.rs
@@ -7,8 +7,6 @@
 use crate::protocol::state::Txn;
 use crate::storage::records::{self, FormerLeader, ShardRecord, TermCounter};
 
-pub use crate::coordination::leadership::shard_update::ShardUpdate;
-
 /// Milliseconds by the slowest clock in a second by the fastest one, with room to spare.
 const SLOW_CLOCK_MS_PER_S: f64 = 1002.0;
 
--- a/tests/pause/messages.rs
+++ b/tests/pause/messages.rs
@@ -1,7 +1,8 @@
 //! The requests of controllers and users to the state service, and its responses.
 
 use foxspur::coordination::leadership::lease::AliveKeyWrite;
-use foxspur::coordination::leadership::takeover::{ShardUpdate, TakeoverAttempt};
+use foxspur::coordination::leadership::shard_update::ShardUpdate;
+use foxspur::coordination::leadership::takeover::TakeoverAttempt;
 use foxspur::protocol::state::Entry;
 use foxspur_testbed::store::Logged;
 use std::collections::BTreeSet;
--- a/tests/pause/responses.rs
+++ b/tests/pause/responses.rs
@@ -1,7 +1,8 @@
 //! What follows in a controller from each response of the state service.
 
 use super::*;
-use foxspur::coordination::leadership::takeover::{ShardUpdate, TakeoverAttempt};
+use foxspur::coordination::leadership::shard_update::ShardUpdate;
+use foxspur::coordination::leadership::takeover::TakeoverAttempt;
 use foxspur::protocol::state::Entry;
 use foxspur::storage::records::ShardRecord;
 
