--- a/src/coordination/leadership/cancellation_horizon.rs
+++ b/src/coordination/leadership/cancellation_horizon.rs
@@ -18,12 +18,10 @@
 //!   its former process, one that attempted a takeover does not answer, and one out of
 //!   reach may be confirming cancellations: then nothing is proven.
 
-use crate::coordination::leadership::peer_queries::PeerAnswer;
+use crate::coordination::leadership::queries::PeerAnswer;
 use crate::coordination::scheduler::state::with_margin;
 use std::collections::HashMap;
 
-pub use crate::coordination::leadership::confirmed_cancellations::ConfirmedCancellations;
-
 /// How old a leader's knowledge of cancellations may be while it answers workers, in
 /// seconds: a worker's lease later all cancelled tasks must be gone. A fortieth of
 /// `cancel_s` covers clock drift, late timers, and the way of the last answer.
--- a/src/coordination/leadership/lease_extension.rs
+++ b/src/coordination/leadership/lease_extension.rs
@@ -10,7 +10,7 @@
 //! majority, no majority of extensions can arise any more, since any two majorities
 //! intersect.
 
-use crate::coordination::leadership::peer_queries::PeerAnswer;
+use crate::coordination::leadership::queries::PeerAnswer;
 use std::collections::HashMap;
 
 /// A leader goes on alone for so many of its leases: before the first ends nobody can have
--- a/src/coordination/leadership/loops/peer_calls.rs
+++ b/src/coordination/leadership/loops/peer_calls.rs
@@ -2,7 +2,7 @@
 //! periodic queries, which run beside its loop.
 
 use crate::coordination::agents::dispatcher;
-use crate::coordination::leadership::peer_queries::PeerAnswer;
+use crate::coordination::leadership::queries::PeerAnswer;
 use crate::coordination::leadership::state::Leadership;
 use crate::coordination::node::Node;
 use crate::protocol::mesh::{PeerRequest, PeerResponse};
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -22,7 +22,7 @@
 //! - [`state`]: the state machine; who leads and may answer workers.
 //! - [`lease`]: our lease and alive key.
 //! - [`takeover`], [`shard_update`]: the transactions, and what their responses prove.
-//! - [`peer_queries`]: what the controllers ask of each other, and when.
+//! - [`queries`], [`peer_queries`]: what the controllers ask of each other, and when.
 //! - [`lease_extension`], [`cancellation_horizon`], [`confirmed_cancellations`]: for how long
 //!   a leader without contact goes on.
 //! - [`cluster_view`]: what is known of the watched control prefix.
@@ -37,6 +37,7 @@
 pub mod lease_extension;
 pub mod loops;
 pub mod peer_queries;
+pub mod queries;
 pub mod shard_update;
 pub mod state;
 pub mod takeover;
@@ -44,4 +45,3 @@
 pub use loops::failover;
 pub use loops::step_down::{promise, superseded};
 pub use loops::LeadershipActor;
-pub use state as leadership;
--- a/src/coordination/leadership/peer_queries.rs
+++ b/src/coordination/leadership/peer_queries.rs
@@ -2,60 +2,12 @@
 //! extensions of its lease, promises after a takeover, and the cancellations that they
 //! confirmed to users. Also what this controller may answer when it is asked.
 
+use crate::coordination::leadership::queries::{CancellationQuery, PeerAnswer, PromiseQuery};
 use crate::coordination::leadership::state::Leadership;
 
 /// Queries are repeated so many times within a controller's lease.
 const QUERIES_PER_LEASE: f64 = 8.0;
 
-/// When the peers were last asked.
-#[derive(Debug)]
-pub(super) struct QueryTimes {
-    lease_extension: f64,
-    promise: f64,
-    cancellations: f64,
-}
-
-impl Default for QueryTimes {
-    fn default() -> QueryTimes {
-        QueryTimes {
-            lease_extension: f64::NEG_INFINITY,
-            promise: f64::NEG_INFINITY,
-            cancellations: f64::NEG_INFINITY,
-        }
-    }
-}
-
-/// A peer's positive answer to a query.
-#[derive(Debug, Clone, Copy)]
-pub struct PeerAnswer<'a> {
-    /// The term under which it was asked.
-    pub term: u64,
-    /// Its name.
-    pub peer: &'a str,
-    /// When it was asked, by our clock.
-    pub asked_at: f64,
-    /// When the answer came, by our clock.
-    pub received_at: f64,
-}
-
-/// Ask these peers for promises.
-#[derive(Debug, Clone, PartialEq)]
-pub struct PromiseQuery {
-    /// The term of the takeover.
-    pub term: u64,
-    /// The peers that have not promised yet.
-    pub missing_peers: Vec<String>,
-}
-
-/// Ask all peers which cancellations they confirmed to users.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct CancellationQuery {
-    /// The term under which we act.
-    pub term: u64,
-    /// Over how many seconds the peers must look back.
-    pub lookback_s: f64,
-}
-
 impl Leadership {
     /// The term to ask lease extensions for, if it is time: without contact for half of our
     /// lease, several times within the span that an extension counts.
--- a/src/coordination/leadership/state.rs
+++ b/src/coordination/leadership/state.rs
@@ -19,7 +19,7 @@
 use crate::coordination::leadership::cancellation_horizon::CancellationHorizon;
 use crate::coordination::leadership::cluster_view::ClusterView;
 use crate::coordination::leadership::lease_extension::{LeaseSpans, QuorumRound};
-use crate::coordination::leadership::peer_queries::QueryTimes;
+use crate::coordination::leadership::queries::QueryTimes;
 use crate::coordination::scheduler::fence::remaining;
 use crate::storage::records::{FormerLeader, ShardRecord};
 
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -6,8 +6,9 @@
 use crate::coordination::agents::leader_reachability::RedirectCounter;
 use crate::coordination::jobs::record_cache::RecordCache;
 use crate::coordination::jobs::terminal_states::TerminalStates;
-use crate::coordination::leadership::cancellation_horizon::{blind_s, ConfirmedCancellations};
-use crate::coordination::leadership::leadership::{Leadership, LeadershipConfig};
+use crate::coordination::leadership::cancellation_horizon::blind_s;
+use crate::coordination::leadership::confirmed_cancellations::ConfirmedCancellations;
+use crate::coordination::leadership::state::{Leadership, LeadershipConfig};
 use crate::coordination::readiness::Readiness;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::JobState;
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -7,10 +7,9 @@
 use common::*;
 use foxspur::coordination::agents::direct_calls::CallResult;
 use foxspur::coordination::agents::heartbeat::HeartbeatReply;
-use foxspur::coordination::leadership::cancellation_horizon::{
-    blind_s, CancellationHorizon, ConfirmedCancellations,
-};
-use foxspur::coordination::leadership::peer_queries::PeerAnswer;
+use foxspur::coordination::leadership::cancellation_horizon::{blind_s, CancellationHorizon};
+use foxspur::coordination::leadership::confirmed_cancellations::ConfirmedCancellations;
+use foxspur::coordination::leadership::queries::PeerAnswer;
 use foxspur::coordination::node::Node;
 use foxspur::protocol::job::{JobState, Urgency};
 use foxspur::protocol::policy::Policy;
@@ -119,15 +118,15 @@
         let report = report.map(|jobs| jobs.iter().map(|id| id.to_string()).collect::<Vec<_>>());
         assert_eq!(confirmed.within(for_s, now), report, "{for_s}");
     }
-    for n in 0..4096 {
+    for n in 0..16_384 {
         confirmed.record(&format!("run-x{n}"), 130.0 + f64::from(n));
     }
     assert!(
-        confirmed.within(4115.0, 4230.0).is_none(),
+        confirmed.within(16_403.0, 16_518.0).is_none(),
         "some were dropped"
     );
     assert!(confirmed
-        .within(100.0, 4230.0)
+        .within(100.0, 16_518.0)
         .is_some_and(|jobs| jobs.len() == 96));
 }
 
--- a/tests/lease_extension.rs
+++ b/tests/lease_extension.rs
@@ -2,7 +2,7 @@
 //! machines for empty: by cases, and by many random courses of who reaches whom.
 
 use foxspur::coordination::leadership::lease_extension::{LeaseSpans, QuorumRound};
-use foxspur::coordination::leadership::peer_queries::PeerAnswer;
+use foxspur::coordination::leadership::queries::PeerAnswer;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -8,7 +8,7 @@
 use foxspur::coordination::agents::heartbeat::HeartbeatReply;
 use foxspur::coordination::jobs::lookup::TerminalStates;
 use foxspur::coordination::jobs::version_check::RecordCache;
-use foxspur::coordination::leadership::cancellation_horizon::ConfirmedCancellations;
+use foxspur::coordination::leadership::confirmed_cancellations::ConfirmedCancellations;
 use foxspur::coordination::recent::RecentMap;
 use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::admin::{DrainOrder, Rest};
--- a/tests/pause/events.rs
+++ b/tests/pause/events.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::peers::{AgreementQuery, Call};
-use foxspur::coordination::leadership::peer_queries::CancellationQuery;
+use foxspur::coordination::leadership::queries::CancellationQuery;
 
 /// A loop of a controller.
 #[derive(Clone, Copy)]
--- a/tests/pause/main.rs
+++ b/tests/pause/main.rs
@@ -25,7 +25,7 @@
 use common::{own_seeds, seeds};
 use controller::{host_name, leadership, Controller};
 use events::{Event, Loop};
-use foxspur::coordination::leadership::cancellation_horizon::ConfirmedCancellations;
+use foxspur::coordination::leadership::confirmed_cancellations::ConfirmedCancellations;
 use foxspur_testbed::store::Store;
 use messages::{Request, Response};
 use rand::rngs::StdRng;
--- a/tests/pause/peers.rs
+++ b/tests/pause/peers.rs
@@ -1,7 +1,7 @@
 //! What the controllers ask each other, and what follows from their answers.
 
 use super::*;
-use foxspur::coordination::leadership::peer_queries::{CancellationQuery, PeerAnswer};
+use foxspur::coordination::leadership::queries::{CancellationQuery, PeerAnswer};
 
 /// How long a message to another controller takes, in seconds.
 const PEER_DELAY_S: f64 = 0.005;
