--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,4 +1,6 @@
-//! What `foxctl` is told.
+//! The command line of `foxctl`. Doc comments here are help texts that operators see; where an
+//! argument has none, its name says enough.
+#![allow(missing_docs)]
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use foxspur_wire::admin::Rest;
@@ -60,8 +62,8 @@
     Undrain {
         #[arg(required = true)]
         hosts: Vec<String>,
-        #[arg(long, env = "USER", default_value = "an operator")]
-        by: String,
+        #[command(flatten)]
+        by: ByArgs,
     },
     /// Drains machines one after the other, so many of each zone at once.
     Roll {
@@ -110,12 +112,18 @@
 }
 
 #[derive(Args, Debug)]
-pub struct TurnArgs {
-    pub name: String,
+pub struct ByArgs {
     #[arg(long, env = "USER", default_value = "an operator")]
     pub by: String,
 }
 
+#[derive(Args, Debug)]
+pub struct TurnArgs {
+    pub name: String,
+    #[command(flatten)]
+    pub by: ByArgs,
+}
+
 #[derive(Args, Debug)]
 pub struct RollArgs {
     pub name: String,
@@ -130,8 +138,8 @@
     pub at_most: AtMost,
     #[arg(long)]
     pub why: String,
-    #[arg(long, env = "USER", default_value = "an operator")]
-    pub by: String,
+    #[command(flatten)]
+    pub by: ByArgs,
     /// Seconds until each machine should be drained.
     #[arg(long)]
     pub deadline: Option<f64>,
@@ -148,19 +156,23 @@
     pub back: Option<f64>,
 }
 
-/// Reads `3` or `10%`.
+/// Reads the most machines of a zone: `3` or `10%`.
+///
+/// # Errors
+///
+/// A sentence for the user, if it is neither.
 pub fn at_most(text: &str) -> Result<AtMost, String> {
-    let bad = || format!("{text} is neither a number of machines nor a share such as 10%");
+    let malformed = || format!("{text} is neither a number of machines nor a share such as 10%");
     match text.strip_suffix('%') {
         Some(share) => {
-            let share: f64 = share.parse().map_err(|_| bad())?;
+            let share: f64 = share.parse().map_err(|_| malformed())?;
             if share > 0.0 && share <= 100.0 {
                 Ok(AtMost::Share(share / 100.0))
             } else {
-                Err(bad())
+                Err(malformed())
             }
         }
-        None => text.parse().map(AtMost::Machines).map_err(|_| bad()),
+        None => text.parse().map(AtMost::Machines).map_err(|_| malformed()),
     }
 }
 
@@ -188,8 +200,8 @@
     pub hosts: Vec<String>,
     #[arg(long, required_unless_present = "plan")]
     pub why: Option<String>,
-    #[arg(long, env = "USER", default_value = "an operator")]
-    pub by: String,
+    #[command(flatten)]
+    pub by: ByArgs,
     /// Seconds until it should be over.
     #[arg(long)]
     pub deadline: Option<f64>,
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,5 +1,8 @@
-//! `foxctl`: the operators' command line of foxspur. It asks any controller's
-//! operators' API, and tries the next one where one does not answer.
+//! `foxctl`: the operators' command line of foxspur. It asks any controller's operators' API,
+//! and tries the next controller if one does not answer.
+//!
+//! `cli` is the command line, `run` carries it out, `api` is the client, `plans` plans and
+//! orders drains, `show` makes tables, `watch` is the terminal view.
 
 pub mod api;
 pub mod cli;
--- /dev/null
+++ b/crates/ctl/src/show/cluster.rs
@@ -0,0 +1,149 @@
+//! Tables of teams, machines, shards, services and waits.
+
+use super::{flag, name, optional_span, span, table, NONE};
+use foxspur_wire::admin::{MachineRow, ServiceRow, ShareRow, Spread, TeamRow, Waits};
+
+const TEAMS_HEAD: [&str; 10] = [
+    "team",
+    "cpus",
+    "guaranteed",
+    "limit",
+    "gpus",
+    "guaranteed",
+    "limit",
+    "jobs",
+    "waiting tasks",
+    "waiting cpus",
+];
+
+/// Teams against their quotas.
+pub fn teams(teams: &[TeamRow]) -> String {
+    let row = |team: &TeamRow| {
+        vec![
+            team.name.clone(),
+            format!("{:.1}", team.cpus),
+            quota(team.cpus_guaranteed),
+            quota(team.cpus_max),
+            format!("{:.1}", team.gpus),
+            quota(team.gpus_guaranteed),
+            quota(team.gpus_max),
+            team.jobs.to_string(),
+            team.waiting_tasks.to_string(),
+            format!("{:.1}", team.waiting_cpus),
+        ]
+    };
+    table(&TEAMS_HEAD, teams.iter().map(row))
+}
+
+fn quota(amount: f64) -> String {
+    if amount > 0.0 {
+        format!("{amount:.0}")
+    } else {
+        NONE.into()
+    }
+}
+
+const MACHINES_HEAD: [&str; 10] = [
+    "machine",
+    "type",
+    "zone",
+    "spot",
+    "state",
+    "tasks",
+    "bound",
+    "free cpus",
+    "silent",
+    "why",
+];
+
+/// Machines with their state.
+pub fn machines(machines: &[MachineRow]) -> String {
+    let row = |machine: &MachineRow| {
+        vec![
+            machine.id.clone(),
+            machine.kind.clone(),
+            machine.zone.clone(),
+            flag(machine.spot, "spot"),
+            name(&machine.state),
+            machine.tasks.to_string(),
+            machine.bound.to_string(),
+            format!("{:.1}", machine.free_cpus),
+            span(machine.silent_s),
+            machine.why.clone(),
+        ]
+    };
+    table(&MACHINES_HEAD, machines.iter().map(row))
+}
+
+/// Head of the rows of [`shares`].
+pub const SHARES_HEAD: [&str; 9] = [
+    "seen from",
+    "share",
+    "owner",
+    "term",
+    "owns",
+    "made sure",
+    "missing",
+    "alive",
+    "former",
+];
+
+/// Rows of the shards as the controller `from` sees them.
+pub fn shares(from: &str, shares: &[ShareRow]) -> Vec<Vec<String>> {
+    let row = |share: &ShareRow| {
+        vec![
+            from.to_string(),
+            share.share.to_string(),
+            share.owner.clone().unwrap_or_else(|| "nobody".into()),
+            share.term.to_string(),
+            flag(share.ours, "yes"),
+            optional_span(share.confirmed_s, NONE),
+            share.missing.map_or(NONE.into(), |n| n.to_string()),
+            share.alive.join(" "),
+            share.former.join(" "),
+        ]
+    };
+    shares.iter().map(row).collect()
+}
+
+/// Head of the rows of [`services`].
+pub const SERVICES_HEAD: [&str; 6] = ["seen from", "service", "answered", "last", "failed", "last"];
+
+/// Rows of the outside services as the controller `from` met them.
+pub fn services(from: &str, services: &[ServiceRow]) -> Vec<Vec<String>> {
+    let row = |service: &ServiceRow| {
+        vec![
+            from.to_string(),
+            service.name.clone(),
+            service.answered.to_string(),
+            optional_span(service.answered_s, "never"),
+            service.failed.to_string(),
+            optional_span(service.failed_s, "never"),
+        ]
+    };
+    services.iter().map(row).collect()
+}
+
+const WAITS_HEAD: [&str; 7] = ["what", "class", "count", "p50 s", "p90 s", "p99 s", "max s"];
+
+/// Quantiles of waits.
+pub fn waits(waits: &Waits) -> String {
+    let first_starts = waits.first_start.iter();
+    let first_starts = first_starts.map(|spread| wait_row("first start", spread));
+    let acceptance = waits.acceptance.iter();
+    let acceptance = acceptance.map(|spread| wait_row("acceptance", spread));
+    table(&WAITS_HEAD, first_starts.chain(acceptance))
+}
+
+fn wait_row(what: &str, spread: &Spread) -> Vec<String> {
+    let seconds = |s: f64| format!("{s:.2}");
+    vec![
+        what.to_string(),
+        spread.name.clone(),
+        spread.count.to_string(),
+        seconds(spread.p50_s),
+        seconds(spread.p90_s),
+        seconds(spread.p99_s),
+        seconds(spread.max_s),
+    ]
+}
--- /dev/null
+++ b/crates/ctl/src/show/drains.rs
@@ -0,0 +1,65 @@
+//! Tables of drains and rollouts.
+
+use super::{name, percent, table, text_or_none, NONE};
+use foxspur_wire::admin::{DrainRow, DrainState};
+use foxspur_wire::roll::{AtMost, Roll, RollState};
+
+const DRAINS_HEAD: [&str; 8] = [
+    "machine", "state", "tasks", "stays", "by", "why", "rest", "proof",
+];
+
+/// Drains and how far they are.
+pub fn drains(drains: &[DrainRow]) -> String {
+    table(&DRAINS_HEAD, drains.iter().map(drain_row))
+}
+
+fn drain_row(row: &DrainRow) -> Vec<String> {
+    let drain = &row.drain;
+    let state = match row.state {
+        DrainState::Overdue => "OVERDUE".into(),
+        other => name(&other),
+    };
+    let proof = drain.drained.as_ref().map_or(NONE.into(), |drained| {
+        format!("{} in term {}", name(&drained.proof), drained.term)
+    });
+    vec![
+        drain.host.clone(),
+        state,
+        row.tasks.to_string(),
+        text_or_none(&row.stays),
+        drain.by.clone(),
+        drain.why.clone(),
+        name(&drain.rest),
+        proof,
+    ]
+}
+
+const ROLLS_HEAD: [&str; 8] = [
+    "roll", "state", "begun", "of", "at most", "by", "why", "reason",
+];
+
+/// Rollouts and how far they are.
+pub fn rolls(rolls: &[Roll]) -> String {
+    table(&ROLLS_HEAD, rolls.iter().map(roll_row))
+}
+
+fn roll_row(roll: &Roll) -> Vec<String> {
+    let at_most = match roll.at_most {
+        AtMost::Machines(count) => format!("{count} a zone"),
+        AtMost::Share(proportion) => format!("{} of a zone", percent(proportion)),
+    };
+    let state = match roll.state {
+        RollState::Halted => "HALTED".into(),
+        other => name(&other),
+    };
+    vec![
+        roll.name.clone(),
+        state,
+        roll.next.to_string(),
+        roll.hosts.len().to_string(),
+        at_most,
+        roll.by.clone(),
+        roll.why.clone(),
+        text_or_none(&roll.reason),
+    ]
+}
--- /dev/null
+++ b/crates/ctl/src/watch/draw.rs
@@ -0,0 +1,174 @@
+//! Draws the terminal view: the stuck jobs on top, then teams, machines and drains.
+
+use super::screen::Screen;
+use crate::show::{name, span};
+use foxspur_wire::admin::{
+    Answer, DrainRow, DrainState, JobRow, Jobs, ShareRow, Standing, TeamRow,
+};
+use ratatui::layout::{Constraint, Layout, Rect};
+use ratatui::style::{Color, Modifier, Style};
+use ratatui::text::{Line, Span};
+use ratatui::widgets::{Block, Cell, Gauge, Paragraph, Row, Table};
+use ratatui::Frame;
+
+fn style_of(standing: Standing) -> Style {
+    match standing {
+        Standing::Stuck | Standing::Failing => alarm(),
+        Standing::Late => warning(),
+        Standing::Ok => Style::new(),
+    }
+}
+
+fn alarm() -> Style {
+    Style::new().fg(Color::Red).add_modifier(Modifier::BOLD)
+}
+
+fn warning() -> Style {
+    Style::new().fg(Color::Yellow)
+}
+
+/// The first line: counts, the leader, and what is wrong.
+fn head(screen: &Screen) -> Line<'static> {
+    let mut spans = match &screen.jobs {
+        Some(jobs) => counts(jobs, screen.shares.as_ref()),
+        None => vec![Span::raw(" nothing is known yet")],
+    };
+    if let Some(error) = &screen.error {
+        let style = Style::new().fg(Color::Red);
+        spans.push(Span::styled(format!("   {error}"), style));
+    }
+    Line::from(spans)
+}
+
+fn counts(jobs: &Answer<Jobs>, shares: Option<&Answer<Vec<ShareRow>>>) -> Vec<Span<'static>> {
+    let leader = jobs.owner.clone().unwrap_or_else(|| "nobody".into());
+    let mut spans = vec![Span::raw(format!(
+        " {} live, {} stuck, {} failing, {} late   owner {leader}, term {}",
+        jobs.data.live, jobs.data.stuck, jobs.data.failing, jobs.data.late, jobs.term
+    ))];
+    let shard = shares.and_then(|shares| shares.data.first());
+    if let Some(missing) = shard.and_then(|shard| shard.missing) {
+        let text = format!("   {missing} machines not accounted for");
+        spans.push(Span::styled(text, warning()));
+    }
+    if jobs.age_s > 0.0 {
+        let text = format!("   {} OLD", span(jobs.age_s));
+        spans.push(Span::styled(text, alarm()));
+    }
+    spans
+}
+
+/// From this width on the class is shown too; on a narrower terminal the reason needs the
+/// room.
+const WIDE_COLUMNS: u16 = 150;
+
+fn job_row(job: &JobRow, wide: bool) -> Row<'static> {
+    let mut cells = vec![
+        name(&job.standing).to_uppercase(),
+        job.id.clone(),
+        job.team.clone(),
+        span(job.age_s),
+        job.slack_s.map_or("-".into(), span),
+        format!("{}/{}", job.done, job.tasks),
+        job.running.to_string(),
+        job.why.clone(),
+    ];
+    if wide {
+        cells.insert(2, job.class.clone());
+    }
+    Row::new(cells.into_iter().map(Cell::from)).style(style_of(job.standing))
+}
+
+fn draw_jobs(frame: &mut Frame, area: Rect, screen: &Screen) {
+    let wide = area.width >= WIDE_COLUMNS;
+    let rows = screen.jobs.iter().flat_map(|j| &j.data.rows);
+    let rows = rows.skip(screen.top).map(|j| job_row(j, wide));
+    let mut columns = vec![
+        ("state", Constraint::Length(8)),
+        ("job", Constraint::Length(24)),
+        ("team", Constraint::Length(12)),
+        ("age", Constraint::Length(5)),
+        ("slack", Constraint::Length(5)),
+        ("done", Constraint::Length(9)),
+        ("runs", Constraint::Length(5)),
+        ("why", Constraint::Fill(1)),
+    ];
+    if wide {
+        columns.insert(2, ("class", Constraint::Length(18)));
+    }
+    let head = Row::new(columns.iter().map(|c| c.0));
+    let table = Table::new(rows, columns.iter().map(|c| c.1))
+        .header(head.style(Style::new().add_modifier(Modifier::DIM)))
+        .block(Block::bordered().title(" jobs, the stuck ones first "));
+    frame.render_widget(table, area);
+}
+
+fn draw_teams(frame: &mut Frame, area: Rect, screen: &Screen) {
+    let block = Block::bordered().title(" teams: CPUs of limit ");
+    let inner = block.inner(area);
+    frame.render_widget(block, area);
+    let teams: Vec<&TeamRow> = screen.teams.iter().flat_map(|t| &t.data).collect();
+    let lines = Layout::vertical(vec![Constraint::Length(1); teams.len()]).split(inner);
+    for (team, line) in teams.iter().zip(lines.iter()) {
+        frame.render_widget(team_gauge(team), *line);
+    }
+}
+
+/// CPUs that a team uses of its limit, or of its guarantee if that is higher.
+fn team_gauge(team: &TeamRow) -> Gauge<'static> {
+    let full = team.cpus_max.max(team.cpus_guaranteed);
+    let (ratio, full) = if full > 0.0 {
+        (team.cpus / full, format!("{full:.0}"))
+    } else {
+        (0.0, "-".into())
+    };
+    let label = format!(
+        "{} {:.0}/{full} +{:.0}",
+        team.name, team.cpus, team.waiting_cpus
+    );
+    Gauge::default()
+        .ratio(ratio.clamp(0.0, 1.0))
+        .label(label)
+        .gauge_style(Style::new().fg(Color::Blue))
+}
+
+fn draw_fleet(frame: &mut Frame, area: Rect, screen: &Screen) {
+    let fleet = screen.fleet.iter().flat_map(|f| &f.data);
+    let mut lines: Vec<Line> = fleet
+        .map(|(state, n)| Line::from(format!("{n:>6} {}", name(state))))
+        .collect();
+    let drains = screen.drains.iter().flat_map(|d| &d.data);
+    lines.extend(drains.map(drain_line));
+    let block = Block::bordered().title(" machines and drains ");
+    frame.render_widget(Paragraph::new(lines).block(block), area);
+}
+
+fn drain_line(row: &DrainRow) -> Line<'static> {
+    let (host, state) = (&row.drain.host, name(&row.state));
+    let text = format!("{host} {state} {} {}", row.tasks, row.stays);
+    let style = match row.state {
+        DrainState::Overdue => Style::new().fg(Color::Red),
+        DrainState::Draining => warning(),
+        _ => Style::new(),
+    };
+    Line::styled(text, style)
+}
+
+/// Draws the whole screen.
+pub fn draw(frame: &mut Frame, screen: &Screen) {
+    let teams = screen.teams.as_ref().map_or(0, |t| t.data.len()) as u16;
+    // A terminal of a few lines keeps at least its jobs.
+    let below = (teams + 2).max(6).min(frame.area().height / 2);
+    let [top, jobs, bottom] = Layout::vertical([
+        Constraint::Length(1),
+        Constraint::Fill(1),
+        Constraint::Length(below),
+    ])
+    .areas(frame.area());
+    frame.render_widget(Paragraph::new(head(screen)), top);
+    draw_jobs(frame, jobs, screen);
+    let [left, right] =
+        Layout::horizontal([Constraint::Percentage(50), Constraint::Percentage(50)]).areas(bottom);
+    draw_teams(frame, left, screen);
+    draw_fleet(frame, right, screen);
+}
--- a/crates/ctl/tests/view.rs
+++ b/crates/ctl/tests/view.rs
@@ -165,17 +165,17 @@
     assert!(text.contains("1 stuck") && !text.contains("OLD"), "{text}");
     screen.jobs = Some(jobs(30.0));
     assert!(shown(&screen).contains("30s OLD"));
-    screen.look(&Api::new(&["127.0.0.1:9".to_string()]).unwrap());
+    screen.refresh(&Api::new(&["127.0.0.1:9".to_string()]).unwrap());
     let text = shown(&screen);
     assert!(
         text.contains("no controller answers") && text.contains("run-7"),
         "{text}"
     );
-    assert!(screen.key(KeyCode::Down, 10) && screen.top == 1);
+    assert!(screen.handle_key(KeyCode::Down, 10) && screen.top == 1);
     assert!(
-        screen.key(KeyCode::Down, 10) && screen.top == 1,
+        screen.handle_key(KeyCode::Down, 10) && screen.top == 1,
         "not past the last"
     );
     assert!(!shown(&screen).contains("run-7"));
-    assert!(!screen.key(KeyCode::Char('q'), 10));
+    assert!(!screen.handle_key(KeyCode::Char('q'), 10));
 }
