--- a/crates/client/src/agenda.rs
+++ b/crates/client/src/agenda.rs
@@ -1,5 +1,5 @@
-//! When to ask about what: one schedule for submissions, cancellations and polls
-//! of all jobs. Pure, in seconds passed in.
+//! The schedule of the next step of each job: submissions, cancellations and polls. Pure; times
+//! are seconds that are passed in.
 
 use crate::job::JobId;
 use std::cmp::Reverse;
@@ -8,17 +8,20 @@
 /// Next step of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Step {
+    /// Submit it.
     Submit,
+    /// Cancel it.
     Cancel,
+    /// Ask for its status.
     Poll,
 }
 
-/// Times in the heap, in microseconds, for they must have an order.
+/// Times in the heap are whole microseconds, which have a total order.
 fn micros(s: f64) -> u64 {
     (s.max(0.0) * 1e6) as u64
 }
 
-/// What is due when. A job is in it once: a new entry replaces the one before.
+/// A priority queue of steps by time. A job is in it once: a new entry replaces the one before.
 #[derive(Debug, Default)]
 pub struct Agenda {
     heap: BinaryHeap<Reverse<(u64, JobId)>>,
@@ -33,6 +36,7 @@
         self.heap.push(Reverse((at, job)));
     }
 
+    /// Nothing more is to be done about the job.
     pub fn remove(&mut self, job: JobId) {
         self.entries.remove(&job);
     }
@@ -64,10 +68,12 @@
         }
     }
 
+    /// How many jobs are scheduled.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether no job is scheduled.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -79,15 +85,16 @@
 /// sixteenth of the whole at least, asks some ten times; a job that is overdue
 /// is asked about ever more rarely, since its estimate was wrong.
 pub fn poll_in(expected_s: f64, age_s: f64) -> f64 {
-    let left = expected_s - age_s;
-    let wait = if left > 0.0 {
-        (left / 4.0).max(expected_s / 16.0)
+    let left_s = expected_s - age_s;
+    let wait_s = if left_s > 0.0 {
+        (left_s / 4.0).max(expected_s / 16.0)
     } else {
-        -left / 8.0
+        -left_s / 8.0
     };
-    wait.clamp(LEAST_POLL_S, MOST_POLL_S)
+    wait_s.clamp(MIN_POLL_INTERVAL_S, MAX_POLL_INTERVAL_S)
 }
 
-/// The state of a job may lag by 3 s; asking more often tells nothing.
-const LEAST_POLL_S: f64 = 3.0;
-const MOST_POLL_S: f64 = 60.0;
+/// The status of a job may lag by 3 s; asking more often tells nothing.
+const MIN_POLL_INTERVAL_S: f64 = 3.0;
+/// The longest time between two polls of a job.
+const MAX_POLL_INTERVAL_S: f64 = 60.0;
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -39,7 +39,6 @@
 mod engine;
 pub mod fronts;
 mod job;
-mod learn;
 mod measure;
 pub mod outbox;
 pub mod pace;
