--- a/crates/report/src/flow.rs
+++ b/crates/report/src/flow.rs
@@ -1,15 +1,24 @@
-//! The largest flow through a network that grows: Dinic's algorithm (blocking
-//! flows along shortest paths), so that more supply is pushed through what the
-//! flow so far has left, which may reroute it but never lowers it.
+//! The maximum flow through a network that grows: Dinic's algorithm (blocking flows along
+//! shortest paths). Additional capacity is used on top of the present flow, which may be
+//! rerouted but is never lowered.
 
 use std::collections::VecDeque;
 
+/// An edge in the list of its first node.
 #[derive(Debug, Clone)]
 struct Edge {
     to: usize,
+    /// Residual capacity.
     left: u64,
-    /// Its reverse, in the list of `to`.
-    back: usize,
+    /// Index of its reverse in the list of `to`.
+    reverse: usize,
+}
+
+/// Names an edge of a network.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct EdgeId {
+    from: usize,
+    index: usize,
 }
 
 /// A network of nodes numbered from 0.
@@ -19,40 +28,40 @@
 }
 
 impl Network {
-    /// A new node's number.
-    pub fn node(&mut self) -> usize {
+    /// Adds a node; its number.
+    pub fn add_node(&mut self) -> usize {
         self.edges.push(Vec::new());
         self.edges.len() - 1
     }
 
-    /// Lets this much through from one node to another; names the edge.
-    pub fn join(&mut self, from: usize, to: usize, most: u64) -> (usize, usize) {
-        let (at, back) = (self.edges[from].len(), self.edges[to].len());
+    /// Adds an edge of this capacity.
+    pub fn add_edge(&mut self, from: usize, to: usize, capacity: u64) -> EdgeId {
+        let (index, reverse) = (self.edges[from].len(), self.edges[to].len());
         self.edges[from].push(Edge {
             to,
-            left: most,
-            back,
+            left: capacity,
+            reverse,
         });
         self.edges[to].push(Edge {
             to: from,
             left: 0,
-            back: at,
+            reverse: index,
         });
-        (from, at)
+        EdgeId { from, index }
     }
 
-    /// Lets this much more through an edge.
-    pub fn widen(&mut self, edge: (usize, usize), more: u64) {
-        self.edges[edge.0][edge.1].left += more;
+    /// Adds to an edge's capacity.
+    pub fn add_capacity(&mut self, edge: EdgeId, more: u64) {
+        self.edges[edge.from][edge.index].left += more;
     }
 
-    /// What an edge still lets through.
-    pub fn left(&self, edge: (usize, usize)) -> u64 {
-        self.edges[edge.0][edge.1].left
+    /// An edge's residual capacity.
+    pub fn residual(&self, edge: EdgeId) -> u64 {
+        self.edges[edge.from][edge.index].left
     }
 
-    /// Pushes as much more as goes from `source` to `sink`; how much that was.
-    pub fn push(&mut self, source: usize, sink: usize) -> u64 {
+    /// Augments the flow from `source` to `sink` to its maximum; by how much.
+    pub fn augment(&mut self, source: usize, sink: usize) -> u64 {
         let mut sum = 0;
         loop {
             let level = self.levels(source);
@@ -61,7 +70,7 @@
             }
             let mut next = vec![0; self.edges.len()];
             loop {
-                let pushed = self.along(source, sink, u64::MAX, &level, &mut next);
+                let pushed = self.push_along(source, sink, u64::MAX, &level, &mut next);
                 if pushed == 0 {
                     break;
                 }
@@ -70,6 +79,7 @@
         }
     }
 
+    /// Distance of each node from the source over edges with residual capacity.
     fn levels(&self, source: usize) -> Vec<Option<usize>> {
         let mut level = vec![None; self.edges.len()];
         level[source] = Some(0);
@@ -85,9 +95,10 @@
         level
     }
 
-    /// Pushes along one path; paths are as long as the network is deep, a few
-    /// nodes here, so the recursion is shallow.
-    fn along(
+    /// Pushes flow along one shortest path, `most` at most; how much. `next` is the edge at
+    /// which each node goes on. Paths are as long as the network is deep, a few nodes here, so
+    /// the recursion is shallow.
+    fn push_along(
         &mut self,
         node: usize,
         sink: usize,
@@ -99,17 +110,14 @@
             return most;
         }
         while next[node] < self.edges[node].len() {
-            let at = next[node];
-            let (to, left, back) = {
-                let edge = &self.edges[node][at];
-                (edge.to, edge.left, edge.back)
-            };
+            let index = next[node];
+            let Edge { to, left, reverse } = self.edges[node][index];
             let deeper = matches!((level[node], level[to]), (Some(a), Some(b)) if b == a + 1);
             if left > 0 && deeper {
-                let pushed = self.along(to, sink, most.min(left), level, next);
+                let pushed = self.push_along(to, sink, most.min(left), level, next);
                 if pushed > 0 {
-                    self.edges[node][at].left -= pushed;
-                    self.edges[to][back].left += pushed;
+                    self.edges[node][index].left -= pushed;
+                    self.edges[to][reverse].left += pushed;
                     return pushed;
                 }
             }
--- a/crates/report/src/main.rs
+++ b/crates/report/src/main.rs
@@ -1,9 +1,10 @@
-//! `foxspur-report`: what a day served of each class and team.
+//! The command line of `foxspur-report`.
 
 use clap::Parser;
 use foxspur_report::count::count;
-use foxspur_report::report::{Aim, Report};
-use foxspur_report::{log, show};
+use foxspur_report::markdown::markdown;
+use foxspur_report::objectives::{Objective, Report, Reported};
+use foxspur_report::{log, table};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -41,30 +42,37 @@
     std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
 }
 
+/// Prints the table; whether enough is served.
 fn run(args: &Args) -> Result<bool, String> {
     let report: Report = serde_json::from_str(&read(&args.report)?)
         .map_err(|e| format!("{}: {e}", args.report.display()))?;
     let events =
         log::read(&read(&args.log)?).map_err(|e| format!("{}: {e}", args.log.display()))?;
-    let aims: BTreeMap<String, Vec<Aim>> = report
-        .aims()
-        .into_iter()
-        .map(|(class, aims)| (class, aims.into_iter().map(|a| a.0).collect()))
-        .collect();
-    let day = count(&events, &aims, report.ends_s);
+    let day = count(&events, &objectives(&report), report.ends_s);
     if day.jobs.is_empty() {
         return Err(format!("{}: no accepted job in it", args.log.display()));
     }
-    let table = show::table(&report, &day, &args.limit.iter().cloned().collect());
+    let limits = args.limit.iter().cloned().collect();
+    let table = table::table(&report, &day, &limits);
     if args.json {
         let text = serde_json::to_string_pretty(&table).map_err(|e| e.to_string())?;
         println!("{text}");
     } else {
-        print!("{}", table.text());
+        print!("{}", markdown(&table));
     }
     Ok(table.failed().is_empty() && table.failed_largest().is_empty())
 }
 
+/// The objectives of each class.
+fn objectives(report: &Report) -> BTreeMap<String, Vec<Objective>> {
+    let only_objectives =
+        |reported: Vec<Reported>| reported.into_iter().map(|r| r.objective).collect();
+    let classes = report.objectives().into_iter();
+    classes
+        .map(|(class, reported)| (class, only_objectives(reported)))
+        .collect()
+}
+
 fn main() -> ExitCode {
     match run(&Args::parse()) {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/report/tests/report.rs
+++ b/crates/report/tests/report.rs
@@ -1,10 +1,10 @@
-//! Tables of logs and days, and the bound against plans that exist.
+//! Logs and their counts, tables of days, and the bound against schedules that exist.
 
 use foxspur_report::bound::{alone, together, Fleet, Job};
-use foxspur_report::count::count;
+use foxspur_report::count::{count, Met};
 use foxspur_report::log::{read, Event, Unreadable};
-use foxspur_report::report::{Aim, Report};
-use foxspur_report::show;
+use foxspur_report::objectives::{Objective, Report, Reported};
+use foxspur_report::table::table;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -25,21 +25,20 @@
 #[test]
 fn a_log_is_counted_by_class_and_team() {
     let events = read(LOG).unwrap();
-    let aims = BTreeMap::from([(
+    let objectives = BTreeMap::from([(
         "c".to_string(),
-        vec![Aim::Deadline(1.0), Aim::Finished(10.0)],
+        vec![Objective::Deadline(1.0), Objective::Finished(10.0)],
     )]);
-    let day = count(&events, &aims, 100.0);
+    let day = count(&events, &objectives, 100.0);
     let c = &day.classes["c"];
-    // The cancelled job counts nowhere; the one without an end is passed over
-    // until the day's end.
+    // The cancelled job counts nowhere; the one without an end waits until the day's end.
     assert_eq!((c.jobs, c.tasks, c.done, c.starts), (2, 3, 1, 5));
-    assert_eq!(c.in_time, [(1, 2), (0, 2)]);
+    assert_eq!(c.in_time, [Met { met: 1, of: 2 }, Met { met: 0, of: 2 }]);
     assert_eq!((c.stopped, c.stopped_most, c.lost), (2, 2, 2));
     assert_eq!((c.passed_s, c.least()), (98.5, Some(0.0)));
     let (t, u) = (&day.teams["t"], &day.teams["u"]);
-    assert_eq!((t.jobs, t.in_time[0]), (1, (0, 1)));
-    assert_eq!((u.jobs, u.in_time[0]), (1, (0, 1)));
+    assert_eq!((t.jobs, t.in_time[0]), (1, Met { met: 0, of: 1 }));
+    assert_eq!((u.jobs, u.in_time[0]), (1, Met { met: 0, of: 1 }));
     assert_eq!(day.load, [(2.0, 8.0)]);
 }
 
@@ -73,7 +72,7 @@
 }
 
 #[test]
-fn a_class_fails_by_all_its_aims_and_is_late_by_some() {
+fn a_class_fails_by_all_its_objectives_and_is_late_by_some() {
     let report = |first: f64, second: f64| -> Report {
         serde_json::from_str(&format!(
             r#"{{"scenario":"d","seed":1,"ends_s":100.0,"classes":{{}},"targets":[
@@ -89,12 +88,11 @@
         (0.5, 0.6, false, false),
     ] {
         let report = report(first, second);
-        let aims = report.aims().into_iter();
-        let aims = aims
-            .map(|(c, a)| (c, a.into_iter().map(|a| a.0).collect()))
-            .collect();
-        let day = count(&events, &aims, report.ends_s);
-        let table = show::table(&report, &day, &BTreeMap::new());
+        let plain = |own: Vec<Reported>| own.into_iter().map(|r| r.objective).collect();
+        let by_class = report.objectives().into_iter();
+        let objectives = by_class.map(|(c, own)| (c, plain(own))).collect();
+        let day = count(&events, &objectives, report.ends_s);
+        let table = table(&report, &day, &BTreeMap::new());
         assert_eq!(!table.failed().is_empty(), failed, "{first} {second}");
         assert_eq!(!table.late().is_empty(), late, "{first} {second}");
     }
@@ -151,10 +149,10 @@
 }
 
 proptest! {
-    /// A bound must not be below what some plan reaches: here first come, first
-    /// served, one task a CPU.
+    /// A bound must not be below what some schedule reaches: here first come, first served,
+    /// one task a CPU.
     #[test]
-    fn no_plan_beats_the_bound(
+    fn no_schedule_beats_the_bound(
         jobs in prop::collection::vec((0.0..60.0f64, 1u32..8, 5.0..20.0f64, 1.0..4.0f64), 1..12),
         cpus in 1usize..6,
     ) {
