--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -1,5 +1,6 @@
 //! The operators' API, version 1: what controllers answer under `/admin/v1`, and
-//! what operators order there. Times are seconds unless a name says otherwise.
+//! what operators order there. Times are seconds unless a name says otherwise; ages and "how long
+//! ago" count from the answer.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,18 +9,20 @@
 pub struct Answer<T> {
     /// The controller that was asked.
     pub from: String,
-    /// The owner of the share whose state this is, as far as it is known.
+    /// The leader of the shard whose state this is, as far as it is known.
     pub owner: Option<String>,
-    /// The term under which the answer was made; 0 if it is of no share.
+    /// The leader's term under which the answer was made; 0 if it is of no shard.
     pub term: u64,
-    /// How old the data is; above 0 where the owner could not be asked now.
+    /// How old the data is; above 0 where the leader could not be asked now.
     pub age_s: f64,
+    /// What was asked for.
     pub data: T,
 }
 
 /// A refused request: which field, what is wrong with it, when to come back.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Problem {
+    /// What is wrong, and when to come back; a sentence for a person.
     pub error: String,
     /// The field that is wrong, if it is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -41,19 +44,25 @@
 /// A drain, as it stands in the state service.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Drain {
+    /// The machine's name.
     pub host: String,
     /// Name of the order it came with: the same order given twice is one.
     pub order: String,
+    /// Who ordered it.
     pub by: String,
+    /// Why it was ordered.
     pub why: String,
     /// When it was ordered, in milliseconds of the time of day.
     pub at_ms: u64,
+    /// When it should be over, in milliseconds of the time of day.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
+    /// What happens to work that is left then.
     pub rest: Rest,
+    /// The proof that it is over.
     #[serde(default)]
     pub drained: Option<Drained>,
-    /// The roll that it is a step of.
+    /// The rollout that it is a step of.
     #[serde(default)]
     pub roll: Option<String>,
 }
@@ -61,9 +70,11 @@
 /// The proof that nothing is on a machine, nor can come to it.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Drained {
+    /// When it was proven, in milliseconds of the time of day.
     pub at_ms: u64,
-    /// The owner's term when it was proven.
+    /// The leader's term when it was proven.
     pub term: u64,
+    /// What proves it.
     pub proof: Proof,
     /// The worker's session then; a later one has started anew since.
     pub session: u64,
@@ -73,9 +84,9 @@
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Proof {
-    /// Its report under the owner's term shows nothing, and nothing is under way.
+    /// Its heartbeat under the leader's term shows nothing, and nothing is under way.
     Reported,
-    /// Its lease ran out after the last moment that anyone could have renewed it.
+    /// Its lease expired after the last moment at which anyone could have renewed it.
     LeaseOver,
 }
 
@@ -85,11 +96,16 @@
 pub struct DrainOrder {
     /// A fresh name for this order; repeated with the same name it is one.
     pub order: String,
+    /// The machines' names.
     pub hosts: Vec<String>,
+    /// Who orders it.
     pub by: String,
+    /// Why.
     pub why: String,
+    /// Seconds until it should be over.
     #[serde(default)]
     pub deadline_s: Option<f64>,
+    /// What happens to work that is left then.
     #[serde(default)]
     pub rest: Rest,
     /// The term of the plan that is carried out; another one refuses it.
@@ -101,7 +117,9 @@
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct UndrainOrder {
+    /// The machines' names.
     pub hosts: Vec<String>,
+    /// Who orders it.
     pub by: String,
 }
 
@@ -122,7 +140,9 @@
 /// A drain with its progress.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct DrainRow {
+    /// Its record.
     pub drain: Drain,
+    /// How far it is.
     pub state: DrainState,
     /// Attempts still there.
     pub tasks: u32,
@@ -138,68 +158,103 @@
     Stuck,
     /// It fails on every machine that it was tried on.
     Failing,
-    /// All its aims are out of reach.
+    /// All its objectives are out of reach.
     Late,
+    /// None of these.
     Ok,
 }
 
 /// A live job.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct JobRow {
+    /// Its id.
     pub id: String,
+    /// Its class.
     pub class: String,
+    /// Its team.
     pub team: String,
+    /// Its priority.
     pub urgency: crate::job::Urgency,
+    /// How it stands.
     pub standing: Standing,
+    /// Why it stands so.
     pub why: String,
+    /// Seconds since it was accepted.
     pub age_s: f64,
-    /// Until its first aim that can still be met is lost.
+    /// Seconds until the first objective that it can still meet is lost.
     pub slack_s: Option<f64>,
+    /// How many tasks it has.
     pub tasks: u32,
+    /// Completed tasks.
     pub done: u32,
+    /// Running tasks.
     pub running: u32,
+    /// Waiting tasks.
     pub waiting: u32,
 }
 
 /// Live jobs, worst first and oldest first among those alike.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Default)]
 pub struct Jobs {
+    /// Live jobs.
     pub live: usize,
+    /// Of these, jobs of which nothing has run for several leases.
     pub stuck: usize,
+    /// Jobs that fail on every machine.
     pub failing: usize,
+    /// Jobs whose objectives are out of reach.
     pub late: usize,
     /// As many as were asked for.
     pub rows: Vec<JobRow>,
 }
 
-/// A team against its guarantee and limit; 0 means none.
+/// A team against its quota; a guarantee or limit of 0 means none.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct TeamRow {
+    /// Its name.
     pub name: String,
+    /// CPUs that it uses.
     pub cpus: f64,
+    /// CPUs that it is guaranteed.
     pub cpus_guaranteed: f64,
+    /// The most CPUs that it may use.
     pub cpus_max: f64,
+    /// GPUs that it uses.
     pub gpus: f64,
+    /// GPUs that it is guaranteed.
     pub gpus_guaranteed: f64,
+    /// The most GPUs that it may use.
     pub gpus_max: f64,
+    /// Live jobs.
     pub jobs: u32,
+    /// Waiting tasks.
     pub waiting_tasks: u32,
+    /// CPUs that these ask for.
     pub waiting_cpus: f64,
 }
 
-/// A machine of the share.
+/// A machine of the shard.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct MachineRow {
+    /// Its name.
     pub id: String,
+    /// Name of its type.
     pub kind: String,
+    /// Its zone.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
+    /// What it is good for now.
     pub state: MachineState,
     /// What that rests on.
     pub why: String,
+    /// Seconds since its last heartbeat.
     pub silent_s: f64,
+    /// Attempts on it.
     pub tasks: u32,
+    /// Tasks that are queued for it: they start there as soon as there is room.
     pub bound: u32,
+    /// CPUs that nothing uses.
     pub free_cpus: f64,
 }
 
@@ -207,14 +262,17 @@
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum MachineState {
+    /// Tasks may start there.
     Usable,
-    /// Not in our written record, or not heard of under our term yet.
+    /// Not in the leader's written record, or without a heartbeat under its term yet.
     Unproven,
+    /// It sends no heartbeats.
     Silent,
     /// Proven empty after silence.
     Expired,
     /// Set aside by an operator.
     Draining,
+    /// Set aside and proven empty.
     Drained,
     /// On its way back to the cloud.
     Returning,
@@ -222,43 +280,56 @@
     Noticed,
 }
 
-/// The share as this controller sees it.
+/// A shard as the asked controller sees it.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ShareRow {
+    /// Number of the shard.
     pub share: u32,
+    /// The leader, as far as it is known.
     pub owner: Option<String>,
+    /// The leader's term.
     pub term: u64,
     /// Controllers whose lease is alive.
     pub alive: Vec<String>,
-    /// Former owners that may still answer workers.
+    /// Former leaders that may still answer workers.
     pub former: Vec<String>,
-    /// Whether the asked controller is the owner, and may answer workers.
+    /// Whether the asked controller is the leader, and may answer workers.
     pub ours: bool,
-    /// How long ago the owner last made sure of it, if we are the owner.
+    /// How long ago the leader last confirmed it, if that is the asked controller.
     pub confirmed_s: Option<f64>,
-    /// Machines that hold up placing after a takeover; `None` while it goes on.
+    /// Machines that hold up placement after a failover; `None` while it goes on.
     pub missing: Option<usize>,
 }
 
 /// One outside service, as the asked controller met it.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ServiceRow {
+    /// Its name.
     pub name: String,
+    /// Requests that were answered.
     pub answered: u64,
+    /// Requests that failed.
     pub failed: u64,
-    /// How long ago it last answered, and last failed to.
+    /// Seconds since it last answered.
     pub answered_s: Option<f64>,
+    /// Seconds since it last failed to.
     pub failed_s: Option<f64>,
 }
 
-/// Where a distribution lies, in seconds.
+/// Quantiles of a distribution, in seconds.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Spread {
+    /// What it is of.
     pub name: String,
+    /// How many values it has.
     pub count: u64,
+    /// The median.
     pub p50_s: f64,
+    /// Nine in ten are at most this.
     pub p90_s: f64,
+    /// 99 in a hundred are at most this.
     pub p99_s: f64,
+    /// The largest.
     pub max_s: f64,
 }
 
@@ -266,6 +337,8 @@
 /// asked controller took to accept.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Default)]
 pub struct Waits {
+    /// By class, from acceptance to the first task that runs.
     pub first_start: Vec<Spread>,
+    /// How long the asked controller took to accept.
     pub acceptance: Option<Spread>,
 }
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// Most tasks a job may have.
+/// The most tasks that a job may have.
 pub const MAX_TASKS: u64 = 100_000;
-/// Longest image or team name taken; they end up in state keys and records.
+/// The longest name of an image, class or team, in bytes; they end up in state keys and records.
 const MAX_NAME: usize = 150;
 
 /// How a job's tasks relate. The wire's third shape, `group`, is not served.
@@ -22,12 +22,16 @@
 /// Priority, lowest first, so that the derived order is the order of precedence.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Urgency {
+    /// Runs on what is left over.
     #[serde(rename = "idle")]
     Idle,
+    /// The usual priority.
     #[serde(rename = "standard")]
     Standard,
+    /// Before the usual.
     #[serde(rename = "high")]
     High,
+    /// Before all others.
     #[serde(rename = "prod")]
     Prod,
 }
@@ -35,39 +39,59 @@
 /// A job's description.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct JobSpec {
+    /// The id: `run-` and digits.
     #[serde(rename = "name_id")]
     pub id: String,
+    /// Class of jobs, for objectives and predictions.
     #[serde(rename = "queue")]
     pub class: String,
+    /// The team whose quota it uses.
     #[serde(rename = "owner")]
     pub team: String,
+    /// How its tasks relate.
     pub shape: Shape,
+    /// Its priority.
     pub urgency: Urgency,
+    /// How many tasks it has.
     #[serde(rename = "shards")]
     pub tasks: u32,
+    /// CPUs of a task.
     pub cpus: f64,
+    /// GPUs of a task.
     #[serde(rename = "cards")]
     pub gpus: f64,
+    /// Memory of a task, in gigabytes.
     pub memory_gb: f64,
+    /// Name of the image that tasks run.
     #[serde(rename = "bundle")]
     pub image: String,
+    /// The image's size in gigabytes.
     pub image_gb: f64,
+    /// Machine types that it may run on; any if there is no list.
     #[serde(rename = "flavors", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
+    /// The zone that it must run in; any if there is none.
     #[serde(rename = "site", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// Whether all tasks must run in one zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
+    /// Whether at most half of its tasks may be in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
+    /// Whether it may run on spot machines.
     #[serde(rename = "standby")]
     pub spot: bool,
+    /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "expected_s")]
     pub estimate_s: f64,
+    /// Seconds between two checkpoints of a task; 0 if it has none.
     #[serde(rename = "save_every_s")]
     pub checkpoint_s: f64,
+    /// Seconds that a checkpoint takes.
     #[serde(rename = "save_cost_s")]
     pub save_s: f64,
+    /// Seconds from submission until it should be done.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
@@ -86,7 +110,11 @@
     valid_id(id).then(|| id.to_string())
 }
 
-/// Reads a submission; the error is meant for the user.
+/// Reads a submission.
+///
+/// # Errors
+///
+/// A sentence for the user that names what is wrong.
 pub fn parse_submission(body: &[u8]) -> Result<JobSpec, String> {
     let value: serde_json::Value =
         serde_json::from_slice(body).map_err(|e| format!("not JSON: {e}"))?;
@@ -98,8 +126,11 @@
     Ok(spec)
 }
 
-/// What every controller asks of a submission before it looks at teams and
-/// machine types; the error names the field.
+/// What every controller asks of a submission before it looks at teams and machine types.
+///
+/// # Errors
+///
+/// A sentence for the user that names the field.
 pub fn check_submission(spec: &JobSpec) -> Result<(), String> {
     if !valid_id(&spec.id) {
         return Err("name_id is not of the form run-000000".into());
@@ -137,12 +168,16 @@
 /// What a user is told about a job's progress.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
+    /// Accepted, and no task of it runs.
     #[serde(rename = "pending")]
     Pending,
+    /// A task of it runs.
     #[serde(rename = "running")]
     Running,
+    /// All tasks are completed.
     #[serde(rename = "done")]
     Done,
+    /// It is cancelled.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
@@ -150,8 +185,10 @@
 /// The answer to a submission or a cancellation.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Accepted<'a> {
+    /// The job's id.
     #[serde(rename = "name_id", borrow)]
     pub id: Cow<'a, str>,
+    /// How it stands.
     #[serde(rename = "status")]
     pub state: JobState,
 }
@@ -159,18 +196,22 @@
 /// The answer to a query.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Progress<'a> {
+    /// The job's id.
     #[serde(rename = "name_id", borrow)]
     pub id: Cow<'a, str>,
+    /// How it stands.
     #[serde(rename = "status")]
     pub state: JobState,
-    /// Tasks done and running, for display.
+    /// Completed tasks, for display.
     pub done: u32,
+    /// Running tasks, for display.
     pub running: u32,
 }
 
 /// Why something was refused, for a person to read.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Refusal<'a> {
+    /// A sentence that names the field.
     #[serde(borrow)]
     pub error: Cow<'a, str>,
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,22 +1,29 @@
-//! The state service's interface.
+//! The state service's interface: a key-value store with transactions, leases and watches.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::value::{to_raw_value, RawValue};
 
-/// A key with its value, unread as yet, and the revision of its last change.
+/// A key with its value and version.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Entry {
+    /// The key.
     #[serde(rename = "k")]
     pub key: String,
+    /// Its value, as unread JSON.
     #[serde(rename = "v")]
     pub value: Box<RawValue>,
+    /// Revision of its last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
 impl Entry {
     /// Reads the value.
+    ///
+    /// # Errors
+    ///
+    /// If it is not of this type.
     pub fn read<T: DeserializeOwned>(&self) -> serde_json::Result<T> {
         serde_json::from_str(self.value.get())
     }
@@ -25,10 +32,13 @@
 /// A page of a listing.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Listing {
+    /// Entries in the order of their keys.
     #[serde(rename = "entries")]
     pub items: Vec<Entry>,
+    /// Whether there are more after these.
     #[serde(default)]
     pub more: bool,
+    /// Revision of the store.
     #[serde(rename = "revno")]
     pub revision: u64,
 }
@@ -36,8 +46,10 @@
 /// A condition: the key has this version (0: it does not exist).
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Cond {
+    /// The key.
     #[serde(rename = "k")]
     pub key: String,
+    /// The version that it must have.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -46,15 +58,21 @@
 #[derive(Serialize, Deserialize, Clone, Debug)]
 #[serde(untagged, try_from = "AnyChange")]
 pub enum Change {
+    /// Writes a value.
     Put {
+        /// The key.
         #[serde(rename = "set")]
         key: String,
+        /// The new value.
         #[serde(rename = "v")]
         value: Box<RawValue>,
+        /// The lease with which the key ends, if any.
         #[serde(rename = "tenancy", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
+    /// Deletes a key.
     Delete {
+        /// The key.
         #[serde(rename = "delete")]
         key: String,
     },
@@ -92,8 +110,10 @@
 /// A transaction.
 #[derive(Serialize, Deserialize, Clone, Debug, Default)]
 pub struct Txn {
+    /// Conditions; all must hold (compare-and-swap).
     #[serde(rename = "when", default)]
     pub conds: Vec<Cond>,
+    /// Changes, made all or none.
     #[serde(rename = "apply", default, skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<Change>,
 }
@@ -107,10 +127,12 @@
         });
         self
     }
+
     /// Adds a put without a lease.
     pub fn put<T: Serialize>(self, key: &str, value: &T) -> Self {
         self.put_leased(key, value, None)
     }
+
     /// Adds a put that lives as long as `lease`.
     pub fn put_leased<T: Serialize>(mut self, key: &str, value: &T, lease: Option<u64>) -> Self {
         // Our records are plain structs, which always serialise.
@@ -122,6 +144,7 @@
         });
         self
     }
+
     /// Adds a deletion.
     pub fn delete(mut self, key: &str) -> Self {
         self.changes.push(Change::Delete { key: key.into() });
@@ -132,6 +155,7 @@
 /// Answer to a transaction that was applied, or a missing key.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Revision {
+    /// Revision of the store.
     #[serde(rename = "revno")]
     pub revision: u64,
 }
@@ -139,6 +163,7 @@
 /// Answer to a transaction whose conditions failed.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Conflict {
+    /// Keys whose conditions failed.
     #[serde(default)]
     pub failed: Vec<String>,
 }
@@ -146,6 +171,7 @@
 /// A request for a lease.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct LeaseRequest {
+    /// How long it lasts without an extension, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
@@ -153,6 +179,7 @@
 /// A granted lease.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Lease {
+    /// Its id.
     #[serde(rename = "tenancy")]
     pub lease: u64,
 }
@@ -173,8 +200,15 @@
 /// What a change did.
 #[derive(Debug)]
 pub enum Seen {
+    /// A key was written.
     Put(Entry),
-    Deleted { key: String, version: u64 },
+    /// A key was deleted.
+    Deleted {
+        /// The key.
+        key: String,
+        /// Revision of the deletion.
+        version: u64,
+    },
 }
 
 impl Event {
@@ -207,11 +241,13 @@
     }
 }
 
-/// What a watch returns.
+/// The answer to a watch.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct News {
+    /// Revision up to which the events are complete.
     #[serde(rename = "revno")]
     pub revision: u64,
+    /// Changes in their order.
     #[serde(rename = "news")]
     pub events: Vec<Event>,
 }
