--- a/examples/owner.rs
+++ b/examples/owner.rs
@@ -1,6 +1,7 @@
-//! Load for profiles of an owner that repeat: a fleet of workers reports, jobs
-//! come, tasks run and end, all in made-up time and without a network, so that
-//! `valgrind --tool=callgrind` counts the same instructions in every run.
+//! Load for reproducible profiles of a leader: a fleet of workers sends heartbeats, jobs arrive,
+//! tasks run and end, all in simulated time and without a network, so that
+//! `valgrind --tool=callgrind` counts the same instructions in every run. Change nothing that it
+//! does: its counts are compared across versions.
 //!
 //!     cargo run --release --example owner -- --machines 1204 --report-s 5 --seconds 60
 
@@ -27,16 +28,16 @@
     /// Workers in the fleet.
     #[arg(long, default_value_t = 1204)]
     machines: usize,
-    /// Time between two reports of one.
+    /// Seconds between two heartbeats of one.
     #[arg(long, default_value_t = 5.0)]
     report_s: f64,
-    /// How long it goes on, in made-up time.
+    /// How long it goes on, in seconds of simulated time.
     #[arg(long, default_value_t = 60.0)]
     seconds: f64,
     /// Jobs a second, of 25 tasks of one to four CPUs and about 40 s.
     #[arg(long, default_value_t = 1.7)]
     jobs: f64,
-    /// Time of a takeover by a fresh owner, if any.
+    /// Time of a failover to a fresh leader, if any.
     #[arg(long)]
     takeover: Option<f64>,
     /// Seconds between two looks of operators at jobs, teams, machines and drains.
@@ -44,17 +45,22 @@
     look: Option<f64>,
 }
 
-/// A worker with its tasks: when each ends.
+/// A worker of the fleet.
 struct Worker {
     id: String,
+    /// Number of its last heartbeat.
     seq: u64,
+    /// The newest fencing token that it has seen.
     token: u64,
+    /// When its next heartbeat is due.
     due: f64,
+    /// When each attempt (task and number) ends.
     tasks: BTreeMap<(String, u64), f64>,
 }
 
 impl Worker {
-    fn report(&mut self, now: f64) -> String {
+    /// Its heartbeat now, as JSON.
+    fn heartbeat(&mut self, now: f64) -> String {
         self.seq += 1;
         let tasks: Vec<String> = self
             .tasks
@@ -77,6 +83,7 @@
         )
     }
 
+    /// Carries out commands; tasks run for 20 to 60 s.
     fn execute(&mut self, commands: &[Command], now: f64, rng: &mut StdRng) {
         for command in commands {
             match command {
@@ -92,9 +99,15 @@
     }
 }
 
-/// One report, as the front server hands it to the scheduler; true if it repeats.
-fn hello(scheduler: &mut Scheduler, worker: &mut Worker, now: f64, rng: &mut StdRng) -> bool {
-    let text = worker.report(now);
+/// One heartbeat, as the front server hands it to the scheduler; whether it repeats the one
+/// before.
+fn send_heartbeat(
+    scheduler: &mut Scheduler,
+    worker: &mut Worker,
+    now: f64,
+    rng: &mut StdRng,
+) -> bool {
+    let text = worker.heartbeat(now);
     let Ok(head) = serde_json::from_str::<ReportHead>(&text) else {
         return false;
     };
@@ -118,12 +131,12 @@
     let mut rng = StdRng::seed_from_u64(1);
     let names: Vec<String> = (0..args.machines).map(|i| format!("m-{i:06}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let fresh = |term: u64| {
+    let new_leader = |term: u64| {
         let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], term, &names);
         scheduler.config.report_s = args.report_s;
         scheduler
     };
-    let mut owner = fresh(1);
+    let mut leader = new_leader(1);
     let mut fleet: Vec<Worker> = names
         .iter()
         .map(|id| Worker {
@@ -134,48 +147,49 @@
             tasks: BTreeMap::new(),
         })
         .collect();
-    let (mut looked, mut looks_bytes) = (0.0, 0);
-    let (mut reports, mut repeats, mut calls, mut done, mut jobs) = (0, 0, 0, 0, 0u32);
+    let (mut looked_at, mut view_bytes) = (0.0, 0);
+    let (mut heartbeats, mut repeats, mut calls, mut done, mut jobs) = (0, 0, 0, 0, 0u32);
+    // Live jobs, from which a fresh leader recovers.
     let mut records = BTreeMap::new();
-    let mut takeover = args.takeover;
-    let (step, mut now) = (0.1, 0.0);
+    let mut failover_at = args.takeover;
+    let (step_s, mut now) = (0.1, 0.0);
     while now < args.seconds {
-        now += step;
-        if takeover.is_some_and(|at| now >= at) {
-            takeover = None;
-            owner = fresh(2);
+        now += step_s;
+        if failover_at.is_some_and(|at| now >= at) {
+            failover_at = None;
+            leader = new_leader(2);
             for record in records.values() {
-                owner.add_job(live(spec_of(record), now), 1, CompletedTasks::default());
+                leader.add_job(live(spec_of(record), now), 1, CompletedTasks::default());
             }
         }
         while f64::from(jobs) < args.jobs * now {
             jobs += 1;
             let id = format!("run-{jobs:06}");
             let record = (id.clone(), rng.random_range(1.0..4.0));
-            owner.add_job(live(spec_of(&record), now), 1, CompletedTasks::default());
+            leader.add_job(live(spec_of(&record), now), 1, CompletedTasks::default());
             records.insert(id, record);
-            owner.place_changed(now);
+            leader.place_changed(now);
         }
         for worker in &mut fleet {
             if worker.due <= now {
                 worker.due = now + args.report_s * rng.random_range(0.75..1.25);
-                reports += 1;
-                repeats += u32::from(hello(&mut owner, worker, now, &mut rng));
+                heartbeats += 1;
+                repeats += u32::from(send_heartbeat(&mut leader, worker, now, &mut rng));
             }
         }
-        if reports % 5 == 0 {
-            owner.tick(now, now);
-            owner.probe_unfenced(now, 64);
-            owner.place_all(now);
+        if heartbeats % 5 == 0 {
+            leader.tick(now, now);
+            leader.probe_unfenced(now, 64);
+            leader.place_all(now);
         }
-        if args.look.is_some_and(|every| now - looked >= every) {
-            looked = now;
+        if args.look.is_some_and(|every| now - looked_at >= every) {
+            looked_at = now;
             let topics = [Topic::Jobs(200), Topic::Teams, Topic::Fleet, Topic::Drains];
-            let looks = topics.iter().filter_map(|t| of_core(&owner, *t, now));
-            looks_bytes += looks.map(|l| l.len()).sum::<usize>();
+            let views = topics.iter().filter_map(|t| of_core(&leader, *t, now));
+            view_bytes += views.map(|view| view.len()).sum::<usize>();
         }
-        for name in owner.outbox.drain(..).collect::<Vec<_>>() {
-            let Some((_, call)) = owner.next_direct_call(&name, now) else {
+        for name in leader.outbox.drain(..).collect::<Vec<_>>() {
+            let Some((_, call)) = leader.next_direct_call(&name, now) else {
                 continue;
             };
             calls += 1;
@@ -184,31 +198,32 @@
             };
             worker.execute(&call.commands, now, &mut rng);
             worker.token = worker.token.max(call.token);
-            let read = serde_json::from_str::<Report>(&worker.report(now));
+            let read = serde_json::from_str::<Report>(&worker.heartbeat(now));
             let result = read.map_or(CallResult::Unknown, CallResult::Executed);
-            owner.direct_call_finished(&name, &call, result, now);
+            leader.direct_call_finished(&name, &call, result, now);
         }
-        for id in owner.completions_due(24) {
-            let Some(job) = owner.jobs.get(&id) else {
+        for id in leader.completions_due(24) {
+            let Some(job) = leader.jobs.get(&id) else {
                 continue;
             };
-            let (marks, complete) = (job.completed.clone(), job.is_complete());
-            owner.completions_written(&id, &marks, 2);
+            let (completed, complete) = (job.completed.clone(), job.is_complete());
+            leader.completions_written(&id, &completed, 2);
             if complete {
                 done += 1;
                 records.remove(&*id);
-                owner.finish_job(&id);
+                leader.finish_job(&id);
             }
         }
     }
     if args.look.is_some() {
-        println!("looks: {looks_bytes} bytes");
+        println!("looks: {view_bytes} bytes");
     }
     println!(
-        "{reports} reports ({repeats} repeats), {calls} direct calls, {jobs} jobs, {done} done"
+        "{heartbeats} reports ({repeats} repeats), {calls} direct calls, {jobs} jobs, {done} done"
     );
 }
 
+/// The description of a job, by its id and the CPUs of a task.
 fn spec_of(record: &(String, f64)) -> foxspur::protocol::job::JobSpec {
     spec(&record.0, "t", Urgency::Standard, 25, record.1)
 }
--- a/tests/layout.rs
+++ b/tests/layout.rs
@@ -1,8 +1,8 @@
-//! How the sources are laid out.
+//! The documentation follows the layout of the sources.
 
 use std::path::Path;
 
-/// Guards against a page that leads nowhere.
+/// Guards against links of the architecture page that lead nowhere.
 #[test]
 fn links_of_the_architecture_page_exist() {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs");
