--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -15,10 +15,13 @@
 /// Why a client did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
+    /// A setting is out of range.
     #[error(transparent)]
     Settings(#[from] BadSetting),
+    /// The outbox cannot be opened.
     #[error(transparent)]
     Outbox(#[from] OutboxError),
+    /// The HTTP client or its runtime cannot be made.
     #[error("http: {0}")]
     Http(String),
 }
@@ -26,8 +29,10 @@
 /// Why there is no answer about a job.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum AskError {
+    /// The outbox has no job of this id.
     #[error("no such job in this outbox")]
     NoSuchJob,
+    /// The outbox failed.
     #[error(transparent)]
     Outbox(#[from] OutboxError),
 }
--- a/crates/client/src/engine/attempt.rs
+++ b/crates/client/src/engine/attempt.rs
@@ -166,7 +166,7 @@
     }
 }
 
-/// How an attempt ended, for those who pace.
+/// How an attempt ended, for flow control.
 fn ended(result: &Result<Answer, NoAnswer>, took_s: f64) -> Ended {
     match result {
         Ok(answer) if !matches!(answer.status, 429 | 500..) => Ended::Answered(took_s),
--- a/crates/client/src/job.rs
+++ b/crates/client/src/job.rs
@@ -21,7 +21,7 @@
 #[serde(try_from = "String", into = "String")]
 pub struct Key(String);
 
-/// A key that cannot be one.
+/// A text that is no key.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("key: {0}")]
 pub struct BadKey(&'static str);
@@ -30,7 +30,11 @@
     /// Longest key, in bytes.
     pub const MOST: usize = 512;
 
-    /// Checks and takes a key: 1 to 512 bytes, no control characters.
+    /// A key of 1 to 512 bytes without control characters.
+    ///
+    /// # Errors
+    ///
+    /// If the text is no such key.
     pub fn new(text: impl Into<String>) -> Result<Key, BadKey> {
         let text = text.into();
         if text.is_empty() {
@@ -45,6 +49,7 @@
         Ok(Key(text))
     }
 
+    /// The key as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -72,7 +77,9 @@
 /// One job to submit. The id in `spec` does not count: the outbox gives it one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Work {
+    /// The caller's key.
     pub key: Key,
+    /// The job's description.
     pub spec: JobSpec,
 }
 
@@ -109,6 +116,7 @@
 }
 
 impl Submitted {
+    /// The job's id.
     pub fn id(&self) -> JobId {
         match self {
             Submitted::Accepted(id)
--- a/crates/client/src/outbox/backend.rs
+++ b/crates/client/src/outbox/backend.rs
@@ -1,6 +1,6 @@
-//! Storage under the outbox's database. While a file is being opened and checked
-//! nothing is written to it: a foreign or damaged file is refused and stays as it
-//! was, and the refusal names the place that was read last.
+//! The storage backend of the outbox's database. While a file is being opened and checked,
+//! writes are buffered in memory: a foreign or damaged file is refused and stays as it was, and
+//! the error names the offset that was read last.
 
 use redb::StorageBackend;
 use std::collections::BTreeMap;
@@ -23,6 +23,7 @@
 pub struct Place(Arc<Mutex<Held>>);
 
 impl Place {
+    /// The offset in bytes.
     pub fn get(&self) -> u64 {
         self.0.lock().unwrap_or_else(|e| e.into_inner()).last_read
     }
--- a/crates/client/src/outbox/mod.rs
+++ b/crates/client/src/outbox/mod.rs
@@ -1,16 +1,16 @@
-//! The durable outbox: a submission is written whole, under an id of its own,
-//! before its first byte leaves. After a crash at any point the same ids go on
-//! with the same bodies, and a caller's key is one job for ever (or until a
-//! compaction forgets a closed one of a settable age).
+//! The durable outbox (a transactional outbox): a submission is written whole, under an id of
+//! its own, before its first byte is sent. After a crash at any point the same ids go on with
+//! the same bodies, and a caller's key is one job for ever (or until a compaction forgets a
+//! closed one of a settable age).
 //!
 //! A database of the `redb` crate holds it, in a file or in memory. Every value
 //! carries a checksum of its own.
 
 pub mod backend;
-mod told;
+mod errors;
 pub mod writer;
 
-pub use told::{KeyTaken, NotQueued, OutboxError, Queued};
+pub use errors::{KeyTaken, NotQueued, OutboxError, Queued};
 
 use crate::job::{JobId, Key, Work};
 use crate::record::Record;
@@ -23,10 +23,16 @@
 use std::fs::{File, OpenOptions, TryLockError};
 use std::path::Path;
 
+/// Memory for pages of the database, in bytes.
+const CACHE_BYTES: usize = 16 << 20;
+
+/// Job ids by key.
 const KEYS: TableDefinition<&str, u64> = TableDefinition::new("keys");
+/// Sealed records by job id.
 const JOBS: TableDefinition<u64, &[u8]> = TableDefinition::new("jobs");
-/// Jobs with an answer open, so that a start need not read the closed ones.
+/// Ids of jobs with an answer open, so that a start need not read the closed ones.
 const OPEN: TableDefinition<u64, ()> = TableDefinition::new("open");
+/// The layout's version.
 const ABOUT: TableDefinition<&str, u64> = TableDefinition::new("about");
 /// Version of what is in the tables.
 pub(crate) const LAYOUT: u64 = 1;
@@ -88,68 +94,53 @@
         Outbox::with_backend(InMemoryBackend::new(), false)
     }
 
-    /// An outbox on any storage.
+    /// An outbox on any storage. Nothing is written to it unless it is sound.
     pub fn with_backend<B: StorageBackend>(inner: B, verify: bool) -> Result<Outbox, OutboxError> {
-        let fresh = inner.len().map_err(|e| Outbox::io(&e))? == 0;
-        if let Some(offset) = foreign_at(&inner).map_err(|e| Outbox::io(&e))? {
+        let io = |e: std::io::Error| Outbox::io(&e);
+        let fresh = inner.len().map_err(io)? == 0;
+        if let Some(offset) = foreign_at(&inner).map_err(io)? {
             return Err(OutboxError::Foreign { offset });
         }
-        let guarded = Guarded::new(inner).map_err(|e| Outbox::io(&e))?;
-        let at = guarded.place();
-        let damaged = |what: String| OutboxError::Damaged {
-            offset: at.get(),
-            what,
-        };
-        let opened = |e: DatabaseError| match &e {
-            DatabaseError::DatabaseAlreadyOpen => OutboxError::Taken,
-            DatabaseError::Storage(redb::StorageError::Io(io))
-                if io.kind() != std::io::ErrorKind::InvalidData
-                    && io.kind() != std::io::ErrorKind::UnexpectedEof =>
-            {
-                Outbox::io(io)
-            }
-            _ => damaged(e.to_string()),
-        };
+        let guarded = Guarded::new(inner).map_err(io)?;
         if fresh {
             // Nothing to protect, and nothing to hold back.
-            guarded.let_through().map_err(|e| Outbox::io(&e))?;
-        }
-        let mut builder = Database::builder();
-        builder.set_cache_size(16 << 20);
-        let made = builder.create_with_backend(guarded.clone());
-        let mut db = made.map_err(opened)?;
-        if verify && !fresh {
-            let sound = db.check_integrity().map_err(opened)?;
-            if !sound {
-                return Err(damaged("pages do not match their checksums".into()));
-            }
+            guarded.let_through().map_err(io)?;
         }
         let outbox = Outbox {
-            db,
+            db: open_database(guarded.clone(), verify && !fresh)?,
             last_read: guarded.place(),
             _lock: None,
         };
         if !fresh {
-            match outbox.layout()? {
-                LAYOUT => {}
-                found => return Err(OutboxError::Layout { found }),
-            }
-            // All open records can be read, or nothing is touched.
-            outbox.open_records()?;
+            outbox.check_content()?;
         }
-        guarded.let_through().map_err(|e| Outbox::io(&e))?;
+        guarded.let_through().map_err(io)?;
         if fresh {
-            outbox.write(|txn| {
-                txn.open_table(KEYS)?;
-                txn.open_table(JOBS)?;
-                txn.open_table(OPEN)?;
-                txn.open_table(ABOUT)?.insert("layout", LAYOUT)?;
-                Ok(())
-            })?;
+            outbox.create_tables()?;
         }
         Ok(outbox)
     }
 
+    /// Checks that the layout is known and all open records can be read.
+    fn check_content(&self) -> Result<(), OutboxError> {
+        match self.layout()? {
+            LAYOUT => {}
+            found => return Err(OutboxError::Layout { found }),
+        }
+        self.open_records()?;
+        Ok(())
+    }
+
+    fn create_tables(&self) -> Result<(), OutboxError> {
+        self.write(|txn| {
+            txn.open_table(KEYS)?;
+            txn.open_table(JOBS)?;
+            txn.open_table(OPEN)?;
+            txn.open_table(ABOUT)?.insert("layout", LAYOUT)?;
+            Ok(())
+        })
+    }
+
     fn io(e: &std::io::Error) -> OutboxError {
         use std::io::ErrorKind::{FileTooLarge, QuotaExceeded, StorageFull};
         match e.kind() {
@@ -378,6 +369,36 @@
     }
 }
 
+/// Opens the database; with `verify` every page is checked.
+fn open_database<B: StorageBackend>(
+    backend: Guarded<B>,
+    verify: bool,
+) -> Result<Database, OutboxError> {
+    let last_read = backend.place();
+    let damaged = |what: String| OutboxError::Damaged {
+        offset: last_read.get(),
+        what,
+    };
+    let failed = |e: DatabaseError| match &e {
+        DatabaseError::DatabaseAlreadyOpen => OutboxError::Taken,
+        DatabaseError::Storage(redb::StorageError::Io(io)) if !is_damage(io) => Outbox::io(io),
+        _ => damaged(e.to_string()),
+    };
+    let mut builder = Database::builder();
+    builder.set_cache_size(CACHE_BYTES);
+    let mut db = builder.create_with_backend(backend).map_err(failed)?;
+    if verify && !db.check_integrity().map_err(failed)? {
+        return Err(damaged("pages do not match their checksums".into()));
+    }
+    Ok(db)
+}
+
+/// Whether an error of reading means that the content is wrong.
+fn is_damage(error: &std::io::Error) -> bool {
+    use std::io::ErrorKind::{InvalidData, UnexpectedEof};
+    matches!(error.kind(), InvalidData | UnexpectedEof)
+}
+
 /// The same key again: the same job, if the body is the same.
 fn same(work: &Work, record: Record) -> Result<Queued, NotQueued> {
     let other = body(&work.spec, record.id)?;
--- a/crates/client/src/outbox/writer.rs
+++ b/crates/client/src/outbox/writer.rs
@@ -1,5 +1,5 @@
-//! Writes to the outbox one after the other, all that wait in one transaction: a
-//! commit costs a sync of the disk, whether it holds one job or a thousand.
+//! Group commit: writes to the outbox are made one after the other, all that wait in one
+//! transaction. A commit costs a sync of the disk, whether it holds one job or a thousand.
 
 use super::{NotQueued, Outbox, OutboxError, Queued};
 use crate::job::Work;
@@ -15,8 +15,8 @@
     Update(Record, oneshot::Sender<Result<(), OutboxError>>),
 }
 
-/// Most orders taken into one transaction.
-const MOST: usize = 1024;
+/// The most orders written in one transaction.
+const MAX_BATCH: usize = 1024;
 
 /// Hands writes to the task that makes them.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
         let (orders, mut taken) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             let mut batch = Vec::new();
-            while taken.recv_many(&mut batch, MOST).await > 0 {
+            while taken.recv_many(&mut batch, MAX_BATCH).await > 0 {
                 let (outbox, orders) = (outbox.clone(), std::mem::take(&mut batch));
                 // A sync of the disk may take long: not on the runtime's threads.
                 let written = tokio::task::spawn_blocking(move || write(&outbox, orders));
--- a/crates/client/src/pace.rs
+++ b/crates/client/src/pace.rs
@@ -1,5 +1,6 @@
-//! How often to ask whom: pure, in seconds passed in. A library in a thousand
-//! processes must not finish off a controller that comes back.
+//! Flow control: backoff, retry budget, rate limit and congestion control; pure, times are
+//! seconds that are passed in. A library in a thousand processes must not overload a controller
+//! that comes back.
 
 use rand::Rng;
 use std::collections::VecDeque;
@@ -20,7 +21,7 @@
 /// Longest wait between two attempts, and longest `Retry-After` heeded.
 pub const MOST_WAIT_S: f64 = 30.0;
 
-/// Retries as a share of first attempts (Finagle's `RetryBudget`): each first
+/// Retries as a proportion of first attempts (Finagle's `RetryBudget`): each first
 /// attempt pays `share` into it, each retry takes one out, and a trickle of
 /// `floor_per_s` keeps a caller with a single job going. A retry that is answered
 /// gives back two, so that what piled up in an outage goes out ever faster once
@@ -35,6 +36,7 @@
 }
 
 impl RetryBudget {
+    /// A budget with a first retry in it, that saves up at most `most`.
     pub fn new(share: f64, floor_per_s: f64, most: f64) -> RetryBudget {
         RetryBudget {
             share,
@@ -86,6 +88,7 @@
 }
 
 impl Rate {
+    /// So many requests a second.
     pub fn new(per_s: f64, burst: f64) -> Rate {
         Rate {
             per_s,
@@ -104,7 +107,7 @@
     }
 }
 
-/// How many requests may be under way: additive increase, multiplicative
+/// How many requests may be in flight: additive increase, multiplicative
 /// decrease (Chiu and Jain, 1989; TCP's congestion avoidance, Jacobson 1988).
 /// A refusal or a timeout shrinks it, and so does an answer that took much
 /// longer than the fastest of late, which means a queue (as in TCP Vegas).
@@ -112,15 +115,16 @@
 pub struct InFlight {
     limit: f64,
     most: f64,
-    under_way: usize,
-    /// Latencies of late, and when it last shrank.
+    in_flight: usize,
+    /// Recent latencies in seconds.
     recent: VecDeque<f64>,
+    /// When the limit last shrank.
     shrunk_at: f64,
     /// Until it shrinks for the first time it grows by one with each answer.
     slow_start: bool,
 }
 
-/// How an attempt ended, for those who pace.
+/// How an attempt ended, for flow control.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Ended {
     /// Answered after this many seconds.
@@ -132,12 +136,24 @@
     Broken,
 }
 
+/// Latencies that are kept, and that a quantile needs.
+const MAX_RECENT: usize = 64;
+const MIN_RECENT: usize = 16;
+/// An answer that takes this many times longer than the fastest, and a margin more, was queued.
+const QUEUEING_FACTOR: f64 = 4.0;
+const QUEUEING_MARGIN_S: f64 = 0.25;
+/// The limit shrinks by this factor, at most once in this time: what was in flight together
+/// fails together.
+const SHRINK_FACTOR: f64 = 0.7;
+const SHRINK_INTERVAL_S: f64 = 1.0;
+
 impl InFlight {
+    /// A limit that begins low and grows up to `most`.
     pub fn new(most: usize) -> InFlight {
         InFlight {
             limit: (most as f64 / 8.0).max(2.0),
             most: most as f64,
-            under_way: 0,
+            in_flight: 0,
             recent: VecDeque::new(),
             shrunk_at: f64::NEG_INFINITY,
             slow_start: true,
@@ -146,34 +162,34 @@
 
     /// Begins a request if there is room.
     pub fn begin(&mut self) -> bool {
-        let room = (self.under_way as f64) < self.limit.floor().max(1.0);
-        self.under_way += usize::from(room);
+        let room = (self.in_flight as f64) < self.limit.floor().max(1.0);
+        self.in_flight += usize::from(room);
         room
     }
 
     /// What was begun was not sent after all.
     pub fn cancel(&mut self) {
-        self.under_way = self.under_way.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 
+    /// How many requests may be in flight now.
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
 
     /// A request ended.
     pub fn end(&mut self, ended: Ended, now: f64) {
-        self.under_way = self.under_way.saturating_sub(1);
+        self.in_flight = self.in_flight.saturating_sub(1);
         let congested = match ended {
             Ended::Broken => return,
             Ended::Overloaded => true,
             Ended::Answered(s) => {
                 self.recent.push_back(s);
-                if self.recent.len() > 64 {
+                if self.recent.len() > MAX_RECENT {
                     self.recent.pop_front();
                 }
                 let best = self.recent.iter().copied().fold(f64::MAX, f64::min);
-                // Four times the best, and more than a hiccup.
-                s > 4.0 * best + 0.25
+                s > QUEUEING_FACTOR * best + QUEUEING_MARGIN_S
             }
         };
         if !congested {
@@ -183,17 +199,16 @@
                 1.0 / self.limit
             };
             self.limit = (self.limit + more).min(self.most);
-        } else if now - self.shrunk_at > 1.0 {
-            // Once a second at most: what was under way together fails together.
+        } else if now - self.shrunk_at > SHRINK_INTERVAL_S {
             self.slow_start = false;
-            self.limit = (self.limit * 0.7).max(1.0);
+            self.limit = (self.limit * SHRINK_FACTOR).max(1.0);
             self.shrunk_at = now;
         }
     }
 
     /// The latency that all but a twentieth of the answers stayed under.
     pub fn p95(&self) -> Option<f64> {
-        if self.recent.len() < 16 {
+        if self.recent.len() < MIN_RECENT {
             return None;
         }
         let mut sorted: Vec<f64> = self.recent.iter().copied().collect();
--- a/crates/client/src/record.rs
+++ b/crates/client/src/record.rs
@@ -1,5 +1,5 @@
-//! What is known of one job, and what an answer adds to it: pure. Answers come in
-//! any order, twice, and from controllers that are behind; what is final stays.
+//! What is known of one job, and what an answer adds to it; pure. Answers come in any order,
+//! twice, and from controllers that are behind; a terminal status stays.
 
 use crate::job::{Cancelled, JobId, Key, Outcome, Refused, Submitted, Told};
 use foxspur_wire::job::JobState;
@@ -12,22 +12,28 @@
     Waiting,
     /// Accepted; its state as last seen.
     Accepted(JobState),
+    /// Refused for good.
     Refused(Refused),
+    /// Over, with its terminal status.
     Final(Outcome),
 }
 
 /// One job of the outbox.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
+    /// Its id.
     pub id: JobId,
+    /// The caller's key for it.
     pub key: Key,
     /// The submission as it goes over the wire, the same each time.
     pub body: String,
+    /// How far it has come.
     pub phase: Phase,
     /// The caller wants it cancelled.
     pub cancel: bool,
-    /// Time of day in milliseconds: when it was queued, when it was over.
+    /// When it was queued, in milliseconds of the time of day.
     pub queued_ms: u64,
+    /// When it was over.
     pub closed_ms: Option<u64>,
 }
 
@@ -56,6 +62,7 @@
 }
 
 impl Record {
+    /// A job that was just queued.
     pub fn new(id: JobId, key: Key, body: String, now_ms: u64) -> Record {
         Record {
             id,
@@ -73,7 +80,7 @@
         matches!(self.phase, Phase::Refused(_) | Phase::Final(_))
     }
 
-    /// Takes in an answer.
+    /// Takes in an answer; what it meant.
     pub fn hear(&mut self, heard: &Heard, now_ms: u64) -> Meaning {
         let last = |state: JobState| match state {
             JobState::Done => Some(Outcome::Done),
--- a/crates/client/src/settings.rs
+++ b/crates/client/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a client; bad ones name their field.
 
-/// How a client asks. The defaults are the protocol's times, and shares of them.
+/// Limits and times of a client. The defaults are the protocol's times, and parts of them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Base URLs of the fronts, such as `http://10.0.0.1:8080`.
@@ -9,11 +9,11 @@
     pub submit_s: f64,
     /// How long a poll does, in seconds.
     pub poll_s: f64,
-    /// Requests under way at once, at most.
+    /// The most requests in flight.
     pub in_flight: usize,
-    /// Polls a second, at most.
+    /// The most polls a second.
     pub polls_per_s: f64,
-    /// Retries as a share of first attempts.
+    /// Retries as a proportion of first attempts.
     pub retry_share: f64,
     /// Retries a second that are allowed besides, so that a single job is tried
     /// again; times the number of processes this is what hits a controller
@@ -25,11 +25,13 @@
     pub hedge: bool,
 }
 
-/// A setting that cannot be.
+/// A setting out of range.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("settings: {field}: {why}")]
 pub struct BadSetting {
+    /// Its name.
     pub field: &'static str,
+    /// What is wrong with it.
     pub why: &'static str,
 }
 
@@ -49,7 +51,11 @@
         }
     }
 
-    /// Names the first field that cannot be.
+    /// Checks all settings.
+    ///
+    /// # Errors
+    ///
+    /// Names the first that is out of range.
     pub fn check(&self) -> Result<(), BadSetting> {
         let bad = |field, why| Err(BadSetting { field, why });
         if self.fronts.is_empty() {
--- a/crates/client/src/transport.rs
+++ b/crates/client/src/transport.rs
@@ -9,19 +9,22 @@
 pub struct Request {
     /// `POST` with this body, or `GET` without.
     pub body: Option<String>,
+    /// Path below the front's base URL.
     pub path: String,
 }
 
 /// An answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
+    /// HTTP status.
     pub status: u16,
     /// `Retry-After`, in seconds.
     pub retry_after: Option<f64>,
+    /// The whole body.
     pub body: Vec<u8>,
 }
 
-/// Why there is no answer. It may have been carried out all the same.
+/// Why there is no answer. The request may have been carried out all the same.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum NoAnswer {
     /// The time was up: the other side, or the way there, has too much to do.
@@ -37,11 +40,12 @@
 
 /// How requests travel. `front` counts from 0 in the order of the settings.
 pub trait Transport: Send + Sync + 'static {
+    /// Sends a request to a front and waits for the answer, at most so long.
     fn call(&self, front: usize, request: Request, timeout: Duration) -> Call<'_>;
 }
 
-/// Longest answer taken: the protocol's answers are a line.
-const MOST_BYTES: usize = 64 * 1024;
+/// The longest answer that is read: the protocol's answers are a line.
+const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
 /// HTTP/1.1 by `reqwest`.
 #[derive(Debug, Clone)]
@@ -51,7 +55,12 @@
 }
 
 impl Http {
-    /// `fronts` are base URLs, such as `http://10.0.0.1:8080`.
+    /// `fronts` are base URLs, such as `http://10.0.0.1:8080`; `connect` bounds the time of a
+    /// connection's establishment.
+    ///
+    /// # Errors
+    ///
+    /// If no HTTP client can be made.
     pub fn new(fronts: &[String], connect: Duration) -> Result<Http, NoAnswer> {
         let client = reqwest::Client::builder()
             .connect_timeout(connect)
@@ -83,7 +92,7 @@
         let status = response.status().as_u16();
         let mut body = Vec::new();
         while let Some(chunk) = response.chunk().await.map_err(failed)? {
-            if body.len() + chunk.len() > MOST_BYTES {
+            if body.len() + chunk.len() > MAX_ANSWER_BYTES {
                 return Err(NoAnswer::Broken("answer over 64 KiB".into()));
             }
             body.extend_from_slice(&chunk);
--- a/crates/client/src/verdict.rs
+++ b/crates/client/src/verdict.rs
@@ -1,5 +1,5 @@
-//! What an answer means by the protocol: pure. Anything but the few answers that
-//! say something for certain is "again later".
+//! What an answer means by the protocol; pure. Anything but the few answers that say something
+//! for certain means that the attempt is retried.
 
 use crate::agenda::Step;
 use crate::job::{JobId, Refused};
@@ -7,13 +7,16 @@
 use crate::transport::{Answer, NoAnswer};
 use foxspur_wire::job::{Accepted, Progress, Refusal};
 
-/// What to make of how an attempt ended.
+/// What the end of an attempt means.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
+    /// A controller said something for certain.
     Heard(Heard),
-    /// Nothing is known: again, after `Retry-After` if that was given.
+    /// Nothing is known: it is retried.
     Again {
+        /// `Retry-After` in seconds, if that was given.
         retry_after: Option<f64>,
+        /// For the log.
         why: String,
     },
 }
@@ -29,10 +32,10 @@
 pub fn judge(step: Step, id: JobId, ended: &Result<Answer, NoAnswer>) -> Verdict {
     let answer = match ended {
         Ok(answer) => answer,
-        Err(none) => {
+        Err(no_answer) => {
             return Verdict::Again {
                 retry_after: None,
-                why: none.to_string(),
+                why: no_answer.to_string(),
             }
         }
     };
