--- a/src/coordination/jobs/completion_batch.rs
+++ b/src/coordination/jobs/completion_batch.rs
@@ -31,7 +31,7 @@
 pub struct JobCompletion {
     /// The job.
     pub job: Name,
-    /// The completed tasks that are on record once the batch is written.
+    /// The completed tasks that the batch puts on record.
     pub completed: CompletedTasks,
     /// The terminal record, where all tasks are completed.
     pub terminal: Option<TerminalRecord>,
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -19,6 +19,8 @@
 use crate::transport::clients::{CloudClient, MeshClient, StateClient, WorkerClient};
 use actix_rt::time::Instant;
 use hdrhistogram::Histogram;
+use rand::rngs::SmallRng;
+use rand::{RngCore, SeedableRng};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -34,15 +36,18 @@
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest acceptance time that is told apart, in milliseconds.
 const MAX_ACCEPTANCE_MS: u64 = 600_000;
+/// Least bound on the tasks of a live record, for very small values.
+const MIN_TASKS_PER_RECORD: f64 = 64.0;
 /// Bytes of a value for each completed task of a live record. A range of tasks takes up to
 /// 14 bytes and covers two tasks at worst, so that half of the value is left for the job's
 /// description.
 const BYTES_PER_COMPLETED_TASK: f64 = 16.0;
 
+pub use self::draw_incarnation as draw_boot;
+
 /// Draws the number of an incarnation; 52 bits survive any JSON reader.
-pub fn draw_boot() -> u64 {
-    use rand::{RngCore, SeedableRng};
-    rand::rngs::SmallRng::from_os_rng().next_u64() >> 12
+pub fn draw_incarnation() -> u64 {
+    SmallRng::from_os_rng().next_u64() >> 12
 }
 
 /// The clients of everything that a controller calls.
@@ -142,7 +147,7 @@
         host: settings.host_name.clone(),
         peers: settings.peers.iter().map(|p| p.name.clone()).collect(),
         teams: (settings.cluster.teams.iter().map(|t| t.name.clone())).collect(),
-        lease_ttl_s: policy.life_s(workers.lease_s),
+        lease_ttl_s: policy.lease_ttl_s(workers.lease_s),
         // While the state service is away for all, no takeover is possible, so this is
         // long; after a takeover it bounds how long the former leader lasts if no quorum
         // of promises is had.
@@ -175,7 +180,7 @@
             announced_term: Cell::new(0),
             start: Instant::now(),
             scheduler: RefCell::new(None),
-            leadership: RefCell::new(Leadership::new(config, draw_boot())),
+            leadership: RefCell::new(Leadership::new(config, draw_incarnation())),
             terminal_states: RefCell::default(),
             confirmed_cancellations: RefCell::default(),
             relayed_cancellations: RefCell::default(),
@@ -296,7 +301,8 @@
 
     /// Time to live of a controller's lease in the state service, in seconds.
     pub fn lease_ttl_s(&self) -> f64 {
-        self.policy.life_s(self.settings.cluster.workers.lease_s)
+        self.policy
+            .lease_ttl_s(self.settings.cluster.workers.lease_s)
     }
 
     /// The leader's name, if it is known and not us.
@@ -314,6 +320,6 @@
     /// larger jobs are kept in chunks of so many tasks.
     pub fn tasks_per_record(&self) -> u32 {
         let value_bytes = self.settings.cluster.state.value_kb * 1024.0;
-        (value_bytes / BYTES_PER_COMPLETED_TASK).max(64.0) as u32
+        (value_bytes / BYTES_PER_COMPLETED_TASK).max(MIN_TASKS_PER_RECORD) as u32
     }
 }
--- a/src/protocol/policy.rs
+++ b/src/protocol/policy.rs
@@ -88,7 +88,7 @@
 impl Policy {
     /// Time to live of a controller's lease in the state service, in seconds, where that of
     /// a worker's lease is `lease_s`.
-    pub fn life_s(&self, lease_s: f64) -> f64 {
+    pub fn lease_ttl_s(&self, lease_s: f64) -> f64 {
         (self.member_leases * lease_s).clamp(MIN_LEASE_TTL_S, MAX_LEASE_TTL_S)
     }
 
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -351,7 +351,7 @@
             return invalid("admin", "is the users' or the controllers' address");
         }
         let worker_lease_s = self.cluster.workers.lease_s;
-        let lease_ttl_s = policy.life_s(worker_lease_s);
+        let lease_ttl_s = policy.lease_ttl_s(worker_lease_s);
         if policy.quiet_leases * worker_lease_s < 1.5 * lease_ttl_s {
             let why = "ends before an owner's own lease, with half of it to spare, does";
             return invalid("quiet-leases", why);
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -95,7 +95,7 @@
 
 /// Fencing tokens that a leader may give under one term: its term itself and those above
 /// it, up to this many, for single machines (the leader raises a machine's token without a
-/// write, see `Scheduler::token_of`). The counter passes over all of them, so that
+/// write, see `Machine::token_under`). The counter passes over all of them, so that
 /// later terms, also those of older programs, are higher than any. One costs a heartbeat
 /// and a call that were answered, so this many last for hours; with it and 24 bits for
 /// the count of attempts, a hundred thousand takeovers stay below 2^53.
--- a/src/transport/listen.rs
+++ b/src/transport/listen.rs
@@ -84,19 +84,30 @@
             .await
             .map_err(|_| std::io::Error::other("the HTTP service did not start"))?,
     );
-    actix_rt::spawn(async move {
-        loop {
-            let stream = accept(&listener).await;
-            if open.get() >= max_connections {
-                continue;
-            }
-            open.set(open.get() + 1);
-            let (service, open) = (service.clone(), open.clone());
-            actix_rt::spawn(async move {
-                let _ = service.call(stream).await;
-                open.set(open.get() - 1);
-            });
-        }
-    });
+    actix_rt::spawn(serve_connections(listener, service, max_connections, open));
     Ok(())
 }
+
+/// Accepts connections for ever, and serves each in a task of its own.
+async fn serve_connections<S>(
+    listener: TcpListener,
+    service: Rc<S>,
+    max_connections: usize,
+    open: Rc<Cell<usize>>,
+) where
+    S: Service<TcpStream> + 'static,
+{
+    loop {
+        let stream = accept(&listener).await;
+        if open.get() >= max_connections {
+            // Dropped, which closes it.
+            continue;
+        }
+        open.set(open.get() + 1);
+        let (service, open) = (service.clone(), open.clone());
+        actix_rt::spawn(async move {
+            let _ = service.call(stream).await;
+            open.set(open.get() - 1);
+        });
+    }
+}
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -86,7 +86,7 @@
             .push((job, Instant::now()));
     }
 
-    /// A user's call at any controller; what it told, if anything.
+    /// A user's call at any controller, and its answer, if there is one.
     async fn call(&self, job: usize, call: &'static str) -> Option<JobAnswer> {
         let controller = self.draw(0..self.controllers.len() as u64) as usize;
         let (method, path, body) = match call {
@@ -176,49 +176,56 @@
             self.ask_concurrently(job, false);
         }
         if self.chance(0.4) {
-            let scenario = self.clone();
-            actix_rt::spawn(async move {
-                // Repeated while the first is under way, elsewhere, and called off at once.
-                scenario.pause(0..700).await;
-                let answer = scenario.call(job, "submit").await;
-                if answer == Some(JobAnswer::Accepted) && scenario.chance(0.7) {
-                    scenario.asks_to_cancel(job);
-                    scenario.call(job, "cancel").await;
-                    scenario.ask_concurrently(job, true);
-                }
-            });
+            actix_rt::spawn(self.clone().repeat_and_cancel(job));
         }
         if !self.until(job, "submit", JobAnswer::Accepted).await {
             return;
         }
         self.ask_concurrently(job, true);
-        let ends = self.chance(0.6);
-        if ends {
-            let scenario = self.clone();
-            actix_rt::spawn(async move {
-                scenario.pause(0..3000).await;
-                if scenario.end(job).await {
-                    scenario.ask_concurrently(job, true);
-                }
-            });
+        if self.chance(0.6) {
+            actix_rt::spawn(self.clone().end_soon(job));
         }
         if self.chance(0.6) {
-            self.pause(0..3000).await;
-            self.asks_to_cancel(job);
-            if self.chance(0.3) {
-                let scenario = self.clone();
-                actix_rt::spawn(async move {
-                    scenario.call(job, "cancel").await;
-                });
-            }
-            if self.until(job, "cancel", JobAnswer::Done).await {
-                self.ask_concurrently(job, true);
-            }
+            self.cancel_soon(job).await;
         }
         self.pause(0..4000).await;
         self.ask_concurrently(job, true);
     }
 
+    /// Repeats the submission while the first is under way, elsewhere, and cancels the job
+    /// at once.
+    async fn repeat_and_cancel(self: Rc<Self>, job: usize) {
+        self.pause(0..700).await;
+        let answer = self.call(job, "submit").await;
+        if answer == Some(JobAnswer::Accepted) && self.chance(0.7) {
+            self.asks_to_cancel(job);
+            self.call(job, "cancel").await;
+            self.ask_concurrently(job, true);
+        }
+    }
+
+    async fn end_soon(self: Rc<Self>, job: usize) {
+        self.pause(0..3000).await;
+        if self.end(job).await {
+            self.ask_concurrently(job, true);
+        }
+    }
+
+    /// A user cancels the job, sometimes twice at once.
+    async fn cancel_soon(self: &Rc<Self>, job: usize) {
+        self.pause(0..3000).await;
+        self.asks_to_cancel(job);
+        if self.chance(0.3) {
+            let scenario = self.clone();
+            actix_rt::spawn(async move {
+                scenario.call(job, "cancel").await;
+            });
+        }
+        if self.until(job, "cancel", JobAnswer::Done).await {
+            self.ask_concurrently(job, true);
+        }
+    }
+
     /// Prints the digest of all answers, in the order in which they left.
     fn print_digest(&self, seed: u64) {
         let mut digest = HistoryDigest::default();
@@ -232,48 +239,39 @@
         digest.print("answers", seed);
     }
 
-    /// Guards against an answer older than one that had left before its request came, or
-    /// that had left the same controller at all, and against one that was held up for longer
-    /// than `MAX_READ_AGE`.
     fn check(&self, seed: u64, coverage: &mut Coverage) {
-        let answers = self.answers.borrow();
         self.print_digest(seed);
+        let answers = self.answers.borrow();
         // In the order in which they left.
         for (n, late) in answers.iter().enumerate() {
-            let mut newer_left = false;
-            for early in answers[..n].iter().filter(|e| e.job == late.job) {
-                let began_later = early.answered_at < late.sent_at;
-                let held_up = early.answered_at + MAX_READ_AGE + COMPUTE_TIME < late.answered_at;
-                let allowed = early.answer.allows(late.answer);
-                let knew_better = early.controller == late.controller;
-                assert!(
-                    allowed || !began_later && !held_up && !knew_better,
-                    "seed {seed}, job {}: {early:?}, then {late:?}",
-                    late.job
-                );
-                let after = late.sent_at.saturating_duration_since(early.answered_at);
-                let close = began_later && early.answer > JobAnswer::Unknown;
-                coverage.close += usize::from(close && after < Duration::from_millis(50));
-                newer_left |= !allowed;
-            }
-            coverage.overtaken += usize::from(newer_left);
-            match late.answer {
-                JobAnswer::Cancelled => assert!(
-                    self.asked_to_cancel
-                        .borrow()
-                        .iter()
-                        .any(|c| c.0 == late.job),
-                    "seed {seed}: nobody cancelled it: {late:?}"
-                ),
-                JobAnswer::Done => assert!(
-                    self.ended.borrow().iter().any(|e| e.0 == late.job),
-                    "seed {seed}: it has not ended: {late:?}"
-                ),
-                JobAnswer::Unknown | JobAnswer::Accepted => {}
-            }
+            let earlier = answers[..n].iter().filter(|e| e.job == late.job);
+            check_order(seed, earlier, late, coverage);
+            self.check_cause(seed, late);
             coverage.cancelled += usize::from(late.answer == JobAnswer::Cancelled);
             coverage.done += usize::from(late.answer == JobAnswer::Done);
         }
+        self.count_coverage(coverage);
+    }
+
+    /// A job is cancelled only if a user asked for that, and done only if it ended.
+    fn check_cause(&self, seed: u64, late: &AnswerRecord) {
+        match late.answer {
+            JobAnswer::Cancelled => assert!(
+                self.asked_to_cancel
+                    .borrow()
+                    .iter()
+                    .any(|c| c.0 == late.job),
+                "seed {seed}: nobody cancelled it: {late:?}"
+            ),
+            JobAnswer::Done => assert!(
+                self.ended.borrow().iter().any(|e| e.0 == late.job),
+                "seed {seed}: it has not ended: {late:?}"
+            ),
+            JobAnswer::Unknown | JobAnswer::Accepted => {}
+        }
+    }
+
+    fn count_coverage(&self, coverage: &mut Coverage) {
         coverage.unavailable += self.unavailable.get();
         let cancels = self.asked_to_cancel.borrow();
         let close = |a: Instant, b: Instant| {
@@ -281,14 +279,42 @@
             after.max(b.saturating_duration_since(a)) < Duration::from_millis(250)
         };
         let ended = self.ended.borrow();
-        let meets =
+        let cancelled_at_end =
             |(job, at): &&(usize, Instant)| cancels.iter().any(|c| c.0 == *job && close(c.1, *at));
-        coverage.cancelled_at_end += ended.iter().filter(meets).count();
-        let drawn = &self.cluster.faults;
-        coverage.slow += drawn.slow.get();
-        coverage.lost += drawn.answer_lost.get();
-        coverage.late += drawn.late.get();
+        coverage.cancelled_at_end += ended.iter().filter(cancelled_at_end).count();
+        let faults = &self.cluster.faults;
+        coverage.slow += faults.slow.get();
+        coverage.lost += faults.answer_lost.get();
+        coverage.late += faults.late.get();
+    }
+}
+
+/// Guards against an answer older than one that had left before its request came, or
+/// that had left the same controller at all, and against one that was held up for longer
+/// than `MAX_READ_AGE`.
+fn check_order<'a>(
+    seed: u64,
+    earlier: impl Iterator<Item = &'a AnswerRecord>,
+    late: &AnswerRecord,
+    coverage: &mut Coverage,
+) {
+    let mut newer_left = false;
+    for early in earlier {
+        let began_later = early.answered_at < late.sent_at;
+        let held_up = early.answered_at + MAX_READ_AGE + COMPUTE_TIME < late.answered_at;
+        let allowed = early.answer.allows(late.answer);
+        let knew_better = early.controller == late.controller;
+        assert!(
+            allowed || !began_later && !held_up && !knew_better,
+            "seed {seed}, job {}: {early:?}, then {late:?}",
+            late.job
+        );
+        let after = late.sent_at.saturating_duration_since(early.answered_at);
+        let close = began_later && early.answer > JobAnswer::Unknown;
+        coverage.close += usize::from(close && after < Duration::from_millis(50));
+        newer_left |= !allowed;
     }
+    coverage.overtaken += usize::from(newer_left);
 }
 
 /// A scheduler for the leader, which follows the live jobs by its watch.
--- a/tests/simulated/mod.rs
+++ b/tests/simulated/mod.rs
@@ -229,18 +229,11 @@
 
     /// A call to the state service over the network.
     async fn call_state(self: Rc<Self>, from: usize, call: Call) -> Result<Response, CallError> {
-        let refused = || self.refused.get() == Some(from);
         if call.path.starts_with("/follow") {
-            while refused() {
-                tokio::time::sleep(WATCH_STEP).await;
-            }
-            let (status, body) = self.watch(&call.path).await;
-            tokio::time::sleep(self.network_delay()).await;
-            let body = body.into();
-            return Ok(Response { status, body });
+            return self.call_watch(from, call).await;
         }
         tokio::time::sleep(self.network_delay()).await;
-        if refused() || self.fault_drawn(0.03) {
+        if self.is_refused(from) || self.fault_drawn(0.03) {
             bump(&self.faults.refused);
             let (status, body) = (503, Bytes::new());
             return Ok(Response { status, body });
@@ -270,6 +263,21 @@
         Ok(Response { status, body })
     }
 
+    /// A watch of the state service over the network. Refused ones wait until they are not.
+    async fn call_watch(self: Rc<Self>, from: usize, call: Call) -> Result<Response, CallError> {
+        while self.is_refused(from) {
+            tokio::time::sleep(WATCH_STEP).await;
+        }
+        let (status, body) = self.watch(&call.path).await;
+        tokio::time::sleep(self.network_delay()).await;
+        let body = body.into();
+        Ok(Response { status, body })
+    }
+
+    fn is_refused(&self, from: usize) -> bool {
+        self.refused.get() == Some(from)
+    }
+
     /// A call to another controller over the network.
     async fn call_mesh(self: Rc<Self>, call: Call) -> Result<Response, CallError> {
         tokio::time::sleep(self.network_delay()).await;
