--- a/src/coordination/agents/dispatcher.rs
+++ b/src/coordination/agents/dispatcher.rs
@@ -121,7 +121,7 @@
     }
 
     fn log_and_collect(&self, scheduler: &mut Scheduler) {
-        if self.beats % UNFENCED_LOG_TICKS == 0 {
+        if self.beats.is_multiple_of(UNFENCED_LOG_TICKS) {
             if let Some(missing) = scheduler.unfenced_count() {
                 tracing::info!(
                     term = scheduler.term,
@@ -130,7 +130,7 @@
                 );
             }
         }
-        if self.beats % GARBAGE_COLLECTION_TICKS == 0 {
+        if self.beats.is_multiple_of(GARBAGE_COLLECTION_TICKS) {
             scheduler.collect_garbage();
             let workers = &self.node.workers;
             let (open, kept) = (workers.share().incoming.get(), workers.kept());
--- a/src/coordination/agents/lease_expiry.rs
+++ b/src/coordination/agents/lease_expiry.rs
@@ -67,7 +67,7 @@
         }
         // Nothing of ours was started there. What a former leader did is over a lease
         // after the last answer of anyone: the session that lives then began later. (Each
-        // session of a machine that hears nobody has a lease of its own, and so would
+        // session of an unreachable machine has a lease of its own, and so would
         // never prove it empty.)
         let answered = machine
             .answered_at
@@ -83,7 +83,7 @@
             machine.status = MachineStatus::Expired;
             machine.recorded = false;
             // No former leader answers any more, and what sessions it knew are
-            // over: the next one holds up nobody. (A machine that hears nothing
+            // over: the next one holds up nobody. (An unreachable machine
             // never reports under our term; after each lease the whole shard
             // would wait for it again.)
             if !machine.fenced {
--- a/src/coordination/agents/task_reconciliation.rs
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -100,27 +100,39 @@
             }
             return evidence;
         };
-        if update_running_count(job, attempt) {
-            let waited_s = now - job.accepted_at;
-            tracing::info!(job = %job_name, waited_s, "begun");
-            // One that is shown for the first time began before we knew of it.
-            if !adopted {
-                self.predictor.waited(&job.spec.class, waited_s);
-            }
+        let first_start = update_running_count(job, attempt);
+        let newly_exited = attempt.has_exited() && !exited_before;
+        if newly_exited {
+            attempt.cause = shown.cause;
         }
         let before = ShownBefore {
             adopted,
             running_since: attempt.running_since,
         };
-        if shown.phase != Phase::Exited {
-            self.reconcile_live_attempt(name, shown, &before, now);
-        } else if !exited_before {
-            attempt.cause = shown.cause;
+        if first_start {
+            self.record_first_start(job_name, &before, now);
+        }
+        if newly_exited {
             self.reconcile_exited_attempt(name, shown, &before, now);
+        } else if shown.phase != Phase::Exited {
+            self.reconcile_live_attempt(name, shown, &before, now);
         }
         evidence
     }
 
+    /// The first task of the job runs.
+    fn record_first_start(&mut self, job_name: &Name, before: &ShownBefore, now: f64) {
+        let Some(job) = self.jobs.get(job_name) else {
+            return;
+        };
+        let waited_s = now - job.accepted_at;
+        tracing::info!(job = %job_name, waited_s, "begun");
+        // One that is shown for the first time began before we knew of it.
+        if !before.adopted {
+            self.predictor.waited(&job.spec.class, waited_s);
+        }
+    }
+
     /// The attempt is on the machine: its task is placed here, or here as well.
     fn reconcile_live_attempt(
         &mut self,
--- a/tests/delivery.rs
+++ b/tests/delivery.rs
@@ -29,8 +29,8 @@
 
 /// Ticks once a second.
 fn tick(scheduler: &mut Scheduler, from: u32, to: u32) {
-    for s in from..=to {
-        scheduler.tick(f64::from(s), f64::from(s));
+    for second in from..=to {
+        scheduler.tick(f64::from(second), f64::from(second));
     }
 }
 
@@ -94,7 +94,7 @@
     let none = Vec::new();
     let runs = shown(Phase::Running, None);
     let over = shown(Phase::Exited, Some(Cause::Stopped));
-    // Reports after the start went out in an answer; the job is over before the one
+    // Heartbeats after the start went out in an answer; the job is over before the one
     // with `true`. What each shows, and whether the machine is in doubt then.
     type Row<'a> = (bool, &'a Vec<(&'a str, u64, Phase, Option<Cause>)>, bool);
     let cases: [(&str, &[Row]); 4] = [
@@ -135,7 +135,7 @@
             }
             let seq = seq as u64 + 3;
             scheduler.handle_heartbeat(&report("m1", 1, seq, 5, tasks), seq as f64);
-            assert_eq!(doubted(&scheduler, "m1"), *doubt, "{what}, report {seq}");
+            assert_eq!(doubted(&scheduler, "m1"), *doubt, "{what}, heartbeat {seq}");
         }
     }
 }
@@ -146,7 +146,7 @@
     let mut scheduler = leader(&["m1"]);
     scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 1.0);
     scheduler.tick(1.5, 1.5);
-    // 25 s without a beat.
+    // 25 s without a tick.
     scheduler.handle_heartbeat(&report("m1", 2, 9, 5, &[]), 26.5);
     assert!(!doubted(&scheduler, "m1"));
 }
@@ -157,14 +157,14 @@
 #[test]
 fn machine_in_doubt_gets_no_new_tasks() {
     let mut scheduler = leader(&["unreachable", "m2"]);
-    let hears = |scheduler: &mut Scheduler, seq: u64, at: f64| {
+    let heartbeat = |scheduler: &mut Scheduler, seq: u64, at: f64| {
         scheduler.handle_heartbeat(&report("m2", 1, seq, 5, &[]), at);
     };
     scheduler.handle_heartbeat(&report("unreachable", 1, 1, 5, &[]), 1.0);
-    hears(&mut scheduler, 1, 1.0);
+    heartbeat(&mut scheduler, 1, 1.0);
     tick(&mut scheduler, 1, 2);
     scheduler.handle_heartbeat(&report("unreachable", 1, 2, 3, &[]), 3.0);
-    hears(&mut scheduler, 2, 3.0);
+    heartbeat(&mut scheduler, 2, 3.0);
     submit(&mut scheduler, 12, 3.0);
     scheduler.place_all(3.1);
     assert!(scheduler.machines["unreachable"].attempts.is_empty());
@@ -182,7 +182,7 @@
     assert_eq!(scheduler.machines["unreachable"].attempts.len(), 4);
 }
 
-/// Guards against a takeover that waits for ever for a machine that hears nobody:
+/// Guards against a takeover that waits for ever for a machine that no answer reaches:
 /// each answer may have renewed its lease, so that never proved it empty. It is left
 /// alone, and after a lease it holds up nobody, in this session and the next.
 #[test]
@@ -193,14 +193,14 @@
     scheduler.add_recorded_machine(machine("unreachable", "a", false), 0.0);
     let mut open_at = None;
     let mut session = 1;
-    for s in 0..80u32 {
-        let now = f64::from(s);
+    for second in 0..80u32 {
+        let now = f64::from(second);
         scheduler.tick(now, now);
-        if s % 5 == 0 {
+        if second % 5 == 0 {
             // Its lease ends every ten seconds.
-            session = 1 + u64::from(s) / 10;
+            session = 1 + u64::from(second) / 10;
             scheduler.handle_heartbeat(
-                &report("unreachable", session, u64::from(s) + 1, 3, &[]),
+                &report("unreachable", session, u64::from(second) + 1, 3, &[]),
                 now,
             );
             let written: Vec<_> = scheduler
@@ -244,13 +244,16 @@
     let mut scheduler = leader(&["m1"]);
     scheduler.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
     let mut expired_at = None;
-    for s in 1..40u32 {
-        scheduler.tick(f64::from(s), f64::from(s));
-        if (8..15).contains(&s) {
-            scheduler.handle_heartbeat(&report("m1", 1, u64::from(s) - 7, 5, &[]), f64::from(s));
+    for second in 1..40u32 {
+        scheduler.tick(f64::from(second), f64::from(second));
+        if (8..15).contains(&second) {
+            scheduler.handle_heartbeat(
+                &report("m1", 1, u64::from(second) - 7, 5, &[]),
+                f64::from(second),
+            );
         }
         if scheduler.machines["m1"].status == MachineStatus::Expired {
-            expired_at.get_or_insert(s);
+            expired_at.get_or_insert(second);
         }
     }
     assert!(expired_at.is_some_and(|s| s > 18), "{expired_at:?}");
@@ -369,7 +372,7 @@
 /// Users are sent elsewhere where the state service does not answer us alone, and
 /// come back without flapping; in an outage for all nobody sends them away.
 #[test]
-fn who_sends_users_elsewhere() {
+fn controllers_out_of_contact_are_not_ready() {
     let peers = |with, without| {
         Some(PeerContacts {
             all: 4,
@@ -412,13 +415,13 @@
     }
 }
 
-/// A leader that hears a report of several sessions ago first takes those since for too
+/// A leader that gets a heartbeat of several sessions ago first takes those since for too
 /// early, and refuses them; each refusal costs the machine its lease, so its count never
 /// comes late enough. It is taken back once its lease has proven it empty, also with a
 /// start without an answer on it. (Seed 7110 of tests/simulation.rs without machines that
 /// count anew: it was refused for ever, and its tasks never ran.)
 #[test]
-fn a_machine_first_heard_of_by_a_late_report_is_taken_back() {
+fn machine_first_known_by_a_late_copy_is_readmitted() {
     for unanswered in [false, true] {
         let mut scheduler = leader(&["m1"]);
         scheduler.handle_heartbeat(&report("m1", 3, 4, 5, &[]), 1.0);
@@ -433,7 +436,7 @@
         for second in 2..60u32 {
             let now = f64::from(second);
             scheduler.tick(now, now);
-            // Five sessions further than that report said, and one more each lease.
+            // Five sessions further than that heartbeat said, and one more each lease.
             let session = 8 + u64::from(second) / LEASE_S as u64;
             if second % 4 == 0 && taken.is_none() {
                 let seen = report("m1", session, 100 + u64::from(second), 5, &[]);
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -223,11 +223,9 @@
     }
 }
 
-/// Guards against a machine that gets work after its drain, and against one that
-/// is called drained before it is proven: while a task runs, while its end is not
-/// recorded, while a start is under way.
+/// Guards against tasks that stay bound to the queue of a cordoned machine.
 #[test]
-fn drained_only_once_proven_empty() {
+fn cordoning_clears_the_machines_queue() {
     let mut scheduler = ready(&["m-0"]);
     submit(&mut scheduler, "run-1", 10, 1.0, 0.0);
     scheduler.place_all(0.2);
@@ -237,6 +235,13 @@
         scheduler.jobs["run-1"].queued.is_empty(),
         "its queue is cleared"
     );
+}
+
+/// Guards against a machine that gets work after its drain, and against one that
+/// is called drained before it is proven: while a task runs, while its end is not
+/// recorded, while a start is under way.
+#[test]
+fn drained_only_once_proven_empty() {
     let mut scheduler = ready(&["m-0", "m-1"]);
     submit(&mut scheduler, "run-1", 16, 1.0, 0.0);
     scheduler.place_all(0.2);
@@ -295,7 +300,7 @@
     assert!(scheduler.machines["m-0"].live_attempts().count() > 0);
 }
 
-/// The wish's second case: a drained machine's job ends after it was started
+/// A draining machine's job ends after it was started
 /// elsewhere. The fence decides: it starts elsewhere only when its machine is
 /// proven empty, and what that one says later changes nothing.
 #[test]
@@ -465,7 +470,7 @@
 /// Guards against orders that are taken although they make no sense; the answer
 /// names the field.
 #[test]
-fn orders_are_validated() {
+fn drain_orders_are_validated() {
     let plain = DrainOrder {
         order: "o-1".into(),
         hosts: vec!["m-0".into()],
@@ -495,6 +500,11 @@
             other => panic!("{field}: {other:?}"),
         }
     }
+}
+
+/// The same for rollouts.
+#[test]
+fn rollout_orders_are_validated() {
     let rollout_order = RollOrder {
         name: "kernel".into(),
         by: "someone".into(),
@@ -736,7 +746,7 @@
             state: Running,
         },
         RolloutCase {
-            name: "a share below one",
+            name: "a fraction below one machine",
             out_of_use: [0, 0],
             drains: vec![],
             change: |r, _| r.at_most = AtMost::Share(0.01),
--- a/tests/leader_reachability.rs
+++ b/tests/leader_reachability.rs
@@ -91,7 +91,7 @@
     for name in names {
         scheduler.handle_heartbeat(&report(name, 1, 1, 5, &[]), 1.0);
     }
-    // Asked before the clock's first beat after the pause, and after it.
+    // Asked before the clock's first tick after the pause, and after it.
     assert_eq!(Judgement::at(&scheduler, 9.0), Judgement::default());
     scheduler.tick(9.0, 0.0);
     scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 9.1);
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -31,7 +31,7 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use store::{JobEnd, LateWrite, StoredJob};
-use worker::{SentHeartbeat, Task, Worker, ZoneCut};
+use worker::{SentHeartbeat, Task, Worker, ZonePartition};
 
 const STEP_S: f64 = 0.1;
 /// For how long a former leader without contact goes on; it may stand still for
--- a/tests/simulation/meetings.rs
+++ b/tests/simulation/meetings.rs
@@ -5,13 +5,13 @@
 /// Troubles that coincide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Meeting {
-    /// A start on a machine that reaches no leader.
-    MuteStart,
+    /// A start on a machine whose heartbeats reach no leader.
+    StartWithoutHeartbeats,
     /// A cancellation of a job whose last task had ended and was not written yet.
     CancelAtEnd,
     /// A cancellation while the leader stood still or its takeover was not over.
     CancelAtTakeover,
-    /// A cancelled task that was on a machine that hung, or was mute.
+    /// A cancelled task that was on a machine that hung, or whose heartbeats were lost.
     CancelOnLostMachine,
     /// The same while every team was at its limit and the leader changed.
     CancelAtLimits,
@@ -32,13 +32,13 @@
     OldHeartbeatOfGoneTask,
     /// Jobs of two or three tasks of which some have ended and some run as the leader changes.
     EndsFarApart,
-    /// Tasks with long to go on machines that are lost, or do not hear, as the leader changes.
+    /// Tasks with long to go on machines that are lost or unreachable, as the leader changes.
     LeaderEndsWithLostTasks,
     /// A start that was held up for seconds, given up by its sender, and carried out.
     HeldStart,
-    /// A heartbeat that a former leader cut off with its zone answered longer than a lease after
+    /// A heartbeat that a former leader partitioned with its zone answered longer than a lease after
     /// the takeover.
-    AnsweredInCutZone,
+    AnsweredInPartitionedZone,
     /// A start of a task that is bound to one zone, to its fellows or away from them, and one
     /// that was on a machine which was lost.
     BoundStart,
@@ -49,7 +49,7 @@
 
 /// Every meeting that each run of many seeds must bring about.
 pub(crate) const MEETINGS: [Meeting; 21] = [
-    Meeting::MuteStart,
+    Meeting::StartWithoutHeartbeats,
     Meeting::CancelAtEnd,
     Meeting::CancelAtTakeover,
     Meeting::CancelOnLostMachine,
@@ -66,7 +66,7 @@
     Meeting::EndsFarApart,
     Meeting::LeaderEndsWithLostTasks,
     Meeting::HeldStart,
-    Meeting::AnsweredInCutZone,
+    Meeting::AnsweredInPartitionedZone,
     Meeting::BoundStart,
     Meeting::BoundJobLosesMachine,
     Meeting::NobodyForALease,
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -129,10 +129,10 @@
         let Some(message) = self.pass_unreachable(worker, message) else {
             return;
         };
-        let cut_until = self.workers[worker]
-            .cut_until
-            .max(self.cut_by_zone(worker, &message));
-        if cut_until <= self.now {
+        let partitioned_until = self.workers[worker]
+            .partitioned_until
+            .max(self.partitioned_by_zone(worker, &message));
+        if partitioned_until <= self.now {
             self.send_in_time(arrives_at, message);
         } else if self.rng.random_bool(0.5) {
             // Lost: a caller only learns that time is up.
@@ -153,13 +153,13 @@
                 self.arrive(timeout, Message::no_answer(worker, leader, call));
             }
         } else {
-            self.send_in_time(arrives_at.max(cut_until), message);
+            self.send_in_time(arrives_at.max(partitioned_until), message);
         }
     }
 
-    /// What a leader sends to a machine that hears nothing is lost.
+    /// What a leader sends to an unreachable machine is lost.
     fn pass_unreachable(&mut self, worker: usize, message: Message) -> Option<Message> {
-        if self.workers[worker].deaf_until <= self.now {
+        if self.workers[worker].unreachable_until <= self.now {
             return Some(message);
         }
         match message {
@@ -209,27 +209,28 @@
         }
     }
 
-    /// Until when a message of a leader outside a cut zone does not get through.
-    fn cut_by_zone(&self, worker: usize, message: &Message) -> f64 {
-        let Some(cut) = self.workers[worker].zone_cut else {
+    /// Until when a message of a leader outside a partitioned zone does not get through.
+    fn partitioned_by_zone(&self, worker: usize, message: &Message) -> f64 {
+        let Some(partition) = self.workers[worker].zone_partition else {
             return 0.0;
         };
         match message {
             Message::Call { leader, .. } | Message::CallEnded { leader, .. }
-                if *leader != cut.leader =>
+                if *leader != partition.leader =>
             {
-                cut.until
+                partition.until
             }
             _ => 0.0,
         }
     }
 
-    /// Counts an answer of a former leader in a cut zone.
-    fn note_cut_zone(&mut self, worker: usize, leader: u64) {
-        let cut = self.workers[worker].zone_cut;
-        let cut = cut.filter(|cut| cut.leader == leader);
-        let long = cut.is_some_and(|c| self.now - c.since > LEASE_S && self.now < c.until);
-        self.met.add(Meeting::AnsweredInCutZone, usize::from(long));
+    /// Counts an answer of a former leader in a partitioned zone.
+    fn note_partitioned_zone(&mut self, worker: usize, leader: u64) {
+        let partition = self.workers[worker].zone_partition;
+        let partition = partition.filter(|p| p.leader == leader);
+        let long = partition.is_some_and(|c| self.now - c.since > LEASE_S && self.now < c.until);
+        self.met
+            .add(Meeting::AnsweredInPartitionedZone, usize::from(long));
     }
 
     /// Delivers what has arrived.
@@ -309,7 +310,7 @@
         };
         let answer = scheduler.handle_heartbeat(report, now);
         if let (HeartbeatReply::Commands(reply), true) = (answer, sent_at != COPY) {
-            self.note_cut_zone(worker, leader);
+            self.note_partitioned_zone(worker, leader);
             self.send(Message::Answer {
                 worker,
                 session: report.session,
--- a/tests/simulation/trouble.rs
+++ b/tests/simulation/trouble.rs
@@ -83,7 +83,7 @@
             self.all_go_away();
         }
         if self.rng.random_bool(0.0008) {
-            self.cut_zone();
+            self.partition_zone();
         }
     }
 
@@ -112,15 +112,15 @@
         let until = now + self.rng.random_range(1.0..20.0);
         match self.rng.random_range(0..6) {
             5 => {
-                self.workers[index].mute_until = now + 2.0 * (until - now);
+                self.workers[index].heartbeats_lost_until = now + 2.0 * (until - now);
                 if self.rng.random_bool(0.3) {
                     self.take_over(true);
                 }
             }
             0 | 1 => self.workers[index].hung_until = until,
-            2 | 3 => self.workers[index].cut_until = until,
+            2 | 3 => self.workers[index].partitioned_until = until,
             _ if self.rng.random_bool(0.5) => {
-                self.workers[index].deaf_until = now + 4.0 * (until - now);
+                self.workers[index].unreachable_until = now + 4.0 * (until - now);
             }
             _ if setup.counters == Counters::Lost => self.restart(index),
             _ => {}
@@ -230,8 +230,8 @@
         let until = self.now + self.rng.random_range(2.0..20.0);
         match self.rng.random_range(0..3) {
             0 => self.workers[w].hung_until = until,
-            1 => self.workers[w].cut_until = until,
-            _ => self.workers[w].mute_until = until,
+            1 => self.workers[w].partitioned_until = until,
+            _ => self.workers[w].heartbeats_lost_until = until,
         }
         let crash = self.rng.random_bool(0.5);
         let before = self.rng.random_bool(0.3);
@@ -244,15 +244,15 @@
         }
     }
 
-    /// A zone is cut off with the leader in it; another one takes over outside.
-    pub(crate) fn cut_zone(&mut self) {
+    /// A zone is partitioned with the leader in it; another one takes over outside.
+    pub(crate) fn partition_zone(&mut self) {
         let leader = self.leaders.last().map(Leader::base_term);
         let since = self.now;
         let until = since + self.rng.random_range(1.2..2.5) * LEASE_S;
         let half = self.rng.random_range(0..2);
         for (n, worker) in self.workers.iter_mut().enumerate() {
             let inside = n % 2 == half;
-            worker.zone_cut = leader.filter(|_| inside).map(|leader| ZoneCut {
+            worker.zone_partition = leader.filter(|_| inside).map(|leader| ZonePartition {
                 leader,
                 since,
                 until,
@@ -287,7 +287,7 @@
         let recorded = |w: &Worker| self.record.iter().any(|m| m.id == w.id);
         let workers = self.workers.iter();
         let unrecorded = workers.filter(new).filter(|w| !recorded(w)).count();
-        let lost = |w: &&Worker| w.is_lost(now) || w.deaf_until > now;
+        let lost = |w: &&Worker| w.is_lost(now) || w.unreachable_until > now;
         let long = |t: &&Task| t.phase == Phase::Running && t.until - now > LONG_S;
         let tasks = self
             .workers
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -10,9 +10,9 @@
     pub(crate) until: f64,
 }
 
-/// A zone that is cut off with a controller in it: its workers reach that one alone.
+/// A zone that is partitioned with a controller in it: its workers reach that one alone.
 #[derive(Clone, Copy)]
-pub(crate) struct ZoneCut {
+pub(crate) struct ZonePartition {
     /// The base term of the only leader inside.
     pub(crate) leader: u64,
     pub(crate) since: f64,
@@ -46,12 +46,12 @@
     pub(crate) awaited: Option<AwaitedAnswer>,
     pub(crate) next_heartbeat_at: f64,
     pub(crate) hung_until: f64,
-    pub(crate) cut_until: f64,
+    pub(crate) partitioned_until: f64,
     /// Its heartbeats arrive, answers and commands do not.
-    pub(crate) deaf_until: f64,
+    pub(crate) unreachable_until: f64,
     /// It reaches no leader, while direct calls reach it.
-    pub(crate) mute_until: f64,
-    pub(crate) zone_cut: Option<ZoneCut>,
+    pub(crate) heartbeats_lost_until: f64,
+    pub(crate) zone_partition: Option<ZonePartition>,
     pub(crate) up_since: f64,
     pub(crate) session_since: f64,
 }
@@ -69,24 +69,24 @@
             awaited: None,
             next_heartbeat_at: now,
             hung_until: 0.0,
-            cut_until: 0.0,
-            deaf_until: 0.0,
-            mute_until: 0.0,
-            zone_cut: None,
+            partitioned_until: 0.0,
+            unreachable_until: 0.0,
+            heartbeats_lost_until: 0.0,
+            zone_partition: None,
             up_since: now,
             session_since: now,
         }
     }
 
-    /// The only leader that it reaches, if its zone is cut off now.
+    /// The only leader that it reaches, if its zone is partitioned now.
     pub(crate) fn reaches_only(&self, now: f64) -> Option<u64> {
-        let cut = self.zone_cut.filter(|cut| cut.until > now)?;
-        Some(cut.leader)
+        let partition = self.zone_partition.filter(|p| p.until > now)?;
+        Some(partition.leader)
     }
 
     /// It does not do what it is told, or nobody can know.
     pub(crate) fn is_lost(&self, now: f64) -> bool {
-        self.hung_until > now || self.mute_until > now || self.cut_until > now
+        self.hung_until > now || self.heartbeats_lost_until > now || self.partitioned_until > now
     }
 }
 
@@ -191,9 +191,12 @@
         let until = self.now + self.rng.random_range(1.0..15.0);
         self.started += 1;
         let worker = &self.workers[index];
-        let mute = worker.mute_until > self.now;
+        let heartbeats_lost = worker.heartbeats_lost_until > self.now;
         let new = self.now - worker.up_since < NEW_S && self.now > NEW_S;
-        self.met.add(Meeting::MuteStart, usize::from(mute));
+        self.met.add(
+            Meeting::StartWithoutHeartbeats,
+            usize::from(heartbeats_lost),
+        );
         self.met.add(Meeting::StartOnNewMachine, usize::from(new));
         let running = Task {
             attempt,
@@ -257,7 +260,7 @@
             if worker.awaited.is_some_and(|a| now > a.give_up_at) {
                 worker.awaited = None;
             }
-            if worker.mute_until > now {
+            if worker.heartbeats_lost_until > now {
                 // No connection: the next leader is tried a second later.
                 worker.next_heartbeat_at = worker.next_heartbeat_at.max(now + 1.0);
                 continue;
