--- a/crates/plan/src/simulation.rs
+++ b/crates/plan/src/simulation.rs
@@ -11,7 +11,7 @@
 use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::admin::Drain;
 use foxspur::protocol::job::JobSpec;
-use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::completed_tasks::CompletedTasks;
 use foxspur::storage::records::LiveJob;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
--- a/examples/owner.rs
+++ b/examples/owner.rs
@@ -10,7 +10,7 @@
 
 use clap::Parser;
 use common::{live, scheduler, spec, team};
-use foxspur::admin::of_core;
+use foxspur::admin::view_json;
 use foxspur::coordination::agents::direct_calls::CallResult;
 use foxspur::coordination::agents::heartbeat::HeartbeatReply;
 use foxspur::coordination::scheduler::machine::MessageId;
@@ -18,7 +18,7 @@
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::mesh::Topic;
 use foxspur::protocol::worker::{Command, Report, ReportHead};
-use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::completed_tasks::CompletedTasks;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -133,7 +133,7 @@
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let new_leader = |term: u64| {
         let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], term, &names);
-        scheduler.config.report_s = args.report_s;
+        scheduler.config.heartbeat_s = args.report_s;
         scheduler
     };
     let mut leader = new_leader(1);
@@ -185,7 +185,7 @@
         if args.look.is_some_and(|every| now - looked_at >= every) {
             looked_at = now;
             let topics = [Topic::Jobs(200), Topic::Teams, Topic::Fleet, Topic::Drains];
-            let views = topics.iter().filter_map(|t| of_core(&leader, *t, now));
+            let views = topics.iter().filter_map(|t| view_json(&leader, *t, now));
             view_bytes += views.map(|view| view.len()).sum::<usize>();
         }
         for name in leader.outbox.drain(..).collect::<Vec<_>>() {
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -108,7 +108,7 @@
         registry,
         "foxspur_unaccounted_machines",
         "Machines that hold up placing after a takeover",
-        scheduler.unfenced_count().unwrap_or(0) as f64,
+        scheduler.machines_blocking_placement().unwrap_or(0) as f64,
     )
 }
 
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -9,7 +9,7 @@
 pub mod rollouts;
 mod views;
 
-pub use views::of_core;
+pub use views::view_json;
 
 use crate::coordination::node::Node;
 use crate::protocol::mesh::Topic;
--- a/src/admin/orders.rs
+++ b/src/admin/orders.rs
@@ -10,9 +10,9 @@
 use crate::coordination::node::Node;
 use crate::protocol::admin::{Drain, DrainOrder, UndrainOrder};
 use crate::protocol::state::Txn;
-use crate::storage::chunks::MachineRecord;
+use crate::storage::machine_record::MachineRecord;
 use crate::storage::records;
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Priority, ServiceError};
 use actix_web::web::Bytes;
 use actix_web::HttpResponse;
 use serde::de::DeserializeOwned;
@@ -94,7 +94,10 @@
 
 /// All recorded drains, by machine.
 async fn recorded_drains(node: &Node) -> Result<BTreeMap<String, RecordedDrain>, OrderError> {
-    let listed = node.state.list(records::DRAINS_PREFIX, Lane::Data).await;
+    let listed = node
+        .state
+        .list(records::DRAINS_PREFIX, Priority::Data)
+        .await;
     let (listed, _) = listed.map_err(|_| STATE_UNAVAILABLE)?;
     let drains = listed.iter().filter_map(|entry| {
         let host = entry.key.strip_prefix(records::DRAINS_PREFIX)?;
@@ -115,7 +118,7 @@
 
 /// The shard's record as it stands, for a compare-and-swap.
 pub(super) async fn shard_version(node: &Node) -> Result<ShardVersion, OrderError> {
-    let entry = node.state.get(records::SHARD_KEY, Lane::Data).await;
+    let entry = node.state.get(records::SHARD_KEY, Priority::Data).await;
     let entry = entry.map_err(|_| STATE_UNAVAILABLE)?;
     let entry = entry.ok_or(OrderError::Unavailable("nobody has owned the share yet"))?;
     let shard: records::ShardRecord = entry.read().map_err(|_| STATE_UNAVAILABLE)?;
@@ -127,7 +130,10 @@
 
 /// The shard's recorded machines.
 pub(super) async fn recorded_machines(node: &Node) -> Result<MachineRecord, OrderError> {
-    let listed = node.state.list(records::MACHINES_PREFIX, Lane::Data).await;
+    let listed = node
+        .state
+        .list(records::MACHINES_PREFIX, Priority::Data)
+        .await;
     let (listed, _) = listed.map_err(|_| STATE_UNAVAILABLE)?;
     Ok(MachineRecord::read(&listed))
 }
@@ -153,9 +159,9 @@
     for batch in hosts.chunks(node.settings.cluster.state.txn_ops) {
         let condition = Txn::default().when(records::SHARD_KEY, shard_version);
         let txn = batch.iter().fold(condition, |txn, host| change(txn, host));
-        match node.state.txn(&txn, Lane::Data).await {
+        match node.state.txn(&txn, Priority::Data).await {
             Ok(_) => written += batch.len(),
-            Err(Failure::Conflict(_)) => return Ok(WriteProgress::Conflict { written }),
+            Err(ServiceError::Conflict(_)) => return Ok(WriteProgress::Conflict { written }),
             Err(_) => return Err(OUTCOME_UNKNOWN),
         }
     }
--- a/src/admin/rollouts.rs
+++ b/src/admin/rollouts.rs
@@ -10,7 +10,7 @@
 use crate::protocol::roll::{Among, AtMost, Roll, RollOrder, RollState, Turn, TurnOrder};
 use crate::protocol::state::Txn;
 use crate::storage::records::{self, MachineInfo};
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Priority, ServiceError};
 use actix_web::web::Bytes;
 use actix_web::HttpResponse;
 use std::rc::Rc;
@@ -91,7 +91,7 @@
 /// The record of the rollout of this name, if there is one.
 async fn recorded_rollout(node: &Node, name: &str) -> Result<Option<RecordedRollout>, OrderError> {
     let key = records::rollout_key(name);
-    let entry = node.state.get(&key, Lane::Data).await;
+    let entry = node.state.get(&key, Priority::Data).await;
     let Some(entry) = entry.map_err(|_| STATE_UNAVAILABLE)? else {
         return Ok(None);
     };
@@ -136,9 +136,9 @@
 }
 
 async fn write(node: &Node, txn: &Txn) -> Result<WriteOutcome, OrderError> {
-    match node.state.txn(txn, Lane::Data).await {
+    match node.state.txn(txn, Priority::Data).await {
         Ok(_) => Ok(WriteOutcome::Written),
-        Err(Failure::Conflict(_)) => Ok(WriteOutcome::Conflict),
+        Err(ServiceError::Conflict(_)) => Ok(WriteOutcome::Conflict),
         Err(_) => Err(OUTCOME_UNKNOWN),
     }
 }
@@ -155,7 +155,7 @@
             let reason = format!("a roll {} stands already, by {}", rollout.name, rollout.by);
             return Err(OrderError::Conflict(reason));
         }
-        if node.leadership.borrow().view.rolls.len() >= MAX_ROLLOUTS {
+        if node.leadership.borrow().view.rollouts.len() >= MAX_ROLLOUTS {
             let reason = format!("{MAX_ROLLOUTS} rolls stand already");
             return Err(OrderError::Conflict(reason));
         }
@@ -239,7 +239,7 @@
     let (rollouts, term) = {
         let leadership = node.leadership.borrow();
         let view = &leadership.view;
-        let mut rollouts: Vec<Roll> = view.rolls.values().map(|(r, _)| r.clone()).collect();
+        let mut rollouts: Vec<Roll> = view.rollouts.values().map(|(r, _)| r.clone()).collect();
         rollouts.sort_by(|a, b| a.name.cmp(&b.name));
         (rollouts, view.shard.as_ref().map_or(0, |(s, _)| s.term))
     };
--- a/src/admin/views.rs
+++ b/src/admin/views.rs
@@ -8,7 +8,7 @@
 use crate::coordination::scheduler::views::spread;
 use crate::protocol::admin::{Jobs, ServiceRow, ShareRow, Waits};
 use crate::protocol::mesh::{PeerRequest, PeerResponse, Topic};
-use crate::transport::clients::Met;
+use crate::transport::clients::CallStatistics;
 use actix_web::{web, HttpResponse};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -36,7 +36,7 @@
 }
 
 /// What operators see of the shard that this scheduler holds, as JSON.
-pub fn of_core(scheduler: &Scheduler, topic: Topic, now: f64) -> Option<String> {
+pub fn view_json(scheduler: &Scheduler, topic: Topic, now: f64) -> Option<String> {
     match topic {
         Topic::Jobs(most) => to_json(&scheduler.job_rows(now, most.min(MAX_JOBS) as usize)),
         Topic::Teams => to_json(&scheduler.team_rows()),
@@ -56,13 +56,13 @@
         return Some(View {
             term: scheduler.term,
             age_s: 0.0,
-            json: of_core(scheduler, topic, now)?,
+            json: view_json(scheduler, topic, now)?,
         });
     }
     if let Some(view) = ask_leader(node, topic).await {
         return Some(view);
     }
-    let last_views = node.last_views.borrow();
+    let last_views = node.cached_views.borrow();
     let (at, term, json) = last_views.get(&topic)?;
     Some(View {
         term: *term,
@@ -83,7 +83,7 @@
     // A plan must not be made from a state that is over.
     if topic != Topic::Snapshot {
         let kept = (node.now(), term, json.clone());
-        node.last_views.borrow_mut().insert(topic, kept);
+        node.cached_views.borrow_mut().insert(topic, kept);
     }
     Some(View {
         term,
@@ -153,11 +153,13 @@
         former: former.unwrap_or_default(),
         ours: scheduler.is_some() && leadership.may_answer_workers(now),
         confirmed_s: scheduler.as_ref().map(|_| now - leadership.confirmed_at()),
-        missing: scheduler.as_ref().and_then(Scheduler::unfenced_count),
+        missing: scheduler
+            .as_ref()
+            .and_then(Scheduler::machines_blocking_placement),
     }
 }
 
-fn service_row(name: &str, met: Met) -> ServiceRow {
+fn service_row(name: &str, met: CallStatistics) -> ServiceRow {
     let seconds_ago = |at: Option<actix_rt::time::Instant>| at.map(|t| t.elapsed().as_secs_f64());
     ServiceRow {
         name: name.into(),
@@ -171,8 +173,8 @@
 /// The outside services, as the calls of this controller found them.
 pub(super) fn service_rows(node: &Node) -> [ServiceRow; 2] {
     [
-        service_row("state", node.state.met()),
-        service_row("cloud", node.cloud.met()),
+        service_row("state", node.state.statistics()),
+        service_row("cloud", node.cloud.statistics()),
     ]
 }
 
--- a/src/app.rs
+++ b/src/app.rs
@@ -46,7 +46,7 @@
 
 /// The server for users, workers and health checks.
 async fn serve_front(node: &Rc<Node>) -> std::io::Result<()> {
-    let sockets = node.workers.share();
+    let sockets = node.workers.process_sockets();
     // Workers send heartbeats and users poll several times in two leases.
     let idle_s = (2.0 * node.settings.cluster.workers.lease_s).max(MIN_IDLE_S);
     let idle = Duration::from_secs_f64(idle_s);
@@ -60,7 +60,7 @@
 
 /// The server for other controllers.
 async fn serve_mesh(node: &Rc<Node>) -> std::io::Result<()> {
-    let sockets = node.workers.share();
+    let sockets = node.workers.process_sockets();
     let app = App::new()
         .app_data(Data::new(node.clone()))
         .app_data(PayloadConfig::new(MAX_BODY))
@@ -75,7 +75,7 @@
     FleetManager { node: node.clone() }.start();
     Dispatcher {
         node: node.clone(),
-        beats: 0,
+        ticks: 0,
     }
     .start();
 }
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -48,7 +48,9 @@
 /// ran twice.) With the higher token copies are refused from then on.
 fn forget_token(machine: &Machine, attempt: &Attempt, term: u64) -> Option<u64> {
     let token = machine.token_under(term);
-    let above = attempt.copies_up_to.map_or(token, |t| token.max(t + 1));
+    let above = attempt
+        .duplicate_starts_up_to
+        .map_or(token, |t| token.max(t + 1));
     let available = above == token || !machine.call_in_flight && above < term + TOKENS_PER_TERM;
     available.then_some(above)
 }
@@ -84,7 +86,7 @@
             commands.push(stop_command(key, grace_s));
         } else if attempt.phase.is_none() {
             attempt.call_in_flight = true;
-            attempt.copies_up_to = Some(token);
+            attempt.duplicate_starts_up_to = Some(token);
             commands.push(start_command(key));
         }
     }
@@ -133,7 +135,7 @@
             commands.push(start_command(&key));
             if let Some(attempt) = machine.attempts.get_mut(&key) {
                 attempt.sent_in_reply_to = Some(message);
-                attempt.sent_at = now;
+                attempt.start_decided_at = now;
             }
         }
         self.outbox.swap_remove(name);
@@ -170,7 +172,7 @@
             return None;
         }
         let token = machine.token_under(term);
-        let probe = machine.recorded && !machine.fenced || machine.delivery.is_doubted();
+        let probe = machine.recorded && !machine.fenced || machine.delivery.is_doubtful();
         let commands = take_unsent_commands(machine, token);
         if commands.is_empty() && !probe {
             return None;
@@ -194,7 +196,7 @@
     pub(crate) fn probe_suspects(&mut self, now: f64) {
         let machines = &self.machines;
         self.suspects
-            .retain(|name| machines.get(name).is_some_and(|m| m.delivery.is_doubted()));
+            .retain(|name| machines.get(name).is_some_and(|m| m.delivery.is_doubtful()));
         let interval_s = self.config.lease_s / 4.0;
         let is_due =
             |machine: &Machine| !machine.call_in_flight && now - machine.called_at >= interval_s;
@@ -221,8 +223,8 @@
         if came > max_probes / 4 {
             return;
         }
-        let interval_s = self.config.report_s.min(1.0);
-        let grace_s = self.config.report_s / 4.0;
+        let interval_s = self.config.heartbeat_s.min(1.0);
+        let grace_s = self.config.heartbeat_s / 4.0;
         let is_due = |machine: &Machine| {
             machine.recorded
                 && !machine.fenced
--- a/src/coordination/agents/dispatcher.rs
+++ b/src/coordination/agents/dispatcher.rs
@@ -26,7 +26,7 @@
 }
 
 /// Sends what the scheduler wants sent straight away.
-pub fn drain(node: &Rc<Node>) {
+pub fn send_due_calls(node: &Rc<Node>) {
     for outgoing in take_due_calls(node) {
         let node = node.clone();
         actix_rt::spawn(async move { send(node, outgoing).await });
@@ -95,7 +95,7 @@
             }
         }
     }
-    drain(&node);
+    send_due_calls(&node);
 }
 
 /// Drives the scheduler's clock.
@@ -103,13 +103,13 @@
     /// The controller whose scheduler it drives.
     pub node: Rc<Node>,
     /// Ticks since the start.
-    pub beats: u64,
+    pub ticks: u64,
 }
 
 impl Dispatcher {
     /// One tick: the scheduler's periodic checks, probes and placement.
     fn tick(&mut self) {
-        self.beats += 1;
+        self.ticks += 1;
         let now = self.node.now();
         if let Some(scheduler) = self.node.scheduler.borrow_mut().as_mut() {
             scheduler.tick(now, self.node.leadership.borrow().confirmed_at());
@@ -117,12 +117,12 @@
             scheduler.place_all(now);
             self.log_and_collect(scheduler);
         }
-        drain(&self.node);
+        send_due_calls(&self.node);
     }
 
     fn log_and_collect(&self, scheduler: &mut Scheduler) {
-        if self.beats.is_multiple_of(UNFENCED_LOG_TICKS) {
-            if let Some(missing) = scheduler.unfenced_count() {
+        if self.ticks.is_multiple_of(UNFENCED_LOG_TICKS) {
+            if let Some(missing) = scheduler.machines_blocking_placement() {
                 tracing::info!(
                     term = scheduler.term,
                     missing,
@@ -130,10 +130,13 @@
                 );
             }
         }
-        if self.beats.is_multiple_of(GARBAGE_COLLECTION_TICKS) {
+        if self.ticks.is_multiple_of(GARBAGE_COLLECTION_TICKS) {
             scheduler.collect_garbage();
             let workers = &self.node.workers;
-            let (open, kept) = (workers.share().incoming.get(), workers.kept());
+            let (open, kept) = (
+                workers.process_sockets().incoming.get(),
+                workers.kept_connections(),
+            );
             tracing::info!(open, kept, "load {}", scheduler.summary());
         }
     }
--- a/src/coordination/agents/failure_detector.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -49,11 +49,11 @@
             return false;
         };
         let min_doubt_s = self.config.lease_s / 4.0;
-        let doubted_s = machine.delivery.doubted_for(now);
+        let doubted_s = machine.delivery.doubtful_for(now);
         !machine.fenced
             && machine.recorded
             && doubted_s.is_some_and(|s| s > min_doubt_s)
-            && machine.delivery.is_given_up()
+            && machine.delivery.is_unreachable()
     }
 
     /// Silent machines to return before their lease proves them empty: the
@@ -93,12 +93,12 @@
         // covers a busy leader, which hears from a thousand at once. When all
         // but a few have come the rush is over, and the whole shard waits for
         // machines that are most likely dead.
-        let unfenced = self.unfenced_count().unwrap_or(usize::MAX);
+        let unfenced = self.machines_blocking_placement().unwrap_or(usize::MAX);
         let only_stragglers = unfenced <= recorded / STRAGGLER_DIVISOR;
         let lease_divisor = if only_stragglers { 40.0 } else { 10.0 };
         GivingUp {
             now,
-            max_silence_s: self.config.silent_s() + self.config.report_s,
+            max_silence_s: self.config.silent_s() + self.config.heartbeat_s,
             max_unanswered_s: self.config.lease_s / lease_divisor,
             only_stragglers,
         }
@@ -112,7 +112,7 @@
             return self.is_probe_unanswered(machine, bounds.max_unanswered_s, bounds);
         }
         // Of one that answers do not reach nothing of value runs past a lease.
-        let doubted_s = machine.delivery.doubted_for(bounds.now).unwrap_or(0.0);
+        let doubted_s = machine.delivery.doubtful_for(bounds.now).unwrap_or(0.0);
         self.silent_for(machine.heard_at, bounds.now) > bounds.max_silence_s
             || doubted_s > self.config.lease_s
     }
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -9,7 +9,7 @@
 //! - A worker that has seen a token above those of our term belongs to a later leader.
 
 use super::reconciliation::ReportSource;
-use crate::coordination::scheduler::delivery::{Evidence, PATIENCE_S};
+use crate::coordination::scheduler::delivery::{Evidence, ANSWER_TIMEOUT_S};
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus, MessageId};
 use crate::coordination::scheduler::state::Scheduler;
@@ -103,7 +103,7 @@
             && machine.recorded
             && machine.unknown_attempts == 0
             && machine.indexed
-            && !machine.delivery.is_doubted()
+            && !machine.delivery.is_doubtful()
             && !machine.renumbers
             && machine.notice_at.is_none()
             && head.notice_s.is_none()
@@ -176,7 +176,7 @@
             lease_s: self.config.lease_s,
             // A heartbeat that is not a copy is overtaken by a newer message at most while
             // its worker waits for the answer; by then the next one is due.
-            max_overtaken_s: PATIENCE_S.max(1.5 * self.config.report_s),
+            max_overtaken_s: ANSWER_TIMEOUT_S.max(1.5 * self.config.heartbeat_s),
         }
     }
 
--- a/src/coordination/agents/leader_reachability.rs
+++ b/src/coordination/agents/leader_reachability.rs
@@ -52,7 +52,7 @@
 /// To send them back to it costs each 4 s of waiting and a second; a takeover is a
 /// matter of less. (One machine that boots or is cut off comes alone; as many as make
 /// a partition, see `out_of_reach`, do not.)
-pub fn owner_unreached(recent_redirects: u32) -> bool {
+pub fn leader_unreached(recent_redirects: u32) -> bool {
     recent_redirects >= UNREACHED_REDIRECTS
 }
 
@@ -80,11 +80,11 @@
     }
 
     fn max_heartbeat_gap_s(&self, machine: &Machine) -> f64 {
-        let gap_s = 1.5 * self.config.report_s;
+        let gap_s = 1.5 * self.config.heartbeat_s;
         // One that hears nobody goes from controller to controller: with another
         // leader it would be the same.
-        if machine.delivery.is_doubted() {
-            gap_s.max(self.config.round_s)
+        if machine.delivery.is_doubtful() {
+            gap_s.max(self.config.retry_round_s)
         } else {
             gap_s
         }
--- a/src/coordination/agents/lease_expiry.rs
+++ b/src/coordination/agents/lease_expiry.rs
@@ -5,9 +5,10 @@
 //! anyone can have renewed is over, with a margin for the drift of clocks. From then on
 //! the session is never answered again.
 
+use crate::coordination::scheduler::config::lease_with_margin_s;
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
-use crate::coordination::scheduler::state::{with_margin, Scheduler};
+use crate::coordination::scheduler::state::Scheduler;
 
 /// When the last lease that we can have given to a session of the machine began.
 fn last_lease_began_at(machine: &Machine) -> f64 {
@@ -23,7 +24,9 @@
     // A machine that was back at once may have begun to count when the call with a start
     // came, which then lives for a lease.
     let unseen = machine.attempts.values().filter(|a| a.phase.is_none());
-    unseen.map(|a| a.sent_at).fold(renewed_at, f64::max)
+    unseen
+        .map(|a| a.start_decided_at)
+        .fold(renewed_at, f64::max)
 }
 
 impl Scheduler {
@@ -36,7 +39,8 @@
             if machine.status == MachineStatus::Expired {
                 continue;
             }
-            let usable = self.usable(machine, now) && self.types.contains_key(&machine.info.kind);
+            let usable =
+                self.is_usable(machine, now) && self.types.contains_key(&machine.info.kind);
             if machine.indexed != usable {
                 usability_changed.push(name.clone());
             }
@@ -58,7 +62,7 @@
     /// When all leases of the machine that anyone can have renewed are over; `None` while
     /// that is not known.
     fn leases_end_at(&self, machine: &Machine) -> Option<f64> {
-        let lease_s = with_margin(self.config.lease_s);
+        let lease_s = lease_with_margin_s(self.config.lease_s);
         if machine.fenced {
             // Ours alone counts once the machine has seen our term: from then on it drops
             // the answers of all former leaders.
--- a/src/coordination/agents/partitions.rs
+++ b/src/coordination/agents/partitions.rs
@@ -24,7 +24,7 @@
     /// Zones most of whose machines fell silent together: cut off, most likely.
     /// Their machines go on, so they are not replaced, but do not count either.
     pub fn partitioned_zones(&self, now: f64) -> Vec<String> {
-        let silent_s = self.config.silent_s() + self.config.report_s;
+        let silent_s = self.config.silent_s() + self.config.heartbeat_s;
         let mut zones: Vec<ZoneCount> = Vec::new();
         for machine in self.machines.values().filter(|m| !m.cordoned) {
             let silent = self.silent_for(machine.heard_at, now) > silent_s
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -6,10 +6,10 @@
 //! (see `scheduler::delivery`).
 
 use super::task_reconciliation::ShownTask;
-use crate::coordination::scheduler::capacity::Resources;
 use crate::coordination::scheduler::delivery::{Evidence, EvidenceSummary};
 use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
 use crate::coordination::scheduler::machine::{Attempt, Machine, MessageId};
+use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Phase, Report, Shown};
 
@@ -56,16 +56,16 @@
 ) {
     let told_term = machine.delivery.told_term;
     if report.token < told_term {
-        evidence.note(Evidence::Undelivered);
+        evidence.add(Evidence::Undelivered);
     } else if machine.seen_token < told_term {
-        evidence.note(Evidence::Delivered);
+        evidence.add(Evidence::Delivered);
     }
     machine
         .delivery
         .next_heartbeat_after(now - machine.heard_at);
     let newer_session = report.session > machine.last_message.session;
     if newer_session && machine.delivery.session_ended() && ended_session_counts {
-        evidence.note(Evidence::Undelivered);
+        evidence.add(Evidence::Undelivered);
     }
 }
 
@@ -96,14 +96,14 @@
     // Answers to earlier heartbeats were executed or dropped before this one was sent;
     // answers to direct calls say nothing about them.
     if source == ReportSource::Heartbeat && attempt.sent_in_reply_to.take().is_some() {
-        evidence.note(if shown {
+        evidence.add(if shown {
             Evidence::Delivered
         } else {
             Evidence::Undelivered
         });
     }
     if attempt.told_to_end && !shown {
-        evidence.note(Evidence::Delivered);
+        evidence.add(Evidence::Delivered);
     }
     if attempt
         .unresolved_call
@@ -150,7 +150,7 @@
         let session = SessionChange::of(report, machine);
         let mut evidence = EvidenceSummary::default();
         match source {
-            ReportSource::DirectCall => evidence.note(Evidence::Delivered),
+            ReportSource::DirectCall => evidence.add(Evidence::Delivered),
             ReportSource::Heartbeat => {
                 let counts = session == SessionChange::Newer && steady;
                 note_heartbeat_evidence(machine, report, counts, now, &mut evidence);
@@ -203,7 +203,7 @@
             if shown.resources.is_none() && shown.phase != Phase::Exited {
                 unknown_attempts += 1;
             }
-            evidence.note(self.reconcile_task(name, &shown, now));
+            evidence.add(self.reconcile_task(name, &shown, now));
         }
         if let Some(machine) = self.machines.get_mut(name) {
             machine.unknown_attempts = unknown_attempts;
@@ -254,11 +254,11 @@
         if !machine.attempts.is_empty() {
             machine.idle_since = now;
         }
-        let doubted_before = machine.delivery.is_doubted();
+        let doubted_before = machine.delivery.is_doubtful();
         machine
             .delivery
             .message_received(evidence.conclusion(), now);
-        let doubted = machine.delivery.is_doubted();
+        let doubted = machine.delivery.is_doubtful();
         if doubted != doubted_before {
             tracing::info!(machine = %name, doubted, "delivery of answers doubted or confirmed");
             self.suspects.insert(name.clone());
--- a/src/coordination/agents/task_reconciliation.rs
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -4,10 +4,10 @@
 //! As long as any message shows a task on a machine, the task is placed and must not start
 //! again elsewhere, also if two machines show it.
 
-use crate::coordination::scheduler::capacity::Resources;
 use crate::coordination::scheduler::delivery::Evidence;
 use crate::coordination::scheduler::job::{AttemptId, Job, Name, TaskId};
 use crate::coordination::scheduler::machine::{Attempt, MessageId};
+use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Cause, Phase};
 
@@ -153,7 +153,7 @@
             // stopped it is still on.
             job.set_placed(task.index, name.clone(), *number);
             self.team_usage.add(job.team, &job.spec, 1.0);
-        } else if elsewhere && job.add_copy(task.index, name.clone(), *number) {
+        } else if elsewhere && job.add_extra_attempt(task.index, name.clone(), *number) {
             // One of the two reports is older, and we cannot tell which: as long as either
             // attempt may be on, the task must not start again. (The one seen first went
             // with its session, and the task started a third time while the other ran.)
@@ -257,7 +257,7 @@
         };
         job.retries += u32::from(job.placed.len() <= 1);
         let tries = f64::from(job.retries + 1);
-        job.not_before = now + self.config.report_s * tries.powi(2).min(100.0);
+        job.not_before = now + self.config.heartbeat_s * tries.powi(2).min(100.0);
         if job.retries <= 1 {
             tracing::warn!(job = %job_name, machine = %name, "fails everywhere");
         }
@@ -274,7 +274,7 @@
         tracing::info!(task = %task.wire(), machine = %name, cause = ?Some(cause), "start refused");
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.description_unknown = cause == Cause::Unknown;
-            job.not_before = now + self.config.report_s / 2.0;
+            job.not_before = now + self.config.heartbeat_s / 2.0;
         }
     }
 }
--- a/src/coordination/agents/unhealthy_machines.rs
+++ b/src/coordination/agents/unhealthy_machines.rs
@@ -25,7 +25,7 @@
                     stops.push(DueStop {
                         machine: name.clone(),
                         attempt: key.clone(),
-                        grace_s: self.save_grace(&key.task.job),
+                        grace_s: self.checkpoint_grace_s(&key.task.job),
                     });
                 }
             }
--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -14,12 +14,13 @@
 //!   not returned to the cloud.
 
 use super::eviction::{decide, AttemptOutlook, DrainDecision, Relocation, StopCost};
-use crate::coordination::scheduler::capacity::Resources;
+use crate::coordination::scheduler::drain_target::DrainTarget;
 use crate::coordination::scheduler::job::{AttemptId, Job, Name};
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
 use crate::coordination::scheduler::preemption::loss;
+use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::admin::{Drain, DrainRow, DrainState, Drained, Proof, Rest};
+use crate::protocol::admin::{Drain, DrainRow, DrainState, Drained, Proof};
 use crate::protocol::job::{JobSpec, Shape};
 use std::collections::HashMap;
 
@@ -29,46 +30,12 @@
 /// Least speed at which a machine fetches images, in GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
-/// One machine's drain as its leader carries it out.
-#[derive(Debug, Clone, PartialEq)]
-pub struct DrainTarget {
-    /// The record.
-    pub drain: Drain,
-    /// Version of its record.
-    pub version: u64,
-    /// Its deadline in our steady time.
-    deadline_at: Option<f64>,
-}
-
-impl DrainTarget {
-    /// What still runs is stopped now.
-    fn must_stop_now(&self, now: f64) -> bool {
-        self.deadline_at.is_some_and(|d| now >= d) && self.drain.rest == Rest::Stop
-    }
-}
-
 /// An attempt that is to be evicted.
 struct Eviction {
     attempt: AttemptId,
     cost: StopCost,
 }
 
-/// Stands for a record that we cannot read: the machine is cordoned, and
-/// nothing is stopped.
-pub fn unreadable(host: &str) -> Drain {
-    Drain {
-        host: host.into(),
-        order: String::new(),
-        by: String::new(),
-        why: "a record that this version cannot read".into(),
-        at_ms: 0,
-        deadline_ms: None,
-        rest: Rest::Leave,
-        drained: None,
-        roll: None,
-    }
-}
-
 impl Scheduler {
     /// Whether the machine is drained: cordoned and recorded as proven empty.
     pub(crate) fn is_drained(&self, name: &str) -> bool {
--- a/src/coordination/fleet/machine_record_writer.rs
+++ b/src/coordination/fleet/machine_record_writer.rs
@@ -3,13 +3,13 @@
 //! Each write is conditional on the shard being ours and on each value being the one we
 //! know, so a write that was given up and is carried out late changes nothing.
 
-use crate::coordination::leadership::failover::reread;
+use crate::coordination::leadership::failover::reread_shard;
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::state::Txn;
-use crate::storage::chunks::{self, Change};
+use crate::storage::machine_record::{self, Change};
 use crate::storage::records;
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
 /// Share of a value that is filled; the rest stays free for framing.
@@ -28,7 +28,7 @@
 }
 
 /// Writes what changed of the machine list; true if there is more.
-pub async fn write_machines(node: &Rc<Node>) -> bool {
+pub async fn write_machine_record(node: &Rc<Node>) -> bool {
     let Some(write) = plan_write(node) else {
         return false;
     };
@@ -36,7 +36,7 @@
         record_is_current(node);
         return false;
     }
-    match node.state.txn(&write.txn, Lane::Control).await {
+    match node.state.txn(&write.txn, Priority::Control).await {
         Ok(version) => write_succeeded(node, write, version),
         Err(error) => {
             write_failed(node, &write, error).await;
@@ -54,13 +54,14 @@
     // By the record of another leader we would write into its list.
     let shard_version = node.leadership.borrow().own_shard_version()?;
     let written = node.machine_record.borrow();
-    let mut changes = chunks::plan(&written, &scheduler.wanted_machine_record(), value_bytes);
-    let fitting = chunks::fitting(&changes, limits.txn_ops, MAX_CHANGE_BYTES);
+    let mut changes =
+        machine_record::plan(&written, &scheduler.wanted_machine_record(), value_bytes);
+    let fitting = machine_record::changes_that_fit(&changes, limits.txn_ops, MAX_CHANGE_BYTES);
     let more = changes.len() > fitting;
     scheduler.machine_record_dirty = more;
     changes.truncate(fitting);
     Some(RecordWrite {
-        txn: chunks::txn(&written, &changes, shard_version),
+        txn: machine_record::txn(&written, &changes, shard_version),
         base_term: scheduler.fence.base_term,
         changes,
         more,
@@ -93,20 +94,20 @@
 
 /// Notes that the write is due again, and learns what the record holds if it is not what
 /// we know.
-async fn write_failed(node: &Rc<Node>, write: &RecordWrite, error: Failure) {
+async fn write_failed(node: &Rc<Node>, write: &RecordWrite, error: ServiceError) {
     tracing::debug!(%error, "machine record not written");
     let ours = |s: &&mut Scheduler| s.fence.base_term == write.base_term;
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut().filter(ours) {
         scheduler.machine_record_dirty = true;
     }
-    let Failure::Conflict(keys) = error else {
+    let ServiceError::Conflict(keys) = error else {
         let mut written = node.machine_record.borrow_mut();
         for (chunk, _) in &write.changes {
-            written.unsure(*chunk);
+            written.mark_uncertain(*chunk);
         }
         return;
     };
-    reread(node).await;
+    reread_shard(node).await;
     // A write that we gave up was carried out after all.
     if keys.iter().any(|k| records::chunk_number(k).is_some()) {
         reread_record(node, write.base_term).await;
@@ -118,13 +119,13 @@
 async fn reread_record(node: &Rc<Node>, base_term: u64) {
     let Ok((listed, _)) = node
         .state
-        .list(records::MACHINES_PREFIX, Lane::Control)
+        .list(records::MACHINES_PREFIX, Priority::Control)
         .await
     else {
         return;
     };
     let ours = |s: &Scheduler| s.fence.base_term == base_term;
     if node.scheduler.borrow().as_ref().is_some_and(ours) {
-        node.machine_record.borrow_mut().reread(&listed);
+        node.machine_record.borrow_mut().reload(&listed);
     }
 }
--- a/src/coordination/fleet/machine_types.rs
+++ b/src/coordination/fleet/machine_types.rs
@@ -5,7 +5,7 @@
 use crate::protocol::cloud::{MachineType, TypeList};
 use crate::protocol::state::Txn;
 use crate::storage::records;
-use crate::transport::clients::Lane;
+use crate::transport::clients::Priority;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
     }
     let value = TypeList { types: list.types };
     let txn = Txn::default().put(records::TYPES_KEY, &value);
-    if node.state.txn(&txn, Lane::Control).await.is_err() {
+    if node.state.txn(&txn, Priority::Control).await.is_err() {
         node.leadership.borrow_mut().view.types = None;
     }
 }
--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -9,7 +9,7 @@
 use crate::coordination::agents::dispatcher;
 use crate::coordination::node::Node;
 use crate::protocol::cloud::Rental;
-use crate::transport::clients::Failure;
+use crate::transport::clients::ServiceError;
 use actix::prelude::*;
 use std::rc::Rc;
 use std::time::Duration;
@@ -125,7 +125,7 @@
     }
     retire_machines(node, state);
     let names = state.next_returns();
-    if names.is_empty() || node.cloud.give_back(names.clone()).await.is_err() {
+    if names.is_empty() || node.cloud.scale_in(names.clone()).await.is_err() {
         return;
     }
     tracing::info!(machines = ?names, "scaled in");
@@ -135,7 +135,7 @@
         }
     }
     state.returns_confirmed(&names);
-    dispatcher::drain(node);
+    dispatcher::send_due_calls(node);
 }
 
 /// Rents what is wanted.
@@ -186,9 +186,9 @@
 
 /// Rents machines; returns the names of those that the cloud gave.
 async fn rent(node: &Node, rental: &Rental) -> Vec<String> {
-    match node.cloud.rent(rental).await {
+    match node.cloud.scale_out(rental).await {
         Ok(names) => names.machines,
-        Err(Failure::Refused) => Vec::new(),
+        Err(ServiceError::Refused) => Vec::new(),
         Err(error) => {
             // It may come true later: unexpected machines are adopted.
             tracing::info!(%error, "rental request without an answer");
--- a/src/coordination/fleet/rollout.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -245,7 +245,7 @@
             let zone = machine.info.zone.clone();
             let count = fleet.counts.entry(zone.clone()).or_default();
             count.machines += 1;
-            count.out_of_use += u32::from(!self.usable(machine, now));
+            count.out_of_use += u32::from(!self.is_usable(machine, now));
             fleet.zones.insert(name.to_string(), zone);
             let drain = drains.get(&**name).map(|(drain, _)| drain);
             if drain.is_some_and(|drain| self.is_restarted_since(machine, drain, now)) {
--- a/src/coordination/fleet/rollout_writer.rs
+++ b/src/coordination/fleet/rollout_writer.rs
@@ -2,13 +2,13 @@
 //! rollout and drains are those it was worked out from.
 
 use super::rollout::{next_step, RolloutStep};
-use crate::coordination::leadership::failover::reread;
+use crate::coordination::leadership::failover::reread_shard;
 use crate::coordination::node::Node;
 use crate::protocol::admin::Drain;
 use crate::protocol::roll::{Roll, RollState};
 use crate::protocol::state::Txn;
 use crate::storage::records;
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
 /// Conditions and changes of a step's transaction beside its drains: shard and rollout.
@@ -26,7 +26,7 @@
 fn due_step(node: &Node) -> Option<DueStep> {
     let leadership = node.leadership.borrow();
     let scheduler = node.scheduler.borrow();
-    let rollouts = &leadership.view.rolls;
+    let rollouts = &leadership.view.rollouts;
     let is_moving = |rollout: &Roll| matches!(rollout.state, RollState::Running | RollState::Back);
     if !rollouts.values().any(|(rollout, _)| is_moving(rollout)) {
         return None;
@@ -92,8 +92,8 @@
 }
 
 /// Carries the rollouts one step on.
-pub async fn carry_on(node: &Rc<Node>) {
-    let behind = node.leadership.borrow().view.revision < node.rollout_revision.get();
+pub async fn advance_rollouts(node: &Rc<Node>) {
+    let behind = node.leadership.borrow().view.revision < node.last_rollout_revision.get();
     if behind || !node.is_certain_leader() {
         return;
     }
@@ -104,7 +104,7 @@
         return;
     };
     let txn = step_txn(node, &due, shard_version);
-    match node.state.txn(&txn, Lane::Control).await {
+    match node.state.txn(&txn, Priority::Control).await {
         Ok(revision) => {
             let RolloutStep {
                 rollout,
@@ -114,9 +114,9 @@
             tracing::info!(roll = %rollout.name, state = ?rollout.state, reason = %rollout.reason, ?begin, ?end, "rollout step");
             // Until the watch has shown it nothing more is worked out: what is
             // known here does not count those machines as out of use yet.
-            node.rollout_revision.set(revision);
+            node.last_rollout_revision.set(revision);
         }
-        Err(Failure::Conflict(_)) => reread(node).await,
+        Err(ServiceError::Conflict(_)) => reread_shard(node).await,
         Err(_) => {}
     }
 }
--- a/src/coordination/jobs/completed_task_chunks.rs
+++ b/src/coordination/jobs/completed_task_chunks.rs
@@ -6,7 +6,7 @@
 use crate::protocol::state::Txn;
 use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::{self, CompletedTasksChunk, LiveJob};
-use crate::transport::clients::{Failure, Priority};
+use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
 /// Reads the completed tasks that a job keeps apart from its record: none, unless it has
@@ -18,7 +18,7 @@
     node: &Node,
     record: &LiveJob,
     priority: Priority,
-) -> Result<CompletedTasks, Failure> {
+) -> Result<CompletedTasks, ServiceError> {
     let mut completed = CompletedTasks::default();
     if record.spec.tasks <= node.tasks_per_record() {
         return Ok(completed);
--- a/src/coordination/jobs/completion_batch.rs
+++ b/src/coordination/jobs/completion_batch.rs
@@ -24,7 +24,7 @@
     /// The transaction, conditional on the version of each job's live record.
     pub txn: Txn,
     /// What it writes, by job.
-    pub jobs: Vec<JobCompletion>,
+    pub completions: Vec<JobCompletion>,
 }
 
 /// One job's part of a batch.
@@ -181,7 +181,7 @@
         }
         Some(CompletionBatch {
             txn: self.txn,
-            jobs: self.jobs,
+            completions: self.jobs,
         })
     }
 }
--- a/src/coordination/jobs/completion_writer.rs
+++ b/src/coordination/jobs/completion_writer.rs
@@ -3,9 +3,6 @@
 //! Each job's part of a batch rests on the version of its live record, so that a
 //! transaction without an answer, carried out late, cannot overwrite a newer one.
 
-pub use super::completed_task_chunks::read as marks_apart;
-pub use super::live_job_watch::follow;
-
 use super::completed_task_chunks;
 use super::completion_batch::{self, CompletionBatch, JobCompletion};
 use crate::coordination::node::Node;
@@ -13,7 +10,7 @@
 use crate::protocol::settings::Cluster;
 use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::{self, LiveJob};
-use crate::transport::clients::{Failure, Priority};
+use crate::transport::clients::{Priority, ServiceError};
 use crate::transport::token_bucket::TokenBucket;
 use actix::prelude::*;
 use std::rc::Rc;
@@ -60,13 +57,16 @@
     let Some((batch, term)) = next_batch(node, partial_writes) else {
         return false;
     };
-    let CompletionBatch { txn, jobs } = batch;
+    let CompletionBatch {
+        txn,
+        completions: jobs,
+    } = batch;
     match node.state.txn(&txn, Priority::Data).await {
         Ok(version) => {
             batch_written(node, jobs, version, term);
             true
         }
-        Err(Failure::Conflict(keys)) => {
+        Err(ServiceError::Conflict(keys)) => {
             for key in keys {
                 if let Some(id) = key.strip_prefix(records::LIVE_PREFIX) {
                     reload_job(node, id, term).await;
--- a/src/coordination/jobs/live_job_watch.rs
+++ b/src/coordination/jobs/live_job_watch.rs
@@ -5,14 +5,14 @@
 //! follows a wait checks again that this scheduler is still there.
 
 use crate::coordination::agents::dispatcher;
-use crate::coordination::leadership::cancellation_horizon::blind_s;
+use crate::coordination::leadership::cancellation_horizon::staleness_bound_s;
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::settings::Workers;
 use crate::protocol::state::{Entry, News, Seen};
 use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::{self, LiveJob};
-use crate::transport::clients::{Failure, Priority};
+use crate::transport::clients::{Priority, ServiceError};
 use std::collections::HashSet;
 use std::rc::Rc;
 use std::time::Duration;
@@ -39,7 +39,7 @@
 /// while it knows of cancellations (see `leadership::cancellation_horizon`): eight watches
 /// in that time, so that a few may be lost, or wait on a connection that a cut left behind.
 fn watch_wait_s(workers: &Workers) -> f64 {
-    (blind_s(workers.cancel_s, workers.lease_s) / 8.0).clamp(0.5, 20.0)
+    (staleness_bound_s(workers.cancel_s, workers.lease_s) / 8.0).clamp(0.5, 20.0)
 }
 
 struct LiveJobWatch {
@@ -61,7 +61,7 @@
             .watch(records::LIVE_PREFIX, self.revision, self.wait_s);
         match watch.await {
             Ok(news) => self.apply(news, asked_at),
-            Err(Failure::Gone) => self.list_anew(asked_at).await,
+            Err(ServiceError::Compacted) => self.list_anew(asked_at).await,
             Err(_) => actix_rt::time::sleep(RETRY_PAUSE).await,
         }
     }
@@ -143,7 +143,7 @@
             let mut leadership = self.node.leadership.borrow_mut();
             leadership.job_watch_answered(asked_at);
         });
-        dispatcher::drain(&self.node);
+        dispatcher::send_due_calls(&self.node);
     }
 }
 
--- a/src/coordination/jobs/lookup.rs
+++ b/src/coordination/jobs/lookup.rs
@@ -13,7 +13,7 @@
 use crate::coordination::node::Node;
 use crate::protocol::state::Entry;
 use crate::storage::records::{self, TerminalRecord};
-use crate::transport::clients::{Failure, Priority};
+use crate::transport::clients::{Priority, ServiceError};
 use actix_rt::time::Instant;
 use std::rc::Rc;
 use std::time::Duration;
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 /// The state service could not be read, or its answers came too late to be passed on.
-pub async fn find(node: &Rc<Node>, id: &str) -> Result<JobLookup, Failure> {
+pub async fn find(node: &Rc<Node>, id: &str) -> Result<JobLookup, ServiceError> {
     for _ in 0..MAX_READS {
         if let Some(state) = node.terminal_states.borrow().get(id) {
             return Ok(JobLookup::Terminal(state));
@@ -68,7 +68,7 @@
             return Ok(unless_accepted_meanwhile(node, id, found));
         }
     }
-    Err(Failure::Refused)
+    Err(ServiceError::Refused)
 }
 
 /// A job that this controller accepted while the read was under way is not unknown.
@@ -81,7 +81,7 @@
 
 /// Reads the job, and says when the read that the result rests on was sent. A job moves
 /// from live to terminal and never back, so reading in this order cannot miss it.
-async fn read(node: &Rc<Node>, id: &str) -> Result<TimedLookup, Failure> {
+async fn read(node: &Rc<Node>, id: &str) -> Result<TimedLookup, ServiceError> {
     if let Some(current) = version_check::current_record(node, id).await? {
         let CurrentRecord { read, sent_at } = current;
         return Ok(TimedLookup {
@@ -115,12 +115,12 @@
 }
 
 /// Reads the terminal record of a job that is not live, and remembers it.
-async fn read_terminal(node: &Node, id: &str) -> Result<JobLookup, Failure> {
+async fn read_terminal(node: &Node, id: &str) -> Result<JobLookup, ServiceError> {
     let key = records::terminal_key(id);
     let Some(entry) = node.state.get(&key, Priority::Data).await? else {
         return Ok(JobLookup::NotFound);
     };
-    let state: TerminalRecord = entry.read().map_err(|_| Failure::Unknown)?;
+    let state: TerminalRecord = entry.read().map_err(|_| ServiceError::Unknown)?;
     node.learn_terminal_state(id, state);
     Ok(JobLookup::Terminal(state))
 }
--- a/src/coordination/jobs/version_check.rs
+++ b/src/coordination/jobs/version_check.rs
@@ -10,7 +10,7 @@
 use crate::coordination::node::Node;
 use crate::protocol::state::Txn;
 use crate::storage::records;
-use crate::transport::clients::{Failure, Priority, TimedResult};
+use crate::transport::clients::{Priority, ServiceError, TimedResult};
 use actix_rt::time::Instant;
 use std::rc::Rc;
 use std::time::Duration;
@@ -37,12 +37,15 @@
 ///
 /// # Errors
 /// The check could not be made.
-pub async fn current_record(node: &Rc<Node>, id: &str) -> Result<Option<CurrentRecord>, Failure> {
+pub async fn current_record(
+    node: &Rc<Node>,
+    id: &str,
+) -> Result<Option<CurrentRecord>, ServiceError> {
     let Some(read) = node.record_cache.borrow().worth_checking(id) else {
         return Ok(None);
     };
     let answer = ask(node, id, read.version);
-    let check = answer.await.map_err(|_| Failure::Refused)?;
+    let check = answer.await.map_err(|_| ServiceError::Refused)?;
     let sent_at = check.sent_at;
     let unchanged = check.result?;
     Ok(unchanged.then_some(CurrentRecord { read, sent_at }))
@@ -102,10 +105,12 @@
     for question in batch {
         let result = match &checked.result {
             Ok(_) => Ok(true),
-            Err(Failure::Conflict(keys)) if keys.contains(&records::live_key(&question.id)) => {
+            Err(ServiceError::Conflict(keys))
+                if keys.contains(&records::live_key(&question.id)) =>
+            {
                 Ok(false)
             }
-            Err(Failure::Conflict(_)) => {
+            Err(ServiceError::Conflict(_)) => {
                 // Nothing says that every key that differs is named: check it once more.
                 cache.enqueue(question);
                 continue;
--- a/src/coordination/leadership/cancellation_horizon.rs
+++ b/src/coordination/leadership/cancellation_horizon.rs
@@ -19,14 +19,14 @@
 //!   reach may be confirming cancellations: then nothing is proven.
 
 use crate::coordination::leadership::queries::PeerAnswer;
-use crate::coordination::scheduler::state::with_margin;
+use crate::coordination::scheduler::config::lease_with_margin_s;
 use std::collections::HashMap;
 
 /// How old a leader's knowledge of cancellations may be while it answers workers, in
 /// seconds: a worker's lease later all cancelled tasks must be gone. A fortieth of
 /// `cancel_s` covers clock drift, late timers, and the way of the last answer.
-pub fn blind_s(cancel_s: f64, lease_s: f64) -> f64 {
-    cancel_s * 39.0 / 40.0 - with_margin(lease_s)
+pub fn staleness_bound_s(cancel_s: f64, lease_s: f64) -> f64 {
+    cancel_s * 39.0 / 40.0 - lease_with_margin_s(lease_s)
 }
 
 /// How much longer than the gap peers look back, in seconds: half for the way of an answer
--- a/src/coordination/leadership/cluster_view.rs
+++ b/src/coordination/leadership/cluster_view.rs
@@ -28,7 +28,7 @@
     /// Drains of machines by host, each with its record's version.
     pub drains: HashMap<String, (Drain, u64)>,
     /// Rollouts by name, each with its record's version.
-    pub rolls: HashMap<String, (Roll, u64)>,
+    pub rollouts: HashMap<String, (Roll, u64)>,
     /// Counts changes of drains.
     pub drains_generation: u64,
 }
@@ -80,7 +80,7 @@
         }
         let drain = entry.read::<Drain>().unwrap_or_else(|error| {
             tracing::error!(key = %entry.key, %error, "unreadable drain");
-            crate::coordination::fleet::drains::unreadable(host)
+            records::unreadable_drain(host)
         });
         self.drains.insert(host.into(), (drain, entry.version));
         self.drains_generation += 1;
@@ -89,11 +89,12 @@
     /// A rollout has this version.
     fn see_rollout(&mut self, rollout: Roll, version: u64) {
         let known = self
-            .rolls
+            .rollouts
             .get(&rollout.name)
             .map_or(0, |(_, version)| *version);
         if version >= known {
-            self.rolls.insert(rollout.name.clone(), (rollout, version));
+            self.rollouts
+                .insert(rollout.name.clone(), (rollout, version));
         }
     }
 
@@ -115,7 +116,7 @@
     /// was not alive then. What is known from later stays.
     pub fn apply_listing(&mut self, entries: &[Entry], revision: u64) {
         self.alive.retain(|_, (_, version)| *version > revision);
-        self.rolls.retain(|_, (_, version)| *version > revision);
+        self.rollouts.retain(|_, (_, version)| *version > revision);
         self.apply_drain_listing(entries, revision);
         self.loaded = true;
         self.advance_to(revision);
@@ -143,11 +144,11 @@
     pub fn apply_deletion(&mut self, key: &str, version: u64) {
         if let Some(name) = key.strip_prefix(records::ROLLOUTS_PREFIX) {
             if self
-                .rolls
+                .rollouts
                 .get(name)
                 .is_some_and(|rollout| rollout.1 <= version)
             {
-                self.rolls.remove(name);
+                self.rollouts.remove(name);
             }
         } else if let Some(host) = key.strip_prefix(records::DRAINS_PREFIX) {
             if self
--- a/src/coordination/leadership/loops/control_watch.rs
+++ b/src/coordination/leadership/loops/control_watch.rs
@@ -6,7 +6,7 @@
 use crate::coordination::node::Node;
 use crate::protocol::state::Seen;
 use crate::storage::records;
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
 /// How long a watch request waits for changes, in seconds.
@@ -32,7 +32,7 @@
 async fn list(node: &Rc<Node>) -> Option<u64> {
     let listed = node
         .state
-        .list(records::CONTROL_PREFIX, Lane::Control)
+        .list(records::CONTROL_PREFIX, Priority::Control)
         .await;
     let (entries, revision) = listed.ok()?;
     node.leadership
@@ -60,7 +60,7 @@
                 }
                 view.advance_to(revision);
             }
-            Err(Failure::Gone) => return,
+            Err(ServiceError::Compacted) => return,
             // Changes missed while the state service is away are still in its history.
             Err(_) => {
                 sleep(WATCH_RETRY_S).await;
--- a/src/coordination/leadership/loops/drain_records.rs
+++ b/src/coordination/leadership/loops/drain_records.rs
@@ -1,12 +1,12 @@
 //! Drains of machines: the scheduler is told of their records, and the leader records which
 //! machines are proven empty.
 
-use super::failover::reread;
+use super::failover::reread_shard;
 use crate::coordination::node::Node;
 use crate::protocol::admin::Drain;
 use crate::protocol::state::Txn;
 use crate::storage::records;
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
 /// Tells the scheduler of drains that came, changed or ended.
@@ -37,7 +37,7 @@
         let key = records::drain_key(&drain.host);
         txn = txn.when(&key, *version).put(&key, drain);
     }
-    match node.state.txn(&txn, Lane::Control).await {
+    match node.state.txn(&txn, Priority::Control).await {
         Ok(_) => {
             let hosts: Vec<&str> = proven
                 .iter()
@@ -47,10 +47,10 @@
             // What is written is known from the watch alone, in its order; until it comes the
             // same is not written again.
             let versions = proven.iter().map(|(_, version)| *version);
-            node.noted_drains.borrow_mut().extend(versions);
+            node.recorded_drains.borrow_mut().extend(versions);
         }
         // Another controller leads, or the drain ended: the watch will report it.
-        Err(Failure::Conflict(_)) => reread(node).await,
+        Err(ServiceError::Conflict(_)) => reread_shard(node).await,
         Err(_) => {}
     }
 }
@@ -63,7 +63,7 @@
     let scheduler = node.scheduler.borrow();
     let scheduler = scheduler.as_ref().filter(|_| node.is_certain_leader())?;
     let mut proven = scheduler.proven_drains(now_ms, max_drains);
-    let mut noted = node.noted_drains.borrow_mut();
+    let mut noted = node.recorded_drains.borrow_mut();
     noted.retain(|version| proven.iter().any(|(_, proven)| proven == version));
     proven.retain(|(_, version)| !noted.contains(version));
     Some(proven)
--- a/src/coordination/leadership/loops/failover.rs
+++ b/src/coordination/leadership/loops/failover.rs
@@ -4,14 +4,14 @@
 use super::sleep;
 use super::step_down::step_down;
 use crate::coordination::agents::dispatcher;
-use crate::coordination::jobs::completion_writer;
+use crate::coordination::jobs::{completed_task_chunks, live_job_watch};
 use crate::coordination::leadership::takeover::TakeoverAttempt;
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::fence::Fence;
 use crate::coordination::scheduler::state::{Scheduler, SchedulerConfig};
-use crate::storage::chunks::MachineRecord;
+use crate::storage::machine_record::MachineRecord;
 use crate::storage::records::{self, LiveJob, ShardRecord};
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
 /// Wait before records that could not be read are read again, in seconds.
@@ -31,7 +31,7 @@
 
 /// Takes the shard over and loads its records.
 pub(super) async fn take_over(node: &Rc<Node>, attempt: TakeoverAttempt) {
-    match node.state.txn(&attempt.txn, Lane::Control).await {
+    match node.state.txn(&attempt.txn, Priority::Control).await {
         Ok(version) => {
             let term = attempt.shard.term;
             let holds =
@@ -45,11 +45,11 @@
             tracing::info!(term, "shard taken over");
             load_until_done(node, &attempt.shard).await;
         }
-        Err(Failure::Conflict(_)) => reread(node).await,
+        Err(ServiceError::Conflict(_)) => reread_shard(node).await,
         Err(error) => {
             tracing::info!(%error, "takeover failed");
             sleep(UNKNOWN_OUTCOME_WAIT_S).await;
-            reread(node).await;
+            reread_shard(node).await;
         }
     }
 }
@@ -63,14 +63,14 @@
             return;
         }
     }
-    dispatcher::drain(node);
+    dispatcher::send_due_calls(node);
 }
 
 /// Reads the shard record and the term counter afresh, and its leader's alive key; steps
 /// down if the shard is not ours any more.
-pub async fn reread(node: &Rc<Node>) {
+pub async fn reread_shard(node: &Rc<Node>) {
     for key in [records::SHARD_KEY, records::TERM_KEY] {
-        if let Ok(Some(entry)) = node.state.get(key, Lane::Control).await {
+        if let Ok(Some(entry)) = node.state.get(key, Priority::Control).await {
             node.leadership.borrow_mut().view.apply_entry(&entry);
         }
     }
@@ -92,7 +92,7 @@
         return;
     };
     let key = records::alive_key(&leader);
-    let found = node.state.get(&key, Lane::Control).await;
+    let found = node.state.get(&key, Priority::Control).await;
     let view = &mut node.leadership.borrow_mut().view;
     match found {
         Ok(Some(entry)) => view.apply_entry(&entry),
@@ -103,7 +103,7 @@
 
 /// Builds the scheduler from the records of the shard and begins the term with it, unless
 /// the shard was lost meanwhile.
-async fn load(node: &Rc<Node>, shard: &ShardRecord) -> Result<(), Failure> {
+async fn load(node: &Rc<Node>, shard: &ShardRecord) -> Result<(), ServiceError> {
     let mut scheduler = empty_scheduler(node, shard);
     load_drains(node, &mut scheduler).await?;
     let machine_record = load_machines(node, &mut scheduler).await?;
@@ -131,10 +131,10 @@
 
 /// Reads the drains, after the shard was taken over, so that no drain ordered under the
 /// leader before us is missed: its machines must get nothing new.
-async fn load_drains(node: &Node, scheduler: &mut Scheduler) -> Result<(), Failure> {
+async fn load_drains(node: &Node, scheduler: &mut Scheduler) -> Result<(), ServiceError> {
     let (drains, revision) = node
         .state
-        .list(records::DRAINS_PREFIX, Lane::Control)
+        .list(records::DRAINS_PREFIX, Priority::Control)
         .await?;
     let view = &mut node.leadership.borrow_mut().view;
     view.apply_drain_listing(&drains, revision);
@@ -142,10 +142,13 @@
     Ok(())
 }
 
-async fn load_machines(node: &Node, scheduler: &mut Scheduler) -> Result<MachineRecord, Failure> {
+async fn load_machines(
+    node: &Node,
+    scheduler: &mut Scheduler,
+) -> Result<MachineRecord, ServiceError> {
     let (listed, _) = node
         .state
-        .list(records::MACHINES_PREFIX, Lane::Control)
+        .list(records::MACHINES_PREFIX, Priority::Control)
         .await?;
     let now = node.now();
     let written = MachineRecord::read(&listed);
@@ -155,14 +158,17 @@
     Ok(written)
 }
 
-async fn load_jobs(node: &Rc<Node>, scheduler: &mut Scheduler) -> Result<(), Failure> {
-    let (jobs, revision) = node.state.list(records::LIVE_PREFIX, Lane::Control).await?;
+async fn load_jobs(node: &Rc<Node>, scheduler: &mut Scheduler) -> Result<(), ServiceError> {
+    let (jobs, revision) = node
+        .state
+        .list(records::LIVE_PREFIX, Priority::Control)
+        .await?;
     for entry in jobs {
         let Ok(record) = entry.read::<LiveJob>() else {
             tracing::error!(key = %entry.key, "unreadable job record");
             continue;
         };
-        let completed = completion_writer::marks_apart(node, &record, Lane::Control).await?;
+        let completed = completed_task_chunks::read(node, &record, Priority::Control).await?;
         scheduler.add_job(record, entry.version, completed);
     }
     scheduler.watched_revision = revision;
@@ -211,5 +217,5 @@
     let revision = scheduler.watched_revision;
     *node.machine_record.borrow_mut() = machine_record;
     *node.scheduler.borrow_mut() = Some(scheduler);
-    completion_writer::follow(node.clone(), term, revision);
+    live_job_watch::follow(node.clone(), term, revision);
 }
--- a/src/coordination/leadership/loops/leader_loop.rs
+++ b/src/coordination/leadership/loops/leader_loop.rs
@@ -2,15 +2,15 @@
 //! raises the term, and learns when former leaders are fenced.
 
 use super::drain_records::record_drained;
-use super::failover::reread;
+use super::failover::reread_shard;
 use super::peer_calls::{query_cancellations, query_lease_extensions, query_promises};
 use super::shard_changes::react_to_shard_changes;
 use super::sleep;
-use crate::coordination::fleet::machine_record_writer::write_machines;
+use crate::coordination::fleet::machine_record_writer::write_machine_record;
 use crate::coordination::fleet::rollout_writer;
 use crate::coordination::leadership::shard_update::ShardUpdate;
 use crate::coordination::node::Node;
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
 /// Turns of the loop in a lease, within the bounds below: takeovers are decided by the end
@@ -33,8 +33,8 @@
         query_promises(&node);
         note_fenced_former_leaders(&node);
         record_drained(&node).await;
-        rollout_writer::carry_on(&node).await;
-        while write_machines(&node).await {}
+        rollout_writer::advance_rollouts(&node).await;
+        while write_machine_record(&node).await {}
         raise_term(&node).await;
     }
 }
@@ -55,7 +55,7 @@
         .scheduler
         .borrow_mut()
         .as_mut()
-        .is_some_and(|scheduler| scheduler.needs_higher_term(now));
+        .is_some_and(|scheduler| scheduler.raise_overdue_tokens(now));
     if !wanted {
         return;
     }
@@ -68,7 +68,7 @@
 
 /// Writes the shard record once more, under the same or a higher term.
 async fn carry_out(node: &Rc<Node>, update: ShardUpdate) {
-    match node.state.txn(&update.txn, Lane::Control).await {
+    match node.state.txn(&update.txn, Priority::Control).await {
         Ok(version) => {
             let term = node
                 .leadership
@@ -78,7 +78,7 @@
                 scheduler.raise_term(term);
             }
         }
-        Err(Failure::Conflict(_)) => reread(node).await,
+        Err(ServiceError::Conflict(_)) => reread_shard(node).await,
         Err(_) => {}
     }
 }
--- a/src/coordination/leadership/loops/lease_loop.rs
+++ b/src/coordination/leadership/loops/lease_loop.rs
@@ -5,7 +5,7 @@
 use crate::coordination::leadership::lease::{AliveKeyWrite, LeaseStep};
 use crate::coordination::node::Node;
 use crate::storage::records;
-use crate::transport::clients::{Failure, Lane};
+use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
 /// Renewals in a lease: three may be lost in a row.
@@ -55,7 +55,7 @@
         LeaseStep::Wait => Some(timing.idle_interval_s),
         LeaseStep::Revoke(lease) => {
             // Without our lease the others may take the shard over.
-            let _ = node.state.end_lease(lease).await;
+            let _ = node.state.revoke_lease(lease).await;
             node.leadership.borrow_mut().lease_ended(lease);
             None
         }
@@ -73,7 +73,7 @@
 
 async fn write_alive_key(node: &Rc<Node>, write: AliveKeyWrite, timing: Timing) -> Option<f64> {
     let txn = write.txn(&node.settings.host_name);
-    match node.state.txn(&txn, Lane::Control).await {
+    match node.state.txn(&txn, Priority::Control).await {
         Ok(version) => {
             node.leadership
                 .borrow_mut()
@@ -81,11 +81,11 @@
             react_to_shard_changes(node);
             None
         }
-        Err(Failure::NoLease) => {
+        Err(ServiceError::LeaseNotFound) => {
             node.leadership.borrow_mut().lease_ended(write.lease);
             None
         }
-        Err(Failure::Conflict(_)) => reread_alive_key(node, timing).await,
+        Err(ServiceError::Conflict(_)) => reread_alive_key(node, timing).await,
         Err(error) => {
             tracing::warn!(%error, "alive key not written");
             Some(timing.retry_interval_s)
@@ -95,7 +95,7 @@
 
 async fn reread_alive_key(node: &Rc<Node>, timing: Timing) -> Option<f64> {
     let key = records::alive_key(&node.settings.host_name);
-    match node.state.get(&key, Lane::Control).await {
+    match node.state.get(&key, Priority::Control).await {
         Ok(found) => {
             node.leadership.borrow_mut().alive_key_read(found.as_ref());
             None
@@ -110,7 +110,7 @@
             node.leadership.borrow_mut().lease_renewed(lease, asked_at);
             Some(timing.renewal_interval_s)
         }
-        Err(Failure::NoLease) => {
+        Err(ServiceError::LeaseNotFound) => {
             tracing::warn!("our lease expired");
             node.leadership.borrow_mut().lease_ended(lease);
             None
--- a/src/coordination/leadership/loops/peer_calls.rs
+++ b/src/coordination/leadership/loops/peer_calls.rs
@@ -140,5 +140,5 @@
     }
     let answer = response.answer(term, node);
     node.leadership.borrow_mut().cancellations_reported(answer);
-    dispatcher::drain(node);
+    dispatcher::send_due_calls(node);
 }
--- a/src/coordination/leadership/loops/readiness_check.rs
+++ b/src/coordination/leadership/loops/readiness_check.rs
@@ -6,7 +6,7 @@
 use crate::coordination::readiness::PeerContacts;
 use crate::protocol::mesh::{PeerRequest, PeerResponse};
 use crate::storage::records;
-use crate::transport::clients::Lane;
+use crate::transport::clients::Priority;
 use std::rc::Rc;
 
 /// Checks until the process ends.
@@ -21,7 +21,7 @@
 async fn check(node: &Node, timeout_s: f64) {
     if node.now() - node.last_contact_at() > timeout_s / 2.0 {
         // It may be that nothing else sends requests at all.
-        let _ = node.state.get(records::SHARD_KEY, Lane::Control).await;
+        let _ = node.state.get(records::SHARD_KEY, Priority::Control).await;
     }
     let lost = node.now() - node.last_contact_at() > timeout_s;
     let peers = if lost {
@@ -33,7 +33,7 @@
     let change = node
         .readiness
         .borrow_mut()
-        .step(now, contact_at, timeout_s, peers);
+        .update(now, contact_at, timeout_s, peers);
     if let Some(away) = change {
         tracing::warn!(
             away,
--- a/src/coordination/leadership/loops/step_down.rs
+++ b/src/coordination/leadership/loops/step_down.rs
@@ -1,7 +1,7 @@
 //! Stops leading: the scheduler is dropped, and a new incarnation tells the others that the
 //! former leader is silent.
 
-use crate::coordination::node::{draw_boot, Node};
+use crate::coordination::node::{draw_incarnation, Node};
 
 /// Promises never to extend the lease of a leader before this term; if that is us, we step
 /// down. (We count in our own majority, so a leader that has promised must not go on.)
@@ -25,12 +25,12 @@
 /// Stops acting for the shard.
 pub(super) fn step_down(node: &Node) {
     *node.scheduler.borrow_mut() = None;
-    node.leadership.borrow_mut().step_down(draw_boot());
+    node.leadership.borrow_mut().step_down(draw_incarnation());
 }
 
 /// Stops acting for the shard and leaves it to others for a while.
 pub(super) fn resign(node: &Node) {
     *node.scheduler.borrow_mut() = None;
-    let incarnation = draw_boot();
+    let incarnation = draw_incarnation();
     node.leadership.borrow_mut().resign(node.now(), incarnation);
 }
--- a/src/coordination/leadership/peer_queries.rs
+++ b/src/coordination/leadership/peer_queries.rs
@@ -91,7 +91,7 @@
     /// Whether to report confirmed cancellations to the leader under this term: that keeps
     /// it answering workers, so not after a takeover attempt of ours that may count on its
     /// silence.
-    pub fn may_report_to(&self, term: u64) -> bool {
+    pub fn may_report_cancellations_to(&self, term: u64) -> bool {
         self.knows_no_later_leader(term)
             && self
                 .attempted_version
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -6,7 +6,7 @@
 use crate::coordination::agents::leader_reachability::RedirectCounter;
 use crate::coordination::jobs::record_cache::RecordCache;
 use crate::coordination::jobs::terminal_states::TerminalStates;
-use crate::coordination::leadership::cancellation_horizon::blind_s;
+use crate::coordination::leadership::cancellation_horizon::staleness_bound_s;
 use crate::coordination::leadership::confirmed_cancellations::ConfirmedCancellations;
 use crate::coordination::leadership::state::{Leadership, LeadershipConfig};
 use crate::coordination::readiness::Readiness;
@@ -44,8 +44,6 @@
 /// description.
 const BYTES_PER_COMPLETED_TASK: f64 = 16.0;
 
-pub use self::draw_incarnation as draw_boot;
-
 /// Draws the number of an incarnation; 52 bits survive any JSON reader.
 pub fn draw_incarnation() -> u64 {
     SmallRng::from_os_rng().next_u64() >> 12
@@ -120,9 +118,9 @@
     pub applied_drains: Cell<(u64, u64)>,
     /// Versions of drains that we recorded as carried out and the watch has not
     /// shown yet.
-    pub noted_drains: RefCell<Vec<u64>>,
+    pub recorded_drains: RefCell<Vec<u64>>,
     /// Revision of the last step of a rollout that we wrote.
-    pub rollout_revision: Cell<u64>,
+    pub last_rollout_revision: Cell<u64>,
 
     // Jobs.
     /// Terminal states of jobs, as far as they were read or written here.
@@ -138,7 +136,7 @@
     /// How long submissions took until they were accepted, in milliseconds.
     pub acceptance_ms: RefCell<Option<Histogram<u32>>>,
     /// What operators were told of the leader's shard, for when it is away.
-    pub last_views: RefCell<HashMap<Topic, (f64, u64, String)>>,
+    pub cached_views: RefCell<HashMap<Topic, (f64, u64, String)>>,
 }
 
 /// What the state machine of leadership needs of the settings.
@@ -154,7 +152,7 @@
         // of promises is had.
         longest_silence_s: policy.quiet_leases * workers.lease_s,
         worker_lease_s: workers.lease_s,
-        staleness_bound_s: blind_s(workers.cancel_s, workers.lease_s),
+        staleness_bound_s: staleness_bound_s(workers.cancel_s, workers.lease_s),
         clock_bound_ms: settings.cluster.time_bound_ms.ceil() as u64,
     }
 }
@@ -188,10 +186,10 @@
             machine_record: RefCell::default(),
             direct_calls: Cell::new(0),
             applied_drains: Cell::default(),
-            noted_drains: RefCell::default(),
-            rollout_revision: Cell::default(),
+            recorded_drains: RefCell::default(),
+            last_rollout_revision: Cell::default(),
             acceptance_ms: RefCell::new(Histogram::new_with_bounds(1, MAX_ACCEPTANCE_MS, 2).ok()),
-            last_views: RefCell::default(),
+            cached_views: RefCell::default(),
             record_cache: RefCell::default(),
             readiness: RefCell::default(),
             redirected_heartbeats: RefCell::default(),
@@ -294,7 +292,7 @@
 
     /// When the state service last answered, in seconds of [`Node::now`]; 0 if never.
     pub fn last_contact_at(&self) -> f64 {
-        let at = self.state.met().answered_at;
+        let at = self.state.statistics().answered_at;
         at.map_or(0.0, |at| {
             at.saturating_duration_since(self.start).as_secs_f64()
         })
--- a/src/coordination/readiness.rs
+++ b/src/coordination/readiness.rs
@@ -40,7 +40,7 @@
     /// Time passes. The state service last answered at `contact_at`; without an answer for
     /// longer than `timeout_s` the contacts of the `peers` decide, if they were asked. If
     /// the readiness changed: whether users are sent elsewhere now.
-    pub fn step(
+    pub fn update(
         &mut self,
         now: f64,
         contact_at: f64,
--- a/src/coordination/scheduler/attempt.rs
+++ b/src/coordination/scheduler/attempt.rs
@@ -12,7 +12,7 @@
     /// Why it exited, if it did.
     pub cause: Option<Cause>,
     /// When the start was decided.
-    pub sent_at: f64,
+    pub start_decided_at: f64,
     /// When it was first seen running.
     pub running_since: Option<f64>,
     /// Whether it is counted among its job's running tasks.
@@ -25,7 +25,7 @@
     pub call_in_flight: bool,
     /// Highest token of the direct calls with its start so far: until the machine has
     /// seen a higher one, a copy of such a call restarts the attempt once it is forgotten.
-    pub copies_up_to: Option<u64>,
+    pub duplicate_starts_up_to: Option<u64>,
     /// Token and time of a direct call with the start that had no answer: it may be
     /// executed until the machine has seen a higher token or has a newer session.
     pub unresolved_call: Option<(u64, f64)>,
@@ -46,13 +46,13 @@
         Attempt {
             phase: None,
             cause: None,
-            sent_at: now,
+            start_decided_at: now,
             running_since: None,
             counted_as_running: false,
             last_shown: MessageId::NONE,
             sent_in_reply_to: None,
             call_in_flight: false,
-            copies_up_to: None,
+            duplicate_starts_up_to: None,
             unresolved_call: None,
             unsent: true,
             told_to_end: false,
--- a/src/coordination/scheduler/attempts.rs
+++ b/src/coordination/scheduler/attempts.rs
@@ -87,10 +87,10 @@
 
     /// Grace in seconds in which a task of the job can write a checkpoint, 0 if it never
     /// does.
-    pub(crate) fn save_grace(&self, job: &str) -> f64 {
+    pub(crate) fn checkpoint_grace_s(&self, job: &str) -> f64 {
         self.jobs.get(job).map_or(0.0, |job| {
             if job.spec.checkpoint_s > 0.0 {
-                job.spec.save_s + self.config.report_s
+                job.spec.save_s + self.config.heartbeat_s
             } else {
                 0.0
             }
--- a/src/coordination/scheduler/completions.rs
+++ b/src/coordination/scheduler/completions.rs
@@ -4,7 +4,7 @@
 
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::state::Scheduler;
-use crate::storage::marks::CompletedTasks;
+use crate::storage::completed_tasks::CompletedTasks;
 
 /// Rank of a job whose completions are to be saved; the smallest comes first.
 struct SaveOrder<'a> {
--- a/src/coordination/scheduler/config.rs
+++ b/src/coordination/scheduler/config.rs
@@ -10,7 +10,7 @@
 
 /// A lease with its safety margin: twice the bound on clock drift, and the granularity of
 /// timers.
-pub fn with_margin(lease_s: f64) -> f64 {
+pub fn lease_with_margin_s(lease_s: f64) -> f64 {
     lease_s * 1.002 + 0.1
 }
 
@@ -26,12 +26,12 @@
     /// Lease of a worker, in seconds: without an answer for this long it stops its tasks.
     pub lease_s: f64,
     /// Interval of heartbeats, in seconds.
-    pub report_s: f64,
+    pub heartbeat_s: f64,
     /// Deadline, in seconds, by which nothing of a cancelled job may run any more.
     pub cancel_s: f64,
     /// Upper bound, in seconds, on the time after which a worker that no controller
     /// answers tries the same controller again.
-    pub round_s: f64,
+    pub retry_round_s: f64,
     /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
     /// Service-level objectives of job classes.
@@ -46,9 +46,9 @@
         let workers = &settings.cluster.workers;
         SchedulerConfig {
             lease_s: workers.lease_s,
-            report_s: workers.report_s,
+            heartbeat_s: workers.report_s,
             cancel_s: workers.cancel_s,
-            round_s: round_s(settings.cluster.nodes),
+            retry_round_s: round_s(settings.cluster.nodes),
             teams: settings.cluster.teams.clone(),
             objectives: settings.cluster.objectives.clone(),
             policy: policy.clone(),
@@ -58,6 +58,6 @@
     /// A machine silent for this many seconds gets no new tasks. Heartbeats come within
     /// 1.25 `report_s`; twice that is a missed heartbeat, with time for one retry.
     pub fn silent_s(&self) -> f64 {
-        2.5 * self.report_s + 0.5
+        2.5 * self.heartbeat_s + 0.5
     }
 }
--- a/src/coordination/scheduler/delivery.rs
+++ b/src/coordination/scheduler/delivery.rs
@@ -28,7 +28,7 @@
 
 impl EvidenceSummary {
     /// Adds one piece of evidence.
-    pub fn note(&mut self, evidence: Evidence) {
+    pub fn add(&mut self, evidence: Evidence) {
         self.delivered |= evidence == Evidence::Delivered;
         self.undelivered |= evidence == Evidence::Undelivered;
     }
@@ -46,7 +46,7 @@
 }
 
 /// A worker without an answer for this many seconds tries another controller.
-pub(crate) const PATIENCE_S: f64 = 4.0;
+pub(crate) const ANSWER_TIMEOUT_S: f64 = 4.0;
 
 /// Consecutive signs of missing delivery after which a machine that has not been fenced is
 /// not answered any more: each answer may have renewed its lease, and as long as one may
@@ -93,7 +93,7 @@
     /// The next heartbeat came after this many seconds. If that is sooner than a worker
     /// gives up waiting, it must have received the reply to the previous one.
     pub fn next_heartbeat_after(&mut self, after_s: f64) {
-        if after_s < PATIENCE_S {
+        if after_s < ANSWER_TIMEOUT_S {
             self.unconfirmed = false;
         }
     }
@@ -105,18 +105,18 @@
     }
 
     /// Whether delivery is doubtful, so that no new task may start on the machine.
-    pub fn is_doubted(&self) -> bool {
+    pub fn is_doubtful(&self) -> bool {
         self.doubted_since.is_some()
     }
 
     /// For how many seconds delivery has been doubtful.
-    pub fn doubted_for(&self, now: f64) -> Option<f64> {
+    pub fn doubtful_for(&self, now: f64) -> Option<f64> {
         self.doubted_since.map(|since| now - since)
     }
 
     /// Whether the machine is considered unreachable from here, so that answers are
     /// pointless.
-    pub fn is_given_up(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         self.undelivered >= MAX_UNDELIVERED
     }
 }
--- a/src/coordination/scheduler/job.rs
+++ b/src/coordination/scheduler/job.rs
@@ -5,7 +5,7 @@
 //! `next_untouched` on were never touched and wait.
 
 use crate::protocol::job::{JobSpec, Shape, Urgency};
-use crate::storage::marks::CompletedTasks;
+use crate::storage::completed_tasks::CompletedTasks;
 use foldhash::fast::RandomState;
 use indexmap::{IndexMap, IndexSet};
 use std::cell::Cell;
@@ -294,7 +294,7 @@
 
     /// A further attempt of a placed task is on a machine too, or may be; returns whether
     /// it was unknown before.
-    pub fn add_copy(&mut self, task: u32, machine: Name, attempt: u64) -> bool {
+    pub fn add_extra_attempt(&mut self, task: u32, machine: Name, attempt: u64) -> bool {
         let extra = ExtraAttempt {
             task,
             machine,
--- a/src/coordination/scheduler/jobs.rs
+++ b/src/coordination/scheduler/jobs.rs
@@ -3,7 +3,7 @@
 
 use crate::coordination::scheduler::job::{AttemptId, Job, Name, TaskCounts, TaskId};
 use crate::coordination::scheduler::state::Scheduler;
-use crate::storage::marks::CompletedTasks;
+use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::LiveJob;
 use foldhash::fast::RandomState;
 use indexmap::IndexSet;
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -221,7 +221,7 @@
             && !self.cordoned
             && self.unknown_attempts == 0
             && self.notice_at.is_none()
-            && !self.delivery.is_doubted()
+            && !self.delivery.is_doubtful()
             && !self.renumbers
             && now - self.heard_at < silent_s
     }
@@ -229,7 +229,7 @@
     /// Whether it has been doubtful for longer than `limit_s` that it receives our replies.
     pub fn is_unreachable(&self, now: f64, limit_s: f64) -> bool {
         self.delivery
-            .doubted_for(now)
+            .doubtful_for(now)
             .is_some_and(|doubted_s| doubted_s > limit_s)
     }
 
@@ -257,7 +257,7 @@
         // refused for ever.
         let has_live_copy = |attempt: &Attempt| {
             attempt
-                .copies_up_to
+                .duplicate_starts_up_to
                 .is_some_and(|token| token >= self.seen_token)
         };
         let may_start = |attempt: &Attempt| attempt.is_in_flight() || has_live_copy(attempt);
--- a/src/coordination/scheduler/machines.rs
+++ b/src/coordination/scheduler/machines.rs
@@ -128,7 +128,7 @@
         let attempts: Vec<AttemptId> = machine.live_attempts().map(|(id, _)| id.clone()).collect();
         self.clear_queue(name);
         for id in attempts {
-            let grace_s = self.save_grace(&id.task.job);
+            let grace_s = self.checkpoint_grace_s(&id.task.job);
             self.stop_attempt(name, &id, grace_s);
         }
         self.placement_due = true;
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -16,11 +16,11 @@
 
 pub mod attempt;
 mod attempts;
-pub mod capacity;
 pub mod capacity_index;
 mod completions;
 pub mod config;
 pub mod delivery;
+pub mod drain_target;
 pub mod fair_share;
 pub mod fence;
 pub mod job;
--- a/src/coordination/scheduler/order_refresh.rs
+++ b/src/coordination/scheduler/order_refresh.rs
@@ -36,7 +36,7 @@
     /// Makes the order anew if jobs came or went, or enough time has passed.
     pub(crate) fn refresh_job_order(&mut self, now: f64) {
         let age_s = now - self.job_order.made_at;
-        let report_s = self.config.report_s;
+        let report_s = self.config.heartbeat_s;
         let is_recent = age_s < report_s / REFRESHES_PER_REPORT && !self.job_order.is_stale;
         if is_recent || (0.0..report_s / STALE_REFRESHES_PER_REPORT).contains(&age_s) {
             return;
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -324,7 +324,7 @@
     }
 
     /// Whether tasks may start on the machine.
-    pub(crate) fn usable(&self, machine: &Machine, now: f64) -> bool {
+    pub(crate) fn is_usable(&self, machine: &Machine, now: f64) -> bool {
         machine.is_usable(now, self.config.silent_s())
     }
 
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -305,7 +305,7 @@
     ) -> Option<PreemptionPlan> {
         let machine = self.machines.get(machine_name)?;
         let job = request.job;
-        let is_allowed = self.usable(machine, request.now)
+        let is_allowed = self.is_usable(machine, request.now)
             && self.may_use(&job.spec, machine)
             && request.zones.allows(&machine.info.zone);
         if !is_allowed || job.failed_on.contains(machine_name) {
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -21,7 +21,7 @@
 impl Scheduler {
     /// Age, in seconds, at which a queued task is sampled again.
     fn max_queue_age_s(&self) -> f64 {
-        2.0 * (self.config.policy.age_reports * self.config.report_s)
+        2.0 * (self.config.policy.age_reports * self.config.heartbeat_s)
     }
 
     /// Puts a task into a machine's queue.
@@ -82,7 +82,7 @@
     /// Takes out of the queues what waited past the age limit, so that it is sampled again;
     /// at a machine that fell silent or goes out of use, everything at once.
     pub(crate) fn expire_queued(&mut self, now: f64) {
-        let interval_s = self.config.report_s / EXPIRY_CHECKS_PER_REPORT;
+        let interval_s = self.config.heartbeat_s / EXPIRY_CHECKS_PER_REPORT;
         if now - self.queues_aged_at < interval_s {
             return;
         }
@@ -111,7 +111,7 @@
     /// The queued tasks that are to be sampled again.
     fn expired_tasks(&self, machine: &Machine, now: f64) -> Vec<TaskId> {
         let max_age_s = self.max_queue_age_s();
-        let is_unusable = !self.usable(machine, now);
+        let is_unusable = !self.is_usable(machine, now);
         // A task for which others are preempted waits as long as these write checkpoints.
         let is_preempting = machine
             .live_attempts()
@@ -183,7 +183,7 @@
             let Some(machine) = self.machines.get(name) else {
                 continue;
             };
-            if machine.queue.is_empty() || !self.usable(machine, now) {
+            if machine.queue.is_empty() || !self.is_usable(machine, now) {
                 continue;
             }
             for queued in reserved_in_order(machine, rank) {
--- a/src/coordination/scheduler/sampling.rs
+++ b/src/coordination/scheduler/sampling.rs
@@ -48,7 +48,7 @@
             let fits = machine.free_capacity.fits(&need);
             any_fits |= fits;
             // An attempt that the machine has not forgotten yet would refuse the start.
-            let accepts = scheduler.usable(machine, now) && !machine.has_attempt_of(task);
+            let accepts = scheduler.is_usable(machine, now) && !machine.has_attempt_of(task);
             (fits && accepts).then(|| name.clone())
         });
         if !any_fits {
@@ -79,7 +79,7 @@
                 let pool = scheduler.capacity_index.pool_of(name)?;
                 let fits = machine.free_capacity.fits(&need) && machine.has_image(&spec.image);
                 let accepts = pools.contains(&pool)
-                    && scheduler.usable(machine, now)
+                    && scheduler.is_usable(machine, now)
                     && !machine.has_attempt_of(task);
                 (fits && accepts).then(|| name.clone())
             },
@@ -112,7 +112,7 @@
         let picks = self.sample(count, task, pools, Fallback::Exhaustive, |scheduler, at| {
             let name = scheduler.capacity_index.nth_short_queue(pools, at)?;
             let machine = scheduler.machines.get(name)?;
-            scheduler.usable(machine, now).then(|| name.clone())
+            scheduler.is_usable(machine, now).then(|| name.clone())
         });
         picks.into_iter().min_by_key(|name| {
             let machine = &self.machines[name];
--- a/src/coordination/scheduler/snapshot.rs
+++ b/src/coordination/scheduler/snapshot.rs
@@ -10,7 +10,7 @@
 use crate::protocol::job::JobSpec;
 use crate::protocol::policy::Policy;
 use crate::protocol::settings::{Objective, Team};
-use crate::storage::marks::CompletedTasks;
+use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::{LiveJob, MachineInfo};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -132,7 +132,7 @@
             term: self.term,
             revision: self.watched_revision,
             at_ms: ((now + self.wall_clock_offset_s) * 1000.0).max(0.0) as u64,
-            report_s: self.config.report_s,
+            report_s: self.config.heartbeat_s,
             lease_s: self.config.lease_s,
             cancel_s: self.config.cancel_s,
             teams: self.config.teams.clone(),
@@ -170,10 +170,10 @@
     pub fn of_snapshot(snapshot: &Snapshot, seed: u64) -> Scheduler {
         let config = SchedulerConfig {
             lease_s: snapshot.lease_s,
-            report_s: snapshot.report_s,
+            heartbeat_s: snapshot.report_s,
             cancel_s: snapshot.cancel_s,
             // In a plan every controller answers.
-            round_s: 0.0,
+            retry_round_s: 0.0,
             teams: snapshot.teams.clone(),
             objectives: snapshot.objectives.clone(),
             policy: snapshot.policy.clone(),
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -8,9 +8,9 @@
 //! is added as soon as the condition begins and removed lazily when the list is gone over,
 //! so that no event needs a pass over all machines.
 
-use crate::coordination::fleet::drains::DrainTarget;
 use crate::coordination::recent::RecentMap;
 use crate::coordination::scheduler::capacity_index::CapacityIndex;
+use crate::coordination::scheduler::drain_target::DrainTarget;
 use crate::coordination::scheduler::fair_share::FairShare;
 use crate::coordination::scheduler::fence::Fence;
 use crate::coordination::scheduler::job::{AttemptId, ByName, Job, Name, Names};
@@ -25,7 +25,7 @@
 use rand::SeedableRng;
 use std::collections::HashMap;
 
-pub use crate::coordination::scheduler::config::{round_s, with_margin, SchedulerConfig};
+pub use crate::coordination::scheduler::config::{lease_with_margin_s, round_s, SchedulerConfig};
 pub use crate::coordination::scheduler::resources::Types;
 
 /// Bound on the remembered names of machines that were returned to the cloud: one and a
@@ -163,7 +163,7 @@
 
     /// Since when messages were received without a gap, if the time is `now`.
     pub(crate) fn listening_since(&self, now: f64) -> f64 {
-        if now - self.now > self.config.report_s + PAUSE_MARGIN_S {
+        if now - self.now > self.config.heartbeat_s + PAUSE_MARGIN_S {
             now
         } else {
             self.listening_since
--- a/src/coordination/scheduler/terms.rs
+++ b/src/coordination/scheduler/terms.rs
@@ -37,7 +37,7 @@
     }
 
     /// How many machines block placement after a takeover; `None` once it is allowed.
-    pub fn unfenced_count(&self) -> Option<usize> {
+    pub fn machines_blocking_placement(&self) -> Option<usize> {
         if self.fence.open {
             return None;
         }
@@ -60,7 +60,7 @@
     /// term's range needs no write, and so does not wait for the state service in an
     /// outage. Returns true if a machine has used up the range, so that a new term must
     /// be written.
-    pub fn needs_higher_term(&mut self, now: f64) -> bool {
+    pub fn raise_overdue_tokens(&mut self, now: f64) -> bool {
         let unresolved_limit_s = self.config.cancel_s / UNRESOLVED_START_PART;
         let term = self.term;
         let last_token = term + TOKENS_PER_TERM - 1;
--- a/src/coordination/scheduler/views.rs
+++ b/src/coordination/scheduler/views.rs
@@ -1,7 +1,7 @@
 //! What operators see of the scheduler: jobs, teams, machines, waits. Each view is computed
 //! anew from the state when it is asked for.
 
-use crate::coordination::fleet::drains::DrainTarget;
+use crate::coordination::scheduler::drain_target::DrainTarget;
 use crate::coordination::scheduler::job::Job;
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::run_time_predictor::{ClassHistograms, ALL_CLASSES};
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -18,7 +18,7 @@
 use crate::protocol::state::Txn;
 use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::{self, LiveJob, TerminalRecord};
-use crate::transport::clients::{Failure, Priority};
+use crate::transport::clients::{Priority, ServiceError};
 use actix_web::http::StatusCode;
 use actix_web::web;
 use actix_web::HttpResponse;
@@ -80,7 +80,7 @@
             node.record_acceptance(node.now() - received_at);
             notify_scheduler(node, record, version);
         }
-        Err(Failure::Conflict(_)) => {
+        Err(ServiceError::Conflict(_)) => {
             return state_if_known_or(node, &id, try_elsewhere(node)).await
         }
         Err(_) => return try_elsewhere(node),
@@ -107,7 +107,7 @@
         scheduler.add_job(record, version, CompletedTasks::default());
         scheduler.place_changed(node.now());
     }
-    dispatcher::drain(node);
+    dispatcher::send_due_calls(node);
 }
 
 fn accepted(status: StatusCode, id: &str, state: JobState) -> HttpResponse {
@@ -232,7 +232,7 @@
                 cancelled(&node, &id, last).await;
                 return accepted(StatusCode::OK, &id, JobState::Cancelled);
             }
-            Err(Failure::Conflict(_)) => continue,
+            Err(ServiceError::Conflict(_)) => continue,
             Err(_) => return try_elsewhere(&node),
         }
     }
@@ -261,7 +261,7 @@
 async fn cancelled(node: &Rc<Node>, id: &str, last: TerminalRecord) {
     tracing::info!(job = %id, "cancelled");
     node.learn_terminal_state(id, last);
-    dispatcher::drain(node);
+    dispatcher::send_due_calls(node);
     completed_task_chunks::delete(node.clone(), id.into(), last.tasks);
     notify_leader(node, id).await;
 }
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -61,7 +61,7 @@
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
         scheduler.finish_job(id);
     }
-    dispatcher::drain(node);
+    dispatcher::send_due_calls(node);
 }
 
 /// What the leader's scheduler says, if this controller leads.
@@ -93,14 +93,14 @@
 }
 
 fn view(node: &Node, scheduler: &Scheduler, topic: Topic) -> Option<PeerResponse> {
-    let text = admin::of_core(scheduler, topic, node.now())?;
+    let text = admin::view_json(scheduler, topic, node.now())?;
     Some(PeerResponse::View(scheduler.term, text))
 }
 
 /// The cancellations that this controller told users of, for a leader that has no other
 /// way to learn them.
 fn confirmed_cancellations(node: &Node, term: u64, for_ms: u64) -> PeerResponse {
-    if !node.leadership.borrow().may_report_to(term) {
+    if !node.leadership.borrow().may_report_cancellations_to(term) {
         return PeerResponse::NotLeader;
     }
     let for_s = for_ms as f64 / 1000.0;
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -37,7 +37,7 @@
     };
     match handle(&node, &report, tasks.get(), now) {
         HeartbeatReply::Commands(reply) => {
-            dispatcher::drain(&node);
+            dispatcher::send_due_calls(&node);
             json_response(StatusCode::OK, &reply)
         }
         HeartbeatReply::Refuse => unavailable(),
@@ -88,7 +88,7 @@
     }
     let now = node.now();
     let recently_redirected = node.redirected_heartbeats.borrow_mut().add(now);
-    if leader_reachability::owner_unreached(recently_redirected) {
+    if leader_reachability::leader_unreached(recently_redirected) {
         node.leader_changed().await;
     }
 }
--- a/src/storage/machine_record.rs
+++ b/src/storage/machine_record.rs
@@ -46,12 +46,12 @@
     }
 
     /// A write of this chunk had no answer: it may be carried out at any time.
-    pub fn unsure(&mut self, chunk: usize) {
+    pub fn mark_uncertain(&mut self, chunk: usize) {
         self.uncertain.insert(chunk);
     }
 
     /// Takes over what was read anew; what is uncertain stays so.
-    pub fn reread(&mut self, listed: &[Entry]) {
+    pub fn reload(&mut self, listed: &[Entry]) {
         self.chunks = MachineRecord::read(listed).chunks;
     }
 
@@ -163,7 +163,7 @@
 }
 
 /// How many of the changes fit into one transaction: at least one.
-pub fn fitting(changes: &[Change], max_changes: usize, max_bytes: usize) -> usize {
+pub fn changes_that_fit(changes: &[Change], max_changes: usize, max_bytes: usize) -> usize {
     let mut bytes = 0;
     let within = changes
         .iter()
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -8,6 +8,3 @@
 pub mod completed_tasks;
 pub mod machine_record;
 pub mod records;
-
-pub use completed_tasks as marks;
-pub use machine_record as chunks;
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -11,6 +11,7 @@
 //! meaning are a stored format, and new fields have defaults.
 
 use super::completed_tasks::CompletedTasks;
+use crate::protocol::admin::{Drain, Rest};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobSpec, JobState};
 use crate::protocol::state::Txn;
@@ -260,6 +261,22 @@
     pub done: u32,
 }
 
+/// Stands for the record of a drain that we cannot read: the machine is cordoned, and nothing
+/// is stopped.
+pub fn unreadable_drain(host: &str) -> Drain {
+    Drain {
+        host: host.into(),
+        order: String::new(),
+        by: String::new(),
+        why: "a record that this version cannot read".into(),
+        at_ms: 0,
+        deadline_ms: None,
+        rest: Rest::Leave,
+        drained: None,
+        roll: None,
+    }
+}
+
 /// Whether a task of the job fits the machine type at all.
 pub fn fits_type(spec: &JobSpec, kind: &MachineType) -> bool {
     let allowed = spec
--- a/src/transport/clients/cloud.rs
+++ b/src/transport/clients/cloud.rs
@@ -2,7 +2,7 @@
 //! the published limit on requests.
 
 use super::service::{self, Request, Service};
-use super::{CallStatistics, Failure, Priority};
+use super::{CallStatistics, Priority, ServiceError};
 use crate::protocol::cloud::{Listed, Names, Page, Rental, TypeList};
 use crate::protocol::settings::Settings;
 use crate::transport::http::{Http, Response};
@@ -44,12 +44,12 @@
     }
 
     /// Waits for a request's turn, once.
-    async fn wait_for_turn(&self) -> Result<(), Failure> {
+    async fn wait_for_turn(&self) -> Result<(), ServiceError> {
         let Err(wait_s) = self.take_token() else {
             return Ok(());
         };
         actix_rt::time::sleep(Duration::from_secs_f64(wait_s.min(MAX_WAIT_S))).await;
-        self.take_token().map_err(|_| Failure::Refused)
+        self.take_token().map_err(|_| ServiceError::Refused)
     }
 
     fn take_token(&self) -> Result<(), f64> {
@@ -62,7 +62,7 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, ServiceError> {
         self.wait_for_turn().await?;
         let request = Request {
             method,
@@ -74,7 +74,7 @@
     }
 
     /// How calls of the cloud went so far.
-    pub fn met(&self) -> CallStatistics {
+    pub fn statistics(&self) -> CallStatistics {
         self.service.statistics()
     }
 
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     /// The call failed.
-    pub async fn types(&self) -> Result<TypeList, Failure> {
+    pub async fn types(&self) -> Result<TypeList, ServiceError> {
         service::decode(&self.call(Method::GET, "/flavors", None).await?)
     }
 
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// The call failed.
-    pub async fn rent(&self, rental: &Rental) -> Result<Names, Failure> {
+    pub async fn scale_out(&self, rental: &Rental) -> Result<Names, ServiceError> {
         let body = service::encode(rental)?;
         service::decode(&self.call(Method::POST, "/rentals", Some(body)).await?)
     }
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     /// The call failed.
-    pub async fn give_back(&self, machines: Vec<String>) -> Result<(), Failure> {
+    pub async fn scale_in(&self, machines: Vec<String>) -> Result<(), ServiceError> {
         let body = service::encode(&Names { machines })?;
         let returned = self.call(Method::POST, "/rentals/return", Some(body));
         returned.await.map(|_| ())
@@ -109,7 +109,7 @@
     ///
     /// # Errors
     /// A call failed.
-    pub async fn machines(&self) -> Result<Vec<Listed>, Failure> {
+    pub async fn machines(&self) -> Result<Vec<Listed>, ServiceError> {
         let mut all: Vec<Listed> = Vec::new();
         loop {
             let since = all.last().map(|m| format!("&since={}", m.id));
@@ -125,10 +125,10 @@
 }
 
 /// Fails on every status but 200.
-fn only_ok(response: Response) -> Result<Response, Failure> {
+fn only_ok(response: Response) -> Result<Response, ServiceError> {
     let response = service::not_overloaded(response)?;
     match response.status {
         200 => Ok(response),
-        status => Err(Failure::Status(status)),
+        status => Err(ServiceError::Status(status)),
     }
 }
--- a/src/transport/clients/mod.rs
+++ b/src/transport/clients/mod.rs
@@ -6,10 +6,10 @@
 mod state;
 mod workers;
 
-pub use super::token_bucket::{Priority, Priority as Lane};
+pub use super::token_bucket::Priority;
 pub use cloud::CloudClient;
 pub use peers::MeshClient;
-pub use service::{CallStatistics, CallStatistics as Met};
+pub use service::CallStatistics;
 pub use state::StateClient;
 pub use workers::{DirectOutcome, WorkerClient};
 
@@ -18,7 +18,7 @@
 
 /// Why a call gave no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Failure {
+pub enum ServiceError {
     /// The other side refused and did nothing (429, 503, never connected).
     #[error("refused")]
     Refused,
@@ -30,21 +30,21 @@
     Conflict(Vec<String>),
     /// The lease is gone.
     #[error("no such lease")]
-    NoLease,
+    LeaseNotFound,
     /// A watch fell too far behind: its revision is compacted.
     #[error("compacted")]
-    Gone,
+    Compacted,
     /// The other side answered with this other status; 0: the request could not be
     /// encoded and was not sent.
     #[error("status {0}")]
     Status(u16),
 }
 
-impl From<CallError> for Failure {
+impl From<CallError> for ServiceError {
     fn from(error: CallError) -> Self {
         match error {
-            CallError::NotSent => Failure::Refused,
-            CallError::Unknown => Failure::Unknown,
+            CallError::NotSent => ServiceError::Refused,
+            CallError::Unknown => ServiceError::Unknown,
         }
     }
 }
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct TimedResult<T> {
     /// The result.
-    pub result: Result<T, Failure>,
+    pub result: Result<T, ServiceError>,
     /// When the request was sent; it may have waited for its turn before.
     pub sent_at: Instant,
 }
--- a/src/transport/clients/service.rs
+++ b/src/transport/clients/service.rs
@@ -1,7 +1,7 @@
 //! What the clients of the outside services share: a call and its statistics, request
 //! bodies, responses.
 
-use super::Failure;
+use super::ServiceError;
 use crate::transport::http::{Http, Response};
 use actix_rt::time::Instant;
 use awc::http::Method;
@@ -50,8 +50,8 @@
     pub(super) async fn call(
         &self,
         request: Request<'_>,
-        check: impl FnOnce(Response) -> Result<Response, Failure>,
-    ) -> Result<Response, Failure> {
+        check: impl FnOnce(Response) -> Result<Response, ServiceError>,
+    ) -> Result<Response, ServiceError> {
         let result = self.send(&self.http, request).await.and_then(check);
         self.statistics.borrow_mut().record(&result);
         result
@@ -62,7 +62,7 @@
         &self,
         http: &Http,
         request: Request<'_>,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, ServiceError> {
         let Request {
             method,
             path,
@@ -70,7 +70,7 @@
             timeout_s,
         } = request;
         let response = http.call(self.addr, method, path, body, timeout_s).await;
-        response.map_err(Failure::from)
+        response.map_err(ServiceError::from)
     }
 
     /// How calls went so far.
@@ -80,21 +80,21 @@
 }
 
 /// Fails on refusals because of overload (429, 503): nothing was done.
-pub(super) fn not_overloaded(response: Response) -> Result<Response, Failure> {
+pub(super) fn not_overloaded(response: Response) -> Result<Response, ServiceError> {
     match response.status {
-        429 | 503 => Err(Failure::Refused),
+        429 | 503 => Err(ServiceError::Refused),
         _ => Ok(response),
     }
 }
 
 /// The body of a request. Our requests are plain structs, which always serialise.
-pub(super) fn encode<T: Serialize>(body: &T) -> Result<Vec<u8>, Failure> {
-    serde_json::to_vec(body).map_err(|_| Failure::Status(0))
+pub(super) fn encode<T: Serialize>(body: &T) -> Result<Vec<u8>, ServiceError> {
+    serde_json::to_vec(body).map_err(|_| ServiceError::Status(0))
 }
 
 /// Reads the body of a response.
-pub(super) fn decode<T: DeserializeOwned>(response: &Response) -> Result<T, Failure> {
-    serde_json::from_slice(&response.body).map_err(|_| Failure::Unknown)
+pub(super) fn decode<T: DeserializeOwned>(response: &Response) -> Result<T, ServiceError> {
+    serde_json::from_slice(&response.body).map_err(|_| ServiceError::Unknown)
 }
 
 /// How calls of a service went: counts, and when the last ones were.
@@ -111,7 +111,7 @@
 }
 
 impl CallStatistics {
-    fn record<T>(&mut self, result: &Result<T, Failure>) {
+    fn record<T>(&mut self, result: &Result<T, ServiceError>) {
         let now = Some(Instant::now());
         if result.is_ok() {
             self.answered += 1;
--- a/src/transport/clients/state.rs
+++ b/src/transport/clients/state.rs
@@ -2,7 +2,7 @@
 //! within the published limits on requests and writes.
 
 use super::service::{self, Request, Service};
-use super::{CallStatistics, Failure, Priority, TimedResult};
+use super::{CallStatistics, Priority, ServiceError, TimedResult};
 use crate::protocol::settings::Settings;
 use crate::protocol::state::{Conflict, Entry, Lease, LeaseRequest, Listing, News, Revision, Txn};
 use crate::transport::http::{Http, Response};
@@ -71,7 +71,7 @@
     }
 
     /// Waits for the turn of a request that writes so many keys.
-    async fn wait_for_turn(&self, writes: usize, priority: Priority) -> Result<(), Failure> {
+    async fn wait_for_turn(&self, writes: usize, priority: Priority) -> Result<(), ServiceError> {
         for _ in 0..MAX_TURN_ATTEMPTS {
             let Err(wait_s) = self.take_tokens(writes, priority) else {
                 return Ok(());
@@ -79,7 +79,7 @@
             let wait_s = wait_s.clamp(MIN_WAIT_S, MAX_WAIT_S);
             actix_rt::time::sleep(Duration::from_secs_f64(wait_s)).await;
         }
-        Err(Failure::Refused)
+        Err(ServiceError::Refused)
     }
 
     /// Takes the tokens of one request, or says how long to wait for them.
@@ -97,7 +97,7 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, ServiceError> {
         self.call_within(method, path, body, CALL_TIMEOUT_S).await
     }
 
@@ -107,7 +107,7 @@
         path: &str,
         body: Option<Vec<u8>>,
         timeout_s: f64,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, ServiceError> {
         let request = Request {
             method,
             path,
@@ -124,7 +124,7 @@
     }
 
     /// How calls of the state service went so far; watches are not counted.
-    pub fn met(&self) -> CallStatistics {
+    pub fn statistics(&self) -> CallStatistics {
         self.service.statistics()
     }
 
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// The call failed.
-    pub async fn get(&self, key: &str, priority: Priority) -> Result<Option<Entry>, Failure> {
+    pub async fn get(&self, key: &str, priority: Priority) -> Result<Option<Entry>, ServiceError> {
         self.timed_get(key, priority).await.result
     }
 
@@ -147,13 +147,13 @@
         TimedResult { result, sent_at }
     }
 
-    async fn send_get(&self, key: &str) -> Result<Option<Entry>, Failure> {
+    async fn send_get(&self, key: &str) -> Result<Option<Entry>, ServiceError> {
         let path = format!("/keys/{key}");
         let response = self.call(Method::GET, &path, None).await?;
         match response.status {
             200 => service::decode(&response).map(Some),
             404 => Ok(None),
-            status => Err(Failure::Status(status)),
+            status => Err(ServiceError::Status(status)),
         }
     }
 
@@ -166,7 +166,7 @@
         &self,
         prefix: &str,
         priority: Priority,
-    ) -> Result<(Vec<Entry>, u64), Failure> {
+    ) -> Result<(Vec<Entry>, u64), ServiceError> {
         let mut all: Vec<Entry> = Vec::new();
         let mut revision = None;
         loop {
@@ -182,14 +182,14 @@
     }
 
     /// Reads the page of a listing that follows the entry `last`.
-    async fn page(&self, prefix: &str, last: Option<&Entry>) -> Result<Listing, Failure> {
+    async fn page(&self, prefix: &str, last: Option<&Entry>) -> Result<Listing, ServiceError> {
         let since = last.map(|entry| format!("&since={}", entry.key));
         let since = since.unwrap_or_default();
         let path = format!("/keys?under={prefix}&limit={PAGE_ENTRIES}{since}");
         let response = self.call(Method::GET, &path, None).await?;
         match response.status {
             200 => service::decode(&response),
-            status => Err(Failure::Status(status)),
+            status => Err(ServiceError::Status(status)),
         }
     }
 
@@ -197,7 +197,7 @@
     ///
     /// # Errors
     /// The call failed, or a condition of the transaction did.
-    pub async fn txn(&self, txn: &Txn, priority: Priority) -> Result<u64, Failure> {
+    pub async fn txn(&self, txn: &Txn, priority: Priority) -> Result<u64, ServiceError> {
         self.timed_txn(txn, priority).await.result
     }
 
@@ -213,16 +213,16 @@
         TimedResult { result, sent_at }
     }
 
-    async fn send_txn(&self, txn: &Txn) -> Result<u64, Failure> {
+    async fn send_txn(&self, txn: &Txn) -> Result<u64, ServiceError> {
         let body = service::encode(txn)?;
         let response = self.call(Method::POST, "/multi", Some(body)).await?;
         match response.status {
             200 => service::decode::<Revision>(&response).map(|r| r.revision),
-            409 => Err(Failure::Conflict(
+            409 => Err(ServiceError::Conflict(
                 service::decode::<Conflict>(&response)?.failed,
             )),
-            400 if names_no_lease(&response.body) => Err(Failure::NoLease),
-            status => Err(Failure::Status(status)),
+            400 if names_no_lease(&response.body) => Err(ServiceError::LeaseNotFound),
+            status => Err(ServiceError::Status(status)),
         }
     }
 
@@ -230,7 +230,7 @@
     ///
     /// # Errors
     /// The call failed.
-    pub async fn grant(&self, ttl_s: f64) -> Result<u64, Failure> {
+    pub async fn grant(&self, ttl_s: f64) -> Result<u64, ServiceError> {
         self.wait_for_turn(0, Priority::Control).await?;
         let body = service::encode(&LeaseRequest {
             ttl_ms: (ttl_s * 1000.0) as u64,
@@ -238,7 +238,7 @@
         let response = self.call(Method::POST, "/leases", Some(body)).await?;
         match response.status {
             200 => service::decode::<Lease>(&response).map(|l| l.lease),
-            status => Err(Failure::Status(status)),
+            status => Err(ServiceError::Status(status)),
         }
     }
 
@@ -249,7 +249,7 @@
     ///
     /// # Errors
     /// The call failed, or the lease has expired.
-    pub async fn renew(&self, lease: u64, timeout_s: f64) -> Result<(), Failure> {
+    pub async fn renew(&self, lease: u64, timeout_s: f64) -> Result<(), ServiceError> {
         self.wait_for_turn(0, Priority::Control).await?;
         let path = format!("/leases/{lease}/extend");
         let body = Some(b"{}".to_vec());
@@ -257,8 +257,8 @@
         let renewal = self.call_within(Method::POST, &path, body, timeout_s);
         match renewal.await?.status {
             200 => Ok(()),
-            404 => Err(Failure::NoLease),
-            status => Err(Failure::Status(status)),
+            404 => Err(ServiceError::LeaseNotFound),
+            status => Err(ServiceError::Status(status)),
         }
     }
 
@@ -266,7 +266,7 @@
     ///
     /// # Errors
     /// The call failed.
-    pub async fn end_lease(&self, lease: u64) -> Result<(), Failure> {
+    pub async fn revoke_lease(&self, lease: u64) -> Result<(), ServiceError> {
         self.wait_for_turn(0, Priority::Control).await?;
         let path = format!("/leases/{lease}");
         self.call(Method::DELETE, &path, None).await.map(|_| ())
@@ -277,7 +277,7 @@
     ///
     /// # Errors
     /// The call failed, or the revision is compacted ([`Failure::Gone`]).
-    pub async fn watch(&self, prefix: &str, since: u64, wait_s: f64) -> Result<News, Failure> {
+    pub async fn watch(&self, prefix: &str, since: u64, wait_s: f64) -> Result<News, ServiceError> {
         self.wait_for_turn(0, Priority::Control).await?;
         let wait_ms = (wait_s * 1000.0) as u64;
         let request = Request {
@@ -290,8 +290,8 @@
         let response = service::not_overloaded(response)?;
         match response.status {
             200 => service::decode(&response),
-            410 => Err(Failure::Gone),
-            status => Err(Failure::Status(status)),
+            410 => Err(ServiceError::Compacted),
+            status => Err(ServiceError::Status(status)),
         }
     }
 }
--- a/src/transport/clients/workers.rs
+++ b/src/transport/clients/workers.rs
@@ -70,12 +70,12 @@
     }
 
     /// How many addresses a connection may be kept to.
-    pub fn kept(&self) -> usize {
+    pub fn kept_connections(&self) -> usize {
         self.pool.borrow().addresses.len()
     }
 
     /// The process's sockets.
-    pub fn share(&self) -> &Sockets {
+    pub fn process_sockets(&self) -> &Sockets {
         &self.process_sockets
     }
 
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -12,8 +12,3 @@
 pub mod listen;
 pub mod sockets;
 pub mod token_bucket;
-
-/// Former path of [`token_bucket`].
-pub mod budget {
-    pub use super::token_bucket::TokenBucket as Budget;
-}
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -7,7 +7,9 @@
 use common::*;
 use foxspur::coordination::agents::direct_calls::CallResult;
 use foxspur::coordination::agents::heartbeat::HeartbeatReply;
-use foxspur::coordination::leadership::cancellation_horizon::{blind_s, CancellationHorizon};
+use foxspur::coordination::leadership::cancellation_horizon::{
+    staleness_bound_s, CancellationHorizon,
+};
 use foxspur::coordination::leadership::confirmed_cancellations::ConfirmedCancellations;
 use foxspur::coordination::leadership::queries::PeerAnswer;
 use foxspur::coordination::node::Node;
@@ -15,7 +17,7 @@
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Settings;
 use foxspur::protocol::worker::{Command, Phase};
-use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::completed_tasks::CompletedTasks;
 use foxspur::storage::records::TerminalRecord;
 use foxspur::transport::sockets::Sockets;
 
@@ -95,7 +97,7 @@
     );
     // The sum of the bound and a lease stays below `cancel_s`.
     for (cancel_s, lease_s) in [(40.0, 10.0), (51.0, 31.0), (47.5, 17.5)] {
-        assert!(blind_s(cancel_s, lease_s) + 1.0006 * lease_s < cancel_s - 1.0);
+        assert!(staleness_bound_s(cancel_s, lease_s) + 1.0006 * lease_s < cancel_s - 1.0);
     }
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -69,9 +69,9 @@
 pub fn scheduler_config(teams: Vec<Team>) -> SchedulerConfig {
     SchedulerConfig {
         lease_s: LEASE_S,
-        report_s: 1.0,
+        heartbeat_s: 1.0,
         cancel_s: CANCEL_S,
-        round_s: 30.0,
+        retry_round_s: 30.0,
         teams,
         objectives: Vec::new(),
         policy: Policy::default(),
--- a/tests/delivery.rs
+++ b/tests/delivery.rs
@@ -35,7 +35,7 @@
 }
 
 fn doubted(scheduler: &Scheduler, id: &str) -> bool {
-    scheduler.machines[id].delivery.is_doubted()
+    scheduler.machines[id].delivery.is_doubtful()
 }
 
 /// Evidence that our answers do not reach a machine, and that they do. Guards against
@@ -390,9 +390,9 @@
         ("there is nobody else", Some(PeerContacts::default()), false),
     ] {
         let mut health = Readiness::default();
-        health.step(10.0, 9.9, 1.0, None);
+        health.update(10.0, 9.9, 1.0, None);
         assert_eq!(
-            health.step(12.0, 9.9, 1.0, found),
+            health.update(12.0, 9.9, 1.0, found),
             away.then_some(true),
             "{what}"
         );
@@ -404,7 +404,7 @@
             (14.4, 14.4, true),
             (14.7, 14.7, false),
         ] {
-            health.step(
+            health.update(
                 now,
                 contact_at,
                 1.0,
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -8,7 +8,7 @@
 use actix_web::http::Method;
 use common::*;
 use foxspur::coordination::leadership::LeadershipActor;
-use foxspur::coordination::node::draw_boot;
+use foxspur::coordination::node::draw_incarnation;
 use foxspur::storage::records::{self, ShardRecord};
 use rand::Rng;
 use simulated::users::{id, submission};
@@ -201,7 +201,9 @@
         let node = &self.controllers[leader].node;
         if self.draw(0..2) == 0 {
             *node.scheduler.borrow_mut() = None;
-            node.leadership.borrow_mut().resign(node.now(), draw_boot());
+            node.leadership
+                .borrow_mut()
+                .resign(node.now(), draw_incarnation());
         } else {
             self.refuse(leader).await;
         }
--- a/tests/imports.rs
+++ b/tests/imports.rs
@@ -171,3 +171,20 @@
         );
     }
 }
+
+/// Guards against a scheduler that depends on who leads, on loops or on outside services: a
+/// plan of a drain plays it alone.
+#[test]
+fn the_scheduler_imports_no_other_part_of_coordination() {
+    for (module, targets) in imports() {
+        if !module.starts_with("coordination::scheduler") {
+            continue;
+        }
+        let part = |t: &String| {
+            t.starts_with("coordination::") && !t.starts_with("coordination::scheduler")
+        };
+        let others: Vec<String> = targets.into_iter().filter(part).collect();
+        let allowed = others.iter().all(|t| t == "coordination::recent");
+        assert!(allowed, "{module} imports {others:?}");
+    }
+}
--- a/tests/leader_reachability.rs
+++ b/tests/leader_reachability.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use foxspur::coordination::agents::leader_reachability::{
-    out_of_reach, owner_unreached, RedirectCounter,
+    leader_unreached, out_of_reach, RedirectCounter,
 };
 use foxspur::coordination::scheduler::state::Scheduler;
 
@@ -44,7 +44,7 @@
 #[test]
 fn heartbeats_held_from_an_unreached_leader() {
     let mut redirects = RedirectCounter::default();
-    let held = |redirects: &mut RedirectCounter, now| owner_unreached(redirects.add(now));
+    let held = |redirects: &mut RedirectCounter, now| leader_unreached(redirects.add(now));
     assert!((0..7).all(|n| !held(&mut redirects, 100.0 + f64::from(n) * 0.1)));
     assert!(held(&mut redirects, 101.0));
     assert!(!held(&mut redirects, 120.0));
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -155,20 +155,20 @@
 #[test]
 fn a_controller_that_attempted_a_takeover_reports_nothing_to_the_leader() {
     let mut pair = Pair::new();
-    assert!(pair.standby.may_report_to(1));
+    assert!(pair.standby.may_report_cancellations_to(1));
     let late = pair.lose_lease();
-    assert!(pair.standby.knows_no_later_leader(1) && !pair.standby.may_report_to(1));
+    assert!(pair.standby.knows_no_later_leader(1) && !pair.standby.may_report_cancellations_to(1));
     // The leader is back, the record as it was: the attempt is still valid.
     let since = pair.store.revision;
     pair.get_new_lease();
     follow(&mut pair.standby, &pair.store, since);
-    assert!(!pair.standby.may_report_to(1));
+    assert!(!pair.standby.may_report_cancellations_to(1));
     // It is written once more: the attempt is void.
     let since = pair.store.revision;
     let update = pair.leader.reassert(5.6).expect("the lease is new");
     pair.store.apply(&update.txn).expect("still ours");
     follow(&mut pair.standby, &pair.store, since);
-    assert!(pair.standby.may_report_to(1) && pair.store.apply(&late.txn).is_err());
+    assert!(pair.standby.may_report_cancellations_to(1) && pair.store.apply(&late.txn).is_err());
 }
 
 /// Guards against a successor that counts on the silence of a leader of an older program,
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use foxspur::admin::{of_core, orders, MAX_BODY};
+use foxspur::admin::{orders, view_json, MAX_BODY};
 use foxspur::coordination::agents::heartbeat::HeartbeatReply;
 use foxspur::coordination::jobs::lookup::TerminalStates;
 use foxspur::coordination::jobs::version_check::RecordCache;
@@ -15,7 +15,7 @@
 use foxspur::protocol::job::{JobState, Urgency};
 use foxspur::protocol::mesh::{self, Topic};
 use foxspur::protocol::worker::Phase;
-use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::completed_tasks::CompletedTasks;
 use foxspur::storage::records::TerminalRecord;
 use foxspur::transport::sockets::Sockets;
 use std::rc::Rc;
@@ -89,7 +89,7 @@
         scheduler.handle_heartbeat(&report(&machine_name(n), 1, 1, 5, &shown), 1.0);
     }
     for topic in [Topic::Snapshot, Topic::Machines] {
-        let text = of_core(&scheduler, topic, 2.5).expect("a view");
+        let text = view_json(&scheduler, topic, 2.5).expect("a view");
         let answer = mesh::PeerResponse::View(5, text);
         let read = mesh::decode::<mesh::PeerResponse>(&mesh::encode(&answer));
         assert!(read.as_ref() == Some(&answer), "{topic:?}");
--- a/tests/pause/peers.rs
+++ b/tests/pause/peers.rs
@@ -129,7 +129,10 @@
     pub(crate) fn cancellations_asked(&mut self, call: Call, query: CancellationQuery) {
         let now = self.local_time(call.to);
         let controller = &self.controllers[call.to];
-        let reports = self.is_reachable(call) && controller.leadership.may_report_to(query.term);
+        let reports = self.is_reachable(call)
+            && controller
+                .leadership
+                .may_report_cancellations_to(query.term);
         let confirmed = controller
             .confirmed_cancellations
             .within(query.lookback_s, now);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -10,7 +10,7 @@
 use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::{JobSpec, Urgency};
 use foxspur::protocol::worker::{Cause, Command, Phase, Report, ReportHead};
-use foxspur::storage::chunks::{fitting, plan, txn, MachineRecord};
+use foxspur::storage::machine_record::{changes_that_fit, plan, txn, MachineRecord};
 use foxspur::storage::records::{chunk_number, machine_chunk_key, MachineInfo};
 
 /// A job of standard urgency.
@@ -59,7 +59,7 @@
         written.set(*at, chunk.clone(), 7);
     }
     assert_eq!(written.machines().count(), fleet.len());
-    let n = fitting(&first, 24, 48 * 1024);
+    let n = changes_that_fit(&first, 24, 48 * 1024);
     let bytes = serde_json::to_vec(&first[..n]).unwrap().len();
     assert!(
         (1..first.len()).contains(&n) && bytes < 64 * 1024,
@@ -69,7 +69,7 @@
     // A write without an answer may still change its chunk: the chunk is written again, so
     // that no task is started on a machine that the late write removes from the record, and
     // machines that it added come into use.
-    written.unsure(2);
+    written.mark_uncertain(2);
     let again = plan(&written, &refs(&fleet), 14_000);
     assert_eq!(again.iter().map(|c| c.0).collect::<Vec<_>>(), [2]);
     written.set(2, again[0].1.clone(), 7);
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -14,9 +14,9 @@
 use foxspur::protocol::settings::Team;
 use foxspur::protocol::state::Txn;
 use foxspur::protocol::worker::{Cause, Command, Phase, Report};
-use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::completed_tasks::CompletedTasks;
 use foxspur::storage::records::{self, FormerLeader, TermCounter, TOKENS_PER_TERM};
-use foxspur::transport::budget::Budget;
+use foxspur::transport::token_bucket::TokenBucket;
 use foxspur_testbed::store::Store;
 
 /// A task as a heartbeat shows it: name, attempt, phase, cause.
@@ -205,7 +205,7 @@
     // own, for which nothing is written.
     let late = 2.0 + CANCEL_S / 8.0;
     heartbeat(&mut scheduler, &report("m1", 1, 4, 5, &failed), late);
-    assert!(!scheduler.needs_higher_term(late));
+    assert!(!scheduler.raise_overdue_tokens(late));
     let (token, _) = answer(&mut scheduler, &report("m1", 1, 5, 5, &failed), late + 0.5);
     assert_eq!(token, 6);
     let reply = heartbeat(&mut scheduler, &report("m1", 1, 6, 6, &failed), late + 1.0);
@@ -282,7 +282,7 @@
         seq += 1;
         let result = CallResult::Executed(report("m1", 1, seq, token, &failed));
         scheduler.direct_call_finished(&name, &call, result, now + 0.1);
-        if scheduler.needs_higher_term(now) {
+        if scheduler.raise_overdue_tokens(now) {
             raised += 1;
             scheduler.raise_term(5 + TOKENS_PER_TERM);
         }
@@ -740,7 +740,7 @@
             .apply(&Txn::default().put(&key, &record))
             .expect("new");
         scheduler.add_job(record, added, CompletedTasks::default());
-        let mut budget = Budget::new(100.0, 100.0, 0.0);
+        let mut budget = TokenBucket::new(100.0, 100.0, 0.0);
         let mut batches = Vec::new();
         for (n, index) in [3, 150 % tasks].into_iter().enumerate() {
             let job = scheduler.jobs.get_mut("run-1").expect("known");
@@ -749,14 +749,14 @@
             let at = 100.0 * n as f64;
             scheduler.tick(at, at);
             let batch = completion_batch::plan(&scheduler, 32, 128, &mut budget, at).expect("due");
-            assert_eq!(batch.jobs[0].chunked, chunked);
+            assert_eq!(batch.completions[0].chunked, chunked);
             batches.push(batch);
             if n == 0 {
                 // No answer: the leader retries with what it has by then.
                 continue;
             }
             let version = store.apply(&batches[n].txn).expect("written");
-            let completed = batches[n].jobs[0].completed.clone();
+            let completed = batches[n].completions[0].completed.clone();
             scheduler.completions_written("run-1", &completed, version);
         }
         let before = store.list("fx/").len();
--- a/tests/simulation/leader.rs
+++ b/tests/simulation/leader.rs
@@ -105,7 +105,7 @@
         if now >= self.drains_heard_at {
             scheduler.set_drains(&self.drains);
         }
-        if scheduler.needs_higher_term(now) {
+        if scheduler.raise_overdue_tokens(now) {
             self.term += TOKENS_PER_TERM;
             scheduler.raise_term(self.term);
         }
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -22,7 +22,7 @@
 use foxspur::protocol::admin::{Drain, Rest};
 use foxspur::protocol::job::{JobSpec, Urgency};
 use foxspur::protocol::worker::{Cause, Command, Direct, Phase, Reply, Report, Shown};
-use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::completed_tasks::CompletedTasks;
 use foxspur::storage::records::{LiveJob, MachineInfo, TOKENS_PER_TERM};
 use leader::{JobNews, Leader};
 use meetings::{Meeting, MeetingCounts, MEETINGS};
@@ -157,7 +157,7 @@
 /// limits hang on the one, the fence on the other.
 fn check_kept_counts(scheduler: &Scheduler) {
     assert!((scheduler.usage().cpus() - scheduler.count_usage().cpus()).abs() < 1e-6);
-    if let Some(awaited) = scheduler.unfenced_count() {
+    if let Some(awaited) = scheduler.machines_blocking_placement() {
         let all = scheduler
             .machines
             .values()
--- a/tests/simulation/trouble.rs
+++ b/tests/simulation/trouble.rs
@@ -164,7 +164,7 @@
     /// Whether the leader changed and does not know of all machines yet, or stands still.
     pub(crate) fn leader_changes(&self) -> bool {
         let leader = self.leaders.last();
-        let fresh = leader.is_some_and(|l| l.scheduler.unfenced_count() != Some(0));
+        let fresh = leader.is_some_and(|l| l.scheduler.machines_blocking_placement() != Some(0));
         fresh || !self.paused.is_empty()
     }
 
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -55,7 +55,7 @@
         }
         most = most.max(open.get());
     }
-    let spare = client.share().to_workers();
+    let spare = client.process_sockets().to_workers();
     assert!(
         most > spare / 2 && most <= 2 * spare,
         "{most} open, {spare} to spare"
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -7,7 +7,7 @@
 use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::worker::{Command, Phase, Report};
-use foxspur::storage::marks::CompletedTasks;
+use foxspur::storage::completed_tasks::CompletedTasks;
 
 /// A heartbeat of a machine in this zone that shows these tasks running.
 fn running(machine: &str, zone: &str, seq: u64, tasks: &[(&str, u64)]) -> Report {
