--- a/src/admin/orders.rs
+++ b/src/admin/orders.rs
@@ -278,7 +278,7 @@
                 return Ok(wanted.into_iter().collect());
             }
             WriteProgress::Conflict { written } => {
-                ended.extend(hosts[..written].iter().map(|host| host.to_string()));
+                ended.extend(hosts[..written].iter().map(|host| (*host).clone()));
             }
         }
     }
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -77,7 +77,7 @@
 /// token.
 fn take_unsent_commands(machine: &mut Machine, token: u64) -> Vec<Command> {
     let mut commands = Vec::new();
-    for (key, attempt) in machine.attempts.iter_mut() {
+    for (key, attempt) in &mut machine.attempts {
         if !attempt.unsent || attempt.has_exited() {
             continue;
         }
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -121,7 +121,7 @@
     evidence: &mut EvidenceSummary,
 ) -> Vec<AttemptId> {
     let mut gone = Vec::new();
-    for (key, attempt) in machine.attempts.iter_mut() {
+    for (key, attempt) in &mut machine.attempts {
         let shown = attempt.last_shown == machine.last_message;
         settle_commands(attempt, shown, source, machine.seen_token, evidence);
         let shown_before = attempt.phase.is_some();
--- a/src/coordination/agents/task_reconciliation.rs
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -261,7 +261,7 @@
         if job.retries <= 1 {
             tracing::warn!(job = %job_name, machine = %name, "fails everywhere");
         }
-        for blamed in job.failed_on.iter() {
+        for blamed in &job.failed_on {
             if let Some(machine) = self.machines.get_mut(blamed) {
                 machine.recent_failures.retain(|failed| failed != job_name);
             }
--- a/src/coordination/fleet/rollout.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -216,7 +216,7 @@
     let nth = |n: usize| zones.iter().filter_map(move |(_, hosts)| hosts.get(n));
     (0..longest.unwrap_or(0))
         .flat_map(nth)
-        .map(|host| host.to_string())
+        .map(std::string::ToString::to_string)
         .collect()
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,6 +11,8 @@
 //! - [`handlers`] and [`admin`]: the calls of users, workers, controllers and operators.
 //! - [`app`]: ties all together into a process.
 
+#![warn(clippy::unwrap_used)]
+
 pub mod admin;
 pub mod app;
 pub mod coordination;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,7 @@
 //! The foxspur controller.
 
+#![warn(clippy::unwrap_used)]
+
 use clap::Parser;
 use foxspur::protocol::policy::{Policy, PolicyError};
 use foxspur::protocol::settings::{Settings, SettingsError};
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -117,7 +117,11 @@
         (f64::INFINITY, 121.0, None),
         (0.5, 121.0, Some(vec![])),
     ] {
-        let report = report.map(|jobs| jobs.iter().map(|id| id.to_string()).collect::<Vec<_>>());
+        let report = report.map(|jobs| {
+            jobs.iter()
+                .map(std::string::ToString::to_string)
+                .collect::<Vec<_>>()
+        });
         assert_eq!(confirmed.within(for_s, now), report, "{for_s}");
     }
     for n in 0..16_384 {
--- a/tests/drain_testbed.rs
+++ b/tests/drain_testbed.rs
@@ -105,7 +105,11 @@
     actix_rt::System::new().block_on(async {
         let program = Path::new(env!("CARGO_BIN_EXE_foxspur"));
         let testbed = Testbed::up(site, program, dir.path()).await.unwrap();
-        let at: Vec<String> = testbed.admins.iter().map(|a| a.to_string()).collect();
+        let at: Vec<String> = testbed
+            .admins
+            .iter()
+            .map(std::string::ToString::to_string)
+            .collect();
         let outbox = Outbox::open(&dir.path().join("outbox"), true).unwrap();
         let settings = Settings::new([format!("http://{}", testbed.front)]);
         let client = Client::with_outbox(settings, outbox).unwrap();
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -101,6 +101,7 @@
 /// Guards against work that is stopped for nothing, or kept although the
 /// operator said otherwise.
 #[test]
+#[allow(clippy::too_many_lines, reason = "one table of cases")]
 fn drain_decisions() {
     let plain = AttemptOutlook {
         endless: false,
@@ -616,7 +617,7 @@
         by: "someone".into(),
         why: "a new kernel".into(),
         at_ms: 0,
-        hosts: hosts.iter().map(|h| h.to_string()).collect(),
+        hosts: hosts.iter().map(std::string::ToString::to_string).collect(),
         at_most,
         rest: Rest::Leave,
         deadline_s: None,
@@ -695,6 +696,7 @@
 /// Guards against a rollout that takes more of a zone than it may, goes on although
 /// its promise is broken, or never ends.
 #[test]
+#[allow(clippy::too_many_lines, reason = "one table of cases")]
 fn rollout_steps() {
     let hosts = ["m-0", "m-3", "m-1", "m-4"];
     let own = |host: &str, at_ms: u64, drained_ms: Option<u64>| {
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -15,7 +15,7 @@
 fn leadership(host: &str, peers: &[&str], incarnation: u64) -> Leadership {
     let config = LeadershipConfig {
         host: host.into(),
-        peers: peers.iter().map(|peer| peer.to_string()).collect(),
+        peers: peers.iter().map(std::string::ToString::to_string).collect(),
         teams: Vec::new(),
         lease_ttl_s: LEASE_TTL_S,
         longest_silence_s: 96.0,
