--- a/crates/client/src/engine/mod.rs
+++ b/crates/client/src/engine/mod.rs
@@ -80,7 +80,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|e| e.into_inner())
+        self.state
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Ends the driver; attempts under way are given up, the outbox keeps their jobs.
--- a/crates/client/src/outbox/backend.rs
+++ b/crates/client/src/outbox/backend.rs
@@ -25,7 +25,10 @@
 impl Place {
     /// The offset in bytes.
     pub fn get(&self) -> u64 {
-        self.0.lock().unwrap_or_else(|e| e.into_inner()).last_read
+        self.0
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
+            .last_read
     }
 }
 
@@ -65,7 +68,9 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(|e| e.into_inner())
+        self.held
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Writes what was held back, and holds back no more.
--- a/crates/plan/src/html.rs
+++ b/crates/plan/src/html.rs
@@ -77,7 +77,7 @@
             .draw()?;
         for (lane, (host, spans)) in lanes.iter().enumerate() {
             let y = (lanes.len() - 1 - lane) as f64;
-            for span in spans.iter() {
+            for span in *spans {
                 let colour = if span.completed { &GREEN } else { &RED };
                 let (from, to) = (span.from_s.max(0.0), span.to_s.min(end));
                 if from < to {
--- a/crates/plan/tests/fair.rs
+++ b/crates/plan/tests/fair.rs
@@ -191,7 +191,7 @@
     });
     let mut jobs = Vec::new();
     stream(&mut jobs, 5.0, 8, true, |j| {
-        j.types = Some(vec!["rare".into()])
+        j.types = Some(vec!["rare".into()]);
     });
     stream(&mut jobs, 5.0, 8, false, as_is);
     let shares = served(&shard, jobs);
--- a/crates/plan/tests/plan.rs
+++ b/crates/plan/tests/plan.rs
@@ -45,7 +45,7 @@
 
 fn order(hosts: &[&str], deadline_s: Option<f64>, rest: Rest) -> Order {
     Order {
-        hosts: hosts.iter().map(|h| h.to_string()).collect(),
+        hosts: hosts.iter().map(std::string::ToString::to_string).collect(),
         deadline_s,
         rest,
         start_s: 0.0,
--- a/crates/report/src/log.rs
+++ b/crates/report/src/log.rs
@@ -129,7 +129,7 @@
     }
 
     fn text(&self, message: &'static str, field: &'static str) -> Result<String, Unreadable> {
-        let value = self.fields.get(field).map(|value| value.to_string());
+        let value = self.fields.get(field).map(std::string::ToString::to_string);
         value.ok_or_else(|| self.unreadable(message, field))
     }
 
--- a/crates/testbed/src/commands/up.rs
+++ b/crates/testbed/src/commands/up.rs
@@ -130,7 +130,11 @@
         testbed.fronts.len()
     );
     println!("control http://{}", testbed.control);
-    let admins: Vec<String> = testbed.admins.iter().map(|a| a.to_string()).collect();
+    let admins: Vec<String> = testbed
+        .admins
+        .iter()
+        .map(std::string::ToString::to_string)
+        .collect();
     println!("operate export FOXSPUR_AT={}", admins.join(","));
 }
 
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -143,7 +143,9 @@
 
 impl History {
     fn lock(&self) -> MutexGuard<'_, Vec<Entry>> {
-        self.entries.lock().unwrap_or_else(|e| e.into_inner())
+        self.entries
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Seconds since the history began.
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -64,11 +64,19 @@
 impl LoadCounters {
     /// The counts so far.
     pub fn counts(&self) -> Counts {
-        self.inner.lock().unwrap_or_else(|e| e.into_inner()).clone()
+        self.inner
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
+            .clone()
     }
 
     fn add(&self, change: impl FnOnce(&mut Counts)) {
-        change(&mut self.inner.lock().unwrap_or_else(|e| e.into_inner()));
+        change(
+            &mut self
+                .inner
+                .lock()
+                .unwrap_or_else(std::sync::PoisonError::into_inner),
+        );
     }
 }
 
--- a/crates/testbed/src/machines/mod.rs
+++ b/crates/testbed/src/machines/mod.rs
@@ -102,7 +102,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Pool> {
-        self.pool.lock().unwrap_or_else(|e| e.into_inner())
+        self.pool
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Stores a job's description, which workers read when a task of it starts.
--- a/crates/testbed/src/state.rs
+++ b/crates/testbed/src/state.rs
@@ -140,7 +140,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(|e| e.into_inner())
+        self.inner
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// The data, unless the service is unavailable or refuses this controller.
