--- a/src/transport/clients/state.rs
+++ b/src/transport/clients/state.rs
@@ -276,7 +276,7 @@
     /// at most.
     ///
     /// # Errors
-    /// The call failed, or the revision is compacted ([`Failure::Gone`]).
+    /// The call failed, or the revision is compacted ([`ServiceError::Compacted`]).
     pub async fn watch(&self, prefix: &str, since: u64, wait_s: f64) -> Result<News, ServiceError> {
         self.wait_for_turn(0, Priority::Control).await?;
         let wait_ms = (wait_s * 1000.0) as u64;
