--- a/crates/testbed/examples/against_naive.rs
+++ b/crates/testbed/examples/against_naive.rs
@@ -109,10 +109,10 @@
             let testbed = Testbed::up(site.clone(), &program, dir.path()).await.expect("up");
             let front = format!("http://{}", testbed.front);
             tokio::time::sleep(Duration::from_secs(3)).await;
-            testbed.trouble.set(cut, 0);
+            testbed.connection_faults.set(cut, 0);
             let (mut wall, mut p99) = (Vec::new(), Vec::new());
             for caller in [Caller::Library, Caller::NaiveSameId, Caller::Naive] {
-                let exist = |w: &Testbed| w.state.count("fx/live/") + w.state.count("fx/fin/");
+                let exist = |t: &Testbed| t.state.count("fx/live/") + t.state.count("fx/fin/");
                 let before = exist(&testbed);
                 let (s, times) = run(caller, front.clone(), testbed.site.clone()).await;
                 let made = exist(&testbed) - before;
--- a/crates/testbed/src/balancer.rs
+++ b/crates/testbed/src/balancer.rs
@@ -1,76 +1,108 @@
-//! The load balancer of connections, and what goes wrong on them: cut after any
-//! byte of the answers, or delayed.
+//! The load balancer: it carries each connection to a healthy controller with few open ones,
+//! and can cut or delay the answers.
 
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What it does to connections; clones share it.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The most controllers tried for one connection.
+const MAX_TRIES: usize = 3;
+/// Answers are carried in pieces of at most so many bytes.
+const PIECE_BYTES: usize = 4096;
+
+/// Faults that are injected into connections; clones share them.
 #[derive(Clone, Default)]
-pub struct Trouble {
-    /// Of a thousand answers, how many are cut, with their connection.
-    cut: Arc<AtomicU64>,
+pub struct ConnectionFaults {
+    /// Of a thousand pieces of answers, how many are cut, with their connection.
+    cut_per_thousand: Arc<AtomicU64>,
     /// Delay of each piece, in milliseconds.
     delay_ms: Arc<AtomicU64>,
     /// The next answer is cut after so many bytes, less one; 0 for none.
     reset: Arc<AtomicUsize>,
-    pub cuts: Arc<AtomicUsize>,
+    cuts: Arc<AtomicUsize>,
 }
 
-impl Trouble {
-    pub fn set(&self, cut_of_thousand: u64, delay_ms: u64) {
-        self.cut.store(cut_of_thousand, Ordering::Relaxed);
+impl ConnectionFaults {
+    /// From now on cuts so many answers of a thousand, and delays each piece.
+    pub fn set(&self, cut_per_thousand: u64, delay_ms: u64) {
+        self.cut_per_thousand
+            .store(cut_per_thousand, Ordering::Relaxed);
         self.delay_ms.store(delay_ms, Ordering::Relaxed);
     }
 
     /// Cuts the next answer after just this many bytes.
-    pub fn reset_at(&self, bytes: usize) {
+    pub fn reset_after(&self, bytes: usize) {
         self.reset.store(bytes + 1, Ordering::Relaxed);
     }
+
+    /// How many connections were cut so far.
+    pub fn cuts(&self) -> usize {
+        self.cuts.load(Ordering::Relaxed)
+    }
+
+    async fn delay(&self) {
+        let delay_ms = self.delay_ms.load(Ordering::Relaxed);
+        if delay_ms > 0 {
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
+        }
+    }
+
+    /// After how many bytes a piece of an answer is cut, if it is: anywhere in it, or before
+    /// its first byte.
+    fn cut_within(&self, piece_bytes: usize) -> Option<usize> {
+        let cut = rand::random_range(0..1000) < self.cut_per_thousand.load(Ordering::Relaxed);
+        match (self.reset.swap(0, Ordering::Relaxed), cut) {
+            (0, false) => None,
+            (0, true) => Some(rand::random_range(0..piece_bytes)),
+            (reset, _) => Some((reset - 1).min(piece_bytes)),
+        }
+    }
 }
 
-struct Node {
+/// A controller behind the load balancer.
+struct Backend {
     addr: SocketAddr,
-    healthy: std::sync::atomic::AtomicBool,
-    open: AtomicUsize,
+    healthy: AtomicBool,
+    open_connections: AtomicUsize,
 }
 
 /// Serves at `listener` until the runtime ends.
-pub fn run(listener: TcpListener, nodes: Vec<SocketAddr>, trouble: Trouble) {
-    let nodes: Arc<Vec<Node>> = Arc::new(
-        (nodes.into_iter())
-            .map(|addr| Node {
-                addr,
-                healthy: false.into(),
-                open: AtomicUsize::new(0),
-            })
-            .collect(),
-    );
-    for n in 0..nodes.len() {
-        let nodes = nodes.clone();
-        tokio::spawn(async move {
-            loop {
-                let up = tokio::time::timeout(Duration::from_secs(1), probe(nodes[n].addr)).await;
-                nodes[n]
-                    .healthy
-                    .store(matches!(up, Ok(Some(()))), Ordering::Relaxed);
-                tokio::time::sleep(Duration::from_millis(500)).await;
-            }
-        });
+pub fn run(listener: TcpListener, backends: Vec<SocketAddr>, faults: ConnectionFaults) {
+    let backends = backends.into_iter().map(|addr| Backend {
+        addr,
+        healthy: false.into(),
+        open_connections: AtomicUsize::new(0),
+    });
+    let backends: Arc<Vec<Backend>> = Arc::new(backends.collect());
+    for index in 0..backends.len() {
+        let backends = backends.clone();
+        tokio::spawn(async move { check_health(&backends[index]).await });
     }
     tokio::spawn(async move {
         while let Ok((user, _)) = listener.accept().await {
-            let (nodes, trouble) = (nodes.clone(), trouble.clone());
+            let (backends, faults) = (backends.clone(), faults.clone());
             tokio::spawn(async move {
-                let _ = carry(user, &nodes, &trouble).await;
+                let _ = carry(user, &backends, &faults).await;
             });
         }
     });
 }
 
+async fn check_health(backend: &Backend) {
+    loop {
+        let check = tokio::time::timeout(HEALTH_CHECK_TIMEOUT, probe(backend.addr)).await;
+        let healthy = matches!(check, Ok(Some(())));
+        backend.healthy.store(healthy, Ordering::Relaxed);
+        tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
+    }
+}
+
 /// `GET /up` on a connection of its own.
 async fn probe(addr: SocketAddr) -> Option<()> {
     let mut stream = TcpStream::connect(addr).await.ok()?;
@@ -81,64 +113,54 @@
     (&head[9..] == b"200").then_some(())
 }
 
-/// Carries one connection to a healthy node, at most three tries.
-async fn carry(user: TcpStream, nodes: &[Node], trouble: &Trouble) -> Option<()> {
-    let mut order: Vec<&Node> = nodes.iter().collect();
-    let healthy = |n: &Node| n.healthy.load(Ordering::Relaxed);
-    order.retain(|n| healthy(n));
-    order.sort_by_key(|n| n.open.load(Ordering::Relaxed));
-    for node in order.into_iter().take(3) {
-        let connect = TcpStream::connect(node.addr);
-        let connected = tokio::time::timeout(Duration::from_millis(500), connect).await;
+/// Carries one connection to the healthy backend with the fewest open ones that accepts it.
+async fn carry(user: TcpStream, backends: &[Backend], faults: &ConnectionFaults) -> Option<()> {
+    let mut order: Vec<&Backend> = backends.iter().collect();
+    order.retain(|backend| backend.healthy.load(Ordering::Relaxed));
+    order.sort_by_key(|backend| backend.open_connections.load(Ordering::Relaxed));
+    for backend in order.into_iter().take(MAX_TRIES) {
+        let connect = TcpStream::connect(backend.addr);
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, connect).await;
         let Ok(Ok(stream)) = connected else {
             continue;
         };
-        node.open.fetch_add(1, Ordering::Relaxed);
-        let ended = exchange(user, stream, trouble).await;
-        node.open.fetch_sub(1, Ordering::Relaxed);
+        backend.open_connections.fetch_add(1, Ordering::Relaxed);
+        let ended = exchange(user, stream, faults).await;
+        backend.open_connections.fetch_sub(1, Ordering::Relaxed);
         return ended;
     }
     None
 }
 
-async fn exchange(user: TcpStream, node: TcpStream, trouble: &Trouble) -> Option<()> {
+/// Carries bytes both ways until the backend ends or the answer is cut.
+async fn exchange(user: TcpStream, backend: TcpStream, faults: &ConnectionFaults) -> Option<()> {
     let (mut from_user, mut to_user) = user.into_split();
-    let (mut from_node, mut to_node) = node.into_split();
-    let there = async {
-        let _ = tokio::io::copy(&mut from_user, &mut to_node).await;
-        let _ = to_node.shutdown().await;
-        // The other way ends by itself.
+    let (mut from_backend, mut to_backend) = backend.into_split();
+    let requests = async {
+        let _ = tokio::io::copy(&mut from_user, &mut to_backend).await;
+        let _ = to_backend.shutdown().await;
+        // The answers end by themselves.
         std::future::pending::<()>().await;
     };
-    let back = async {
-        let mut piece = [0; 4096];
+    let answers = async {
+        let mut piece = [0; PIECE_BYTES];
         loop {
-            let n = from_node.read(&mut piece).await.ok()?;
-            if n == 0 {
+            let bytes = from_backend.read(&mut piece).await.ok()?;
+            if bytes == 0 {
                 return Some(());
             }
-            let delay = trouble.delay_ms.load(Ordering::Relaxed);
-            if delay > 0 {
-                tokio::time::sleep(Duration::from_millis(delay)).await;
-            }
-            let cut = rand::random_range(0..1000) < trouble.cut.load(Ordering::Relaxed);
-            let reset = trouble.reset.swap(0, Ordering::Relaxed);
-            // Anywhere in the answer, or before its first byte.
-            let left = match (reset, cut) {
-                (1.., _) => (reset - 1).min(n),
-                (0, true) => rand::random_range(0..n),
-                (0, false) => n,
-            };
-            let cut = cut || reset > 0;
-            to_user.write_all(&piece[..left]).await.ok()?;
-            if cut {
-                trouble.cuts.fetch_add(1, Ordering::Relaxed);
+            faults.delay().await;
+            let cut = faults.cut_within(bytes);
+            let carried = cut.unwrap_or(bytes);
+            to_user.write_all(&piece[..carried]).await.ok()?;
+            if cut.is_some() {
+                faults.cuts.fetch_add(1, Ordering::Relaxed);
                 return None;
             }
         }
     };
     tokio::select! {
-        () = there => None,
-        ended = back => ended,
+        () = requests => None,
+        ended = answers => ended,
     }
 }
--- a/crates/testbed/src/close_looks.rs
+++ b/crates/testbed/src/consistency_probe.rs
@@ -1,6 +1,6 @@
-//! Users that ask every controller at once, within milliseconds after a job was accepted,
-//! ended or cancelled. What they are told goes into the history, whose checker holds the
-//! answers against each other.
+//! A probe for monotonic reads: within milliseconds after a job was accepted, ended or
+//! cancelled, users ask every controller about it. The answers go into the history, whose
+//! checker compares them with each other.
 
 use crate::history::{Entry, Event, History, Status};
 use std::net::SocketAddr;
@@ -8,21 +8,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the history is looked at for something new.
-const LOOK: Duration = Duration::from_millis(5);
-/// How long a user waits for an answer to a poll.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How often the history is searched for new answers.
+const SCAN_INTERVAL: Duration = Duration::from_millis(5);
+/// How long a user waits for an answer.
+const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether users look closely at present; clones share it.
+/// Whether the probe is switched on at present; clones share it.
 #[derive(Clone, Default)]
-pub struct CloseLooks {
-    /// In milliseconds of the history.
+pub struct ConsistencyProbe {
+    /// Until when, in milliseconds of the history.
     until_ms: Arc<AtomicU64>,
 }
 
-impl CloseLooks {
-    /// Users look closely until this time of the history, in seconds.
-    pub fn until(&self, at_s: f64) {
+impl ConsistencyProbe {
+    /// Switches the probe on until this time of the history, in seconds.
+    pub fn run_until(&self, at_s: f64) {
         let at_ms = (at_s * 1000.0) as u64;
         self.until_ms.store(at_ms, Ordering::Relaxed);
     }
@@ -31,15 +31,16 @@
         ((now_s * 1000.0) as u64) < self.until_ms.load(Ordering::Relaxed)
     }
 
-    /// Asks whenever a user has just been told something, as long as the runtime lasts.
+    /// Asks all of `fronts` whenever a user was just told something. Runs as long as the
+    /// runtime.
     pub async fn run(self, history: History, fronts: Vec<SocketAddr>) {
-        let builder = reqwest::Client::builder().no_proxy().timeout(PATIENCE);
+        let builder = reqwest::Client::builder().no_proxy().timeout(TIMEOUT);
         let Ok(client) = builder.build() else {
             return;
         };
         let mut seen = 0;
         loop {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(SCAN_INTERVAL).await;
             let entries = history.entries_from(seen);
             seen += entries.len();
             if !self.active(history.now()) {
@@ -47,8 +48,8 @@
             }
             for job in entries.iter().filter_map(told_of) {
                 for front in &fronts {
-                    let look = look(client.clone(), history.clone(), *front, job.clone());
-                    actix_web::rt::spawn(look);
+                    let probe = probe(client.clone(), history.clone(), *front, job.clone());
+                    actix_web::rt::spawn(probe);
                 }
             }
         }
@@ -63,7 +64,7 @@
     }
 }
 
-async fn look(client: reqwest::Client, history: History, front: SocketAddr, job: String) {
+async fn probe(client: reqwest::Client, history: History, front: SocketAddr, job: String) {
     let begun = history.now();
     let request = client.get(format!("http://{front}/work/{job}"));
     let Ok(response) = request.send().await else {
@@ -78,7 +79,7 @@
     }
 }
 
-/// What an answer to a poll says, if it says anything.
+/// The status that an answer gives, if any.
 fn status_of(code: u16, body: &str) -> Option<Status> {
     let field = |text: &str| -> Option<String> {
         let value: serde_json::Value = serde_json::from_str(text).ok()?;
--- a/crates/testbed/src/controllers.rs
+++ b/crates/testbed/src/controllers.rs
@@ -1,22 +1,34 @@
 //! Real controller processes, killed, paused and started again.
 
 use crate::site::Site;
+use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use tokio::process::{Child, Command};
+use toml::Value;
 
-/// Where one controller listens, and where it finds the state service.
+/// How far the controllers' clocks may be apart, in milliseconds.
+const CLOCK_BOUND_MS: f64 = 5.0;
+/// How many lines of a log are shown of a controller that ended.
+const LOG_TAIL_LINES: usize = 5;
+
+/// Where one controller listens, and where it reaches the others and the state service.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Endpoints {
+    /// Its host name.
     pub name: String,
+    /// Its zone.
     pub zone: String,
+    /// Where it serves users and workers.
     pub front: SocketAddr,
+    /// Where it listens for other controllers.
     pub mesh: SocketAddr,
-    /// Where it reaches each controller.
+    /// Where it reaches each controller, by index.
     pub links: Vec<SocketAddr>,
-    /// The operators' API.
+    /// Where it serves operators.
     pub admin: SocketAddr,
+    /// Where it reaches the state service.
     pub state: SocketAddr,
 }
 
@@ -29,100 +41,114 @@
     child: Option<Child>,
 }
 
-/// A controller's settings file, as DEPLOY describes it.
-fn settings(site: &Site, places: &[Place], at: usize, cloud: SocketAddr) -> String {
-    use toml::{Table, Value};
-    let table = |pairs: Vec<(&str, Value)>| -> Value {
-        let pairs = pairs.into_iter().map(|(k, v)| (k.to_string(), v));
-        Value::Table(pairs.collect::<Table>())
-    };
-    let text = |s: &dyn std::fmt::Display| Value::String(s.to_string());
-    let me = &places[at];
-    let others = places
-        .iter()
-        .zip(&me.links)
-        .filter(|(p, _)| p.name != me.name);
-    let peers = others.map(|(p, link)| {
-        let addr = text(link);
-        table(vec![
-            ("host_name", text(&p.name)),
-            ("site", text(&p.zone)),
-            ("addr", addr),
-        ])
-    });
-    let teams = site.teams.iter().map(|t| {
-        table(vec![
-            ("name", text(&t.name)),
-            ("cpus", t.cpus.into()),
-            ("cpus_max", t.cpus_max.into()),
-        ])
-    });
-    let zones = site.zones.iter().map(|z| text(z)).collect();
-    let cluster = table(vec![
-        ("nodes", Value::Integer(places.len() as i64)),
-        ("zones", Value::Array(zones)),
-        ("time_bound_ms", 5.0.into()),
-        ("teams", Value::Array(teams.collect())),
-        (
-            "workers",
-            Value::try_from(&site.workers).unwrap_or(Value::Boolean(false)),
-        ),
-        (
-            "state",
-            Value::try_from(&site.state).unwrap_or(Value::Boolean(false)),
-        ),
-        (
-            "cloud",
-            Value::try_from(&site.cloud).unwrap_or(Value::Boolean(false)),
-        ),
-        (
-            "quota",
-            table(vec![
-                ("cpu", 1.0.into()),
-                ("memory_mb", 256.0.into()),
-                ("max_sockets", Value::Integer(1000)),
-            ]),
-        ),
-    ]);
-    let all = table(vec![
-        ("host_name", text(&me.name)),
-        ("site", text(&me.zone)),
-        ("front", text(&me.front)),
-        ("mesh_addr", text(&me.mesh)),
-        ("peers", Value::Array(peers.collect())),
+/// A TOML table.
+fn table<const N: usize>(pairs: [(&str, Value); N]) -> Value {
+    let pairs = pairs.into_iter().map(|(key, value)| (key.into(), value));
+    Value::Table(pairs.collect())
+}
+
+fn text(value: impl std::fmt::Display) -> Value {
+    Value::String(value.to_string())
+}
+
+/// A part of the site as it stands.
+fn part(part: impl Serialize) -> Value {
+    Value::try_from(part).unwrap_or(Value::Boolean(false))
+}
+
+/// A controller's settings file, as the deploy guide describes it.
+fn settings(site: &Site, endpoints: &[Endpoints], index: usize, cloud: SocketAddr) -> String {
+    let own = &endpoints[index];
+    let all = table([
+        ("host_name", text(&own.name)),
+        ("site", text(&own.zone)),
+        ("front", text(own.front)),
+        ("mesh_addr", text(own.mesh)),
+        ("peers", peers(endpoints, own)),
         (
             "services",
-            table(vec![("cloud", text(&cloud)), ("state", text(&me.state))]),
+            table([("cloud", text(cloud)), ("state", text(own.state))]),
         ),
-        ("cluster", cluster),
+        ("cluster", cluster(site, endpoints.len())),
     ]);
     toml::to_string(&all).unwrap_or_default()
 }
 
+/// The other controllers, each behind the link that leads to it.
+fn peers(endpoints: &[Endpoints], own: &Endpoints) -> Value {
+    let others = endpoints
+        .iter()
+        .zip(&own.links)
+        .filter(|(other, _)| other.name != own.name);
+    let peers = others.map(|(other, link)| {
+        table([
+            ("host_name", text(&other.name)),
+            ("site", text(&other.zone)),
+            ("addr", text(link)),
+        ])
+    });
+    Value::Array(peers.collect())
+}
+
+fn cluster(site: &Site, controllers: usize) -> Value {
+    let zones = site.zones.iter().map(text);
+    let teams = site.teams.iter().map(part);
+    table([
+        ("nodes", Value::Integer(controllers as i64)),
+        ("zones", Value::Array(zones.collect())),
+        ("time_bound_ms", CLOCK_BOUND_MS.into()),
+        ("teams", Value::Array(teams.collect())),
+        ("workers", part(&site.workers)),
+        ("state", part(&site.state)),
+        ("cloud", part(&site.cloud)),
+        ("quota", quota()),
+    ])
+}
+
+/// The resources that a controller may use.
+fn quota() -> Value {
+    table([
+        ("cpu", 1.0.into()),
+        ("memory_mb", 256.0.into()),
+        ("max_sockets", Value::Integer(1000)),
+    ])
+}
+
 impl Controller {
-    /// Writes its settings into `dir`; nothing is started yet.
+    /// Writes the settings of the controller `index` into `dir`; nothing is started yet.
+    ///
+    /// # Errors
+    ///
+    /// If a file cannot be written.
     pub fn new(
         program: &Path,
         dir: &Path,
         site: &Site,
-        places: &[Place],
-        at: usize,
+        endpoints: &[Endpoints],
+        index: usize,
         cloud: SocketAddr,
     ) -> std::io::Result<Controller> {
-        let path = dir.join(format!("{}.toml", places[at].name));
-        std::fs::write(&path, settings(site, places, at, cloud))?;
-        let policy = dir.join(format!("{}.lexpr", places[at].name));
-        std::fs::write(&policy, format!("((admin \"{}\"))\n", places[at].admin))?;
-        Ok(Controller {
+        let own = &endpoints[index];
+        let file = |extension: &str| dir.join(format!("{}.{extension}", own.name));
+        let controller = Controller {
             program: program.to_path_buf(),
-            settings: path,
-            policy,
-            log: dir.join(format!("{}.log", places[at].name)),
+            settings: file("toml"),
+            policy: file("lexpr"),
+            log: file("log"),
             child: None,
-        })
+        };
+        let settings = settings(site, endpoints, index, cloud);
+        std::fs::write(&controller.settings, settings)?;
+        let policy = format!("((admin \"{}\"))\n", own.admin);
+        std::fs::write(&controller.policy, policy)?;
+        Ok(controller)
     }
 
-    /// Starts the process; its log goes on in one file.
+    /// Starts the process; its log is appended to one file.
+    ///
+    /// # Errors
+    ///
+    /// If the log cannot be opened or the program does not start.
     pub fn start(&mut self) -> std::io::Result<()> {
         let log = std::fs::File::options()
             .create(true)
@@ -142,38 +168,44 @@
         Ok(())
     }
 
-    /// Whether the process runs; one that ended by itself is a finding.
-    pub fn runs(&mut self) -> bool {
+    /// Whether the process runs.
+    pub fn is_running(&mut self) -> bool {
         match &mut self.child {
             Some(child) => matches!(child.try_wait(), Ok(None)),
             None => false,
         }
     }
 
-    /// Kills it without a word.
+    /// Kills the process.
     pub async fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill().await;
         }
     }
 
-    /// Stops it where it is, or lets it go on.
-    pub async fn pause(&self, stand_still: bool) {
-        let pid = self.child.as_ref().and_then(Child::id);
-        if let Some(pid) = pid {
-            let signal = if stand_still { "-STOP" } else { "-CONT" };
-            let sent = Command::new("kill")
-                .arg(signal)
-                .arg(pid.to_string())
-                .status();
-            let _ = sent.await;
-        }
+    /// Stops the process where it is.
+    pub async fn pause(&self) {
+        self.signal("-STOP").await;
+    }
+
+    /// Lets a paused process go on.
+    pub async fn resume(&self) {
+        self.signal("-CONT").await;
+    }
+
+    async fn signal(&self, signal: &str) {
+        let Some(pid) = self.child.as_ref().and_then(Child::id) else {
+            return;
+        };
+        let mut kill = Command::new("kill");
+        let _ = kill.arg(signal).arg(pid.to_string()).status().await;
     }
 
-    /// What it logged last.
-    pub fn last_words(&self) -> String {
+    /// The last lines of its log.
+    pub fn log_tail(&self) -> String {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
-        let lines: Vec<&str> = log.lines().rev().take(5).collect();
-        lines.into_iter().rev().collect::<Vec<_>>().join("\n")
+        let lines: Vec<&str> = log.lines().collect();
+        let tail = lines.len().saturating_sub(LOG_TAIL_LINES);
+        lines[tail..].join("\n")
     }
 }
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -1,5 +1,5 @@
-//! The ways from each controller to each other one, so that one can be cut off from
-//! all the others while its workers still reach it.
+//! Network links from each controller to each other one, so that one can be partitioned from
+//! all others while its workers still reach it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,18 +7,36 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
+/// How often an open connection looks whether its link is cut.
+const CUT_POLL: Duration = Duration::from_millis(50);
+/// How long a new connection over a cut link stays silent.
+const CUT_SILENCE: Duration = Duration::from_secs(2);
+
+/// The link from one controller to another.
+#[derive(Debug, Clone, Copy)]
+pub struct Link {
+    /// Index of the controller that opens connections.
+    pub from: usize,
+    /// Index of the controller that accepts them.
+    pub to: usize,
+    /// Where that one listens.
+    pub target: SocketAddr,
+}
+
 /// Which controllers are cut off, and until when; clones share it.
 #[derive(Clone)]
 pub struct Links {
     start: Instant,
-    until_ms: Arc<Vec<AtomicU64>>,
+    /// By controller, in milliseconds from `start`.
+    cut_until_ms: Arc<Vec<AtomicU64>>,
 }
 
 impl Links {
+    /// Links of so many controllers; none is cut.
     pub fn new(controllers: usize) -> Links {
         Links {
             start: Instant::now(),
-            until_ms: Arc::new((0..controllers).map(|_| AtomicU64::new(0)).collect()),
+            cut_until_ms: Arc::new((0..controllers).map(|_| AtomicU64::new(0)).collect()),
         }
     }
 
@@ -26,47 +44,41 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    /// Cuts a controller off from the others, for this long.
+    /// Cuts a controller off from the others, for so many seconds.
     pub fn cut(&self, controller: usize, s: f64) {
         let until = self.now_ms() + (s * 1000.0) as u64;
-        self.until_ms[controller].store(until, Ordering::Relaxed);
+        self.cut_until_ms[controller].store(until, Ordering::Relaxed);
     }
 
-    fn down(&self, ends: (usize, usize)) -> bool {
+    fn is_cut(&self, link: Link) -> bool {
         let now = self.now_ms();
-        let down = |n: usize| now < self.until_ms[n].load(Ordering::Relaxed);
-        down(ends.0) || down(ends.1)
+        let cut = |n: usize| now < self.cut_until_ms[n].load(Ordering::Relaxed);
+        cut(link.from) || cut(link.to)
     }
 
-    /// Carries connections from one controller to another, which listens at `addr`.
-    pub fn carry(&self, listener: TcpListener, ends: (usize, usize), addr: SocketAddr) {
+    /// Carries the connections that `listener` accepts over a link.
+    pub fn carry(&self, listener: TcpListener, link: Link) {
         let links = self.clone();
         tokio::spawn(async move {
-            while let Ok((from, _)) = listener.accept().await {
+            while let Ok((connection, _)) = listener.accept().await {
                 let links = links.clone();
                 tokio::spawn(async move {
-                    if links.down(ends) {
-                        // A cut stays silent.
-                        tokio::time::sleep(Duration::from_secs(2)).await;
+                    if links.is_cut(link) {
+                        tokio::time::sleep(CUT_SILENCE).await;
                         return;
                     }
-                    let _ = links.exchange(from, ends, addr).await;
+                    let _ = links.exchange(connection, link).await;
                 });
             }
         });
     }
 
-    async fn exchange(
-        &self,
-        mut from: TcpStream,
-        ends: (usize, usize),
-        addr: SocketAddr,
-    ) -> std::io::Result<()> {
-        let mut to = TcpStream::connect(addr).await?;
-        let both = tokio::io::copy_bidirectional(&mut from, &mut to);
+    async fn exchange(&self, mut connection: TcpStream, link: Link) -> std::io::Result<()> {
+        let mut target = TcpStream::connect(link.target).await?;
+        let both = tokio::io::copy_bidirectional(&mut connection, &mut target);
         let cut = async {
-            while !self.down(ends) {
-                tokio::time::sleep(Duration::from_millis(50)).await;
+            while !self.is_cut(link) {
+                tokio::time::sleep(CUT_POLL).await;
             }
         };
         tokio::select! {
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,5 +1,5 @@
-//! Load through the client library: seeded arrivals, open loop, each job followed
-//! to its one final answer.
+//! The load generator: an open loop of seeded arrivals through the client library. Each job
+//! is followed to its terminal status.
 
 use crate::history::{Event, History};
 use crate::site::Site;
@@ -13,27 +13,42 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// What came of a load.
+/// The longest time that a histogram tells from others, in milliseconds.
+const MAX_LATENCY_MS: u64 = 3_600_000;
+/// How long one submission waits for the answer.
+const SUBMIT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Backoff before a submission without an answer is repeated.
+const SUBMIT_BACKOFF: Duration = Duration::from_millis(100);
+
+/// Counts of a running load; clones share them.
 #[derive(Clone, Default)]
-pub struct Tally {
+pub struct LoadCounters {
     inner: Arc<Mutex<Counts>>,
 }
 
-/// Counts, and times in milliseconds.
+/// Counts of jobs, and latencies in milliseconds from their submission.
 #[derive(Clone, Debug)]
 pub struct Counts {
+    /// Jobs submitted.
     pub submitted: u64,
+    /// Jobs whose users were told that they are accepted.
     pub accepted: u64,
+    /// Jobs whose users were told that they are done.
     pub done: u64,
+    /// Jobs whose users were told that they are cancelled.
     pub withdrawn: u64,
+    /// Jobs that were refused.
     pub refused: u64,
+    /// Latency of acceptance.
     pub accept_ms: Histogram<u64>,
+    /// Latency of completion.
     pub done_ms: Histogram<u64>,
 }
 
 impl Default for Counts {
     fn default() -> Self {
-        let empty = || Histogram::new_with_max(3_600_000, 2).unwrap_or_else(|_| unreachable!());
+        let empty =
+            || Histogram::new_with_max(MAX_LATENCY_MS, 2).unwrap_or_else(|_| unreachable!());
         Counts {
             submitted: 0,
             accepted: 0,
@@ -46,7 +61,8 @@
     }
 }
 
-impl Tally {
+impl LoadCounters {
+    /// The counts so far.
     pub fn counts(&self) -> Counts {
         self.inner.lock().unwrap_or_else(|e| e.into_inner()).clone()
     }
@@ -56,7 +72,22 @@
     }
 }
 
-/// A job of this load.
+/// Arrivals of a load.
+#[derive(Debug, Clone, Copy)]
+pub struct Arrivals {
+    /// Decides the times and the jobs.
+    pub seed: u64,
+    /// How many jobs arrive.
+    pub jobs: u64,
+    /// How long each job is waited for.
+    pub settle: Duration,
+}
+
+/// A random job of the site's load.
+///
+/// # Panics
+///
+/// If `key` is no valid key.
 pub fn work(site: &Site, key: &str, rng: &mut StdRng) -> Work {
     let team = &site.teams[rng.random_range(0..site.teams.len())];
     let spec = JobSpec {
@@ -89,135 +120,153 @@
     Work { key, spec }
 }
 
-/// Who makes a job's description known to the machines.
+/// Makes the description of a job, given by its id, known to the machines.
 pub type Upload = Arc<dyn Fn(String, JobSpec) + Send + Sync>;
 
-/// Plays `count` arrivals and waits for the end of each, `settle` at most.
-pub async fn play(
-    client: &Client,
-    site: &Site,
-    history: &History,
-    upload: Upload,
-    (seed, count, settle): (u64, u64, Duration),
-    tally: &Tally,
-) {
-    let mut rng = StdRng::seed_from_u64(seed);
-    let mut running = JoinSet::new();
-    let mut next = Instant::now();
-    for n in 0..count {
-        // Exponential gaps: arrivals that know nothing of each other.
-        let gap = -(1.0 - rng.random::<f64>()).ln() / site.load.jobs_per_s;
-        next += Duration::from_secs_f64(gap);
-        tokio::time::sleep_until(next).await;
-        let key = format!("load-{seed}/{n}");
-        let work = work(site, &key, &mut rng);
-        let after = Duration::try_from_secs_f64(site.load.cancel_after_s).unwrap_or_default();
-        let cancels = rng.random_bool(site.load.cancelled).then_some(after);
-        let one = follow(
-            client.clone(),
-            work,
-            cancels,
-            history.clone(),
-            upload.clone(),
-        );
-        let tally = tally.clone();
-        running.spawn(async move { one.run(settle, &tally).await });
-    }
-    while running.join_next().await.is_some() {}
+/// Where a load goes and what it records.
+pub struct LoadGenerator<'a> {
+    /// Submits the jobs.
+    pub client: &'a Client,
+    /// Its load section describes the jobs.
+    pub site: &'a Site,
+    /// What users are told.
+    pub history: &'a History,
+    /// Called before a job's first task starts.
+    pub upload: Upload,
+    /// What came of the load so far.
+    pub counters: &'a LoadCounters,
 }
 
-struct Follow {
-    client: Client,
-    work: Work,
-    /// How long after its acceptance, if at all.
-    cancels: Option<Duration>,
-    history: History,
-    upload: Upload,
+impl LoadGenerator<'_> {
+    /// Generates all arrivals and waits for the end of each job.
+    pub async fn run(&self, arrivals: Arrivals) {
+        let load = &self.site.load;
+        let mut rng = StdRng::seed_from_u64(arrivals.seed);
+        let mut users = JoinSet::new();
+        let mut next = Instant::now();
+        for number in 0..arrivals.jobs {
+            // Exponential gaps: independent arrivals.
+            let gap_s = -(1.0 - rng.random::<f64>()).ln() / load.jobs_per_s;
+            next += Duration::from_secs_f64(gap_s);
+            tokio::time::sleep_until(next).await;
+            let key = format!("load-{}/{number}", arrivals.seed);
+            let work = work(self.site, &key, &mut rng);
+            let delay = Duration::try_from_secs_f64(load.cancel_after_s).unwrap_or_default();
+            let user = User {
+                client: self.client.clone(),
+                work,
+                cancels_after: rng.random_bool(load.cancelled).then_some(delay),
+                history: self.history.clone(),
+                upload: self.upload.clone(),
+                counters: self.counters.clone(),
+                settle: arrivals.settle,
+                began: Instant::now(),
+            };
+            users.spawn(user.run());
+        }
+        while users.join_next().await.is_some() {}
+    }
 }
 
-fn follow(
+/// A user with one job.
+struct User {
     client: Client,
     work: Work,
-    cancels: Option<Duration>,
+    /// How long after its acceptance the job is cancelled, if at all.
+    cancels_after: Option<Duration>,
     history: History,
     upload: Upload,
-) -> Follow {
-    Follow {
-        client,
-        work,
-        cancels,
-        history,
-        upload,
-    }
+    counters: LoadCounters,
+    /// How long each step is waited for.
+    settle: Duration,
+    began: Instant,
 }
 
-impl Follow {
-    fn told(&self, id: JobId, what: &str) {
-        self.history.add(Event::Told {
-            key: self.work.key.to_string(),
-            job: id.to_string(),
-            what: what.into(),
+impl User {
+    async fn run(self) {
+        self.counters.add(|counts| counts.submitted += 1);
+        let Some(id) = self.submit().await else {
+            return;
+        };
+        let accept_ms = self.elapsed_ms();
+        self.counters.add(|counts| {
+            counts.accepted += 1;
+            counts.accept_ms.saturating_record(accept_ms);
         });
+        if let Some(delay) = self.cancels_after {
+            tokio::time::sleep(delay).await;
+            self.cancel(id).await;
+        }
+        self.await_outcome(id).await;
     }
 
-    async fn run(self, settle: Duration, tally: &Tally) {
-        let began = Instant::now();
-        tally.add(|t| t.submitted += 1);
-        // As a booking system would: asks again with the same key until it knows.
-        let id = loop {
+    /// Submits the job, with the same key until there is an answer; its id once it is
+    /// accepted.
+    async fn submit(&self) -> Option<JobId> {
+        loop {
             let batch = vec![self.work.clone()];
             // The description must be there before the first task starts.
             let first = self.client.submit(batch.clone(), Duration::ZERO).await;
-            if let Some(Ok(told)) = first.ok().and_then(|mut t| t.pop()) {
+            if let Some(Ok(told)) = first.ok().and_then(|mut answers| answers.pop()) {
                 (self.upload)(told.id().to_string(), self.work.spec.clone());
             }
-            let told = self.client.submit(batch, Duration::from_secs(10)).await;
-            match told.ok().and_then(|mut t| t.pop()) {
+            let told = self.client.submit(batch, SUBMIT_TIMEOUT).await;
+            match told.ok().and_then(|mut answers| answers.pop()) {
                 Some(Ok(Submitted::Accepted(id))) => {
-                    self.told(id, "accepted");
-                    break id;
+                    self.record(id, "accepted");
+                    return Some(id);
                 }
                 Some(Ok(Submitted::KnownAlready(id))) => {
-                    self.told(id, "known");
-                    break id;
+                    self.record(id, "known");
+                    return Some(id);
                 }
                 Some(Ok(Submitted::Refused(id, why))) => {
-                    self.told(id, &format!("refused {}", why.status));
-                    tally.add(|t| t.refused += 1);
-                    return;
+                    self.record(id, &format!("refused {}", why.status));
+                    self.counters.add(|counts| counts.refused += 1);
+                    return None;
                 }
-                _ if began.elapsed() > settle => return,
-                _ => tokio::time::sleep(Duration::from_millis(100)).await,
-            }
-        };
-        tally.add(|t| {
-            t.accepted += 1;
-            t.accept_ms
-                .saturating_record(began.elapsed().as_millis() as u64);
-        });
-        if let Some(after) = self.cancels {
-            tokio::time::sleep(after).await;
-            let cancelled = self.client.cancel(id, settle).await;
-            if cancelled == Ok(Cancelled::Withdrawn) {
-                self.history.add(Event::Cancelled {
-                    job: id.to_string(),
-                });
+                _ if self.began.elapsed() > self.settle => return None,
+                _ => tokio::time::sleep(SUBMIT_BACKOFF).await,
             }
         }
-        match self.client.outcome(id, settle).await {
+    }
+
+    async fn cancel(&self, id: JobId) {
+        let cancelled = self.client.cancel(id, self.settle).await;
+        if cancelled == Ok(Cancelled::Withdrawn) {
+            let job = id.to_string();
+            self.history.add(Event::Cancelled { job });
+        }
+    }
+
+    async fn await_outcome(&self, id: JobId) {
+        match self.client.outcome(id, self.settle).await {
             Ok(Told::Final(Outcome::Done)) => {
-                self.told(id, "done");
-                tally.add(|t| {
-                    t.done += 1;
-                    t.done_ms
-                        .saturating_record(began.elapsed().as_millis() as u64);
+                self.record(id, "done");
+                let done_ms = self.elapsed_ms();
+                self.counters.add(|counts| {
+                    counts.done += 1;
+                    counts.done_ms.saturating_record(done_ms);
                 });
             }
             Ok(Told::Final(Outcome::Withdrawn)) => {
-                self.told(id, "withdrawn");
-                tally.add(|t| t.withdrawn += 1);
+                self.record(id, "withdrawn");
+                self.counters.add(|counts| counts.withdrawn += 1);
             }
-            other => self.told(id, &format!("open: {other:?}")),
+            other => self.record(id, &format!("open: {other:?}")),
         }
     }
+
+    fn elapsed_ms(&self) -> u64 {
+        self.began.elapsed().as_millis() as u64
+    }
+
+    /// Records what the user was told.
+    fn record(&self, id: JobId, what: &str) {
+        self.history.add(Event::Told {
+            key: self.work.key.to_string(),
+            job: id.to_string(),
+            what: what.into(),
+        });
+    }
 }
--- a/crates/testbed/src/state.rs
+++ b/crates/testbed/src/state.rs
@@ -1,5 +1,5 @@
-//! The state service over HTTP: its limits, outages, and refusals of one
-//! controller alone.
+//! The state service's HTTP interface: rate limits, and injected faults (outages, refusals of
+//! one controller, lost answers).
 
 use crate::store::{Refusal, Store};
 use actix_web::{web, HttpResponse};
@@ -10,50 +10,75 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The service as one controller reaches it; clones share what it holds.
+/// One in so many transactions has no answer while answers are lost.
+const LOST_EVERY: u64 = 4;
+/// How long a lost answer keeps its connection: longer than any controller waits.
+const LOST_ANSWER_HOLD: Duration = Duration::from_secs(20);
+/// Bursts of so many seconds' worth of requests are allowed.
+const BURST_S: f64 = 2.0;
+/// The most keys on one page of a list.
+const MAX_PAGE: usize = 1000;
+/// The longest time that a watch stays open without a change.
+const MAX_WATCH_MS: u64 = 60_000;
+/// How often an open watch looks for changes.
+const WATCH_POLL: Duration = Duration::from_millis(10);
+
+/// The service as one controller reaches it; clones share the data.
 #[derive(Clone)]
 pub struct StateService {
-    face: usize,
+    /// Index of the controller.
+    controller: usize,
     start: Instant,
-    limits: (f64, f64),
+    /// The most requests and writes a second.
+    limits: Rates,
     inner: Arc<Mutex<Inner>>,
 }
 
+/// Requests and written keys a second.
+#[derive(Clone, Copy, Default)]
+struct Rates {
+    requests: f64,
+    writes: f64,
+}
+
+/// What all controllers share. All times are seconds from the start of the service.
 #[derive(Default)]
 struct Inner {
     store: Store,
-    /// Requests and writes of the present second.
+    /// The present second, and what was requested in it.
     second: u64,
-    spent: (f64, f64),
-    /// Away for all until, and for these controllers.
-    away_until: f64,
-    was_away: bool,
-    refused: HashMap<usize, f64>,
-    /// Until then answers of transactions are lost, and how many were.
+    spent: Rates,
+    unavailable_until: f64,
+    was_unavailable: bool,
+    /// Until when each controller is refused.
+    refused_until: HashMap<usize, f64>,
+    /// Until when answers of transactions are lost.
     answers_lost_until: f64,
     answers_lost: usize,
 }
 
-/// One in so many transactions has no answer while answers are lost.
-const LOST_EVERY: u64 = 4;
-/// How long a lost answer keeps its connection: longer than any controller waits.
-const HELD: Duration = Duration::from_secs(20);
-
+/// The query of a list or watch.
 #[derive(Deserialize)]
 pub struct Range {
+    /// The prefix of the keys.
     #[serde(default)]
     under: String,
+    /// A key to list on after, or a revision to watch from.
     since: Option<String>,
     limit: Option<usize>,
     wait_ms: Option<u64>,
 }
 
 impl StateService {
+    /// An empty service with limits of requests and written keys a second.
     pub fn new(rps: f64, write_rps: f64) -> StateService {
         StateService {
-            face: 0,
+            controller: 0,
             start: Instant::now(),
-            limits: (rps, write_rps),
+            limits: Rates {
+                requests: rps,
+                writes: write_rps,
+            },
             inner: Arc::default(),
         }
     }
@@ -74,13 +99,13 @@
         Some(value.get(field)?.as_str()?.to_string())
     }
 
-    /// Away for all, for this long.
-    pub fn away(&self, s: f64) {
+    /// Unavailable to all, for so many seconds.
+    pub fn make_unavailable(&self, s: f64) {
         let until = self.now() + s;
-        self.lock().away_until = until;
+        self.lock().unavailable_until = until;
     }
 
-    /// For this long transactions are carried out and some of their answers lost.
+    /// For so many seconds transactions are carried out and some of their answers lost.
     pub fn lose_answers(&self, s: f64) {
         let until = self.now() + s;
         self.lock().answers_lost_until = until;
@@ -100,79 +125,86 @@
         lost
     }
 
-    /// The same service for another controller.
-    pub fn face(&self, face: usize) -> StateService {
+    /// The same service as another controller reaches it.
+    pub fn for_controller(&self, controller: usize) -> StateService {
         StateService {
-            face,
+            controller,
             ..self.clone()
         }
     }
 
-    /// Refuses one controller alone, for this long.
-    pub fn refuse(&self, face: usize, s: f64) {
+    /// Refuses one controller alone, for so many seconds.
+    pub fn refuse(&self, controller: usize, s: f64) {
         let until = self.now() + s;
-        self.lock().refused.insert(face, until);
+        self.lock().refused_until.insert(controller, until);
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// The store, unless it is away or refuses this controller.
+    /// The data, unless the service is unavailable or refuses this controller.
     fn open(&self) -> Option<MutexGuard<'_, Inner>> {
         let now = self.now();
         let mut inner = self.lock();
-        let away = now < inner.away_until;
-        if inner.was_away && !away {
+        let unavailable = now < inner.unavailable_until;
+        if inner.was_unavailable && !unavailable {
             inner.store.full_time(now);
         }
-        inner.was_away = away;
-        if away {
+        inner.was_unavailable = unavailable;
+        if unavailable {
             return None;
         }
         inner.store.tick(now);
-        let refused = inner.refused.get(&self.face).is_some_and(|u| now < *u);
+        let refused_until = inner.refused_until.get(&self.controller);
+        let refused = refused_until.is_some_and(|until| now < *until);
         (!refused).then_some(inner)
     }
 
-    /// Lets a request in, or says why not.
-    fn enter(&self, writes: usize) -> Result<MutexGuard<'_, Inner>, NotNow> {
-        let mut inner = self.open().ok_or(NotNow::Away)?;
+    /// Admits a request with so many writes.
+    fn admit(&self, writes: usize) -> Result<MutexGuard<'_, Inner>, Rejection> {
+        let mut inner = self.open().ok_or(Rejection::Unavailable)?;
         let second = self.now() as u64;
         if inner.second != second {
             inner.second = second;
-            inner.spent = (0.0, 0.0);
+            inner.spent = Rates::default();
         }
-        inner.spent.0 += 1.0;
-        inner.spent.1 += writes as f64;
-        // Bursts of one second's worth are allowed.
-        if inner.spent.0 > 2.0 * self.limits.0 || inner.spent.1 > 2.0 * self.limits.1 {
-            return Err(NotNow::TooMany);
+        inner.spent.requests += 1.0;
+        inner.spent.writes += writes as f64;
+        let too_many_requests = inner.spent.requests > BURST_S * self.limits.requests;
+        let too_many_writes = inner.spent.writes > BURST_S * self.limits.writes;
+        if too_many_requests || too_many_writes {
+            return Err(Rejection::TooMany);
         }
         Ok(inner)
     }
 }
 
 /// Why a request is not executed.
-enum NotNow {
-    Away,
+enum Rejection {
+    Unavailable,
     TooMany,
 }
 
-impl From<NotNow> for HttpResponse {
-    fn from(why: NotNow) -> HttpResponse {
-        match why {
-            NotNow::Away => HttpResponse::ServiceUnavailable().json(json!({"error": "trouble"})),
-            NotNow::TooMany => HttpResponse::TooManyRequests().json(json!({"error": "too many"})),
+impl From<Rejection> for HttpResponse {
+    fn from(rejection: Rejection) -> HttpResponse {
+        match rejection {
+            Rejection::Unavailable => {
+                HttpResponse::ServiceUnavailable().json(json!({"error": "trouble"}))
+            }
+            Rejection::TooMany => {
+                HttpResponse::TooManyRequests().json(json!({"error": "too many"}))
+            }
         }
     }
 }
 
 type Data = web::Data<StateService>;
 
+/// Reads one key.
 async fn get(service: Data, key: web::Path<String>) -> HttpResponse {
-    match service.enter(0) {
-        Err(refusal) => refusal.into(),
+    match service.admit(0) {
+        Err(rejection) => rejection.into(),
         Ok(inner) => match inner.store.get(&key) {
             Some(entry) => HttpResponse::Ok().json(entry),
             None => HttpResponse::NotFound().json(Revision {
@@ -182,16 +214,17 @@
     }
 }
 
+/// Lists keys, a page at a time.
 async fn list(service: Data, range: web::Query<Range>) -> HttpResponse {
-    match service.enter(0) {
-        Err(refusal) => refusal.into(),
+    match service.admit(0) {
+        Err(rejection) => rejection.into(),
         Ok(inner) => {
             let after = |e: &Entry| range.since.as_ref().is_none_or(|s| e.key > *s);
             let mut items: Vec<Entry> = inner.store.list(&range.under);
             items.retain(after);
-            let most = range.limit.unwrap_or(1000).min(1000);
-            let more = items.len() > most;
-            items.truncate(most);
+            let page = range.limit.unwrap_or(MAX_PAGE).min(MAX_PAGE);
+            let more = items.len() > page;
+            items.truncate(page);
             HttpResponse::Ok().json(Listing {
                 items,
                 more,
@@ -201,9 +234,10 @@
     }
 }
 
-async fn multi(service: Data, txn: web::Json<Txn>) -> HttpResponse {
-    let applied = match service.enter(txn.changes.len()) {
-        Err(refusal) => return refusal.into(),
+/// Applies a transaction.
+async fn transact(service: Data, txn: web::Json<Txn>) -> HttpResponse {
+    let applied = match service.admit(txn.changes.len()) {
+        Err(rejection) => return rejection.into(),
         Ok(mut inner) => {
             let applied = inner.store.apply(&txn);
             applied.map_err(|refusal| (refusal, inner.store.revision))
@@ -212,23 +246,24 @@
     match applied {
         Ok(revision) => {
             if service.loses_answer(revision) {
-                actix_web::rt::time::sleep(HELD).await;
+                actix_web::rt::time::sleep(LOST_ANSWER_HOLD).await;
             }
             HttpResponse::Ok().json(Revision { revision })
         }
         Err((Refusal::NoLease, _)) => {
             HttpResponse::BadRequest().json(json!({"error": "no such lease"}))
         }
-        Err((Refusal::Conflict(failed), revno)) => {
-            HttpResponse::Conflict().json(json!({"failed": failed, "revno": revno}))
+        Err((Refusal::Conflict(failed), revision)) => {
+            HttpResponse::Conflict().json(json!({"failed": failed, "revno": revision}))
         }
     }
 }
 
+/// Grants a lease.
 async fn grant(service: Data, ask: web::Json<LeaseRequest>) -> HttpResponse {
     let now = service.now();
-    match service.enter(0) {
-        Err(refusal) => refusal.into(),
+    match service.admit(0) {
+        Err(rejection) => rejection.into(),
         Ok(mut inner) => {
             let lease = inner.store.grant(ask.ttl_ms as f64 / 1000.0, now);
             HttpResponse::Ok().json(Lease { lease })
@@ -236,10 +271,11 @@
     }
 }
 
+/// Extends a lease.
 async fn extend(service: Data, lease: web::Path<u64>) -> HttpResponse {
     let now = service.now();
-    match service.enter(0) {
-        Err(refusal) => refusal.into(),
+    match service.admit(0) {
+        Err(rejection) => rejection.into(),
         Ok(mut inner) => match inner.store.extend(*lease, now) {
             true => HttpResponse::Ok().json(json!({})),
             false => HttpResponse::NotFound().json(json!({})),
@@ -247,9 +283,10 @@
     }
 }
 
+/// Ends a lease.
 async fn end(service: Data, lease: web::Path<u64>) -> HttpResponse {
-    match service.enter(0) {
-        Err(refusal) => refusal.into(),
+    match service.admit(0) {
+        Err(rejection) => rejection.into(),
         Ok(mut inner) => {
             inner.store.end(*lease);
             HttpResponse::Ok().json(json!({}))
@@ -257,43 +294,48 @@
     }
 }
 
-async fn follow(service: Data, range: web::Query<Range>) -> HttpResponse {
-    let since: u64 = range
-        .since
-        .as_ref()
-        .and_then(|s| s.parse().ok())
-        .unwrap_or(0);
-    if let Err(refusal) = service.enter(0) {
-        return refusal.into();
+/// A watch: waits for changes after the revision `since`.
+async fn watch(service: Data, range: web::Query<Range>) -> HttpResponse {
+    let since = range.since.as_ref();
+    let since: u64 = since.and_then(|text| text.parse().ok()).unwrap_or(0);
+    if let Err(rejection) = service.admit(0) {
+        return rejection.into();
     }
-    let until = service.now() + range.wait_ms.unwrap_or(0).min(60_000) as f64 / 1000.0;
+    let wait_ms = range.wait_ms.unwrap_or(0).min(MAX_WATCH_MS);
+    let until = service.now() + wait_ms as f64 / 1000.0;
     loop {
+        // In an outage open watches stay open.
         if let Some(inner) = service.open() {
-            let changes = inner.store.log.iter().rev();
-            let mut events: Vec<Event> = changes
-                .take_while(|l| l.0 > since)
-                .filter(|l| l.1.starts_with(&range.under))
-                .map(|(at, key, value)| Event::new(key.clone(), value.clone(), *at))
-                .collect();
-            events.reverse();
+            let events = changes_after(&inner.store, since, &range.under);
             if !events.is_empty() || service.now() >= until {
                 let revision = inner.store.revision;
                 return HttpResponse::Ok().json(News { revision, events });
             }
         }
-        // In an outage open watches stay open.
-        actix_web::rt::time::sleep(Duration::from_millis(10)).await;
+        actix_web::rt::time::sleep(WATCH_POLL).await;
     }
 }
 
-/// Its routes.
+/// Changes of keys under a prefix after a revision, oldest first.
+fn changes_after(store: &Store, since: u64, prefix: &str) -> Vec<Event> {
+    let newest_first = store.log.iter().rev();
+    let mut events: Vec<Event> = newest_first
+        .take_while(|(revision, _, _)| *revision > since)
+        .filter(|(_, key, _)| key.starts_with(prefix))
+        .map(|(revision, key, value)| Event::new(key.clone(), value.clone(), *revision))
+        .collect();
+    events.reverse();
+    events
+}
+
+/// The state service's routes.
 pub fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/keys", web::get().to(list))
         .route("/keys/{key:.*}", web::get().to(get))
-        .route("/multi", web::post().to(multi))
+        .route("/multi", web::post().to(transact))
         .route("/leases", web::post().to(grant))
         .route("/leases/{id}/extend", web::post().to(extend))
         .route("/leases/{id}", web::delete().to(end))
-        .route("/follow", web::get().to(follow));
+        .route("/follow", web::get().to(watch));
 }
--- a/crates/testbed/tests/history.rs
+++ b/crates/testbed/tests/history.rs
@@ -1,9 +1,10 @@
 //! The checker finds what it is there for, and faults and sites name what is
 //! wrong with them.
 
-use foxspur_testbed::history::{check, Entry, Event};
+use foxspur_testbed::checker::check;
+use foxspur_testbed::fault::Fault;
+use foxspur_testbed::history::{Entry, Event};
 use foxspur_testbed::site::{Site, DEFAULT};
-use foxspur_testbed::testbed::Fault;
 
 fn on(task: &str, attempt: u64, machine: &str) -> Event {
     Event::On {
