--- /dev/null
+++ b/src/coordination/jobs/admission.rs
@@ -0,0 +1,68 @@
+//! Admission control: whether a job can ever run. One that cannot is rejected when it is
+//! submitted, since it would wait for ever.
+
+use crate::coordination::node::Node;
+use crate::coordination::scheduler::quota;
+use crate::protocol::job::{JobSpec, Shape};
+use crate::storage::records;
+
+/// CPUs and GPUs that a team uses before any of its jobs runs.
+const NO_USAGE: (f64, f64) = (0.0, 0.0);
+
+/// Why a job can never run, as its user is told.
+#[derive(thiserror::Error, Debug, Clone, PartialEq, Eq)]
+pub enum AdmissionError {
+    /// The team is not in the settings.
+    #[error("unknown owner {0}")]
+    UnknownTeam(String),
+    /// What must run at once is more than the team's limit.
+    #[error("more than the owner's limit")]
+    AboveTeamLimit,
+    /// No machine type that the job allows can hold one of its tasks.
+    #[error("a task fits no allowed machine type")]
+    FitsNoMachineType,
+}
+
+/// What admission control says of a job.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Admission {
+    /// It can run.
+    Admitted,
+    /// It can never run.
+    Rejected(AdmissionError),
+    /// This controller does not know the machine types yet.
+    Undecided,
+}
+
+/// Checks a job against the settings and the known machine types.
+pub fn check(node: &Node, spec: &JobSpec) -> Admission {
+    if let Err(error) = check_team(node, spec) {
+        return Admission::Rejected(error);
+    }
+    let leadership = node.leadership.borrow();
+    let Some(types) = &leadership.view.types else {
+        return Admission::Undecided;
+    };
+    if types.iter().any(|t| records::fits_type(spec, t)) {
+        Admission::Admitted
+    } else {
+        Admission::Rejected(AdmissionError::FitsNoMachineType)
+    }
+}
+
+/// The job's team exists, and its limit allows what of the job must run at once: one task
+/// of a sweep, all tasks of a service.
+fn check_team(node: &Node, spec: &JobSpec) -> Result<(), AdmissionError> {
+    let Some(team) = node.settings.team(&spec.team) else {
+        return Err(AdmissionError::UnknownTeam(spec.team.clone()));
+    };
+    let tasks_at_once = match spec.shape {
+        Shape::Sweep => 1.0,
+        Shape::Service => f64::from(spec.tasks),
+    };
+    if quota::within_limit(Some(team), NO_USAGE, spec, tasks_at_once) {
+        Ok(())
+    } else {
+        Err(AdmissionError::AboveTeamLimit)
+    }
+}
--- a/src/coordination/jobs/lookup.rs
+++ b/src/coordination/jobs/lookup.rs
@@ -6,9 +6,11 @@
 //! the request came; what this controller learnt while the read was under way wins over
 //! it, and a read whose answer came late is repeated instead of being passed on.
 
-use crate::coordination::jobs::version_check;
+pub use super::terminal_states::TerminalStates;
+
+use super::version_check::{self, CurrentRecord};
 use crate::coordination::node::Node;
-use crate::coordination::recent::RecentMap;
+use crate::protocol::state::Entry;
 use crate::storage::records::{self, LiveJob, TerminalRecord};
 use crate::transport::clients::{Failure, Lane};
 use actix_rt::time::Instant;
@@ -18,64 +20,50 @@
 /// How old the read behind an answer may be when the answer leaves: a quarter of the 2 s
 /// that users wait for the answer to a poll. Requests of one user overlap, and an answer
 /// that was held up would contradict what the user has been told elsewhere meanwhile.
-pub const READ_AGE: Duration = Duration::from_millis(500);
+pub const MAX_READ_AGE: Duration = Duration::from_millis(500);
 
 /// Reads for one answer at most.
-const READS: usize = 2;
-
-/// Terminal states, which never change, of the jobs that ended last.
-pub struct TerminalStates(RecentMap<String, TerminalRecord>);
-
-impl Default for TerminalStates {
-    fn default() -> TerminalStates {
-        TerminalStates(RecentMap::new(TerminalStates::CAPACITY))
-    }
-}
-
-impl TerminalStates {
-    /// Jobs remembered, some 150 bytes each; the states of others are read again.
-    pub const CAPACITY: usize = 16_384;
-
-    /// The job's terminal state, if it is remembered.
-    pub fn get(&self, id: &str) -> Option<TerminalRecord> {
-        self.0.get(id).copied()
-    }
-
-    /// Remembers a terminal state; true if it was not known.
-    pub fn put(&mut self, id: &str, state: TerminalRecord) -> bool {
-        self.0.insert(id.to_string(), state).is_none()
-    }
-}
+const MAX_READS: usize = 2;
 
 /// A job as the state service has it.
 #[derive(Debug)]
-pub enum Found {
-    /// The live record and its version.
+pub enum JobLookup {
+    /// It is live: its record, and the version of that.
     Live(Rc<LiveJob>, u64),
-    /// The job is over.
-    TerminalRecord(TerminalRecord),
+    /// It is over: done or cancelled.
+    Terminal(TerminalRecord),
     /// It is live, and its record says nothing to this version of the program: it
-    /// waits for one that can read it, and its user must be answered.
+    /// waits for one that can read it, and its user must be answered. The version of the
+    /// record.
     Unreadable(u64),
     /// No such job was accepted.
-    Nothing,
+    NotFound,
+}
+
+/// A result of a read, and when that read was sent.
+struct TimedLookup {
+    found: JobLookup,
+    sent_at: Instant,
 }
 
 /// Looks the job up. The caller answers at once: whatever else it needs it has to wait
 /// for before.
-pub async fn find(node: &Rc<Node>, id: &str) -> Result<Found, Failure> {
-    for _ in 0..READS {
+///
+/// # Errors
+/// The state service could not be read, or its answers came too late to be passed on.
+pub async fn find(node: &Rc<Node>, id: &str) -> Result<JobLookup, Failure> {
+    for _ in 0..MAX_READS {
         if let Some(state) = node.terminal_states.borrow().get(id) {
-            return Ok(Found::TerminalRecord(state));
+            return Ok(JobLookup::Terminal(state));
         }
-        let (found, sent_at) = read(node, id).await?;
+        let TimedLookup { found, sent_at } = read(node, id).await?;
         if let Some(state) = node.terminal_states.borrow().get(id) {
-            return Ok(Found::TerminalRecord(state));
+            return Ok(JobLookup::Terminal(state));
         }
-        if matches!(found, Found::TerminalRecord(_)) {
+        if matches!(found, JobLookup::Terminal(_)) {
             return Ok(found);
         }
-        if sent_at.elapsed() <= READ_AGE {
+        if sent_at.elapsed() <= MAX_READ_AGE {
             return Ok(unless_accepted_meanwhile(node, id, found));
         }
     }
@@ -83,45 +71,50 @@
 }
 
 /// A job that this controller accepted while the read was under way is not unknown.
-fn unless_accepted_meanwhile(node: &Node, id: &str, found: Found) -> Found {
+fn unless_accepted_meanwhile(node: &Node, id: &str, found: JobLookup) -> JobLookup {
     match (found, node.record_cache.borrow().get(id)) {
-        (Found::Nothing, Some(read)) => Found::Live(read.record, read.version),
+        (JobLookup::NotFound, Some(read)) => JobLookup::Live(read.record, read.version),
         (found, _) => found,
     }
 }
 
 /// Reads the job, and says when the read that the result rests on was sent. A job moves
-/// from live to final and never back, so reading in this order cannot miss it.
-async fn read(node: &Rc<Node>, id: &str) -> Result<(Found, Instant), Failure> {
-    if let Some((read, sent_at)) = version_check::unchanged(node, id).await? {
-        return Ok((Found::Live(read.record, read.version), sent_at));
+/// from live to terminal and never back, so reading in this order cannot miss it.
+async fn read(node: &Rc<Node>, id: &str) -> Result<TimedLookup, Failure> {
+    if let Some(current) = version_check::current_record(node, id).await? {
+        let CurrentRecord { read, sent_at } = current;
+        let found = JobLookup::Live(read.record, read.version);
+        return Ok(TimedLookup { found, sent_at });
     }
-    let live = node
-        .state
-        .timed_get(&records::live_key(id), Lane::Data)
-        .await;
+    let live_key = records::live_key(id);
+    let live = node.state.timed_get(&live_key, Lane::Data).await;
     let sent_at = live.sent_at;
-    if let Some(entry) = live.result? {
-        let Ok(record) = entry.read() else {
-            tracing::error!(key = %entry.key, "unreadable job record");
-            return Ok((Found::Unreadable(entry.version), sent_at));
-        };
-        let record = Rc::new(record);
-        node.record_cache
-            .borrow_mut()
-            .insert(&record, entry.version);
-        return Ok((Found::Live(record, entry.version), sent_at));
-    }
-    match node
-        .state
-        .get(&records::terminal_key(id), Lane::Data)
-        .await?
-    {
-        Some(entry) => {
-            let state: TerminalRecord = entry.read().map_err(|_| Failure::Unknown)?;
-            node.learn_terminal_state(id, state);
-            Ok((Found::TerminalRecord(state), sent_at))
-        }
-        None => Ok((Found::Nothing, sent_at)),
-    }
+    let found = match live.result? {
+        Some(entry) => read_live(node, &entry),
+        None => read_terminal(node, id).await?,
+    };
+    Ok(TimedLookup { found, sent_at })
+}
+
+/// Reads a live record, and remembers it.
+fn read_live(node: &Node, entry: &Entry) -> JobLookup {
+    let Ok(record) = entry.read() else {
+        tracing::error!(key = %entry.key, "unreadable job record");
+        return JobLookup::Unreadable(entry.version);
+    };
+    let record = Rc::new(record);
+    let mut cache = node.record_cache.borrow_mut();
+    cache.insert(&record, entry.version);
+    JobLookup::Live(record, entry.version)
+}
+
+/// Reads the terminal record of a job that is not live, and remembers it.
+async fn read_terminal(node: &Node, id: &str) -> Result<JobLookup, Failure> {
+    let key = records::terminal_key(id);
+    let Some(entry) = node.state.get(&key, Lane::Data).await? else {
+        return Ok(JobLookup::NotFound);
+    };
+    let state: TerminalRecord = entry.read().map_err(|_| Failure::Unknown)?;
+    node.learn_terminal_state(id, state);
+    Ok(JobLookup::Terminal(state))
 }
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -6,8 +6,9 @@
 use super::reply::{json_response, no_such_job, read_body, refuse, try_elsewhere};
 use super::SharedNode;
 use crate::coordination::agents::dispatcher;
-use crate::coordination::jobs::completion_writer;
-use crate::coordination::jobs::lookup::{self, Found, READ_AGE};
+use crate::coordination::jobs::admission::{self, Admission};
+use crate::coordination::jobs::completed_task_chunks;
+use crate::coordination::jobs::lookup::{self, JobLookup, MAX_READ_AGE};
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::job::TaskCounts;
 use crate::protocol::job::{
@@ -15,7 +16,7 @@
 };
 use crate::protocol::mesh::{PeerRequest, PeerResponse};
 use crate::protocol::state::Txn;
-use crate::storage::marks::CompletedTasks;
+use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::{self, LiveJob, TerminalRecord};
 use crate::transport::clients::{Failure, Lane};
 use actix_web::http::StatusCode;
@@ -47,13 +48,13 @@
             };
         }
     };
-    match node.check_admission(&spec) {
-        Some(Ok(())) => accept(&node, spec, began).await,
-        Some(Err(why)) => {
-            let refusal = refuse(StatusCode::UNPROCESSABLE_ENTITY, &why);
+    match admission::check(&node, &spec) {
+        Admission::Admitted => accept(&node, spec, began).await,
+        Admission::Rejected(error) => {
+            let refusal = refuse(StatusCode::UNPROCESSABLE_ENTITY, &error.to_string());
             known_or(&node, &spec.id, refusal).await
         }
-        None => known_or(&node, &spec.id, try_elsewhere(&node)).await,
+        Admission::Undecided => known_or(&node, &spec.id, try_elsewhere(&node)).await,
     }
 }
 
@@ -85,7 +86,7 @@
     // Guards against an answer that was held up: by now the user may have been told
     // elsewhere that the job is over.
     let over = node.terminal_states.borrow().get(&id).is_some();
-    if over || written.sent_at.elapsed() > READ_AGE {
+    if over || written.sent_at.elapsed() > MAX_READ_AGE {
         return known_or(node, &id, try_elsewhere(node)).await;
     }
     accepted(StatusCode::CREATED, &id, JobState::Pending)
@@ -117,17 +118,17 @@
 async fn known_or(node: &Rc<Node>, id: &str, refusal: HttpResponse) -> HttpResponse {
     let mut found = lookup::find(node, id).await;
     let mut counts = None;
-    if matches!(found, Ok(Found::Live(..))) {
+    if matches!(found, Ok(JobLookup::Live(..))) {
         // Most of what comes here is unknown or over; only this needs the leader's counts,
         // and the job once more, since waiting for them has aged the answer.
         counts = task_counts(node, id).await;
         found = lookup::find(node, id).await;
     }
     match found {
-        Ok(Found::Live(..)) => accepted(StatusCode::OK, id, live_state(counts)),
-        Ok(Found::Unreadable(_)) => accepted(StatusCode::OK, id, JobState::Pending),
-        Ok(Found::TerminalRecord(last)) => accepted(StatusCode::OK, id, last.state),
-        Ok(Found::Nothing) => refusal,
+        Ok(JobLookup::Live(..)) => accepted(StatusCode::OK, id, live_state(counts)),
+        Ok(JobLookup::Unreadable(_)) => accepted(StatusCode::OK, id, JobState::Pending),
+        Ok(JobLookup::Terminal(last)) => accepted(StatusCode::OK, id, last.state),
+        Ok(JobLookup::NotFound) => refusal,
         Err(_) => try_elsewhere(node),
     }
 }
@@ -167,7 +168,7 @@
     }
     let counts = task_counts(&node, &id).await;
     match lookup::find(&node, &id).await {
-        Ok(Found::Live(record, _)) => {
+        Ok(JobLookup::Live(record, _)) => {
             // Where the leader does not answer, what is in the record. Marks kept apart are
             // hundreds of KiB for the largest jobs; the counts are worth no such read.
             let unknown = TaskCounts {
@@ -176,15 +177,15 @@
             };
             progress(&id, live_state(counts), counts.unwrap_or(unknown))
         }
-        Ok(Found::Unreadable(_)) => progress(&id, JobState::Pending, TaskCounts::default()),
-        Ok(Found::TerminalRecord(last)) => {
+        Ok(JobLookup::Unreadable(_)) => progress(&id, JobState::Pending, TaskCounts::default()),
+        Ok(JobLookup::Terminal(last)) => {
             let counts = TaskCounts {
                 done: last.done,
                 running: 0,
             };
             progress(&id, last.state, counts)
         }
-        Ok(Found::Nothing) => no_such_job(),
+        Ok(JobLookup::NotFound) => no_such_job(),
         Err(_) => try_elsewhere(&node),
     }
 }
@@ -210,16 +211,16 @@
     // Done marks written meanwhile change the record's version: look again.
     for _ in 0..CANCEL_ATTEMPTS {
         let (record, version) = match lookup::find(&node, &id).await {
-            Ok(Found::Live(record, version)) => (Some(record), version),
-            Ok(Found::Unreadable(version)) => (None, version),
-            Ok(Found::TerminalRecord(last)) => {
+            Ok(JobLookup::Live(record, version)) => (Some(record), version),
+            Ok(JobLookup::Unreadable(version)) => (None, version),
+            Ok(JobLookup::Terminal(last)) => {
                 // Carried out before, and the answer was lost: nobody told the leader.
                 if !known && last.state == JobState::Cancelled {
                     tell_leader(&node, &id).await;
                 }
                 return accepted(StatusCode::OK, &id, last.state);
             }
-            Ok(Found::Nothing) => return no_such_job(),
+            Ok(JobLookup::NotFound) => return no_such_job(),
             Err(_) => return try_elsewhere(&node),
         };
         let last = TerminalRecord {
@@ -255,7 +256,7 @@
     tracing::info!(job = %id, "cancelled");
     node.learn_terminal_state(id, last);
     dispatcher::drain(node);
-    completion_writer::sweep_marks(node.clone(), id.into(), last.tasks);
+    completed_task_chunks::delete(node.clone(), id.into(), last.tasks);
     tell_leader(node, id).await;
 }
 
--- a/src/transport/clients/cloud.rs
+++ b/src/transport/clients/cloud.rs
@@ -1,102 +1,120 @@
-//! Client of the cloud: machine types, rentals, returns and the machine list.
+//! Client of the cloud: machine types, scale out and in, and the list of machines, within
+//! the published limit on requests.
 
-use super::{read, Failure, Met};
-use crate::protocol::cloud::{Names, Page, Rental, TypeList};
+use super::service::{self, Request, Service};
+use super::{CallStatistics, Failure, Lane};
+use crate::protocol::cloud::{Listed, Names, Page, Rental, TypeList};
 use crate::protocol::settings::Settings;
-use crate::transport::budget::Budget;
 use crate::transport::http::{Http, Response};
-use actix_rt::time::Instant;
+use crate::transport::token_bucket::TokenBucket;
 use awc::http::Method;
 use std::cell::RefCell;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Bound on the time to connect, in seconds.
+const CONNECT_TIMEOUT_S: f64 = 1.0;
+/// Bound on a call, in seconds.
+const CALL_TIMEOUT_S: f64 = 5.0;
+/// Connections kept open at most.
+const MAX_SOCKETS: usize = 4;
+/// Part of the published limit that a controller uses. The leader alone uses the cloud,
+/// others only for the types.
+const RATE_PART: f64 = 0.7;
+/// Longest wait for a request's turn, in seconds.
+const MAX_WAIT_S: f64 = 2.0;
+
 /// Client of the cloud.
 #[derive(Clone)]
 pub struct CloudClient {
-    met: Rc<RefCell<Met>>,
-    http: Http,
-    addr: SocketAddr,
-    start: Instant,
-    budget: Rc<RefCell<Budget>>,
+    service: Service,
+    requests: Rc<RefCell<TokenBucket>>,
 }
 
 impl CloudClient {
+    /// A client of the cloud that the settings name.
     pub fn new(settings: &Settings) -> CloudClient {
         let rps = settings.cluster.cloud.rps;
+        let http = Http::new(CONNECT_TIMEOUT_S, MAX_SOCKETS);
+        let requests = TokenBucket::new(rps * RATE_PART, rps, 0.0);
         CloudClient {
-            met: Rc::default(),
-            http: Http::new(1.0, 4),
-            addr: settings.services.cloud,
-            start: Instant::now(),
-            // The owner alone uses the cloud, others only for the types.
-            budget: Rc::new(RefCell::new(Budget::new(rps * 0.7, rps, 0.0))),
+            service: Service::new(http, settings.services.cloud),
+            requests: Rc::new(RefCell::new(requests)),
         }
     }
 
+    /// Waits for a request's turn, once.
+    async fn wait_for_turn(&self) -> Result<(), Failure> {
+        let Err(wait_s) = self.take_token() else {
+            return Ok(());
+        };
+        actix_rt::time::sleep(Duration::from_secs_f64(wait_s.min(MAX_WAIT_S))).await;
+        self.take_token().map_err(|_| Failure::Refused)
+    }
+
+    fn take_token(&self) -> Result<(), f64> {
+        let now = self.service.now();
+        self.requests.borrow_mut().take(1.0, Lane::Control, now)
+    }
+
     async fn call(
         &self,
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<Response, Failure> {
-        let wait = {
-            let now = self.start.elapsed().as_secs_f64();
-            self.budget.borrow_mut().take(1.0, true, now)
+        self.wait_for_turn().await?;
+        let request = Request {
+            method,
+            path,
+            body,
+            timeout_s: CALL_TIMEOUT_S,
         };
-        if let Err(wait) = wait {
-            actix_rt::time::sleep(Duration::from_secs_f64(wait.min(2.0))).await;
-            let now = self.start.elapsed().as_secs_f64();
-            if self.budget.borrow_mut().take(1.0, true, now).is_err() {
-                return Err(Failure::Refused);
-            }
-        }
-        let sent = self.http.call(self.addr, method, path, body, 5.0).await;
-        let result = match sent {
-            Ok(response) => match response.status {
-                200 => Ok(response),
-                429 | 503 => Err(Failure::Refused),
-                s => Err(Failure::Status(s)),
-            },
-            Err(error) => Err(error.into()),
-        };
-        self.met.borrow_mut().note(&result);
-        result
+        self.service.call(request, only_ok).await
     }
 
-    /// How it was met so far.
-    pub fn met(&self) -> Met {
-        *self.met.borrow()
+    /// How calls of the cloud went so far.
+    pub fn met(&self) -> CallStatistics {
+        self.service.statistics()
     }
 
+    /// The machine types.
+    ///
+    /// # Errors
+    /// The call failed.
     pub async fn types(&self) -> Result<TypeList, Failure> {
-        read(&self.call(Method::GET, "/flavors", None).await?)
+        service::decode(&self.call(Method::GET, "/flavors", None).await?)
     }
 
+    /// Scales out: rents machines, and says their names.
+    ///
+    /// # Errors
+    /// The call failed.
     pub async fn rent(&self, rental: &Rental) -> Result<Names, Failure> {
-        let body = serde_json::to_vec(rental).map_err(|_| Failure::Status(0))?;
-        read(&self.call(Method::POST, "/rentals", Some(body)).await?)
+        let body = service::encode(rental)?;
+        service::decode(&self.call(Method::POST, "/rentals", Some(body)).await?)
     }
 
-    /// Returns machines; on success they and all that was on them are gone.
+    /// Scales in: returns machines. On success they and all that was on them are gone.
+    ///
+    /// # Errors
+    /// The call failed.
     pub async fn give_back(&self, machines: Vec<String>) -> Result<(), Failure> {
-        let body = serde_json::to_vec(&Names { machines }).map_err(|_| Failure::Status(0))?;
-        self.call(Method::POST, "/rentals/return", Some(body))
-            .await
-            .map(|_| ())
+        let body = service::encode(&Names { machines })?;
+        let returned = self.call(Method::POST, "/rentals/return", Some(body));
+        returned.await.map(|_| ())
     }
 
-    /// The whole machine list.
-    pub async fn machines(&self) -> Result<Vec<crate::protocol::cloud::Listed>, Failure> {
-        let mut all: Vec<crate::protocol::cloud::Listed> = Vec::new();
+    /// The whole list of machines, page by page.
+    ///
+    /// # Errors
+    /// A call failed.
+    pub async fn machines(&self) -> Result<Vec<Listed>, Failure> {
+        let mut all: Vec<Listed> = Vec::new();
         loop {
-            let since = all
-                .last()
-                .map(|m| format!("&since={}", m.id))
-                .unwrap_or_default();
-            let path = format!("/rentals?limit=500{since}");
-            let page: Page = read(&self.call(Method::GET, &path, None).await?)?;
+            let since = all.last().map(|m| format!("&since={}", m.id));
+            let path = format!("/rentals?limit=500{}", since.unwrap_or_default());
+            let page: Page = service::decode(&self.call(Method::GET, &path, None).await?)?;
             let more = page.more && !page.machines.is_empty();
             all.extend(page.machines);
             if !more {
@@ -105,3 +123,12 @@
         }
     }
 }
+
+/// Fails on every status but 200.
+fn only_ok(response: Response) -> Result<Response, Failure> {
+    let response = service::not_overloaded(response)?;
+    match response.status {
+        200 => Ok(response),
+        status => Err(Failure::Status(status)),
+    }
+}
--- a/src/transport/clients/state.rs
+++ b/src/transport/clients/state.rs
@@ -1,88 +1,104 @@
 //! Client of the state service: keys, conditional transactions, leases and watches,
 //! within the published limits on requests and writes.
 
-use super::{read, Failure, Lane, Met, Timed};
+use super::service::{self, Request, Service};
+use super::{CallStatistics, Failure, Lane, TimedResult};
 use crate::protocol::settings::Settings;
 use crate::protocol::state::{Conflict, Entry, Lease, LeaseRequest, Listing, News, Revision, Txn};
-use crate::transport::budget::Budget;
 use crate::transport::http::{Http, Response};
+use crate::transport::token_bucket::TokenBucket;
 use actix_rt::time::Instant;
 use awc::http::Method;
 use std::cell::RefCell;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Bound on the time to connect, in seconds.
+const CONNECT_TIMEOUT_S: f64 = 0.5;
+/// Bound on a call, in seconds: half of what a user waits for a poll (2 s), less the way
+/// back.
+const CALL_TIMEOUT_S: f64 = 1.0;
+/// Connections kept open for watches at most.
+const MAX_WATCH_SOCKETS: usize = 4;
+/// What a watch may take beyond the wait that it asks for, in seconds.
+const WATCH_SLACK_S: f64 = 2.0;
+/// Part of the limits that is kept for control traffic.
+const RESERVED_PART: f64 = 0.2;
+/// Attempts to get a request's turn.
+const MAX_TURN_ATTEMPTS: usize = 8;
+/// Shortest and longest wait between two of them, in seconds.
+const MIN_WAIT_S: f64 = 0.005;
+const MAX_WAIT_S: f64 = 0.5;
+/// Entries on a page of a listing.
+const PAGE_ENTRIES: usize = 200;
+/// How the service says that a lease has expired, in the body of a 400.
+const NO_SUCH_LEASE: &[u8] = b"no such lease";
+
 /// Client of the state service.
 #[derive(Clone)]
 pub struct StateClient {
-    met: Rc<RefCell<Met>>,
-    http: Http,
+    service: Service,
+    /// Carries watches, which are under way for long.
     watch: Http,
-    addr: SocketAddr,
-    start: Instant,
-    requests: Rc<RefCell<Budget>>,
-    writes: Rc<RefCell<Budget>>,
-    timeout_s: f64,
+    requests: Rc<RefCell<TokenBucket>>,
+    writes: Rc<RefCell<TokenBucket>>,
 }
 
 impl StateClient {
     /// A client for the state service that the settings name.
     pub fn new(settings: &Settings) -> StateClient {
         let sockets = (settings.cluster.quota.max_sockets / 16).clamp(4, 48);
-        let (http, watch) = (Http::new(0.5, sockets), Http::new(0.5, 4));
+        let http = Http::new(CONNECT_TIMEOUT_S, sockets);
+        let watch = Http::new(CONNECT_TIMEOUT_S, MAX_WATCH_SOCKETS);
         StateClient::over(settings, http, watch)
     }
 
     /// The same with other carriers of its calls and of its watches.
     pub fn over(settings: &Settings, http: Http, watch: Http) -> StateClient {
         let limits = &settings.cluster.state;
-        // Most traffic comes from one owner, so each controller gets more than
-        // its even part; the sum of what all really use stays far below.
-        let part = if settings.cluster.nodes > 1 { 0.6 } else { 0.9 };
-        let bucket = |rate: f64| {
-            let rate = rate * part;
-            Rc::new(RefCell::new(Budget::new(rate, rate, rate * 0.2)))
+        let part = rate_part(settings.cluster.nodes);
+        let bucket = |limit: f64| {
+            let rate = limit * part;
+            let bucket = TokenBucket::new(rate, rate, rate * RESERVED_PART);
+            Rc::new(RefCell::new(bucket))
         };
-        // Half of what a user waits for a poll (2 s), less the way back.
-        let timeout_s = 1.0;
         StateClient {
-            met: Rc::default(),
-            http,
+            service: Service::new(http, settings.services.state),
             watch,
-            addr: settings.services.state,
-            start: Instant::now(),
             requests: bucket(limits.rps),
             writes: bucket(limits.write_rps),
-            timeout_s,
         }
     }
 
-    async fn pay(&self, writes: usize, lane: Lane) -> Result<(), Failure> {
-        let control = lane == Lane::Control;
-        for _ in 0..8 {
-            let now = self.start.elapsed().as_secs_f64();
-            let request = self.requests.borrow_mut().take(1.0, control, now);
-            let wait = match request.err() {
-                Some(wait) => wait,
-                None if writes == 0 => return Ok(()),
-                None => match self.writes.borrow_mut().take(writes as f64, control, now) {
-                    Ok(()) => return Ok(()),
-                    Err(wait) => wait,
-                },
+    /// Waits for the turn of a request that writes so many keys.
+    async fn wait_for_turn(&self, writes: usize, lane: Lane) -> Result<(), Failure> {
+        for _ in 0..MAX_TURN_ATTEMPTS {
+            let Err(wait_s) = self.take_tokens(writes, lane) else {
+                return Ok(());
             };
-            actix_rt::time::sleep(Duration::from_secs_f64(wait.clamp(0.005, 0.5))).await;
+            let wait_s = wait_s.clamp(MIN_WAIT_S, MAX_WAIT_S);
+            actix_rt::time::sleep(Duration::from_secs_f64(wait_s)).await;
         }
         Err(Failure::Refused)
     }
 
+    /// Takes the tokens of one request, or says how long to wait for them.
+    fn take_tokens(&self, writes: usize, lane: Lane) -> Result<(), f64> {
+        let now = self.service.now();
+        self.requests.borrow_mut().take(1.0, lane, now)?;
+        if writes == 0 {
+            return Ok(());
+        }
+        self.writes.borrow_mut().take(writes as f64, lane, now)
+    }
+
     async fn call(
         &self,
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<Response, Failure> {
-        self.call_within(method, path, body, self.timeout_s).await
+        self.call_within(method, path, body, CALL_TIMEOUT_S).await
     }
 
     async fn call_within(
@@ -92,68 +108,66 @@
         body: Option<Vec<u8>>,
         timeout_s: f64,
     ) -> Result<Response, Failure> {
-        let sent = self.http.call(self.addr, method, path, body, timeout_s);
-        let result = match sent.await {
-            Ok(response) if response.status == 429 => {
+        let request = Request {
+            method,
+            path,
+            body,
+            timeout_s,
+        };
+        let check = |response: Response| {
+            if response.status == 429 {
                 self.requests.borrow_mut().drain();
-                Err(Failure::Refused)
             }
-            Ok(response) if response.status == 503 => Err(Failure::Refused),
-            Ok(response) => Ok(response),
-            Err(error) => Err(error.into()),
+            service::not_overloaded(response)
         };
-        self.met.borrow_mut().note(&result);
-        result
+        self.service.call(request, check).await
     }
 
-    /// How it was met so far.
-    pub fn met(&self) -> Met {
-        *self.met.borrow()
+    /// How calls of the state service went so far; watches are not counted.
+    pub fn met(&self) -> CallStatistics {
+        self.service.statistics()
     }
 
     /// Reads a key.
+    ///
+    /// # Errors
+    /// The call failed.
     pub async fn get(&self, key: &str, lane: Lane) -> Result<Option<Entry>, Failure> {
         self.timed_get(key, lane).await.result
     }
 
     /// Reads a key, and says when the request was sent.
-    pub async fn timed_get(&self, key: &str, lane: Lane) -> Timed<Option<Entry>> {
-        let paid = self.pay(0, lane).await;
+    pub async fn timed_get(&self, key: &str, lane: Lane) -> TimedResult<Option<Entry>> {
+        let turn = self.wait_for_turn(0, lane).await;
         let sent_at = Instant::now();
-        let result = match paid {
+        let result = match turn {
             Ok(()) => self.send_get(key).await,
             Err(failure) => Err(failure),
         };
-        Timed { result, sent_at }
+        TimedResult { result, sent_at }
     }
 
     async fn send_get(&self, key: &str) -> Result<Option<Entry>, Failure> {
         let path = format!("/keys/{key}");
         let response = self.call(Method::GET, &path, None).await?;
         match response.status {
-            200 => read(&response).map(Some),
+            200 => service::decode(&response).map(Some),
             404 => Ok(None),
-            s => Err(Failure::Status(s)),
+            status => Err(Failure::Status(status)),
         }
     }
 
     /// Reads all keys under a prefix; the revision is that of the first page,
     /// so that a watch from there misses nothing.
+    ///
+    /// # Errors
+    /// A call failed.
     pub async fn list(&self, prefix: &str, lane: Lane) -> Result<(Vec<Entry>, u64), Failure> {
         let mut all: Vec<Entry> = Vec::new();
         let mut revision = None;
         loop {
-            self.pay(0, lane).await?;
-            let after = all
-                .last()
-                .map(|e| format!("&since={}", e.key))
-                .unwrap_or_default();
-            let path = format!("/keys?under={prefix}&limit=200{after}");
-            let response = self.call(Method::GET, &path, None).await?;
-            if response.status != 200 {
-                return Err(Failure::Status(response.status));
-            }
-            let page: Listing = read(&response)?;
+            self.wait_for_turn(0, lane).await?;
+            let page = self.page(prefix, all.last()).await?;
             revision.get_or_insert(page.revision);
             let more = page.more && !page.items.is_empty();
             all.extend(page.items);
@@ -163,91 +177,133 @@
         }
     }
 
-    /// Runs a transaction.
+    /// Reads the page of a listing that follows the entry `last`.
+    async fn page(&self, prefix: &str, last: Option<&Entry>) -> Result<Listing, Failure> {
+        let since = last.map(|entry| format!("&since={}", entry.key));
+        let since = since.unwrap_or_default();
+        let path = format!("/keys?under={prefix}&limit={PAGE_ENTRIES}{since}");
+        let response = self.call(Method::GET, &path, None).await?;
+        match response.status {
+            200 => service::decode(&response),
+            status => Err(Failure::Status(status)),
+        }
+    }
+
+    /// Runs a transaction, and says its revision.
+    ///
+    /// # Errors
+    /// The call failed, or a condition of the transaction did.
     pub async fn txn(&self, txn: &Txn, lane: Lane) -> Result<u64, Failure> {
         self.timed_txn(txn, lane).await.result
     }
 
     /// Runs a transaction, and says when it was sent: it may have waited for its turn
     /// before.
-    pub async fn timed_txn(&self, txn: &Txn, lane: Lane) -> Timed<u64> {
-        let paid = self.pay(txn.changes.len(), lane).await;
+    pub async fn timed_txn(&self, txn: &Txn, lane: Lane) -> TimedResult<u64> {
+        let turn = self.wait_for_turn(txn.changes.len(), lane).await;
         let sent_at = Instant::now();
-        let result = match paid {
+        let result = match turn {
             Ok(()) => self.send_txn(txn).await,
             Err(failure) => Err(failure),
         };
-        Timed { result, sent_at }
+        TimedResult { result, sent_at }
     }
 
     async fn send_txn(&self, txn: &Txn) -> Result<u64, Failure> {
-        let body = serde_json::to_vec(txn).map_err(|_| Failure::Status(0))?;
+        let body = service::encode(txn)?;
         let response = self.call(Method::POST, "/multi", Some(body)).await?;
         match response.status {
-            200 => read::<Revision>(&response).map(|r| r.revision),
-            409 => Err(Failure::Conflict(read::<Conflict>(&response)?.failed)),
-            400 if response.body.windows(13).any(|w| w == b"no such lease") => {
-                Err(Failure::NoLease)
-            }
-            s => Err(Failure::Status(s)),
+            200 => service::decode::<Revision>(&response).map(|r| r.revision),
+            409 => Err(Failure::Conflict(
+                service::decode::<Conflict>(&response)?.failed,
+            )),
+            400 if names_no_lease(&response.body) => Err(Failure::NoLease),
+            status => Err(Failure::Status(status)),
         }
     }
 
-    /// Asks for a lease.
+    /// Asks for a lease with this time to live, in seconds.
+    ///
+    /// # Errors
+    /// The call failed.
     pub async fn grant(&self, ttl_s: f64) -> Result<u64, Failure> {
-        self.pay(0, Lane::Control).await?;
-        let body = serde_json::to_vec(&LeaseRequest {
+        self.wait_for_turn(0, Lane::Control).await?;
+        let body = service::encode(&LeaseRequest {
             ttl_ms: (ttl_s * 1000.0) as u64,
-        })
-        .map_err(|_| Failure::Status(0))?;
+        })?;
         let response = self.call(Method::POST, "/leases", Some(body)).await?;
         match response.status {
-            200 => read::<Lease>(&response).map(|l| l.lease),
-            s => Err(Failure::Status(s)),
+            200 => service::decode::<Lease>(&response).map(|l| l.lease),
+            status => Err(Failure::Status(status)),
         }
     }
 
     /// Renews a lease. The answer counts however late it comes, so a busy
     /// controller should not give it up early: that it asked is what kept the
-    /// lease, and what it knows of it is from then.
-    pub async fn renew(&self, lease: u64, patience_s: f64) -> Result<(), Failure> {
-        self.pay(0, Lane::Control).await?;
+    /// lease, and what it knows of it is from then. `timeout_s` is raised to that of
+    /// other calls.
+    ///
+    /// # Errors
+    /// The call failed, or the lease has expired.
+    pub async fn renew(&self, lease: u64, timeout_s: f64) -> Result<(), Failure> {
+        self.wait_for_turn(0, Lane::Control).await?;
         let path = format!("/leases/{lease}/extend");
         let body = Some(b"{}".to_vec());
-        let patience_s = patience_s.max(self.timeout_s);
-        let response = self
-            .call_within(Method::POST, &path, body, patience_s)
-            .await?;
-        match response.status {
+        let timeout_s = timeout_s.max(CALL_TIMEOUT_S);
+        let renewal = self.call_within(Method::POST, &path, body, timeout_s);
+        match renewal.await?.status {
             200 => Ok(()),
             404 => Err(Failure::NoLease),
-            s => Err(Failure::Status(s)),
+            status => Err(Failure::Status(status)),
         }
     }
 
-    /// Ends a lease at once.
+    /// Revokes a lease: ends it at once.
+    ///
+    /// # Errors
+    /// The call failed.
     pub async fn end_lease(&self, lease: u64) -> Result<(), Failure> {
-        self.pay(0, Lane::Control).await?;
+        self.wait_for_turn(0, Lane::Control).await?;
         let path = format!("/leases/{lease}");
         self.call(Method::DELETE, &path, None).await.map(|_| ())
     }
 
-    /// Waits for changes under a prefix after a revision.
+    /// Waits for changes under a prefix after the revision `since`, for `wait_s` seconds
+    /// at most.
+    ///
+    /// # Errors
+    /// The call failed, or the revision is compacted ([`Failure::Gone`]).
     pub async fn watch(&self, prefix: &str, since: u64, wait_s: f64) -> Result<News, Failure> {
-        self.pay(0, Lane::Control).await?;
-        let path = format!(
-            "/follow?under={prefix}&since={since}&wait_ms={}",
-            (wait_s * 1000.0) as u64
-        );
-        let response = self
-            .watch
-            .call(self.addr, Method::GET, &path, None, wait_s + 2.0)
-            .await?;
+        self.wait_for_turn(0, Lane::Control).await?;
+        let wait_ms = (wait_s * 1000.0) as u64;
+        let request = Request {
+            method: Method::GET,
+            path: &format!("/follow?under={prefix}&since={since}&wait_ms={wait_ms}"),
+            body: None,
+            timeout_s: wait_s + WATCH_SLACK_S,
+        };
+        let response = self.service.send(&self.watch, request).await?;
+        let response = service::not_overloaded(response)?;
         match response.status {
-            200 => read(&response),
+            200 => service::decode(&response),
             410 => Err(Failure::Gone),
-            429 | 503 => Err(Failure::Refused),
-            s => Err(Failure::Status(s)),
+            status => Err(Failure::Status(status)),
         }
     }
 }
+
+/// Part of the published limits that a controller uses. Most traffic comes from one
+/// leader, so each controller gets more than its even part; the sum of what all really
+/// use stays far below.
+fn rate_part(controllers: usize) -> f64 {
+    if controllers > 1 {
+        0.6
+    } else {
+        0.9
+    }
+}
+
+fn names_no_lease(body: &[u8]) -> bool {
+    body.windows(NO_SUCH_LEASE.len())
+        .any(|window| window == NO_SUCH_LEASE)
+}
