--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -1,34 +1,34 @@
-//! Admission control: whether a job can ever run. One that cannot is rejected when it is
-//! submitted, since it would wait for ever.
+//! Admission control: whether a job can ever run. A job that cannot is rejected when it is
+//! submitted, since it would wait forever.
 
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::quota;
 use crate::protocol::job::{JobSpec, Shape};
 use crate::storage::records;
 
-/// CPUs and GPUs that a team uses before any of its jobs runs.
+/// CPUs and GPUs used by a team without running jobs.
 const NO_USAGE: (f64, f64) = (0.0, 0.0);
 
-/// Why a job can never run, as its user is told.
+/// Why a job can never run. The message is sent to the user.
 #[derive(thiserror::Error, Debug, Clone, PartialEq, Eq)]
 pub enum AdmissionError {
     /// The team is not in the settings.
     #[error("unknown owner {0}")]
     UnknownTeam(String),
-    /// What must run at once is more than the team's limit.
-    #[error("more than the owner's limit")]
+    /// The tasks that must run at the same time exceed the team's limit.
+    #[error("the tasks that must run at once exceed the owner's limit")]
     AboveTeamLimit,
-    /// No machine type that the job allows can hold one of its tasks.
+    /// No machine type that the job allows is large enough for one of its tasks.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
 }
 
-/// What admission control says of a job.
+/// The result of the admission check of a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// It can run.
+    /// The job can run.
     Admitted,
-    /// It can never run.
+    /// The job can never run.
     Rejected(AdmissionError),
     /// This controller does not know the machine types yet.
     Undecided,
@@ -50,8 +50,8 @@
     }
 }
 
-/// The job's team exists, and its limit allows what of the job must run at once: one task
-/// of a sweep, all tasks of a service.
+/// Checks that the job's team exists, and that the team's limit allows the tasks that must run
+/// at the same time: one task of a sweep, all tasks of a service.
 fn check_team(node: &Node, spec: &JobSpec) -> Result<(), AdmissionError> {
     let Some(team) = node.settings.team(&spec.team) else {
         return Err(AdmissionError::UnknownTeam(spec.team.clone()));
--- a/src/coordination/jobs/completed_task_chunks.rs
+++ b/src/coordination/jobs/completed_task_chunks.rs
@@ -1,5 +1,5 @@
-//! The completed tasks of a job with too many tasks for one record: they are kept in chunks
-//! beside the job's live record.
+//! Chunks of completed tasks. A job with too many tasks for one record stores its completed
+//! tasks in chunks, apart from its live record.
 
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::job::Name;
@@ -9,8 +9,8 @@
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
-/// Reads the completed tasks that a job keeps apart from its record: none, unless it has
-/// too many tasks for one.
+/// Reads the completed tasks that a job stores in chunks. Returns none if all tasks of the job
+/// fit into its live record.
 ///
 /// # Errors
 /// The state service could not be read.
@@ -32,8 +32,8 @@
     Ok(completed)
 }
 
-/// Deletes the chunks of a job that is over, in the background; if that fails they stay,
-/// which costs space alone.
+/// Deletes the chunks of a finished job in the background. If a deletion fails, the remaining
+/// chunks stay, which only costs space.
 pub fn delete(node: Rc<Node>, id: Name, tasks: u32) {
     actix_rt::spawn(async move {
         for chunk in 0..chunk_count(tasks, node.tasks_per_record()) {
@@ -45,7 +45,7 @@
     });
 }
 
-/// Chunks of a job of so many tasks: none if they fit into its record.
+/// Number of chunks of a job with this many tasks: 0 if its tasks fit into its live record.
 fn chunk_count(tasks: u32, tasks_per_record: u32) -> u32 {
     if tasks > tasks_per_record {
         tasks.div_ceil(tasks_per_record)
--- a/src/coordination/jobs/completion_batch.rs
+++ b/src/coordination/jobs/completion_batch.rs
@@ -1,5 +1,6 @@
-//! Plans what to write of completed tasks and terminal records next: one transaction that
-//! rests on the version of each job's record. Pure.
+//! Plans the next transaction that writes completed tasks and terminal records. The
+//! transaction is conditional on the version of each job's live record. Planning has no side
+//! effects besides taking tokens from the write budget.
 
 use crate::coordination::scheduler::job::{Job, Name};
 use crate::coordination::scheduler::state::Scheduler;
@@ -9,56 +10,60 @@
 use crate::storage::records::{self, CompletedTasksChunk, LiveJob, TerminalRecord};
 use crate::transport::token_bucket::{Priority, TokenBucket};
 
-/// Estimated bytes at which a transaction is full: half of what the protocol allows, which
-/// leaves room for the framing.
+/// Estimated bytes above which a transaction takes no further job: half of the protocol's
+/// limit, which leaves room for the framing and for the job added last.
 const FULL_TXN_BYTES: usize = records::MAX_TXN_BYTES / 2;
-/// Estimated bytes of a terminal record and the deletion of the live one.
+/// Estimated bytes of a terminal record and of the deletion of the live record.
 const TERMINAL_RECORD_BYTES: usize = 200;
-/// Estimated bytes of a live record beside its completed tasks.
+/// Estimated bytes of a live record without its completed tasks.
 const LIVE_RECORD_BYTES: usize = 800;
-/// Estimated bytes of a chunk beside its completed tasks.
+/// Estimated bytes of a chunk without its completed tasks.
 const CHUNK_BYTES: usize = 100;
 
-/// A transaction, and what it writes of which job.
+/// A transaction, with what it writes for each job.
 pub struct CompletionBatch {
     /// The transaction, conditional on the version of each job's live record.
     pub txn: Txn,
-    /// What it writes, by job.
+    /// What the transaction writes, one entry per job.
     pub completions: Vec<JobCompletion>,
 }
 
-/// One job's part of a batch.
+/// What a batch writes for one job.
 pub struct JobCompletion {
     /// The job.
     pub job: Name,
-    /// The completed tasks that the batch puts on record.
+    /// The completed tasks that the batch records.
     pub completed: CompletedTasks,
-    /// The terminal record, where all tasks are completed.
+    /// The terminal record, if all tasks are completed.
     pub terminal: Option<TerminalRecord>,
-    /// The job's completed tasks are kept apart from its record.
+    /// Whether the job's completed tasks are stored in chunks apart from its live record.
     pub chunked: bool,
 }
 
-/// The next batch, if anything is due, of at most `txn_ops` changes; jobs of more than
-/// `chunk_tasks` tasks keep their completed tasks apart. `partial_writes` limits the writes
-/// for jobs that go on.
+/// Plans the next batch of at most `txn_ops` changes, or returns `None` if nothing is due.
+/// Jobs of more than `chunk_tasks` tasks store their completed tasks in chunks.
+/// `partial_write_budget` limits the writes for jobs that still have tasks to run.
 pub fn plan(
     scheduler: &Scheduler,
     txn_ops: usize,
     chunk_tasks: u32,
-    partial_writes: &mut TokenBucket,
+    partial_write_budget: &mut TokenBucket,
     now: f64,
 ) -> Option<CompletionBatch> {
-    let due = scheduler.completions_due(txn_ops);
-    if due.is_empty() {
+    let due_jobs = scheduler.completions_due(txn_ops);
+    if due_jobs.is_empty() {
         return None;
     }
     let mut builder = BatchBuilder::new(txn_ops, chunk_tasks, scheduler.wall_clock_offset_s);
-    for id in due {
+    for id in due_jobs {
         let Some(job) = scheduler.jobs.get(&id) else {
             continue;
         };
-        if !job.is_complete() && partial_writes.take(1.0, Priority::Control, now).is_err() {
+        if !job.is_complete()
+            && partial_write_budget
+                .take(1.0, Priority::Control, now)
+                .is_err()
+        {
             break;
         }
         if builder.is_full() {
@@ -69,11 +74,11 @@
     builder.finish()
 }
 
-/// A batch in the making, and how large its transaction has grown.
+/// A batch under construction.
 struct BatchBuilder {
     txn: Txn,
-    jobs: Vec<JobCompletion>,
-    /// Estimated size of the transaction.
+    completions: Vec<JobCompletion>,
+    /// Estimated size of the transaction in bytes.
     bytes: usize,
     txn_ops: usize,
     chunk_tasks: u32,
@@ -84,7 +89,7 @@
     fn new(txn_ops: usize, chunk_tasks: u32, wall_clock_offset_s: f64) -> BatchBuilder {
         BatchBuilder {
             txn: Txn::default(),
-            jobs: Vec::new(),
+            completions: Vec::new(),
             bytes: 0,
             txn_ops,
             chunk_tasks,
@@ -92,7 +97,7 @@
         }
     }
 
-    /// No further job fits: one takes two changes or more.
+    /// Whether no further job fits. A job can take two changes or more.
     fn is_full(&self) -> bool {
         !self.has_room_for(2)
     }
@@ -101,11 +106,11 @@
         self.txn.changes.len() + changes <= self.txn_ops && self.bytes <= FULL_TXN_BYTES
     }
 
-    /// Adds a job's part, on condition that its record still has the version we know.
+    /// Adds the changes for a job, conditional on the known version of its live record.
     fn add(&mut self, id: Name, job: &Job) {
         let chunked = job.spec.tasks > self.chunk_tasks;
-        let key = records::live_key(&id);
-        self.edit(|txn| txn.when(&key, job.version));
+        let live_key = records::live_key(&id);
+        self.edit(|txn| txn.when(&live_key, job.version));
         let mut completion = JobCompletion {
             job: id,
             completed: CompletedTasks::default(),
@@ -114,18 +119,18 @@
         };
         if job.is_complete() {
             completion.completed = job.completed.clone();
-            completion.terminal = Some(self.terminal_record(&completion.job, &key, job));
+            completion.terminal = Some(self.put_terminal_record(&completion.job, &live_key, job));
         } else if chunked {
-            completion.completed = self.chunks(&completion.job, &key, job);
+            completion.completed = self.put_changed_chunks(&completion.job, &live_key, job);
         } else {
             completion.completed = job.completed.clone();
-            self.live_record(&key, job, job.completed.to_text());
+            self.put_live_record(&live_key, job, job.completed.to_text());
         }
-        self.jobs.push(completion);
+        self.completions.push(completion);
     }
 
-    /// Writes the terminal record in place of the live one.
-    fn terminal_record(&mut self, id: &str, live_key: &str, job: &Job) -> TerminalRecord {
+    /// Replaces the live record with the terminal record.
+    fn put_terminal_record(&mut self, id: &str, live_key: &str, job: &Job) -> TerminalRecord {
         let terminal = TerminalRecord {
             state: JobState::Done,
             tasks: job.spec.tasks,
@@ -137,15 +142,15 @@
         terminal
     }
 
-    /// Writes the chunks that have changed, as far as there is room; the completed tasks
-    /// in these.
+    /// Writes the changed chunks for which there is room, and returns the completed tasks in
+    /// them.
     ///
-    /// The live record is written again with each of them: its version is what the next
-    /// write rests on, so that one without an answer, carried out late, cannot overwrite
-    /// newer completions by older ones. (Their workers have forgotten those tasks: after a
-    /// takeover they would run once more.)
-    fn chunks(&mut self, id: &str, live_key: &str, job: &Job) -> CompletedTasks {
-        self.live_record(live_key, job, String::new());
+    /// The live record is written as well, which gives it a new version. Writes are
+    /// conditional on that version, so a transaction that got no response and is executed
+    /// late cannot overwrite newer completions with older ones. (Workers have forgotten the
+    /// overwritten tasks by then, so these would run again after a takeover.)
+    fn put_changed_chunks(&mut self, id: &str, live_key: &str, job: &Job) -> CompletedTasks {
+        self.put_live_record(live_key, job, String::new());
         let mut written = CompletedTasks::default();
         for chunk in 0..job.spec.tasks.div_ceil(self.chunk_tasks) {
             let completed = job.completed.chunk(chunk, self.chunk_tasks);
@@ -164,11 +169,11 @@
         written
     }
 
-    /// Writes the live record with these completed tasks.
-    fn live_record(&mut self, key: &str, job: &Job, done: String) {
+    /// Writes the live record with the completed tasks `done`.
+    fn put_live_record(&mut self, live_key: &str, job: &Job, done: String) {
         self.bytes += done.len() + LIVE_RECORD_BYTES;
-        let record = record_of(job, self.wall_clock_offset_s, done);
-        self.edit(|txn| txn.put(key, &record));
+        let record = live_record(job, self.wall_clock_offset_s, done);
+        self.edit(|txn| txn.put(live_key, &record));
     }
 
     fn edit(&mut self, change: impl FnOnce(Txn) -> Txn) {
@@ -176,18 +181,18 @@
     }
 
     fn finish(self) -> Option<CompletionBatch> {
-        if self.jobs.is_empty() {
+        if self.completions.is_empty() {
             return None;
         }
         Some(CompletionBatch {
             txn: self.txn,
-            completions: self.jobs,
+            completions: self.completions,
         })
     }
 }
 
-/// The live record of a job with these completed tasks.
-fn record_of(job: &Job, wall_clock_offset_s: f64, done: String) -> LiveJob {
+/// The live record of a job, with the completed tasks `done`.
+fn live_record(job: &Job, wall_clock_offset_s: f64, done: String) -> LiveJob {
     let accepted_ms = (job.accepted_at + wall_clock_offset_s) * 1000.0;
     LiveJob {
         spec: job.spec.clone(),
--- a/src/coordination/jobs/completion_writer.rs
+++ b/src/coordination/jobs/completion_writer.rs
@@ -1,7 +1,7 @@
-//! The actor that writes completed tasks and terminal records, in batches.
+//! The actor that writes completed tasks and terminal records in batches.
 //!
-//! Each job's part of a batch rests on the version of its live record, so that a
-//! transaction without an answer, carried out late, cannot overwrite a newer one.
+//! Each write is conditional on the version of the job's live record. A transaction that got
+//! no response and is executed late therefore cannot overwrite a newer record.
 
 use super::completed_task_chunks;
 use super::completion_batch::{self, CompletionBatch, JobCompletion};
@@ -16,9 +16,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Writes the completions that are due, several times in each heartbeat interval.
+/// Writes the completions that are due, several times per heartbeat interval.
 pub struct CompletionWriter {
-    /// The controller for which it writes.
+    /// The controller whose completions are written.
     pub node: Rc<Node>,
 }
 
@@ -28,42 +28,41 @@
     fn started(&mut self, _: &mut Self::Context) {
         let node = self.node.clone();
         let interval = batch_interval(&node.settings.cluster);
-        let mut partial_writes = partial_write_limit(&node.settings.cluster);
+        let mut partial_write_budget = partial_write_budget(&node.settings.cluster);
         actix_rt::spawn(async move {
             loop {
                 actix_rt::time::sleep(interval).await;
-                while write_batch(&node, &mut partial_writes).await {}
+                while write_batch(&node, &mut partial_write_budget).await {}
             }
         });
     }
 }
 
-/// Time between batches: a quarter of a heartbeat interval. A user expects `done` within
-/// 3 s, and the state service counts every put.
+/// Time between batches: a quarter of a heartbeat interval, between 50 ms and 250 ms. A user
+/// expects the state `done` within 3 s. Shorter intervals cost more puts, all of which count
+/// towards the state service's write limit.
 fn batch_interval(cluster: &Cluster) -> Duration {
     Duration::from_secs_f64((cluster.workers.report_s / 4.0).clamp(0.05, 0.25))
 }
 
-/// The limit on writes for jobs that go on: a quarter of the writes a second. Each is
-/// written more rarely the more there are, and workers repeat finished tasks until then.
-/// The rest is left to submissions and terminal records.
-fn partial_write_limit(cluster: &Cluster) -> TokenBucket {
+/// The budget for writes for jobs that still have tasks to run: a quarter of the allowed
+/// writes per second. The more such jobs there are, the less often each is written, and
+/// workers report a finished task until it is recorded. The other three quarters are left to
+/// submissions and terminal records.
+fn partial_write_budget(cluster: &Cluster) -> TokenBucket {
     let rate = cluster.state.write_rps / 4.0;
     TokenBucket::new(rate, rate.max(1.0), 0.0)
 }
 
-/// Writes one batch; true if there may be more.
-async fn write_batch(node: &Rc<Node>, partial_writes: &mut TokenBucket) -> bool {
-    let Some((batch, term)) = next_batch(node, partial_writes) else {
+/// Writes one batch. Returns true if another batch may be due.
+async fn write_batch(node: &Rc<Node>, partial_write_budget: &mut TokenBucket) -> bool {
+    let Some((batch, term)) = next_batch(node, partial_write_budget) else {
         return false;
     };
-    let CompletionBatch {
-        txn,
-        completions: jobs,
-    } = batch;
+    let CompletionBatch { txn, completions } = batch;
     match node.state.txn(&txn, Priority::Data).await {
         Ok(version) => {
-            batch_written(node, jobs, version, term);
+            handle_written_batch(node, completions, version, term);
             true
         }
         Err(ServiceError::Conflict(keys)) => {
@@ -74,29 +73,36 @@
             }
             true
         }
-        // Not executed, or perhaps later: the versions tell next time.
+        // The transaction was not executed, or may still be. If it is executed before the next
+        // batch, that batch fails its version conditions, and the records are read again.
         Err(_) => false,
     }
 }
 
-/// The next batch, if anything is due, and the term of the scheduler that it is from.
-fn next_batch(node: &Node, partial_writes: &mut TokenBucket) -> Option<(CompletionBatch, u64)> {
+/// Plans the next batch, if anything is due. Also returns the base term of the scheduler that
+/// the batch comes from.
+fn next_batch(
+    node: &Node,
+    partial_write_budget: &mut TokenBucket,
+) -> Option<(CompletionBatch, u64)> {
     let scheduler = node.scheduler.borrow();
     let scheduler = scheduler.as_ref()?;
     let batch = completion_batch::plan(
         scheduler,
         node.settings.cluster.state.txn_ops,
         node.tasks_per_record(),
-        partial_writes,
+        partial_write_budget,
         node.now(),
     )?;
     Some((batch, scheduler.fence.base_term))
 }
 
-fn batch_written(node: &Rc<Node>, jobs: Vec<JobCompletion>, version: u64, term: u64) {
+/// Updates the scheduler and the cache of terminal states, and deletes the chunks of finished
+/// jobs.
+fn handle_written_batch(node: &Rc<Node>, completions: Vec<JobCompletion>, version: u64, term: u64) {
     node.with_scheduler(term, |scheduler| {
-        for job in &jobs {
-            note_written(scheduler, job, version);
+        for completion in &completions {
+            apply_written(scheduler, completion, version);
         }
     });
     for JobCompletion {
@@ -104,7 +110,7 @@
         terminal,
         chunked,
         ..
-    } in jobs
+    } in completions
     {
         let Some(terminal) = terminal else {
             continue;
@@ -116,19 +122,20 @@
     }
 }
 
-/// Tells the scheduler what was written of a job.
-fn note_written(scheduler: &mut Scheduler, written: &JobCompletion, version: u64) {
+/// Tells the scheduler what was written for a job.
+fn apply_written(scheduler: &mut Scheduler, written: &JobCompletion, version: u64) {
     scheduler.completions_written(&written.job, &written.completed, version);
     if written.terminal.is_none() {
         return;
     }
     let job = scheduler.jobs.get(&*written.job);
-    let (starts, passed_s) = job.map_or((0, 0.0), |j| (j.starts, j.longest_wait_s));
-    tracing::info!(job = %written.job, starts, passed_s, "done");
+    let (starts, longest_wait_s) = job.map_or((0, 0.0), |job| (job.starts, job.longest_wait_s));
+    tracing::info!(job = %written.job, starts, passed_s = longest_wait_s, "done");
     scheduler.finish_job(&written.job);
 }
 
-/// Reads a job's record after a conflict.
+/// Reads a job's live record again after a write conflict. If the record is gone, the job is
+/// finished or cancelled.
 async fn reload_job(node: &Rc<Node>, id: &str, term: u64) {
     let Ok(entry) = node.state.get(&records::live_key(id), Priority::Data).await else {
         return;
--- a/src/coordination/jobs/live_job_watch.rs
+++ b/src/coordination/jobs/live_job_watch.rs
@@ -1,8 +1,8 @@
-//! The leader's watch of live jobs: how its scheduler learns of submissions and
+//! The leader's watch of live jobs, through which its scheduler learns of submissions and
 //! cancellations that other controllers recorded.
 //!
-//! Invariant: a watch acts for the scheduler of one term, and ends with it. Each step that
-//! follows a wait checks again that this scheduler is still there.
+//! Invariant: a watch serves the scheduler of one term and ends with it. After each wait, the
+//! watch checks again that this scheduler still exists.
 
 use crate::coordination::agents::dispatcher;
 use crate::coordination::leadership::cancellation_horizon::staleness_bound_s;
@@ -17,10 +17,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause after a watch that failed.
+/// Pause after a failed watch request.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Follows the live jobs from `revision` on, as long as the scheduler of `term` lasts.
+/// Watches the live jobs from `revision` on, for as long as the scheduler of `term` exists.
 pub fn follow(node: Rc<Node>, term: u64, revision: u64) {
     let mut watch = LiveJobWatch {
         wait_s: watch_wait_s(&node.settings.cluster.workers),
@@ -35,51 +35,53 @@
     });
 }
 
-/// How long one watch waits for changes, in seconds. The leader may answer workers only
-/// while it knows of cancellations (see `leadership::cancellation_horizon`): eight watches
-/// in that time, so that a few may be lost, or wait on a connection that a cut left behind.
+/// How long one watch request waits for changes, in seconds. The leader may answer workers
+/// only while its knowledge of cancellations is younger than the staleness bound (see
+/// `leadership::cancellation_horizon`). An eighth of that bound allows for a few requests that
+/// are lost, or that hang on a connection which a network partition left half open.
 fn watch_wait_s(workers: &Workers) -> f64 {
     (staleness_bound_s(workers.cancel_s, workers.lease_s) / 8.0).clamp(0.5, 20.0)
 }
 
 struct LiveJobWatch {
     node: Rc<Node>,
-    /// The term of the scheduler that this watch acts for.
+    /// The term of the scheduler that this watch serves.
     term: u64,
-    /// Changes up to this revision were applied.
+    /// The revision up to which changes were applied.
     revision: u64,
     wait_s: f64,
 }
 
 impl LiveJobWatch {
-    /// Waits for changes once, and applies them.
+    /// Sends one watch request and applies the changes in its response.
     async fn poll(&mut self) {
-        let asked_at = self.node.now();
-        let watch = self
+        let requested_at = self.node.now();
+        let request = self
             .node
             .state
             .watch(records::LIVE_PREFIX, self.revision, self.wait_s);
-        match watch.await {
-            Ok(news) => self.apply(news, asked_at),
-            Err(ServiceError::Compacted) => self.list_anew(asked_at).await,
+        match request.await {
+            Ok(changes) => self.apply(changes, requested_at),
+            Err(ServiceError::Compacted) => self.relist(requested_at).await,
             Err(_) => actix_rt::time::sleep(RETRY_PAUSE).await,
         }
     }
 
-    fn apply(&mut self, news: News, asked_at: f64) {
-        self.revision = news.revision;
-        for event in news.events {
+    fn apply(&mut self, changes: News, requested_at: f64) {
+        self.revision = changes.revision;
+        for event in changes.events {
             match event.seen() {
-                Some(Seen::Put(entry)) => self.take_entry(entry),
-                Some(Seen::Deleted { key, .. }) => self.job_deleted(&key),
+                Some(Seen::Put(entry)) => self.apply_put(entry),
+                Some(Seen::Deleted { key, .. }) => self.apply_deletion(&key),
                 None => {}
             }
         }
-        self.caught_up(asked_at);
+        self.mark_caught_up(requested_at);
     }
 
-    /// The watch fell too far behind: reads all live jobs, and drops those that are gone.
-    async fn list_anew(&mut self, asked_at: f64) {
+    /// Lists all live jobs after the watch's revision was compacted, and finishes the jobs that
+    /// are no longer listed.
+    async fn relist(&mut self, requested_at: f64) {
         let listing = self
             .node
             .state
@@ -89,19 +91,22 @@
         };
         self.revision = revision;
         self.node.with_scheduler(self.term, |scheduler| {
-            let live: HashSet<&str> = entries.iter().filter_map(|e| job_of(&e.key)).collect();
-            scheduler.reconcile_live_jobs(&live, revision);
+            let live_ids: HashSet<&str> = entries
+                .iter()
+                .filter_map(|entry| job_id(&entry.key))
+                .collect();
+            scheduler.reconcile_live_jobs(&live_ids, revision);
         });
         for entry in entries {
-            self.take_entry(entry);
+            self.apply_put(entry);
         }
-        self.caught_up(asked_at);
+        self.mark_caught_up(requested_at);
     }
 
-    /// A live job was recorded, or its record has changed.
-    fn take_entry(&self, entry: Entry) {
-        // Most changes are completions that this controller wrote itself: they need not be
-        // read.
+    /// Applies a new or changed live record.
+    fn apply_put(&self, entry: Entry) {
+        // Most changes are completions that this controller wrote itself. Their records need
+        // not be parsed.
         if self.is_known(&entry) {
             return;
         }
@@ -117,37 +122,42 @@
         });
     }
 
+    /// Whether the scheduler already has this version of the record or a later one.
     fn is_known(&self, entry: &Entry) -> bool {
-        let id = job_of(&entry.key).unwrap_or_default();
-        let known = |scheduler: &Scheduler| {
+        let id = job_id(&entry.key).unwrap_or_default();
+        let has_version = |scheduler: &Scheduler| {
             let job = scheduler.jobs.get(id);
             job.is_some_and(|job| job.version >= entry.version)
         };
-        self.node.scheduler.borrow().as_ref().is_some_and(known)
+        self.node
+            .scheduler
+            .borrow()
+            .as_ref()
+            .is_some_and(has_version)
     }
 
-    /// A job is over: done or cancelled.
-    fn job_deleted(&self, key: &str) {
-        let Some(id) = job_of(key) else {
+    /// Finishes a job whose live record was deleted, because the job is done or cancelled.
+    fn apply_deletion(&self, key: &str) {
+        let Some(id) = job_id(key) else {
             return;
         };
         self.node
             .with_scheduler(self.term, |scheduler| scheduler.finish_job(id));
     }
 
-    /// All changes up to the watch's revision are applied, and so are all that were made
-    /// before `asked_at`.
-    fn caught_up(&self, asked_at: f64) {
+    /// Records that all changes up to the watch's revision are applied. These include all
+    /// changes made before `requested_at`.
+    fn mark_caught_up(&self, requested_at: f64) {
         self.node.with_scheduler(self.term, |scheduler| {
             scheduler.watched_revision = self.revision;
             let mut leadership = self.node.leadership.borrow_mut();
-            leadership.job_watch_answered(asked_at);
+            leadership.job_watch_answered(requested_at);
         });
         dispatcher::send_due_calls(&self.node);
     }
 }
 
-/// The job whose live record has this key.
-fn job_of(key: &str) -> Option<&str> {
+/// The id of the job whose live record has this key.
+fn job_id(key: &str) -> Option<&str> {
     key.strip_prefix(records::LIVE_PREFIX)
 }
--- a/src/coordination/jobs/lookup.rs
+++ b/src/coordination/jobs/lookup.rs
@@ -1,10 +1,13 @@
-//! Linearizable look-ups of jobs, on which the answers to users rest.
+//! Linearizable look-ups of jobs, on which answers to users are based.
 //!
-//! Invariant: once any controller has told a user that a job is accepted, done or
-//! cancelled, no answer to a request that began later is older. So every answer is
-//! either a terminal state, which never changes, or rests on a read that was sent after
-//! the request came; what this controller learnt while the read was under way wins over
-//! it, and a read whose answer came late is repeated instead of being passed on.
+//! Invariant: once any controller has told a user that a job is accepted, done or cancelled,
+//! no answer to a request that began later gives an older state. Therefore:
+//!
+//! - Every answer is either a terminal state, which never changes, or based on a read that was
+//!   sent after the request arrived.
+//! - What this controller learned while the read was in progress takes precedence over the
+//!   result of the read.
+//! - A read whose response arrives late is repeated, and its result is not passed on.
 
 pub use super::terminal_states::TerminalStates;
 
@@ -18,40 +21,40 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How old the read behind an answer may be when the answer leaves: a quarter of the 2 s
-/// that users wait for the answer to a poll. Requests of one user overlap, and an answer
-/// that was held up would contradict what the user has been told elsewhere meanwhile.
+/// Maximum age of the read behind an answer when the answer is sent: a quarter of the 2 s that
+/// users wait for the answer to a poll. The requests of one user overlap, so a delayed answer
+/// could contradict what another controller has told the user in the meantime.
 pub const MAX_READ_AGE: Duration = Duration::from_millis(500);
 
-/// Reads for one answer at most.
+/// Maximum number of reads for one answer.
 const MAX_READS: usize = 2;
 
-/// A job as the state service has it.
+/// A job as the state service stores it.
 #[derive(Debug)]
 pub enum JobLookup {
-    /// It is live: its record.
+    /// The job is live. Holds its record.
     Live(VersionedRecord),
-    /// It is over: done or cancelled.
+    /// The job is done or cancelled.
     Terminal(TerminalRecord),
-    /// It is live, and its record says nothing to this version of the program: it
-    /// waits for one that can read it, and its user must be answered. The version of the
-    /// record.
+    /// The job is live, but this version of the program cannot parse its record. The job waits
+    /// for a controller that can, and its user must still be answered. Holds the version of
+    /// the record.
     Unreadable(u64),
-    /// No such job was accepted.
+    /// No job with this id was accepted.
     NotFound,
 }
 
-/// A result of a read, and when that read was sent.
+/// The result of a read, and when the read was sent.
 struct TimedLookup {
     found: JobLookup,
     sent_at: Instant,
 }
 
-/// Looks the job up. The caller answers at once: whatever else it needs it has to wait
-/// for before.
+/// Looks up a job. The caller must answer without further waiting, so it awaits anything else
+/// that it needs before the look-up.
 ///
 /// # Errors
-/// The state service could not be read, or its answers came too late to be passed on.
+/// The state service could not be read, or its responses came too late to be passed on.
 pub async fn find(node: &Rc<Node>, id: &str) -> Result<JobLookup, ServiceError> {
     for _ in 0..MAX_READS {
         if let Some(state) = node.terminal_states.borrow().get(id) {
@@ -65,27 +68,28 @@
             return Ok(found);
         }
         if sent_at.elapsed() <= MAX_READ_AGE {
-            return Ok(unless_accepted_meanwhile(node, id, found));
+            return Ok(or_accepted_meanwhile(node, id, found));
         }
     }
     Err(ServiceError::Refused)
 }
 
-/// A job that this controller accepted while the read was under way is not unknown.
-fn unless_accepted_meanwhile(node: &Node, id: &str, found: JobLookup) -> JobLookup {
+/// Replaces `NotFound` with the record of a job that this controller accepted while the read
+/// was in progress.
+fn or_accepted_meanwhile(node: &Node, id: &str, found: JobLookup) -> JobLookup {
     match (found, node.record_cache.borrow().get(id)) {
-        (JobLookup::NotFound, Some(read)) => JobLookup::Live(read),
+        (JobLookup::NotFound, Some(record)) => JobLookup::Live(record),
         (found, _) => found,
     }
 }
 
-/// Reads the job, and says when the read that the result rests on was sent. A job moves
-/// from live to terminal and never back, so reading in this order cannot miss it.
+/// Reads the job, and reports when the first request for the result was sent. A job goes from
+/// live to terminal and never back, so reading the live record first cannot miss it.
 async fn read(node: &Rc<Node>, id: &str) -> Result<TimedLookup, ServiceError> {
     if let Some(current) = version_check::current_record(node, id).await? {
-        let CurrentRecord { read, sent_at } = current;
+        let CurrentRecord { record, sent_at } = current;
         return Ok(TimedLookup {
-            found: JobLookup::Live(read),
+            found: JobLookup::Live(record),
             sent_at,
         });
     }
@@ -93,28 +97,28 @@
     let live = node.state.timed_get(&live_key, Priority::Data).await;
     let sent_at = live.sent_at;
     let found = match live.result? {
-        Some(entry) => read_live(node, &entry),
+        Some(entry) => parse_live(node, &entry),
         None => read_terminal(node, id).await?,
     };
     Ok(TimedLookup { found, sent_at })
 }
 
-/// Reads a live record, and remembers it.
-fn read_live(node: &Node, entry: &Entry) -> JobLookup {
+/// Parses a live record and caches it.
+fn parse_live(node: &Node, entry: &Entry) -> JobLookup {
     let Ok(record) = entry.read() else {
         tracing::error!(key = %entry.key, "unreadable job record");
         return JobLookup::Unreadable(entry.version);
     };
-    let read = VersionedRecord {
+    let versioned = VersionedRecord {
         record: Rc::new(record),
         version: entry.version,
     };
     let mut cache = node.record_cache.borrow_mut();
-    cache.insert(&read.record, read.version);
-    JobLookup::Live(read)
+    cache.insert(&versioned.record, versioned.version);
+    JobLookup::Live(versioned)
 }
 
-/// Reads the terminal record of a job that is not live, and remembers it.
+/// Reads the terminal record of a job that is not live, and caches it.
 async fn read_terminal(node: &Node, id: &str) -> Result<JobLookup, ServiceError> {
     let key = records::terminal_key(id);
     let Some(entry) = node.state.get(&key, Priority::Data).await? else {
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -1,18 +1,18 @@
-//! Jobs as the state service has them: linearizable look-ups, completions that are written,
-//! and the watch by which the leader learns of submissions and cancellations.
+//! Jobs as the state service stores them: linearizable look-ups, the recording of completed
+//! tasks, and the watch through which the leader learns of submissions and cancellations.
 //!
-//! Data that [`crate::coordination::node::Node`] holds, without functions that need a node:
-//! - [`terminal_states`]: terminal states that were read or written here.
-//! - [`record_cache`]: live records as they were last read.
+//! Data that [`crate::coordination::node::Node`] holds. These modules do not use the node:
+//! - [`terminal_states`]: a cache of terminal job states that this controller read or wrote.
+//! - [`record_cache`]: a cache of live job records as they were last read.
 //!
 //! Functions that act for a node:
 //! - [`admission`]: whether a job can ever run.
-//! - [`lookup`]: what an answer to a user rests on.
+//! - [`lookup`]: linearizable look-ups of jobs, on which answers to users are based.
 //! - [`version_check`]: batched checks whether cached records are current.
 //! - [`live_job_watch`]: the leader's watch of live jobs.
-//! - [`completion_writer`]: the actor that writes completions; [`completion_batch`] plans
-//!   each of its transactions.
-//! - [`completed_task_chunks`]: the completed tasks of jobs too large for one record.
+//! - [`completion_writer`]: the actor that writes completed tasks and terminal records;
+//!   [`completion_batch`] plans each of its transactions.
+//! - [`completed_task_chunks`]: the completed tasks of jobs with too many tasks for one record.
 
 pub mod admission;
 pub mod completed_task_chunks;
--- a/src/coordination/jobs/terminal_states.rs
+++ b/src/coordination/jobs/terminal_states.rs
@@ -1,10 +1,10 @@
 //! A bounded cache of the terminal states of jobs. A terminal state never changes, so an
-//! entry is never stale and answers a user without a read.
+//! entry is never stale, and a user can be answered from it without a read.
 
 use crate::coordination::recent::RecentMap;
 use crate::storage::records::TerminalRecord;
 
-/// Terminal states of the jobs that ended last.
+/// The terminal states that were added last.
 pub struct TerminalStates(RecentMap<String, TerminalRecord>);
 
 impl Default for TerminalStates {
@@ -14,15 +14,16 @@
 }
 
 impl TerminalStates {
-    /// Jobs remembered, some 150 bytes each; the states of others are read again.
+    /// Maximum number of cached states, of about 150 bytes each. A state that was evicted is
+    /// read from the state service again.
     pub const CAPACITY: usize = 16_384;
 
-    /// The job's terminal state, if it is remembered.
+    /// The job's terminal state, if it is cached.
     pub fn get(&self, id: &str) -> Option<TerminalRecord> {
         self.0.get(id).copied()
     }
 
-    /// Remembers a terminal state; true if it was not known.
+    /// Caches a terminal state. Returns true if it was not cached yet.
     pub fn put(&mut self, id: &str, state: TerminalRecord) -> bool {
         self.0.insert(id.to_string(), state).is_none()
     }
--- a/src/coordination/jobs/version_check.rs
+++ b/src/coordination/jobs/version_check.rs
@@ -1,12 +1,13 @@
-//! Batched version checks. Every answer to a user rests on a read of the state service
-//! that began after the user's request; with one read for each poll, a thousand small
-//! jobs would use up the service's requests. A transaction without changes compares many
-//! versions at once, and that a record read earlier still has its version is all that
-//! most polls need to know.
+//! Batched checks whether cached records still have their version.
+//!
+//! Every answer to a user is based on a read of the state service that began after the user's
+//! request. With one read per poll, a thousand small jobs would use up the requests that the
+//! service allows. Most polls only need to know that a record read earlier is unchanged, and
+//! a transaction without changes can compare the versions of many records at once.
 
 pub use super::record_cache::{RecordCache, VersionedRecord};
 
-use super::record_cache::VersionQuestion;
+use super::record_cache::VersionQuery;
 use crate::coordination::node::Node;
 use crate::protocol::state::Txn;
 use crate::storage::records;
@@ -16,80 +17,85 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Time between two checks at least: a twentieth of what a user waits for an answer to a
-/// poll, so ten requests a second at most.
-const MIN_INTERVAL_S: f64 = 0.1;
+/// Minimum time between two checks, in seconds: a twentieth of the 2 s that users wait for the
+/// answer to a poll. Checks take at most ten requests per second.
+const MIN_CHECK_INTERVAL_S: f64 = 0.1;
 
-/// Jobs compared by one check, for each change that a transaction may hold.
+/// Maximum number of jobs compared by one check, for each change that a transaction may hold.
 const JOBS_PER_TXN_OP: usize = 4;
 
 /// A cached record that a check found to be current.
 #[derive(Debug)]
 pub struct CurrentRecord {
     /// The record and its version.
-    pub read: VersionedRecord,
-    /// When the check was sent: the record was current then or later.
+    pub record: VersionedRecord,
+    /// When the check was sent. The record was current at that time or later.
     pub sent_at: Instant,
 }
 
-/// The cached record if it is current: `Ok(None)` if there is none to check or it has
-/// changed, so that it must be read.
+/// Returns the cached record if it is current. `Ok(None)` means that the record must be read:
+/// it is not cached, has changed, or changes so often that a check is not worthwhile.
 ///
 /// # Errors
-/// The check could not be made.
+/// The check failed.
 pub async fn current_record(
     node: &Rc<Node>,
     id: &str,
 ) -> Result<Option<CurrentRecord>, ServiceError> {
-    let Some(read) = node.record_cache.borrow().worth_checking(id) else {
+    let Some(record) = node.record_cache.borrow().record_worth_checking(id) else {
         return Ok(None);
     };
-    let answer = ask(node, id, read.version);
-    let check = answer.await.map_err(|_| ServiceError::Refused)?;
+    let reply = enqueue_query(node, id, record.version);
+    let check = reply.await.map_err(|_| ServiceError::Refused)?;
     let sent_at = check.sent_at;
     let unchanged = check.result?;
-    Ok(unchanged.then_some(CurrentRecord { read, sent_at }))
+    Ok(unchanged.then_some(CurrentRecord { record, sent_at }))
 }
 
-/// Queues a question for the next check, and starts the checking task if none runs.
-fn ask(node: &Rc<Node>, id: &str, version: u64) -> oneshot::Receiver<TimedResult<bool>> {
-    let (answer, receiver) = oneshot::channel();
+/// Queues a query for the next check, and starts the checking task if it is not running. The
+/// reply tells whether the record still has the version.
+fn enqueue_query(node: &Rc<Node>, id: &str, version: u64) -> oneshot::Receiver<TimedResult<bool>> {
+    let (reply, receiver) = oneshot::channel();
     let mut cache = node.record_cache.borrow_mut();
-    cache.enqueue(VersionQuestion {
+    cache.enqueue(VersionQuery {
         id: id.to_string(),
         version,
-        answer,
+        reply,
     });
-    if cache.begin_checking() {
+    if cache.mark_checking() {
         actix_rt::spawn(check_until_idle(node.clone()));
     }
     receiver
 }
 
-/// Runs checks until no poll waits.
+/// Runs checks until no query is pending.
 async fn check_until_idle(node: Rc<Node>) {
     let max_jobs = JOBS_PER_TXN_OP * node.settings.cluster.state.txn_ops;
     loop {
-        let pause_s = node.record_cache.borrow().checked_at() + MIN_INTERVAL_S - node.now();
+        let pause_s = node.record_cache.borrow().checked_at() + MIN_CHECK_INTERVAL_S - node.now();
         if pause_s > 0.0 {
             actix_rt::time::sleep(Duration::from_secs_f64(pause_s)).await;
         }
         let now = node.now();
-        let batch = node.record_cache.borrow_mut().next_check(max_jobs, now);
+        let batch = node.record_cache.borrow_mut().start_check(max_jobs, now);
         if batch.is_empty() {
             return;
         }
         let checked = node
             .state
-            .timed_txn(&comparison(&batch), Priority::Data)
+            .timed_txn(&comparison_txn(&batch), Priority::Data)
             .await;
         answer_batch(&node, batch, &checked);
     }
 }
 
-/// A transaction that only compares: each job's record with the version asked for.
-fn comparison(batch: &[VersionQuestion]) -> Txn {
-    let mut versions: Vec<(&str, u64)> = batch.iter().map(|q| (&*q.id, q.version)).collect();
+/// A transaction without changes that compares the version of each job's live record with the
+/// version in the query.
+fn comparison_txn(batch: &[VersionQuery]) -> Txn {
+    let mut versions: Vec<(&str, u64)> = batch
+        .iter()
+        .map(|query| (&*query.id, query.version))
+        .collect();
     versions.sort_unstable();
     versions.dedup();
     versions
@@ -99,26 +105,26 @@
         })
 }
 
-/// Answers the questions of a check; those that it leaves open go into the next one.
-fn answer_batch(node: &Node, batch: Vec<VersionQuestion>, checked: &TimedResult<u64>) {
+/// Answers the queries of a check. Queries that the check leaves undecided are queued for the
+/// next one.
+fn answer_batch(node: &Node, batch: Vec<VersionQuery>, checked: &TimedResult<u64>) {
     let mut cache = node.record_cache.borrow_mut();
-    for question in batch {
+    for query in batch {
         let result = match &checked.result {
             Ok(_) => Ok(true),
-            Err(ServiceError::Conflict(keys))
-                if keys.contains(&records::live_key(&question.id)) =>
-            {
+            Err(ServiceError::Conflict(keys)) if keys.contains(&records::live_key(&query.id)) => {
                 Ok(false)
             }
             Err(ServiceError::Conflict(_)) => {
-                // Nothing says that every key that differs is named: check it once more.
-                cache.enqueue(question);
+                // The protocol does not promise that a conflict names every key that differs,
+                // so this record is checked again.
+                cache.enqueue(query);
                 continue;
             }
             Err(error) => Err(error.clone()),
         };
         let sent_at = checked.sent_at;
-        // The poll may have been given up.
-        let _ = question.answer.send(TimedResult { result, sent_at });
+        // Sending fails if the poll was abandoned; nobody needs the reply then.
+        let _ = query.reply.send(TimedResult { result, sent_at });
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,14 +1,14 @@
-//! Decides who leads, where tasks run, which commands workers get, and how many machines
-//! there are. The state machines are pure code with passed-in time and a seeded generator; the
-//! loops and actors beside them carry out their effects.
+//! Decides which controller leads, where tasks run, which commands workers get, and how many
+//! machines there are. The state machines have no side effects: time and a seeded random
+//! number generator are passed in. The loops and actors next to them carry out the effects.
 //!
-//! - [`scheduler`]: jobs, machines and what runs where.
+//! - [`scheduler`]: jobs, machines, and the placement of tasks on machines.
 //! - [`agents`]: heartbeats, the failure detector, commands and calls to workers.
-//! - [`leadership`]: leases, takeovers, and what a leader rests on.
-//! - [`jobs`]: look-ups, completions, the watch of live jobs.
-//! - [`fleet`]: scale out and in, drains, rollouts, the machine record.
-//! - [`node`]: what ties the parts of one process together.
-//! - [`readiness`]: whether users should be sent to this controller.
+//! - [`leadership`]: leases, takeovers, and the conditions under which a leader may act.
+//! - [`jobs`]: look-ups and completions of jobs, and the watch of live jobs.
+//! - [`fleet`]: scale-out, scale-in, drains, rollouts, and the machine record.
+//! - [`node`]: the state that all parts of one controller share.
+//! - [`readiness`]: whether the load balancer should send users to this controller.
 //! - [`recent`]: a bounded map.
 
 pub mod agents;
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -1,6 +1,6 @@
-//! What all parts of one controller share.
+//! The state that all parts of one controller share.
 //!
-//! Invariant: everything runs on one thread, so plain cells suffice; no borrow is held
+//! Invariant: everything runs on one thread, so `Cell` and `RefCell` suffice. No borrow is held
 //! across an await.
 
 use crate::coordination::agents::leader_reachability::RedirectCounter;
@@ -29,27 +29,27 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 
-/// Largest wait for a change of the leader: three quarters of the 4 s that a worker waits
-/// for an answer.
-const LEADER_CHANGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Largest wait for a takeover that is under way: half of the 4 s that a worker waits for
+/// Maximum wait for a change of the leader: three quarters of the 4 s that a worker waits for
 /// an answer.
+const LEADER_CHANGE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum wait for a takeover in progress: half of the 4 s that a worker waits for an answer.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest acceptance time that is told apart, in milliseconds.
+/// Maximum acceptance time that the histogram records, in milliseconds. Longer times count as
+/// this one.
 const MAX_ACCEPTANCE_MS: u64 = 600_000;
-/// Least bound on the tasks of a live record, for very small values.
+/// Lower limit of [`Node::tasks_per_record`], for state services with very small values.
 const MIN_TASKS_PER_RECORD: f64 = 64.0;
-/// Bytes of a value for each completed task of a live record. A range of tasks takes up to
-/// 14 bytes and covers two tasks at worst, so that half of the value is left for the job's
-/// description.
+/// Bytes of a value reserved for each completed task of a live record. A range of tasks
+/// takes up to 14 bytes and covers at least two tasks, so half of the value is left for the
+/// rest of the record.
 const BYTES_PER_COMPLETED_TASK: f64 = 16.0;
 
-/// Draws the number of an incarnation; 52 bits survive any JSON reader.
+/// A random incarnation number of 52 bits, which every JSON parser reads exactly.
 pub fn draw_incarnation() -> u64 {
     SmallRng::from_os_rng().next_u64() >> 12
 }
 
-/// The clients of everything that a controller calls.
+/// The clients of all services that a controller calls.
 pub struct Clients {
     /// Client of the state service.
     pub state: StateClient,
@@ -62,7 +62,7 @@
 }
 
 impl Clients {
-    /// Clients over sockets.
+    /// Clients that connect over sockets.
     pub fn new(settings: &Settings) -> Clients {
         Clients {
             state: StateClient::new(settings),
@@ -76,11 +76,11 @@
 /// One controller.
 pub struct Node {
     // Settings.
-    /// The platform's settings.
+    /// Settings that the platform provides.
     pub settings: Settings,
-    /// The operators' own settings.
+    /// Settings that the operators choose.
     pub policy: Policy,
-    /// Start of the process: origin of [`Node::now`].
+    /// When this node was created: the origin of [`Node::now`].
     start: Instant,
 
     // Clients.
@@ -94,52 +94,54 @@
     pub mesh: MeshClient,
 
     // Leadership.
-    /// Who leads the shard, and the leases that this rests on.
+    /// Who leads the shard, and the leases on which that depends.
     pub leadership: RefCell<Leadership>,
-    /// A takeover is under way.
+    /// Whether this controller is taking over the shard.
     pub taking_over: Cell<bool>,
-    /// Notified when a takeover is over, and when the shard has another leader.
+    /// Notified when a takeover has ended, and when the shard has a new term.
     pub leadership_changed: Notify,
-    /// Term of the shard when that was last notified.
+    /// Term of the shard at the last notification of `leadership_changed`.
     pub announced_term: Cell<u64>,
-    /// Whether users should be sent here.
+    /// Whether users should be sent to this controller.
     pub readiness: RefCell<Readiness>,
-    /// Heartbeats that came here while another controller was the leader.
+    /// Counts heartbeats that arrived here while another controller was the leader.
     pub redirected_heartbeats: RefCell<RedirectCounter>,
 
     // The leader's scheduler.
-    /// The scheduler, while this controller leads.
+    /// The scheduler; `None` while this controller does not lead.
     pub scheduler: RefCell<Option<Scheduler>>,
-    /// The shard's machine record as it is written, by chunk.
+    /// The chunks of the shard's machine record as they were last read or written.
     pub machine_record: RefCell<MachineRecord>,
-    /// Direct calls to workers under way.
+    /// Number of direct calls to workers in progress.
     pub direct_calls: Cell<usize>,
-    /// Term and count of the drains that the scheduler was told of.
+    /// Term and drain generation that were last applied to the scheduler.
     pub applied_drains: Cell<(u64, u64)>,
-    /// Versions of drains that we recorded as carried out and the watch has not
-    /// shown yet.
+    /// Versions of drain records that this controller has since rewritten to mark the machine
+    /// as drained, while the watch has not shown the rewritten record yet.
     pub recorded_drains: RefCell<Vec<u64>>,
-    /// Revision of the last step of a rollout that we wrote.
+    /// Revision of the last rollout step that this controller wrote.
     pub last_rollout_revision: Cell<u64>,
 
     // Jobs.
-    /// Terminal states of jobs, as far as they were read or written here.
+    /// Terminal states of jobs that this controller read or wrote.
     pub terminal_states: RefCell<TerminalStates>,
-    /// Live jobs as they were read, and polls that wait for a check of them.
+    /// Live records as they were last read, and polls that wait for a version check.
     pub record_cache: RefCell<RecordCache>,
     /// Cancellations that this controller confirmed to users.
     pub confirmed_cancellations: RefCell<ConfirmedCancellations>,
-    /// Cancellations that other controllers told us of, for a scheduler that is not there yet.
+    /// Cancellations that other controllers reported. A takeover applies them to its new
+    /// scheduler.
     pub relayed_cancellations: RefCell<ConfirmedCancellations>,
 
-    // What operators see.
-    /// How long submissions took until they were accepted, in milliseconds.
+    // Views and metrics for operators.
+    /// How long submissions took to be accepted, in milliseconds.
     pub acceptance_ms: RefCell<Option<Histogram<u32>>>,
-    /// What operators were told of the leader's shard, for when it is away.
+    /// The leader's last views for operators, shown while the leader does not answer: the time
+    /// of receipt in seconds of [`Node::now`], the leader's term, and the view as JSON.
     pub cached_views: RefCell<HashMap<Topic, (f64, u64, String)>>,
 }
 
-/// What the state machine of leadership needs of the settings.
+/// The settings that the leadership state machine needs.
 fn leadership_config(settings: &Settings, policy: &Policy) -> LeadershipConfig {
     let workers = &settings.cluster.workers;
     LeadershipConfig {
@@ -147,9 +149,9 @@
         peers: settings.peers.iter().map(|p| p.name.clone()).collect(),
         teams: (settings.cluster.teams.iter().map(|t| t.name.clone())).collect(),
         lease_ttl_s: policy.lease_ttl_s(workers.lease_s),
-        // While the state service is away for all, no takeover is possible, so this is
-        // long; after a takeover it bounds how long the former leader lasts if no quorum
-        // of promises is had.
+        // No takeover is possible while the state service is unavailable to all controllers,
+        // so this can be long. After a takeover it limits how long the former leader may
+        // answer workers, if no quorum promised never to extend its lease again.
         longest_silence_s: policy.quiet_leases * workers.lease_s,
         worker_lease_s: workers.lease_s,
         staleness_bound_s: staleness_bound_s(workers.cancel_s, workers.lease_s),
@@ -158,13 +160,13 @@
 }
 
 impl Node {
-    /// A controller that talks over sockets.
+    /// A controller whose clients connect over sockets.
     pub fn new(settings: Settings, policy: Policy) -> Rc<Node> {
         let clients = Clients::new(&settings);
         Node::with_clients(settings, policy, clients)
     }
 
-    /// A controller that talks through these clients.
+    /// A controller that uses these clients.
     pub fn with_clients(settings: Settings, policy: Policy, clients: Clients) -> Rc<Node> {
         let config = leadership_config(&settings, &policy);
         Rc::new(Node {
@@ -196,8 +198,8 @@
         })
     }
 
-    /// Calls `action` with the scheduler if this controller still leads under `term`:
-    /// whoever waited in between may find another scheduler, or none.
+    /// Calls `action` with the scheduler if this controller still leads under `term`. After an
+    /// await the scheduler may be gone, or belong to another term.
     pub fn with_scheduler<R>(
         &self,
         term: u64,
@@ -208,7 +210,7 @@
         (scheduler.fence.base_term == term).then(|| action(scheduler))
     }
 
-    /// Whether this controller's scheduler is that of `term`.
+    /// Whether this controller has a scheduler and its base term is `term`.
     pub fn leads_under(&self, term: u64) -> bool {
         let scheduler = self.scheduler.borrow();
         scheduler
@@ -216,13 +218,15 @@
             .is_some_and(|scheduler| scheduler.fence.base_term == term)
     }
 
-    /// Remembers a terminal state before a user is told of it.
+    /// Caches a terminal state before a user is told of it.
     ///
-    /// Where we lead our scheduler learns of it first: by the watch alone it may not
-    /// for longer than `cancel_s`. (A cancellation without an answer was carried out late,
-    /// a poll here found it and told the user; then the state service went away, and what
-    /// the other controllers told users, which is all that a leader asks for, did not
-    /// have it: the job's tasks ran on.)
+    /// If this controller leads and the job was cancelled, its scheduler finishes the job at
+    /// once, because the watch alone may report the cancellation later than `cancel_s`. This
+    /// guards against the following failure: A cancellation got no response and was executed
+    /// late. A poll at the leader found it, and the user was told. Then the state service
+    /// became unavailable. The leader could only ask the other controllers for the
+    /// cancellations that they had confirmed, and none of them knew this one, so the job's
+    /// tasks went on running.
     pub fn learn_terminal_state(&self, id: &str, state: TerminalRecord) {
         let is_new = self.terminal_states.borrow_mut().put(id, state);
         if !is_new || state.state != JobState::Cancelled {
@@ -235,33 +239,33 @@
         }
     }
 
-    /// Monotonic time since the start of the process, in seconds.
+    /// Monotonic time since this node was created, in seconds.
     pub fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Counts a submission that was accepted after `took_s` seconds.
-    pub fn record_acceptance(&self, took_s: f64) {
+    /// Records that a submission was accepted after `duration_s` seconds.
+    pub fn record_acceptance(&self, duration_s: f64) {
         if let Some(histogram) = self.acceptance_ms.borrow_mut().as_mut() {
-            histogram.saturating_record((took_s * 1000.0).max(1.0) as u64);
+            histogram.saturating_record((duration_s * 1000.0).max(1.0) as u64);
         }
     }
 
-    /// Time of day, in milliseconds since 1970.
+    /// Unix time in milliseconds.
     pub fn wall_ms(&self) -> u64 {
         SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .map_or(0, |d| d.as_millis() as u64)
+            .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
     }
 
-    /// Whether this controller leads, and its leases let it answer workers.
+    /// Whether this controller leads and may currently answer workers.
     pub fn may_answer_workers(&self) -> bool {
         self.scheduler.borrow().is_some() && self.leadership.borrow().may_answer_workers(self.now())
     }
 
-    /// Waits for a takeover of ours that is under way. A worker turned away now
-    /// would connect again and again while the shard is being read, and a
-    /// thousand of them would keep it from being read.
+    /// Waits until a takeover by this controller has ended, up to a timeout. A worker that is
+    /// turned away during the takeover would connect again and again, and a thousand such
+    /// workers would keep this controller from reading the shard.
     pub async fn takeover_settled(&self) {
         if self.taking_over.get() {
             let change = self.leadership_changed.notified();
@@ -269,7 +273,8 @@
         }
     }
 
-    /// Waits for the shard to have another leader, and for a takeover of ours to be over.
+    /// Waits until the leadership of the shard changes and a takeover by this controller has
+    /// ended, up to a timeout.
     pub async fn leader_changed(&self) {
         let change = async {
             self.leadership_changed.notified().await;
@@ -278,23 +283,25 @@
         let _ = actix_rt::time::timeout(LEADER_CHANGE_TIMEOUT, change).await;
     }
 
-    /// Whether this controller leads, and nobody can have taken over from it.
+    /// Whether this controller leads, and no other controller can have taken over from it.
     pub fn is_certain_leader(&self) -> bool {
         self.scheduler.borrow().is_some() && self.leadership.borrow().is_certain_leader(self.now())
     }
 
-    /// Without contact to the state service for this long, in seconds, a controller
-    /// doubts its own way to it. Half of the time to live of its lease is two renewals and
-    /// the time for one more.
+    /// How long a controller may be without contact to the state service before it asks the
+    /// other controllers about theirs, in seconds. Half of the time to live of its lease covers
+    /// two renewals and the time for one more.
     pub fn contact_timeout_s(&self) -> f64 {
         self.lease_ttl_s() / 2.0
     }
 
     /// When the state service last answered, in seconds of [`Node::now`]; 0 if never.
     pub fn last_contact_at(&self) -> f64 {
-        let at = self.state.statistics().answered_at;
-        at.map_or(0.0, |at| {
-            at.saturating_duration_since(self.start).as_secs_f64()
+        let answered_at = self.state.statistics().answered_at;
+        answered_at.map_or(0.0, |answered_at| {
+            answered_at
+                .saturating_duration_since(self.start)
+                .as_secs_f64()
         })
     }
 
@@ -304,19 +311,22 @@
             .lease_ttl_s(self.settings.cluster.workers.lease_s)
     }
 
-    /// The leader's name, if it is known and not us.
+    /// The name of the leader, if it is another controller and its alive key exists.
     pub fn other_leader(&self) -> Option<String> {
         self.leadership.borrow().other_leader()
     }
 
-    /// The address at which another controller takes messages.
+    /// The address at which the other controller with this name takes messages.
     pub fn peer_address(&self, name: &str) -> Option<SocketAddr> {
         let peers = &self.settings.peers;
-        peers.iter().find(|p| p.name == name).map(|p| p.addr)
+        peers
+            .iter()
+            .find(|peer| peer.name == name)
+            .map(|peer| peer.addr)
     }
 
-    /// Most tasks of a job whose completed tasks are kept in its live record; those of
-    /// larger jobs are kept in chunks of so many tasks.
+    /// Maximum number of tasks of a job whose completed tasks are stored in its live record.
+    /// The completed tasks of larger jobs are stored in chunks of this many tasks.
     pub fn tasks_per_record(&self) -> u32 {
         let value_bytes = self.settings.cluster.state.value_kb * 1024.0;
         (value_bytes / BYTES_PER_COMPLETED_TASK).max(MIN_TASKS_PER_RECORD) as u32
--- a/src/coordination/readiness.rs
+++ b/src/coordination/readiness.rs
@@ -1,35 +1,41 @@
-//! Readiness: whether the load balancer should send users to this controller. A controller
-//! that the state service does not answer can neither accept nor cancel jobs, nor call them
-//! done, and users stay with the controller that the load balancer gave them: then it must
-//! say that it is not ready. But the load balancer takes its time to come back, the longer
-//! the more often that happened, so in an outage for all no controller says so: it helps no
-//! user, and delays everyone when it is over.
+//! Readiness: whether the load balancer should send users to this controller.
+//!
+//! A controller that gets no answers from the state service can neither accept nor cancel jobs,
+//! nor report them as done. Users stay with the controller to which the load balancer assigned
+//! them, so this controller must report that it is not ready.
+//!
+//! The load balancer waits before it sends users to a controller again, and waits longer the
+//! more often the controller was not ready. In an outage that affects all controllers, none
+//! of them therefore reports that it is not ready: this would help no user, and would delay
+//! all users when the outage is over.
 
-/// What a controller knows of its contact to the state service.
+/// The readiness of a controller, which depends on its contact with the state service.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Readiness {
-    /// Since when there is contact without a gap.
+    /// Since when there has been contact without a gap, in seconds.
     contact_since: f64,
-    /// Users are sent elsewhere.
+    /// Whether users should be sent to other controllers.
     not_ready: bool,
 }
 
-/// What the other controllers say of their contact to the state service.
+/// What the other controllers report about their contact with the state service.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct PeerContacts {
-    /// How many other controllers there are.
+    /// Number of other controllers.
     pub all: usize,
-    /// How many have had contact for some time.
+    /// Number of other controllers that have had contact for some time.
     pub with_contact: usize,
-    /// How many answered that they have none.
+    /// Number of other controllers that answered that they have no contact.
     pub without_contact: usize,
 }
 
 impl PeerContacts {
-    /// Whether this looks like an outage for all: nobody has contact, and a majority of the
-    /// controllers says so. (Two that are cut off together must not take each other's word
-    /// for it.)
+    /// Whether this looks like an outage that affects all controllers: none is known to have
+    /// contact, and a majority, this controller included, reports that it has none. A majority
+    /// is required because two controllers that are partitioned off together must not conclude
+    /// from each other's answers that all are affected.
     fn is_outage(&self) -> bool {
+        // This controller has no contact either.
         let controllers = self.all + 1;
         let without_contact = self.without_contact + 1;
         self.with_contact == 0 && 2 * without_contact > controllers
@@ -37,9 +43,10 @@
 }
 
 impl Readiness {
-    /// Time passes. The state service last answered at `contact_at`; without an answer for
-    /// longer than `timeout_s` the contacts of the `peers` decide, if they were asked. If
-    /// the readiness changed: whether users are sent elsewhere now.
+    /// Updates the readiness at the time `now`. The state service last answered at
+    /// `contact_at`. If that is longer than `timeout_s` ago, the contacts of the `peers` decide,
+    /// if they were asked. Returns `None` if the readiness did not change, else whether this
+    /// controller is now not ready.
     pub fn update(
         &mut self,
         now: f64,
@@ -51,7 +58,7 @@
         if gap_s > timeout_s / 2.0 {
             self.contact_since = now;
         }
-        let before = self.not_ready;
+        let was_not_ready = self.not_ready;
         if gap_s > timeout_s {
             if let Some(peers) = peers {
                 self.not_ready = !peers.is_outage();
@@ -59,15 +66,15 @@
         } else if self.contact_for(now) > timeout_s {
             self.not_ready = false;
         }
-        (self.not_ready != before).then_some(self.not_ready)
+        (self.not_ready != was_not_ready).then_some(self.not_ready)
     }
 
-    /// For how long there has been contact without a gap, in seconds.
+    /// How long there has been contact without a gap, in seconds.
     pub fn contact_for(&self, now: f64) -> f64 {
         now - self.contact_since
     }
 
-    /// Whether users are sent elsewhere.
+    /// Whether users should be sent to other controllers.
     pub fn is_not_ready(&self) -> bool {
         self.not_ready
     }
--- a/src/coordination/recent.rs
+++ b/src/coordination/recent.rs
@@ -1,11 +1,11 @@
-//! A map of bounded size that evicts its oldest entries first.
+//! A bounded map that evicts the oldest entry first.
 
 use foldhash::fast::RandomState;
 use std::borrow::Borrow;
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// A map that holds the `capacity` keys inserted last, with their values.
+/// A map that holds the `capacity` keys that were inserted last, with their values.
 #[derive(Debug)]
 pub struct RecentMap<K, V> {
     entries: HashMap<K, V, RandomState>,
@@ -25,7 +25,7 @@
     }
 
     /// Inserts or replaces a value and returns the previous one. A key that is inserted again
-    /// keeps its age; a new one beyond the capacity evicts the oldest.
+    /// keeps its place in the eviction order. A new key beyond the capacity evicts the oldest.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         let previous = self.entries.insert(key.clone(), value);
         if previous.is_none() {
@@ -39,7 +39,7 @@
         previous
     }
 
-    /// The value of a key, unless the key was evicted.
+    /// The value of a key, if the map still holds it.
     pub fn get<Q>(&self, key: &Q) -> Option<&V>
     where
         K: Borrow<Q>,
--- a/src/storage/completed_tasks.rs
+++ b/src/storage/completed_tasks.rs
@@ -1,4 +1,4 @@
-//! The completed tasks of a job: a set of task numbers, written as ranges: `0-3,7`.
+//! The completed tasks of a job: a set of task numbers, stored as ranges such as `0-3,7`.
 
 use std::collections::BTreeSet;
 
@@ -7,7 +7,7 @@
 pub struct CompletedTasks(BTreeSet<u32>);
 
 impl CompletedTasks {
-    /// Adds a task; true if it was not in the set.
+    /// Adds a task. Returns true if it was not in the set.
     pub fn insert(&mut self, task: u32) -> bool {
         self.0.insert(task)
     }
@@ -27,7 +27,7 @@
         self.0.is_empty()
     }
 
-    /// All tasks of the set, in order.
+    /// All tasks of the set, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter().copied()
     }
@@ -37,14 +37,14 @@
         self.0.extend(&other.0);
     }
 
-    /// The tasks within chunk `chunk` of `size` tasks.
+    /// The tasks in chunk number `chunk`, where each chunk covers `size` task numbers.
     pub fn chunk(&self, chunk: u32, size: u32) -> CompletedTasks {
         let first = chunk.saturating_mul(size);
         let end = first.saturating_add(size);
         CompletedTasks(self.0.range(first..end).copied().collect())
     }
 
-    /// The set as text.
+    /// The set as text: ranges of consecutive tasks, separated by commas.
     pub fn to_text(&self) -> String {
         let ranges: Vec<String> = self
             .ranges()
@@ -60,7 +60,7 @@
         ranges.join(",")
     }
 
-    /// The ranges of consecutive tasks: first and last of each.
+    /// The ranges of consecutive tasks, each as its first and last task.
     fn ranges(&self) -> Vec<(u32, u32)> {
         let mut ranges: Vec<(u32, u32)> = Vec::new();
         for &task in &self.0 {
@@ -72,8 +72,8 @@
         ranges
     }
 
-    /// Reads ranges of tasks below `limit`; what is unreadable is left out, so that a
-    /// damaged record runs tasks again instead of losing them.
+    /// Parses ranges of tasks and keeps the tasks below `limit`. Ranges that cannot be parsed
+    /// are skipped, so that a damaged record makes tasks run again instead of losing them.
     pub fn from_text(text: &str, limit: u32) -> CompletedTasks {
         let max_task = limit.saturating_sub(1);
         let mut tasks = BTreeSet::new();
--- a/src/storage/machine_record.rs
+++ b/src/storage/machine_record.rs
@@ -1,61 +1,61 @@
-//! The shard's list of machines, which is larger than one value and is kept in chunks: which
-//! of them must be written so that the record lists the machines wanted, and no more of
-//! them than need be.
+//! The shard's list of machines. It is larger than one value may be, so it is stored in
+//! chunks. This module plans which chunks must be written so that the record lists the wanted
+//! machines, and rewrites as few chunks as possible.
 //!
-//! Invariant: a chunk is written only in place of the version that we know. A write without
-//! an answer may be carried out later; its chunk is written again whatever it holds, which
-//! changes the version and voids that write.
+//! Invariant: a chunk is written only on condition that it still has the version we know. A
+//! write that got no response may be executed later. Its chunk is therefore written again,
+//! whatever it holds: this changes the version, and the late write fails.
 
 use super::records::{self, MachineChunk, MachineInfo};
 use crate::protocol::state::{Entry, Txn};
 use std::collections::{BTreeSet, HashMap};
 
-/// Estimated bytes of a machine in a chunk, beside its texts.
+/// Estimated bytes of a machine in a chunk, without its strings.
 const MACHINE_BYTES: usize = 80;
-/// Estimated bytes of a chunk in a transaction, beside its machines.
+/// Estimated bytes of a chunk in a transaction, without its machines.
 const CHUNK_BYTES: usize = 100;
 
-/// The record as it stands, as far as we know.
+/// The chunks of the record as they were last read or written.
 #[derive(Debug, Default)]
 pub struct MachineRecord {
     chunks: Vec<WrittenChunk>,
-    /// Chunks that a write without an answer may still change.
+    /// Chunks that a write without a response may still change.
     uncertain: BTreeSet<usize>,
 }
 
-/// A chunk as it was read or written last.
+/// A chunk as it was last read or written.
 #[derive(Debug, Default)]
 struct WrittenChunk {
     machines: Vec<MachineInfo>,
-    /// 0: it does not exist.
+    /// Version of the chunk; 0 if it does not exist.
     version: u64,
 }
 
 impl MachineRecord {
-    /// Reads it from a listing; what is not in it does not exist.
+    /// Parses the record from a listing of all chunks. Chunks that are not listed do not exist.
     pub fn read(listed: &[Entry]) -> MachineRecord {
-        let mut written = MachineRecord::default();
+        let mut record = MachineRecord::default();
         for entry in listed {
             let number = records::chunk_number(&entry.key);
             match (number, entry.read::<MachineChunk>()) {
-                (Some(number), Ok(chunk)) => written.set(number, chunk.machines, entry.version),
+                (Some(number), Ok(chunk)) => record.set(number, chunk.machines, entry.version),
                 _ => tracing::error!(key = %entry.key, "unreadable machine record"),
             }
         }
-        written
+        record
     }
 
-    /// A write of this chunk had no answer: it may be carried out at any time.
+    /// Notes that a write of this chunk got no response and may be executed at any time.
     pub fn mark_uncertain(&mut self, chunk: usize) {
         self.uncertain.insert(chunk);
     }
 
-    /// Takes over what was read anew; what is uncertain stays so.
+    /// Replaces the chunks with a new listing. Uncertain chunks stay uncertain.
     pub fn reload(&mut self, listed: &[Entry]) {
         self.chunks = MachineRecord::read(listed).chunks;
     }
 
-    /// The chunk holds these machines since this version.
+    /// Notes that the chunk was read or written with these machines, at this version.
     pub fn set(&mut self, chunk: usize, machines: Vec<MachineInfo>, version: u64) {
         if self.chunks.len() <= chunk {
             self.chunks.resize_with(chunk + 1, Default::default);
@@ -64,30 +64,31 @@
         self.uncertain.remove(&chunk);
     }
 
-    /// All machines.
+    /// All machines in the record.
     pub fn machines(&self) -> impl Iterator<Item = &MachineInfo> {
         self.chunks.iter().flat_map(|chunk| &chunk.machines)
     }
 
-    /// The version that a write of this chunk replaces.
+    /// The version that a write of this chunk must replace.
     fn version(&self, chunk: usize) -> u64 {
         self.chunks.get(chunk).map_or(0, |chunk| chunk.version)
     }
 
-    /// Whether the chunk has to be written so that it holds just these machines.
+    /// Whether the chunk must be written so that it holds exactly these machines.
     fn must_write(&self, chunk: usize, machines: &[&MachineInfo]) -> bool {
-        let holds = |written: &WrittenChunk| written.machines.iter().eq(machines.iter().copied());
-        self.uncertain.contains(&chunk) || !self.chunks.get(chunk).is_some_and(holds)
+        let is_equal =
+            |written: &WrittenChunk| written.machines.iter().eq(machines.iter().copied());
+        self.uncertain.contains(&chunk) || !self.chunks.get(chunk).is_some_and(is_equal)
     }
 }
 
-/// A chunk's number, with its new content.
+/// The number of a chunk and the machines to write into it.
 pub type Change = (usize, Vec<MachineInfo>);
 
-/// The transaction that writes these changes if the shard record still has this
-/// version and each chunk is the one we know. Without the latter one that was
-/// given up, and is carried out minutes late, would put an old list over a
-/// newer one: tasks would run on machines that no record names.
+/// The transaction that writes these changes, on condition that the shard record still has this
+/// version and each chunk still has the version we know. Without the conditions on the chunks,
+/// a write that was given up and is executed minutes later would overwrite a newer list with
+/// an old one, and tasks would run on machines that no record names.
 pub fn txn(written: &MachineRecord, changes: &[Change], shard_version: u64) -> Txn {
     let mut txn = Txn::default().when(records::SHARD_KEY, shard_version);
     for (chunk, machines) in changes {
@@ -100,21 +101,26 @@
     txn
 }
 
-/// Chunks to write so that they hold just the `wanted` machines, none above
-/// `max_bytes`. A machine stays in its chunk, so a change touches few.
+/// The chunks to write so that the record holds exactly the `wanted` machines. Machines are
+/// added to a chunk only up to `max_bytes`. A machine stays in its chunk, so a change of the
+/// list rewrites few chunks.
 pub fn plan(written: &MachineRecord, wanted: &[&MachineInfo], max_bytes: usize) -> Vec<Change> {
-    let mut missing: HashMap<&str, &MachineInfo> =
-        wanted.iter().map(|m| (m.id.as_str(), *m)).collect();
+    let mut unassigned: HashMap<&str, &MachineInfo> = wanted
+        .iter()
+        .map(|machine| (machine.id.as_str(), *machine))
+        .collect();
     let mut chunks: Vec<ChunkPlan> = Vec::with_capacity(written.chunks.len());
     for chunk in &written.chunks {
-        let kept = chunk.machines.iter();
-        let kept = kept.filter_map(|m| missing.remove(m.id.as_str()));
+        let kept = chunk
+            .machines
+            .iter()
+            .filter_map(|machine| unassigned.remove(machine.id.as_str()));
         chunks.push(ChunkPlan::new(kept.collect()));
     }
-    // In the order wanted, so that the plan does not depend on hashing.
+    // Follows the order of `wanted`, so that the plan does not depend on the hash order.
     let added = wanted
         .iter()
-        .filter(|m| missing.contains_key(m.id.as_str()));
+        .filter(|machine| unassigned.contains_key(machine.id.as_str()));
     add_next_fit(&mut chunks, added.copied(), max_bytes);
     chunks
         .into_iter()
@@ -124,15 +130,16 @@
         .collect()
 }
 
-/// What a chunk should hold.
+/// The planned content of a chunk.
 struct ChunkPlan<'a> {
     machines: Vec<&'a MachineInfo>,
+    /// Estimated size.
     bytes: usize,
 }
 
 impl<'a> ChunkPlan<'a> {
     fn new(machines: Vec<&'a MachineInfo>) -> ChunkPlan<'a> {
-        let bytes = machines.iter().map(|m| machine_bytes(m)).sum();
+        let bytes = machines.iter().map(|machine| machine_bytes(machine)).sum();
         ChunkPlan { machines, bytes }
     }
 
@@ -142,40 +149,44 @@
     }
 }
 
-/// Adds each machine to the next chunk with room, in order (next fit: a chunk that was
-/// passed over is not tried again), and to new chunks when all are full.
+/// Adds the machines to chunks by next fit: a chunk that had no room for one machine is not
+/// tried for later ones. When all chunks are full, new ones are appended.
 fn add_next_fit<'a>(
     chunks: &mut Vec<ChunkPlan<'a>>,
     machines: impl Iterator<Item = &'a MachineInfo>,
     max_bytes: usize,
 ) {
-    let mut at = 0;
+    let mut current = 0;
     for machine in machines {
         let bytes = machine_bytes(machine);
-        while chunks.get(at).is_some_and(|c| c.bytes + bytes > max_bytes) {
-            at += 1;
+        while chunks
+            .get(current)
+            .is_some_and(|chunk| chunk.bytes + bytes > max_bytes)
+        {
+            current += 1;
         }
-        if at == chunks.len() {
+        if current == chunks.len() {
             chunks.push(ChunkPlan::new(Vec::new()));
         }
-        chunks[at].add(machine);
+        chunks[current].add(machine);
     }
 }
 
-/// How many of the changes fit into one transaction: at least one.
+/// How many of the changes, taken in order, fit into one transaction. The first change always
+/// counts as fitting.
 pub fn changes_that_fit(changes: &[Change], max_changes: usize, max_bytes: usize) -> usize {
     let mut bytes = 0;
-    let within = changes
+    let fitting = changes
         .iter()
         .take(max_changes)
         .take_while(|(_, machines)| {
             bytes += CHUNK_BYTES + machines.iter().map(machine_bytes).sum::<usize>();
             bytes <= max_bytes
         });
-    within.count().max(1).min(changes.len())
+    fitting.count().max(1).min(changes.len())
 }
 
-/// Estimated bytes of a machine in a chunk, framing included.
+/// Estimated bytes of a machine in a chunk, including the framing.
 fn machine_bytes(info: &MachineInfo) -> usize {
     MACHINE_BYTES + info.id.len() + info.addr.len() + info.kind.len() + info.zone.len()
 }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,9 +1,9 @@
-//! What foxspur keeps in the state service: its records, their keys, and how sets of tasks
-//! and lists of machines are written within the limits on values and transactions.
+//! What foxspur stores in the state service: its records, their keys, and how sets of tasks
+//! and lists of machines are split to stay within the limits on values and transactions.
 //!
 //! - [`records`]: the records and their keys.
-//! - [`completed_tasks`]: sets of task numbers as ranges.
-//! - [`machine_record`]: the shard's list of machines, in chunks.
+//! - [`completed_tasks`]: sets of task numbers, stored as ranges.
+//! - [`machine_record`]: the shard's list of machines, stored in chunks.
 
 pub mod completed_tasks;
 pub mod machine_record;
