--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,5 +1,6 @@
-//! What is stored and what controllers say to each other, byte by byte: old and new
-//! programs run side by side, so that a renamed type or field must not change any of it.
+//! The storage format and the messages between controllers, compared byte by byte. Old and new
+//! versions of the program run side by side during an upgrade, so renaming a type or a field
+//! must not change either format.
 
 mod common;
 
@@ -13,71 +14,74 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Each stored record is written as it always was, and what was written is read.
-fn stored<T: Serialize + DeserializeOwned>(value: &T, text: &str) {
-    let written = serde_json::to_string(value).expect("written");
-    assert_eq!(written, text);
-    let read: T = serde_json::from_str(text).expect("read");
-    assert_eq!(serde_json::to_string(&read).expect("written again"), text);
+/// Asserts that a record serializes to exactly this JSON, and that the JSON parses back to the
+/// same record.
+fn assert_stored_as<T: Serialize + DeserializeOwned>(record: &T, json: &str) {
+    let written = serde_json::to_string(record).expect("the record serializes");
+    assert_eq!(written, json);
+    let parsed: T = serde_json::from_str(json).expect("the stored JSON parses");
+    let written_again = serde_json::to_string(&parsed).expect("the parsed record serializes");
+    assert_eq!(written_again, json);
 }
 
+/// Guards against a renamed or reordered field that changes the stored JSON of a record.
 #[test]
-fn stored_records_keep_their_form() {
-    stored(&AliveRecord { incarnation: 7 }, r#"{"boot":7}"#);
-    stored(&TermCounter { term: 4096 }, r#"{"term":4096}"#);
-    let prior = FormerLeader {
+fn stored_records_keep_their_json() {
+    assert_stored_as(&AliveRecord { incarnation: 7 }, r#"{"boot":7}"#);
+    assert_stored_as(&TermCounter { term: 4096 }, r#"{"term":4096}"#);
+    let former_leader = FormerLeader {
         host: "berth-1".into(),
         incarnation: 5,
         until_ms: 1700,
     };
-    let share = ShardRecord {
+    let shard = ShardRecord {
         leader: "berth-0".into(),
         incarnation: 7,
         term: 1,
         teams: vec!["vision".into()],
-        former_leaders: vec![prior],
+        former_leaders: vec![former_leader],
         bounded_staleness: true,
     };
-    stored(
-        &share,
+    assert_stored_as(
+        &shard,
         r#"{"owner":"berth-0","boot":7,"term":1,"teams":["vision"],"prior":[{"host":"berth-1","boot":5,"until_ms":1700}],"bounded":true}"#,
     );
     let machines = MachineChunk {
         machines: vec![machine("m-000001", "a", true)],
     };
-    stored(
+    assert_stored_as(
         &machines,
         r#"{"machines":[{"id":"m-000001","addr":"127.0.0.1:1","kind":"small","zone":"a","spot":true}]}"#,
     );
     let mut job: LiveJob = live(spec("run-000001", "vision", Urgency::High, 3, 2.5), 1.5);
     job.done = "0-1".into();
-    stored(
+    assert_stored_as(
         &job,
         r#"{"spec":{"name_id":"run-000001","queue":"class","owner":"vision","shape":"sweep","urgency":"high","shards":3,"cpus":2.5,"cards":0.0,"memory_gb":1.0,"bundle":"img","image_gb":1.0,"together":false,"scatter":false,"standby":true,"expected_s":20.0,"save_every_s":0.0,"save_cost_s":0.0},"at_ms":1500,"done":"0-1"}"#,
     );
-    stored(
+    assert_stored_as(
         &CompletedTasksChunk { done: "0-1".into() },
         r#"{"done":"0-1"}"#,
     );
-    let last = |state| TerminalRecord {
+    let terminal = |state| TerminalRecord {
         state,
         tasks: 3,
         done: 2,
     };
-    stored(
-        &last(JobState::Done),
+    assert_stored_as(
+        &terminal(JobState::Done),
         r#"{"state":"done","tasks":3,"done":2}"#,
     );
-    stored(
-        &last(JobState::Cancelled),
+    assert_stored_as(
+        &terminal(JobState::Cancelled),
         r#"{"state":"withdrawn","tasks":3,"done":2}"#,
     );
 }
 
-/// Where they are stored.
+/// Guards against a change of the keys under which records are stored.
 #[test]
-fn keys_keep_their_names() {
-    for (key, name) in [
+fn storage_keys_do_not_change() {
+    for (key, stored_key) in [
         (records::live_key("run-1"), "fx/live/run-1"),
         (records::terminal_key("run-1"), "fx/fin/run-1"),
         (records::completed_key("run-1", 3), "fx/mark/run-1/000003"),
@@ -86,15 +90,16 @@
         (records::SHARD_KEY.to_string(), "fx/a/share/0"),
         (records::TERM_KEY.to_string(), "fx/a/term"),
     ] {
-        assert_eq!(key, name);
+        assert_eq!(key, stored_key);
     }
 }
 
-/// The order of the messages and of their fields is their form.
+/// Guards against reordered variants or fields: the binary encoding of a message depends on
+/// their order.
 #[test]
 fn messages_between_controllers_keep_their_bytes() {
     let id = || "r".to_string();
-    let asks = [
+    let requests = [
         PeerRequest::Progress(id()),
         PeerRequest::Overview,
         PeerRequest::ExtendLease(300),
@@ -106,7 +111,7 @@
         PeerRequest::JobCancelled(id()),
         PeerRequest::ConfirmedCancellations(300, 9),
     ];
-    let bytes: [&[u8]; 10] = [
+    let request_bytes: [&[u8]; 10] = [
         &[0, 1, 114],
         &[1],
         &[2, 251, 44, 1],
@@ -118,11 +123,11 @@
         &[7, 1, 114],
         &[8, 251, 44, 1, 9],
     ];
-    for (ask, bytes) in asks.iter().zip(bytes) {
-        assert_eq!(encode(ask), bytes, "{ask:?}");
-        assert_eq!(decode::<PeerRequest>(bytes).as_ref(), Some(ask));
+    for (request, bytes) in requests.iter().zip(request_bytes) {
+        assert_eq!(encode(request), bytes, "{request:?}");
+        assert_eq!(decode::<PeerRequest>(bytes).as_ref(), Some(request));
     }
-    let answers = [
+    let responses = [
         PeerResponse::Progress {
             done: 1,
             running: 2,
@@ -135,7 +140,7 @@
         PeerResponse::Contact(9),
         PeerResponse::ConfirmedCancellations(vec![id()]),
     ];
-    let bytes: [&[u8]; 8] = [
+    let response_bytes: [&[u8]; 8] = [
         &[0, 1, 2],
         &[1, 1, 114],
         &[2],
@@ -145,8 +150,8 @@
         &[6, 9],
         &[7, 1, 1, 114],
     ];
-    for (answer, bytes) in answers.iter().zip(bytes) {
-        assert_eq!(encode(answer), bytes, "{answer:?}");
-        assert_eq!(decode::<PeerResponse>(bytes).as_ref(), Some(answer));
+    for (response, bytes) in responses.iter().zip(response_bytes) {
+        assert_eq!(encode(response), bytes, "{response:?}");
+        assert_eq!(decode::<PeerResponse>(bytes).as_ref(), Some(response));
     }
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! No fixed bound lies below a fleet of 6,000 machines, half as many again as the largest
-//! expected.
+//! Checks that the fixed limits in the program suffice for a fleet of 6,000 machines, one and a
+//! half times the largest expected fleet.
 
 mod common;
 
@@ -20,7 +20,7 @@
 use foxspur::transport::sockets::Sockets;
 use std::rc::Rc;
 
-const MACHINES: usize = 6000;
+const FLEET_MACHINES: usize = 6000;
 
 fn machine_name(n: usize) -> String {
     format!("m-{n:06}")
@@ -28,24 +28,24 @@
 
 /// A scheduler whose machine record lists the whole fleet.
 fn fleet_scheduler() -> Scheduler {
-    let names: Vec<String> = (0..MACHINES).map(machine_name).collect();
+    let names: Vec<String> = (0..FLEET_MACHINES).map(machine_name).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     scheduler(vec![team("t", 0.0, 0.0)], 5, &names)
 }
 
-/// Guards against late copies of heartbeats of machines that are gone, each of which would be
-/// taken for a new machine.
+/// Guards against a bounded list of returned machines that is too short for the fleet: a late
+/// copy of a heartbeat would then register a returned machine as a new one.
 #[test]
-fn every_returned_machine_of_a_fleet_stays_returned() {
+fn late_heartbeats_do_not_revive_returned_machines() {
     let mut scheduler = fleet_scheduler();
-    for n in 0..MACHINES {
+    for n in 0..FLEET_MACHINES {
         scheduler.confirm_machine_returned(&machine_name(n));
     }
-    for n in 0..MACHINES {
-        let late = report(&machine_name(n), 1, 1, 5, &[]);
+    for n in 0..FLEET_MACHINES {
+        let late_heartbeat = report(&machine_name(n), 1, 1, 5, &[]);
         assert!(
             matches!(
-                scheduler.handle_heartbeat(&late, 1.0),
+                scheduler.handle_heartbeat(&late_heartbeat, 1.0),
                 HeartbeatReply::Refuse
             ),
             "{n}"
@@ -54,126 +54,134 @@
     assert!(scheduler.machines.is_empty());
 }
 
-/// Guards against late answers that revive a finished job.
+/// Guards against a bounded list of finished jobs that is too short for the fleet: a late
+/// response to a submission would then add a finished job again.
 #[test]
-fn as_many_jobs_as_machines_stay_finished() {
+fn late_responses_do_not_revive_finished_jobs() {
     let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &[]);
-    for n in 0..MACHINES {
+    for n in 0..FLEET_MACHINES {
         scheduler.finish_job(&format!("run-{n}"));
     }
-    for n in 0..MACHINES {
+    for n in 0..FLEET_MACHINES {
         let job = spec(&format!("run-{n}"), "t", Urgency::Standard, 1, 1.0);
         scheduler.add_job(live(job, 0.0), 1, CompletedTasks::default());
     }
     assert!(scheduler.jobs.is_empty());
 }
 
-/// Guards against views of the leader that are too large for its peers.
+/// Guards against a limit on the size of messages between controllers that is too small for the
+/// leader's views of a whole fleet.
 #[test]
-fn a_snapshot_of_the_fleet_is_one_message() {
+fn views_of_the_whole_fleet_fit_into_one_message() {
     let mut scheduler = fleet_scheduler();
-    let tasks = 12 * MACHINES as u32;
+    let tasks = 12 * FLEET_MACHINES as u32;
     add(
         &mut scheduler,
         spec("run-1", "t", Urgency::Standard, tasks, 0.5),
         0.0,
     );
-    for n in 0..MACHINES {
-        let names: Vec<String> = (12 * n..12 * n + 12)
-            .map(|t| format!("run-1/{t}"))
+    for n in 0..FLEET_MACHINES {
+        let task_names: Vec<String> = (12 * n..12 * n + 12)
+            .map(|index| format!("run-1/{index}"))
             .collect();
-        let shown = names
+        let running_tasks: Vec<_> = task_names
             .iter()
-            .map(|t| (t.as_str(), 83_886_080, Phase::Running, None));
-        let shown: Vec<_> = shown.collect();
-        scheduler.handle_heartbeat(&report(&machine_name(n), 1, 1, 5, &shown), 1.0);
+            .map(|task| (task.as_str(), 83_886_080, Phase::Running, None))
+            .collect();
+        scheduler.handle_heartbeat(&report(&machine_name(n), 1, 1, 5, &running_tasks), 1.0);
     }
     for topic in [Topic::Snapshot, Topic::Machines] {
-        let text = view_json(&scheduler, topic, 2.5).expect("a view");
-        let answer = mesh::PeerResponse::View(5, text);
-        let read = mesh::decode::<mesh::PeerResponse>(&mesh::encode(&answer));
-        assert!(read.as_ref() == Some(&answer), "{topic:?}");
+        let json = view_json(&scheduler, topic, 2.5).expect("a view");
+        let response = mesh::PeerResponse::View(5, json);
+        let decoded = mesh::decode::<mesh::PeerResponse>(&mesh::encode(&response));
+        assert!(decoded.as_ref() == Some(&response), "{topic:?}");
     }
 }
 
-/// Guards against an order for the whole fleet that is refused for its size.
+/// Guards against an operator's order for the whole fleet being refused because of its size.
 #[test]
 fn the_whole_fleet_can_be_drained_by_one_order() {
     let order = DrainOrder {
         order: "all".into(),
-        hosts: (0..MACHINES).map(machine_name).collect(),
+        hosts: (0..FLEET_MACHINES).map(machine_name).collect(),
         by: "operator".into(),
         why: "the site moves".into(),
         deadline_s: None,
         rest: Rest::Leave,
         term: None,
     };
-    assert_eq!(orders::check(&order).map(|h| h.len()), Ok(MACHINES));
-    let body = serde_json::to_vec(&order).expect("an order").len();
-    assert!(body <= MAX_BODY, "{body}");
+    assert_eq!(
+        orders::check(&order).map(|hosts| hosts.len()),
+        Ok(FLEET_MACHINES)
+    );
+    let body_bytes = serde_json::to_vec(&order).expect("an order").len();
+    assert!(body_bytes <= MAX_BODY, "{body_bytes}");
 }
 
-/// Guards against eviction of what answers still depend on.
+/// Guards against caches that evict jobs on which answers still depend, because they are too
+/// small for one job per machine.
 #[test]
-fn as_many_jobs_as_machines_are_remembered() {
-    let mut terminal = TerminalStates::default();
+fn caches_hold_one_job_per_machine() {
+    let mut terminal_states = TerminalStates::default();
     let mut cancellations = ConfirmedCancellations::default();
-    let mut records = RecordCache::default();
+    let mut record_cache = RecordCache::default();
     let done = TerminalRecord {
         state: JobState::Done,
         tasks: 1,
         done: 1,
     };
-    for n in 0..MACHINES {
+    for n in 0..FLEET_MACHINES {
         let id = format!("run-{n}");
-        assert!(terminal.put(&id, done));
+        assert!(terminal_states.put(&id, done));
         cancellations.record(&id, 1.0 + n as f64 / 1000.0);
         let job = spec(&id, "t", Urgency::Standard, 1, 1.0);
-        records.insert(&Rc::new(live(job, 0.0)), 1);
+        record_cache.insert(&Rc::new(live(job, 0.0)), 1);
     }
-    for n in 0..MACHINES {
+    for n in 0..FLEET_MACHINES {
         let id = format!("run-{n}");
         assert!(
-            terminal.get(&id).is_some() && records.get(&id).is_some(),
+            terminal_states.get(&id).is_some() && record_cache.get(&id).is_some(),
             "{n}"
         );
     }
     assert_eq!(
         cancellations.within(8.0, 8.0).map(|ids| ids.len()),
-        Some(MACHINES)
+        Some(FLEET_MACHINES)
     );
 }
 
-/// The oldest entry is evicted first, and a key that is inserted again keeps its age.
+/// Guards against an eviction order other than that of the first insertion. A key that is
+/// inserted again keeps its place in the order.
 #[test]
 fn the_oldest_entry_is_evicted_first() {
     let mut map = RecentMap::new(2);
-    for (key, before) in [("a", None), ("b", None), ("a", Some(0)), ("c", None)] {
-        assert_eq!(map.insert(key, 0), before, "{key}");
+    for (key, previous) in [("a", None), ("b", None), ("a", Some(0)), ("c", None)] {
+        assert_eq!(map.insert(key, 0), previous, "{key}");
     }
     let kept: Vec<&str> = ["a", "b", "c"]
         .into_iter()
-        .filter(|k| map.contains(*k))
+        .filter(|key| map.contains(*key))
         .collect();
     assert_eq!(kept, ["b", "c"]);
 }
 
-/// How many machines a number of sockets suffices for: see `docs/operators/controller.md`.
+/// Guards against a division of the process's sockets that serves fewer machines than
+/// `docs/operators/controller.md` states for a number of sockets.
 #[test]
-fn sockets_for_a_fleet() {
-    for (sockets, machines, kept) in [
-        // One connection from each worker, and one to each.
-        (3 * MACHINES, MACHINES, MACHINES),
+fn sockets_suffice_for_the_documented_fleet() {
+    for (sockets, machines, kept_connections) in [
+        // One connection from each worker, and one kept to each worker.
+        (3 * FLEET_MACHINES, FLEET_MACHINES, FLEET_MACHINES),
         (9000, 4063, 3000),
-        // The least: connections to workers are then reopened again and again.
-        (8800, MACHINES, 1100),
+        // The minimum: most connections to workers are then closed and reopened repeatedly.
+        (8800, FLEET_MACHINES, 1100),
         (800, 550, 100),
     ] {
         let budget = Sockets::new(sockets);
         assert!(budget.front() >= machines, "{sockets}: {}", budget.front());
         budget.incoming.set(machines);
         assert!(
-            budget.to_workers() >= kept,
+            budget.to_workers() >= kept_connections,
             "{sockets}: {}",
             budget.to_workers()
         );
