--- a/src/coordination/scheduler/attempts.rs
+++ b/src/coordination/scheduler/attempts.rs
@@ -1,7 +1,7 @@
-//! Attempts: starting, stopping and releasing them.
+//! Starting, stopping and releasing attempts.
 //!
-//! Invariant: from the moment a start is decided until the machine is proven not to run
-//! the attempt, the attempt counts as placed, against capacity and against quotas.
+//! Invariant: an attempt counts as placed, both for capacity and for quotas, from the moment
+//! its start is decided until the machine is proven not to run it.
 
 use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
 use crate::coordination::scheduler::machine::Attempt;
@@ -9,7 +9,7 @@
 use crate::coordination::scheduler::state::Scheduler;
 
 impl Scheduler {
-    /// Starts a task on a machine: from now on it counts as placed.
+    /// Starts a task on a machine. From now on the task counts as placed.
     pub(crate) fn start_attempt(&mut self, machine_name: &Name, task: TaskId, now: f64) {
         let number = self.next_attempt();
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -31,8 +31,8 @@
         self.outbox.insert(machine_name.clone());
     }
 
-    /// Requests that an attempt be stopped, with this grace in seconds. A shorter grace
-    /// replaces a longer one.
+    /// Requests that an attempt be stopped with a grace period of `grace_s` seconds. A shorter
+    /// grace period replaces a longer one that was requested before.
     pub(crate) fn stop_attempt(&mut self, machine_name: &str, id: &AttemptId, grace_s: f64) {
         let Some((_, name, machine)) = self.machines.get_full_mut(machine_name) else {
             return;
@@ -40,8 +40,10 @@
         let Some(attempt) = machine.attempts.get_mut(id) else {
             return;
         };
-        let sooner = attempt.stop_grace_s.is_none_or(|grace| grace_s < grace);
-        if attempt.has_exited() || !sooner {
+        let is_sooner = attempt
+            .stop_grace_s
+            .is_none_or(|requested_s| grace_s < requested_s);
+        if attempt.has_exited() || !is_sooner {
             return;
         }
         attempt.stop_grace_s = Some(grace_s);
@@ -51,7 +53,7 @@
         self.outbox.insert(name.clone());
     }
 
-    /// An attempt is not on its machine any more, or never was.
+    /// Handles an attempt that is no longer on its machine or never was there.
     pub(crate) fn release_attempt(&mut self, id: &AttemptId) {
         let AttemptId { task, number } = id;
         if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -65,7 +67,7 @@
         self.placement_due = true;
     }
 
-    /// An attempt does not run any more.
+    /// Removes an attempt that no longer runs from the count of its job's running tasks.
     pub(crate) fn uncount_running(&mut self, id: &AttemptId, attempt: &mut Attempt) {
         if std::mem::take(&mut attempt.counted_as_running) {
             if let Some(job) = self.jobs.get_mut(&id.task.job) {
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Forgets stop requests that have taken effect.
+    /// Removes stop requests that have taken effect from the work list.
     pub(crate) fn prune_stopping_attempts(&mut self) {
         let machines = &self.machines;
         self.stopping_attempts.retain(|(machine, id)| {
@@ -85,8 +87,8 @@
         });
     }
 
-    /// Grace in seconds in which a task of the job can write a checkpoint, 0 if it never
-    /// does.
+    /// Grace period, in seconds, that lets a task of the job write a checkpoint; 0 if the job
+    /// writes no checkpoints or is unknown.
     pub(crate) fn checkpoint_grace_s(&self, job: &str) -> f64 {
         self.jobs.get(job).map_or(0.0, |job| {
             if job.spec.checkpoint_s > 0.0 {
--- a/src/coordination/scheduler/completions.rs
+++ b/src/coordination/scheduler/completions.rs
@@ -1,12 +1,12 @@
-//! Saving completed tasks: which jobs' records are due, and what was written.
+//! Saving completed tasks: which job records are due to be written, and what was written.
 //!
-//! A worker is told to forget a completed task only after the completion is saved.
+//! A worker is told to forget a completed task only after its completion is saved.
 
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::storage::completed_tasks::CompletedTasks;
 
-/// Rank of a job whose completions are to be saved; the smallest comes first.
+/// Sort key of a job whose completions are to be saved; the smallest comes first.
 struct SaveOrder<'a> {
     incomplete: bool,
     saved_at: f64,
@@ -14,8 +14,8 @@
 }
 
 impl Scheduler {
-    /// At most `limit` jobs whose completed tasks differ from what is saved: first those
-    /// that are complete, since a user waits for them, then those saved longest ago.
+    /// At most `limit` jobs with completed tasks that are not saved. Complete jobs come first,
+    /// since users wait for them, then the jobs that were saved longest ago.
     pub fn completions_due(&self, limit: usize) -> Vec<Name> {
         let unsaved = self.unsaved_jobs.iter().filter_map(|name| {
             self.jobs.get(name).map(|job| SaveOrder {
@@ -37,7 +37,8 @@
             .collect()
     }
 
-    /// These completed tasks of the job are saved.
+    /// Handles a successful write of these completed tasks to the job's record, which has
+    /// this version now.
     pub fn completions_written(&mut self, id: &str, completed: &CompletedTasks, version: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The record of a job was read again, after a write conflict.
+    /// Merges a job's record that was read again after a write conflict.
     pub fn reload_job(&mut self, id: &str, version: u64, saved: &CompletedTasks) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.version = version;
--- a/src/coordination/scheduler/config.rs
+++ b/src/coordination/scheduler/config.rs
@@ -1,36 +1,38 @@
-//! The scheduler's configuration, and the margins that are added to durations measured by
-//! other machines' clocks.
+//! The scheduler's configuration, and upper bounds on durations that the workers' clocks
+//! measure.
 
 use crate::protocol::policy::Policy;
 use crate::protocol::settings::{Objective, Settings, Team};
 
-/// How long a worker waits for an answer of a controller before it tries another one, and
-/// pauses until it does, with a fifth for slow packets: 4 s, 1 s, and 1 s.
-const WORKER_ATTEMPT_S: f64 = 6.0;
+/// Time that a worker spends on one controller that does not respond: a time-out of 4 s, a
+/// pause of 1 s before the next controller, and 1 s (a fifth of these) for slow packets.
+const WORKER_TRY_S: f64 = 6.0;
 
-/// A lease with its safety margin: twice the bound on clock drift, and the granularity of
-/// timers.
+/// Upper bound on the time, in seconds of this process's clock, after which a worker's lease
+/// has ended: the lease plus 0.2 % (twice the bound on clock drift) plus 0.1 s for the
+/// granularity of timers.
 pub fn lease_with_margin_s(lease_s: f64) -> f64 {
     lease_s * 1.002 + 0.1
 }
 
-/// Upper bound on the time, in seconds, in which a worker that no controller answers has
-/// tried all of them once.
+/// Upper bound on the time, in seconds, in which a worker that gets no response tries all
+/// `nodes` controllers once.
 pub fn round_s(nodes: usize) -> f64 {
-    nodes as f64 * WORKER_ATTEMPT_S
+    nodes as f64 * WORKER_TRY_S
 }
 
-/// What the scheduler needs of the settings.
+/// The settings and the policy that the scheduler uses.
 #[derive(Clone, Debug)]
 pub struct SchedulerConfig {
-    /// Lease of a worker, in seconds: without an answer for this long it stops its tasks.
+    /// Lease of a worker, in seconds. A worker that gets no reply for this long stops its
+    /// tasks.
     pub lease_s: f64,
-    /// Interval of heartbeats, in seconds.
+    /// Interval between heartbeats of a worker, in seconds.
     pub heartbeat_s: f64,
-    /// Deadline, in seconds, by which nothing of a cancelled job may run any more.
+    /// Time, in seconds, within which all tasks of a cancelled job must have stopped.
     pub cancel_s: f64,
-    /// Upper bound, in seconds, on the time after which a worker that no controller
-    /// answers tries the same controller again.
+    /// Upper bound, in seconds, on the time between two tries of the same controller by a
+    /// worker that gets no response from any.
     pub retry_round_s: f64,
     /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
@@ -41,7 +43,7 @@
 }
 
 impl SchedulerConfig {
-    /// The scheduler's part of the settings, with this policy.
+    /// Takes the scheduler's part of the settings.
     pub fn new(settings: &Settings, policy: &Policy) -> SchedulerConfig {
         let workers = &settings.cluster.workers;
         SchedulerConfig {
@@ -55,8 +57,9 @@
         }
     }
 
-    /// A machine silent for this many seconds gets no new tasks. Heartbeats come within
-    /// 1.25 `report_s`; twice that is a missed heartbeat, with time for one retry.
+    /// A machine that has been silent for this many seconds gets no new tasks. Heartbeats
+    /// come at most 1.25 heartbeat intervals apart. Twice that time means that a heartbeat
+    /// was missed; the additional 0.5 s leaves time for one retry.
     pub fn silent_s(&self) -> f64 {
         2.5 * self.heartbeat_s + 0.5
     }
--- a/src/coordination/scheduler/delivery.rs
+++ b/src/coordination/scheduler/delivery.rs
@@ -1,25 +1,25 @@
-//! Evidence on whether a machine receives our replies.
+//! Evidence on whether a machine receives this leader's replies.
 //!
-//! Reachability differs by direction: that heartbeats arrive shows that the machine reaches
-//! us, and nothing of the way back. Evidence on the way back is in what the heartbeats say:
-//! a term that was sent and not adopted, a start that is not shown, a stop that was not
-//! carried out, a session that ended although it was answered. One such sign makes delivery
-//! doubtful: no new task starts on the machine until it shows an effect of a reply. Without
-//! this, a machine that receives nothing looks emptier than all others, and attracts task
-//! after task.
+//! Reachability can differ by direction. Arriving heartbeats show that the machine reaches
+//! the leader, but not that replies reach the machine. Their contents give evidence of that.
+//! Evidence against delivery is a term that was sent and not adopted, a start whose task is
+//! not shown, a stop that was not carried out, or a session that ended although it was
+//! answered. One such sign makes delivery doubtful: no new task starts on the machine until
+//! it shows an effect of a reply. Otherwise a machine that receives no replies would stay
+//! empty, and would therefore be chosen for task after task.
 
-/// What a newer message says about the delivery of our earlier replies.
+/// What a message shows about the delivery of earlier replies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Evidence {
-    /// A reply had an effect, or the machine answered a call: it receives us.
+    /// A reply had an effect, or the machine answered a direct call.
     Delivered,
-    /// Something that an earlier reply said had no effect: it may not receive us.
+    /// Part of an earlier reply had no effect, so the reply may not have arrived.
     Undelivered,
-    /// The message says nothing either way.
+    /// The message shows neither.
     Neutral,
 }
 
-/// The evidence of one message, combined: a single effect of a reply proves delivery.
+/// Combines all evidence of one message. A single effect of a reply proves delivery.
 #[derive(Debug, Default)]
 pub struct EvidenceSummary {
     delivered: bool,
@@ -33,7 +33,7 @@
         self.undelivered |= evidence == Evidence::Undelivered;
     }
 
-    /// What all of it amounts to.
+    /// The combined evidence.
     pub fn conclusion(&self) -> Evidence {
         if self.delivered {
             Evidence::Delivered
@@ -45,35 +45,35 @@
     }
 }
 
-/// A worker without an answer for this many seconds tries another controller.
+/// A worker that gets no response within this many seconds tries another controller.
 pub(crate) const ANSWER_TIMEOUT_S: f64 = 4.0;
 
-/// Consecutive signs of missing delivery after which a machine that has not been fenced is
-/// not answered any more: each answer may have renewed its lease, and as long as one may
-/// have, no placement begins. One answer can be lost by chance.
-const MAX_UNDELIVERED: u32 = 2;
+/// Number of consecutive signs of missing delivery from which on an unfenced machine is no
+/// longer answered. Each reply may renew the machine's lease, and placement cannot begin
+/// while a lease may have been renewed. A single reply can be lost by chance.
+const UNREACHABLE_MIN_UNDELIVERED: u32 = 2;
 
-/// What is known of the delivery of our replies to one machine.
+/// Tracks the delivery of this leader's replies to one machine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Delivery {
-    /// Consecutive signs that replies did not arrive.
+    /// Number of consecutive signs that replies did not arrive.
     undelivered: u32,
-    /// Since when delivery is doubtful.
-    doubted_since: Option<f64>,
-    /// The present session was answered, and has shown no effect of a reply yet.
-    unconfirmed: bool,
-    /// Highest term that a reply told it.
+    /// When delivery became doubtful; `None` if it is not doubtful.
+    doubtful_since: Option<f64>,
+    /// The present session was answered and has not yet shown that a reply arrived.
+    awaiting_effect: bool,
+    /// Highest term in a reply to the machine so far.
     pub told_term: u64,
 }
 
 impl Delivery {
-    /// A reply with this term is sent to the machine.
+    /// Records that a reply with this term is sent to the machine.
     pub fn answered(&mut self, term: u64) {
         self.told_term = self.told_term.max(term);
-        self.unconfirmed = true;
+        self.awaiting_effect = true;
     }
 
-    /// A newer message arrived with this evidence.
+    /// Records the evidence of a newer message.
     pub fn message_received(&mut self, evidence: Evidence, now: f64) {
         match evidence {
             Evidence::Delivered => {
@@ -84,39 +84,39 @@
             }
             Evidence::Undelivered => {
                 self.undelivered += 1;
-                self.doubted_since.get_or_insert(now);
+                self.doubtful_since.get_or_insert(now);
             }
             Evidence::Neutral => {}
         }
     }
 
-    /// The next heartbeat came after this many seconds. If that is sooner than a worker
-    /// gives up waiting, it must have received the reply to the previous one.
-    pub fn next_heartbeat_after(&mut self, after_s: f64) {
-        if after_s < ANSWER_TIMEOUT_S {
-            self.unconfirmed = false;
+    /// Records that the next heartbeat came `interval_s` seconds after the previous message.
+    /// If that is less than the time-out of the worker, the worker must have received the
+    /// reply to its previous heartbeat.
+    pub fn next_heartbeat_after(&mut self, interval_s: f64) {
+        if interval_s < ANSWER_TIMEOUT_S {
+            self.awaiting_effect = false;
         }
     }
 
-    /// A newer session began. Returns whether the previous one ended although it had been
-    /// answered and had shown no effect of that.
+    /// Records that a newer session began. Returns whether the previous session was answered
+    /// but ended without having shown that a reply arrived.
     pub fn session_ended(&mut self) -> bool {
-        std::mem::take(&mut self.unconfirmed)
+        std::mem::take(&mut self.awaiting_effect)
     }
 
     /// Whether delivery is doubtful, so that no new task may start on the machine.
     pub fn is_doubtful(&self) -> bool {
-        self.doubted_since.is_some()
+        self.doubtful_since.is_some()
     }
 
-    /// For how many seconds delivery has been doubtful.
+    /// For how many seconds delivery has been doubtful; `None` if it is not doubtful.
     pub fn doubtful_for(&self, now: f64) -> Option<f64> {
-        self.doubted_since.map(|since| now - since)
+        self.doubtful_since.map(|since| now - since)
     }
 
-    /// Whether the machine is considered unreachable from here, so that answers are
-    /// pointless.
+    /// Whether the machine is considered unreachable, so that it need not be answered.
     pub fn is_unreachable(&self) -> bool {
-        self.undelivered >= MAX_UNDELIVERED
+        self.undelivered >= UNREACHABLE_MIN_UNDELIVERED
     }
 }
--- a/src/coordination/scheduler/fence.rs
+++ b/src/coordination/scheduler/fence.rs
@@ -1,17 +1,18 @@
-//! Fencing after a takeover: nothing may start until every recorded machine has sent a
-//! heartbeat under the new term or is proven empty, since a former leader may have started
-//! tasks on it.
+//! Fencing after a takeover. A former leader may have started tasks on any recorded machine.
+//! No task may start until every recorded machine has either sent a heartbeat under the new
+//! term or is proven empty.
 
 use crate::storage::records::FormerLeader;
 
-/// What is known of former leaders.
+/// Whether placement may begin after a takeover, and what is known of former leaders.
 #[derive(Debug, Clone)]
 pub struct Fence {
-    /// The term of the takeover; a machine that reports under it or a later one is fenced.
+    /// The term of the takeover. A machine that reports under this or a later term is fenced.
     pub base_term: u64,
-    /// Since when no former leader can have answered a worker, once that is known.
+    /// Time since which no former leader can have answered a worker; `None` while that is
+    /// unknown.
     pub former_leaders_silent_since: Option<f64>,
-    /// All machines were accounted for once; it stays open.
+    /// No machine blocks placement any more. Once open, the fence stays open.
     pub open: bool,
 }
 
@@ -25,31 +26,33 @@
         }
     }
 
-    /// From when on a machine that this leader never answered is empty: one lease after
-    /// the last moment at which any former leader could have renewed it.
+    /// Time from which on a machine that this leader never answered runs no tasks: one lease,
+    /// with its safety margin, after the last time at which a former leader could have
+    /// renewed the machine's lease.
     pub fn empty_from(&self, lease_with_margin_s: f64) -> Option<f64> {
         self.former_leaders_silent_since
             .map(|since| since + lease_with_margin_s)
     }
 }
 
-/// The former leaders that may still answer workers. `alive` gives the present incarnation
-/// of a controller's host: another one than the leader's proves that its process is gone.
-/// Otherwise the leader is silent when its recorded time is over, where the clocks of both
-/// sides may be off by `clock_bound_ms`.
+/// The former leaders that may still answer workers. `present_incarnation` gives the present
+/// incarnation of the controller on a host. If it differs from that of the former leader,
+/// the former leader's process has ended. Otherwise a former leader stops answering when the
+/// time in its record is over; both clocks may be off by up to `clock_bound_ms`.
 pub fn remaining(
     former: &[FormerLeader],
-    alive: impl Fn(&str) -> Option<u64>,
+    present_incarnation: impl Fn(&str) -> Option<u64>,
     now_ms: u64,
     clock_bound_ms: u64,
 ) -> Vec<&FormerLeader> {
     former
         .iter()
         .filter(|leader| {
-            let replaced = alive(&leader.host).is_some_and(|boot| boot != leader.incarnation);
+            let replaced = present_incarnation(&leader.host)
+                .is_some_and(|incarnation| incarnation != leader.incarnation);
             // Both clocks may be off by the bound, in opposite directions.
-            let over = now_ms > leader.until_ms + 2 * clock_bound_ms;
-            !replaced && !over
+            let expired = now_ms > leader.until_ms + 2 * clock_bound_ms;
+            !replaced && !expired
         })
         .collect()
 }
--- a/src/coordination/scheduler/job.rs
+++ b/src/coordination/scheduler/job.rs
@@ -1,8 +1,9 @@
-//! A live job as the leader knows it, and the names of tasks and attempts.
+//! A live job on the leader, and the identifiers of tasks and attempts.
 //!
-//! A task of a job is in exactly one state: completed, placed (on a machine, or possibly
-//! so), queued at a machine, or waiting. Large jobs are not enumerated: tasks from
-//! `next_untouched` on were never touched and wait.
+//! A task of a job is in exactly one state: completed, placed (an attempt of it is or may be
+//! on a machine), in the queue of a machine, or waiting. The tasks of large jobs are not
+//! enumerated: all tasks from the index `next_untracked` on are waiting, and only tasks
+//! below it are tracked individually.
 
 use crate::protocol::job::{JobSpec, Shape, Urgency};
 use crate::storage::completed_tasks::CompletedTasks;
@@ -12,32 +13,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Count of machines on which tasks of a job must have failed before the job itself is
-/// suspected.
-const SUSPECT_MACHINES: usize = 3;
+/// Number of machines on which tasks of a job must have failed before the job itself is
+/// suspected to be faulty.
+const MIN_FAILED_MACHINES_OF_SUSPECT: usize = 3;
 
 /// Name of a job or machine.
 pub type Name = Rc<str>;
 
-/// A map by name. Names share long prefixes (`run-000…`, `m-000…`) that a tree would compare
-/// again and again; a hash reads each once. The order of iteration is that of insertion and
-/// removal, the same in every run.
+/// A map with names as keys. Names share long prefixes (`run-000…`, `m-000…`). A tree would
+/// compare these at every level; hashing reads each name once. The iteration order depends
+/// only on the insertions and removals, so it is the same in every run.
 pub type ByName<V> = IndexMap<Name, V, RandomState>;
 
 /// A set of names.
 pub type Names = IndexSet<Name, RandomState>;
 
-/// Counts of a job's tasks.
+/// How many tasks of a job are completed and running.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskCounts {
-    /// Completed tasks.
+    /// How many tasks are completed.
     pub done: u32,
-    /// Running tasks.
+    /// How many tasks are running.
     pub running: u32,
 }
 
-/// A task: its job and its index within that. The index comes first since it distinguishes
-/// most tasks on a machine without comparing names.
+/// Identifies a task by its job and its index within the job. The index is compared first,
+/// since it tells most tasks on a machine apart without comparing names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
     /// Index within the job, from 0.
@@ -47,12 +48,12 @@
 }
 
 impl TaskId {
-    /// The name that workers know the task by: `job/index`.
+    /// The task's name in the worker protocol: `job/index`.
     pub fn wire(&self) -> String {
         format!("{}/{}", self.job, self.index)
     }
 
-    /// Parses such a name.
+    /// Parses a name of the form `job/index`.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = Self::split(text)?;
         Some(TaskId {
@@ -61,14 +62,15 @@
         })
     }
 
-    /// Job and index of such a name.
+    /// Splits a name of the form `job/index` into job and index.
     pub fn split(text: &str) -> Option<(&str, u32)> {
         let (job, index) = text.rsplit_once('/')?;
         Some((job, index.parse().ok()?))
     }
 }
 
-/// An attempt to run a task. Numbers only grow, also across takeovers.
+/// Identifies an attempt to run a task. Attempt numbers only increase, also across
+/// takeovers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The task.
@@ -78,13 +80,13 @@
 }
 
 impl AttemptId {
-    /// The attempt of this number of the task.
+    /// Identifies the attempt of the task with this number.
     pub fn new(task: TaskId, number: u64) -> AttemptId {
         AttemptId { task, number }
     }
 }
 
-/// The pools of machines that a job may use, as of a version of the capacity index.
+/// The pools of machines that a job may use, cached for one version of the capacity index.
 #[derive(Debug)]
 pub(crate) struct PoolCache {
     pub index_version: u64,
@@ -92,7 +94,7 @@
 }
 
 impl PoolCache {
-    /// A cache that is valid for no version of the index.
+    /// A cache entry that is not valid for any version of the index.
     fn empty() -> PoolCache {
         PoolCache {
             index_version: u64::MAX,
@@ -101,7 +103,7 @@
     }
 }
 
-/// A further attempt of a task that is placed already.
+/// An additional attempt of a task that is already placed.
 #[derive(Debug, PartialEq, Eq)]
 struct ExtraAttempt {
     task: u32,
@@ -109,21 +111,22 @@
     number: u64,
 }
 
-/// A job's claims to capacity that others use, as of when the order of jobs was last made.
+/// A job's claims to capacity that other jobs use, as of the last refresh of the job order.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Claims {
     /// The job fits into its team's guarantee (see `quota`).
     pub guaranteed: bool,
-    /// It goes first, on the floor that its class or team is owed (see `fair_share`).
+    /// The job is placed ahead of others because its class or team is owed a minimum share
+    /// of the capacity (see `fair_share`).
     pub on_floor: bool,
-    /// It can still meet an objective, or has none.
+    /// The job can still meet one of its objectives, or has no objectives.
     pub objective_reachable: bool,
-    /// Capacity that becomes free by itself would come too late for it.
+    /// Capacity that becomes free without preemption would come too late for the job.
     pub preemption_needed: bool,
 }
 
 impl Default for Claims {
-    /// The claims of a job that has not been in the order yet.
+    /// The claims of a job that is not yet in the job order.
     fn default() -> Claims {
         Claims {
             guaranteed: false,
@@ -137,70 +140,72 @@
 /// A live job.
 #[derive(Debug)]
 pub struct Job {
-    /// Its description, as submitted.
+    /// The job description, as submitted.
     pub spec: Rc<JobSpec>,
-    /// Its team's index in the settings; `None` if they name no such team.
+    /// Index of the job's team in the settings; `None` if the settings do not name the team.
     pub team: Option<usize>,
-    /// When it was accepted, in our monotonic time.
+    /// When the job was accepted, in seconds of this process's monotonic time.
     pub accepted_at: f64,
-    /// Version of its record in the state service.
+    /// Version of the job's record in the state service.
     pub version: u64,
-    /// Completed tasks, as reported.
+    /// Completed tasks, as reported by workers.
     pub completed: CompletedTasks,
     /// Completed tasks that are saved in the state service.
     pub saved: CompletedTasks,
     /// When completed tasks were last saved.
     pub saved_at: f64,
-    /// The job is finished or cancelled, as recorded: no task may start.
+    /// The state service records the job as finished or cancelled: no task may start.
     pub finished: bool,
-    /// Tasks from this index on were never touched.
-    next_untouched: u32,
-    /// Waiting tasks below `next_untouched`.
+    /// Tasks from this index on are waiting and are not tracked individually.
+    next_untracked: u32,
+    /// Waiting tasks below `next_untracked`.
     requeued: BTreeSet<u32>,
-    /// A task of it was seen running.
+    /// A task of the job was reported as running.
     started: bool,
-    /// How many tasks are known to run, for display.
+    /// How many tasks are known to run, for display only.
     pub running: u32,
-    /// Machine and attempt number of each task that is on a machine, or may be.
+    /// Machine and attempt number of each task that is or may be on a machine.
     pub placed: BTreeMap<u32, (Name, u64)>,
-    /// Further attempts of placed tasks: heartbeats of different ages can show one task on
-    /// two machines, and which of them is gone is known only later.
+    /// Additional attempts of placed tasks. Heartbeats of different ages can show one task
+    /// on two machines; only later messages tell which attempt has ended.
     extra_attempts: Vec<ExtraAttempt>,
-    /// Tasks in a machine's queue, and which machine that is.
+    /// Tasks in the queue of a machine, with the name of the machine.
     pub queued: BTreeMap<u32, Name>,
     /// Machines on which a task of this job failed.
     pub failed_on: Names,
-    /// How often tasks of it failed.
+    /// How many attempts of the job failed.
     pub failures: u32,
-    /// How often, since it is suspect, no task of it was left to run.
+    /// How often, since the job is suspect, an attempt failed while no other task of the job
+    /// was placed.
     pub retries: u32,
-    /// Its first task was started ahead of other jobs, since it had waited for long.
+    /// The job's first task was started ahead of other jobs because the job had waited long.
     pub began_late: bool,
-    /// Workers refused its last start since they do not know its description.
+    /// A worker refused the latest start because it does not know the job description.
     pub description_unknown: bool,
-    /// Backoff after failures: no start before this time.
+    /// Back-off after failed attempts and refused starts: no start before this time.
     pub not_before: f64,
-    /// Pools of machines that it may use.
+    /// Pools of machines that the job may use.
     pub(crate) pool_cache: PoolCache,
-    /// Tasks began to wait since placement last went as far as it could. It is shared with
-    /// the order of jobs, which reads it without looking up the job.
+    /// Tasks began to wait since placement last tried to place all tasks of the job. The
+    /// flag is shared with the job order, which reads it without looking up the job.
     pub has_new_tasks: Rc<Cell<bool>>,
-    /// What was determined when the order of jobs was last made.
+    /// The job's claims as of the last refresh of the job order.
     pub(crate) claims: Claims,
-    /// Its first finishing objective is met or missed, and counted.
+    /// The job's first objective on its finishing time was met or missed, and the outcome
+    /// was counted.
     pub outcome_recorded: bool,
     /// How many attempts this leader has started.
     pub starts: u32,
-    /// When a task of it last started, or began to wait.
+    /// When the job last had a task start or, if none was waiting, when one began to wait.
     pub served_at: f64,
     /// The longest time from `served_at` to the next start, in seconds.
     pub longest_wait_s: f64,
-    /// How often each task of it was preempted.
+    /// How often each task was preempted.
     pub preemptions: BTreeMap<u32, u32>,
 }
 
 impl Job {
-    /// A job from its record, with the tasks that are saved as completed.
+    /// Creates a job from its record; `saved` are the tasks that are saved as completed.
     pub fn new(
         spec: Rc<JobSpec>,
         team: Option<usize>,
@@ -217,7 +222,7 @@
             completed: CompletedTasks::default(),
             saved_at: accepted_at,
             finished: false,
-            next_untouched: 0,
+            next_untracked: 0,
             requeued: BTreeSet::new(),
             started: false,
             running: 0,
@@ -243,57 +248,59 @@
         job
     }
 
-    /// From now on the task is counted individually. No task from `next_untouched` on is
-    /// completed or placed, so how many of them wait is known without a look at each.
-    fn touch(&mut self, task: u32) {
-        if task >= self.next_untouched {
-            self.requeued.extend(self.next_untouched..task);
-            self.next_untouched = task + 1;
+    /// Starts tracking the task, and all tasks below it, individually. No task from
+    /// `next_untracked` on is completed or placed, so they can be counted as waiting without
+    /// examining each one.
+    fn track(&mut self, task: u32) {
+        if task >= self.next_untracked {
+            self.requeued.extend(self.next_untracked..task);
+            self.next_untracked = task + 1;
         }
     }
 
-    /// A task of it runs; returns whether it is the first one of the job.
+    /// Records that a task of the job runs. Returns whether it is the first one.
     pub fn note_running(&mut self) -> bool {
         self.description_unknown = false;
         !std::mem::replace(&mut self.started, true) && self.completed.is_empty()
     }
 
-    /// An attempt of it starts now.
+    /// Records that an attempt of the job starts now.
     pub(crate) fn note_start(&mut self, now: f64) {
         self.starts += 1;
         self.longest_wait_s = self.longest_wait_s.max(now - self.served_at);
         self.served_at = now;
     }
 
-    /// The task is completed.
+    /// Marks the task as completed.
     pub fn set_completed(&mut self, task: u32) {
-        self.touch(task);
+        self.track(task);
         self.completed.insert(task);
         self.requeued.remove(&task);
     }
 
-    /// These tasks are completed.
+    /// Marks these tasks as completed.
     pub fn merge_completed(&mut self, completed: &CompletedTasks) {
         for task in completed.iter() {
             self.set_completed(task);
         }
     }
 
-    /// These tasks are completed, and saved as such.
+    /// Marks these tasks as completed and as saved in the state service.
     pub(crate) fn merge_saved(&mut self, saved: &CompletedTasks) {
         self.saved.merge(saved);
         self.merge_completed(saved);
     }
 
-    /// The task is on a machine, or may be; returns whether it was not placed before.
+    /// Records that the task is or may be on a machine. Returns whether it was not placed
+    /// before.
     pub fn set_placed(&mut self, task: u32, machine: Name, attempt: u64) -> bool {
-        self.touch(task);
+        self.track(task);
         self.requeued.remove(&task);
         self.placed.insert(task, (machine, attempt)).is_none()
     }
 
-    /// A further attempt of a placed task is on a machine too, or may be; returns whether
-    /// it was unknown before.
+    /// Records that an additional attempt of a placed task is or may be on a machine.
+    /// Returns whether the attempt was unknown before.
     pub fn add_extra_attempt(&mut self, task: u32, machine: Name, attempt: u64) -> bool {
         let extra = ExtraAttempt {
             task,
@@ -307,15 +314,16 @@
         is_new
     }
 
-    /// An attempt is not on a machine any more; returns whether it counted as placed. As
-    /// long as another attempt of the task does, the task stays placed; then it waits.
+    /// Records that an attempt is no longer on a machine. Returns whether it counted as
+    /// placed. The task stays placed while another attempt of it does; otherwise it waits
+    /// again.
     pub fn remove_attempt(&mut self, task: u32, attempt: u64) -> bool {
         let extra = self
             .extra_attempts
             .iter()
             .position(|extra| extra.task == task && extra.number == attempt);
-        if let Some(at) = extra {
-            self.extra_attempts.swap_remove(at);
+        if let Some(position) = extra {
+            self.extra_attempts.swap_remove(position);
             return true;
         }
         let placed = self.placed.get(&task);
@@ -326,8 +334,8 @@
             .extra_attempts
             .iter()
             .position(|extra| extra.task == task);
-        if let Some(at) = other {
-            let extra = self.extra_attempts.swap_remove(at);
+        if let Some(position) = other {
+            let extra = self.extra_attempts.swap_remove(position);
             self.placed.insert(task, (extra.machine, extra.number));
         } else {
             self.placed.remove(&task);
@@ -336,12 +344,13 @@
         true
     }
 
-    /// How many attempts are on machines, or may be.
+    /// How many attempts are or may be on machines.
     pub fn attempts_placed(&self) -> usize {
         self.placed.len() + self.extra_attempts.len()
     }
 
-    /// Takes the next waiting task; the caller places, queues or requeues it.
+    /// Removes the next waiting task from the waiting ones and returns it. The caller must
+    /// place, queue or requeue it.
     pub fn take_waiting(&mut self) -> Option<u32> {
         if self.finished {
             return None;
@@ -349,9 +358,9 @@
         loop {
             let task = match self.requeued.pop_first() {
                 Some(task) => task,
-                None if self.next_untouched < self.spec.tasks => {
-                    self.next_untouched += 1;
-                    self.next_untouched - 1
+                None if self.next_untracked < self.spec.tasks => {
+                    self.next_untracked += 1;
+                    self.next_untracked - 1
                 }
                 None => return None,
             };
@@ -363,23 +372,23 @@
 
     /// Returns a task to the waiting ones, unless it is placed or completed.
     pub fn requeue(&mut self, task: u32) {
-        let known = task < self.next_untouched && !self.placed.contains_key(&task);
-        if !self.finished && known && !self.completed.contains(task) {
+        let can_wait = task < self.next_untracked && !self.placed.contains_key(&task);
+        if !self.finished && can_wait && !self.completed.contains(task) {
             self.has_new_tasks.set(true);
             self.requeued.insert(task);
         }
     }
 
-    /// How many tasks wait and are in no machine's queue.
+    /// How many tasks wait outside the queues of machines.
     pub fn waiting_tasks(&self) -> u32 {
         if self.finished {
             return 0;
         }
-        let untouched = self.spec.tasks - self.next_untouched.min(self.spec.tasks);
-        untouched + self.requeued.len() as u32
+        let untracked = self.spec.tasks - self.next_untracked.min(self.spec.tasks);
+        untracked + self.requeued.len() as u32
     }
 
-    /// How many tasks wait, in a machine's queue or not.
+    /// How many tasks wait, in the queue of a machine or outside.
     pub fn unplaced_tasks(&self) -> u32 {
         self.waiting_tasks() + self.queued.len() as u32
     }
@@ -389,13 +398,13 @@
         self.spec.tasks.saturating_sub(self.completed.len() as u32)
     }
 
-    /// Whether all tasks are completed, as reported.
+    /// Whether all tasks of a sweep are reported as completed; services never complete.
     pub fn is_complete(&self) -> bool {
         self.spec.shape == Shape::Sweep && self.completed.len() as u32 >= self.spec.tasks
     }
 
-    /// Order of precedence, lowest first: `prod`, `high`, guaranteed jobs, then the rest
-    /// by urgency.
+    /// Rank in the order of precedence. Lower ranks come first: `prod`, `high`, jobs within
+    /// their team's guarantee, then the other jobs by urgency.
     pub fn rank(&self) -> u8 {
         match (self.spec.urgency, self.claims.guaranteed) {
             (Urgency::Prod, _) => 0,
@@ -406,26 +415,29 @@
         }
     }
 
-    /// Whether the job is more likely faulty than its machines: it failed on several of
-    /// them and never succeeded, and it is not the case that most of it runs while a few
-    /// tasks met faulty machines.
+    /// Whether the job is more likely to be faulty than its machines: tasks failed on several
+    /// machines, none is completed, and there are at least as many failures as placed tasks.
+    /// The last condition excludes a job that mostly runs while a few of its tasks failed on
+    /// faulty machines.
     pub fn is_suspect(&self) -> bool {
         let mostly_fails = self.failures as usize >= self.placed.len();
-        self.completed.is_empty() && self.failed_on.len() >= SUSPECT_MACHINES && mostly_fails
+        self.completed.is_empty()
+            && self.failed_on.len() >= MIN_FAILED_MACHINES_OF_SUSPECT
+            && mostly_fails
     }
 
-    /// Whether a task of it is completed.
+    /// Whether a task of the job is completed.
     pub fn has_succeeded(&self) -> bool {
         !self.completed.is_empty()
     }
 
-    /// Whether a task of it has run, or is completed.
+    /// Whether a task of the job was reported as running, or is completed.
     pub fn has_started(&self) -> bool {
         self.started || !self.completed.is_empty()
     }
 
-    /// Whether all that runs of it is a first task that was started late, so that
-    /// preempting it would undo the start.
+    /// Whether the only placed task is the first one, started because the job had waited
+    /// long, and no task is completed. Preempting it would undo that start.
     pub fn is_only_late_first_task(&self) -> bool {
         self.began_late && self.placed.len() == 1 && self.completed.is_empty()
     }
--- a/src/coordination/scheduler/jobs.rs
+++ b/src/coordination/scheduler/jobs.rs
@@ -1,5 +1,5 @@
-//! The set of jobs: accepting, finishing, reconciling with the state service, and
-//! forgetting them.
+//! The set of jobs: adding jobs, finishing them, reconciling them with the state service,
+//! and removing those that are no longer needed.
 
 use crate::coordination::scheduler::job::{AttemptId, Job, Name, TaskCounts, TaskId};
 use crate::coordination::scheduler::state::Scheduler;
@@ -10,14 +10,14 @@
 use std::collections::HashSet;
 
 impl Scheduler {
-    /// Adds a live job, from its record or freshly accepted; `completed` are tasks known
-    /// to be completed beside those of the record.
+    /// Adds a live job that was read from its record or has just been accepted. `completed`
+    /// are tasks that are known to be completed in addition to those in the record.
     pub fn add_job(&mut self, record: LiveJob, version: u64, completed: CompletedTasks) {
         let id: Name = record.spec.id.as_str().into();
         if let Some(job) = self.jobs.get_mut(&id) {
-            // A record read twice, our own write seen by the watch, or a completion that
-            // a former leader still wrote: its worker may have forgotten the task since,
-            // so the completion must not be lost.
+            // The record was read twice, the watch delivered this leader's own write, or a
+            // former leader saved another completion. In the last case the worker may have
+            // forgotten the task since, so the completion must not be lost.
             if version > job.version {
                 let saved = CompletedTasks::from_text(&record.done, job.spec.tasks);
                 job.version = version;
@@ -26,8 +26,8 @@
             return;
         }
         if version <= self.watched_revision || self.finished_jobs.contains(&id) {
-            // An answer that came after the watch had already told of this record and of
-            // its end: the job is finished and forgotten.
+            // The response with this record arrived after the watch had delivered both the
+            // record and the end of the job. The job is finished and already removed.
             return;
         }
         let job = self.job_from_record(record, version, completed);
@@ -47,8 +47,8 @@
         Job::new(record.spec, team, accepted_at, version, saved)
     }
 
-    /// The job is finished or cancelled, as recorded: none of its tasks may start, and all
-    /// attempts must stop.
+    /// Handles the recorded end of a job, which is finished or cancelled: none of its tasks
+    /// may start any more, and its placed attempts are stopped.
     pub fn finish_job(&mut self, id: &str) {
         let known = self.jobs.get_key_value(id).map(|(name, _)| name.clone());
         let name = known.unwrap_or_else(|| id.into());
@@ -81,8 +81,8 @@
         self.placement_due = true;
     }
 
-    /// Finishes the jobs that a listing of all live jobs as of `revision` does not name,
-    /// except those accepted since.
+    /// Finishes the jobs that are not in `live`, a list of all live jobs as of `revision`.
+    /// Jobs whose record is newer than that revision are kept.
     pub fn reconcile_live_jobs(&mut self, live: &HashSet<&str>, revision: u64) {
         let finished = self
             .jobs
@@ -94,29 +94,33 @@
         }
     }
 
-    /// Forgets finished jobs that no machine can have attempts of any more, and stale
-    /// entries of the work lists. It goes over every machine, so it runs only now and then.
+    /// Removes finished jobs of which no machine can have attempts any more, and stale
+    /// entries of the work lists. It visits every machine, so it must not run often.
     pub fn collect_garbage(&mut self) {
         self.prune_stopping_attempts();
-        let shown: IndexSet<&Name, RandomState> = self
+        let jobs_on_machines: IndexSet<&Name, RandomState> = self
             .machines
             .values()
             .flat_map(|machine| machine.attempts.keys().map(|id| &id.task.job))
             .collect();
         self.jobs.retain(|name, job| {
-            let is_gone = job.finished && job.placed.is_empty();
-            !is_gone || shown.contains(name)
+            let is_over = job.finished && job.placed.is_empty();
+            !is_over || jobs_on_machines.contains(name)
         });
         let machines = &self.machines;
         self.image_holders.retain(|image, names| {
             names.sort();
             names.dedup();
-            names.retain(|n| machines.get(n).is_some_and(|m| m.has_image(image)));
+            names.retain(|name| {
+                let machine = machines.get(name);
+                machine.is_some_and(|machine| machine.has_image(image))
+            });
             !names.is_empty()
         });
     }
 
-    /// Counts of completed and running tasks of a job.
+    /// How many tasks of the job are saved as completed and how many run; `None` if the job
+    /// is unknown.
     pub fn progress(&self, id: &str) -> Option<TaskCounts> {
         let job = self.jobs.get(id)?;
         Some(TaskCounts {
--- a/src/coordination/scheduler/load.rs
+++ b/src/coordination/scheduler/load.rs
@@ -1,4 +1,5 @@
-//! Totals of capacity and load, for decisions by parts of the fleet and for the log.
+//! Totals of capacity and load, for decisions that depend on the size of the fleet and for
+//! the log.
 
 use crate::coordination::scheduler::state::Scheduler;
 use std::collections::BTreeMap;
@@ -9,40 +10,44 @@
 pub struct FleetCapacity {
     /// How many machines are usable.
     pub machines: usize,
-    /// Their CPUs.
+    /// CPUs of the usable machines.
     pub cpus: f64,
-    /// Those of their CPUs that no attempt occupies.
+    /// CPUs of the usable machines that no attempt occupies.
     pub free_cpus: f64,
 }
 
 /// Load of one class of jobs.
 #[derive(Default)]
 struct ClassLoad {
-    /// CPUs that its attempts occupy.
+    /// CPUs that attempts of the class occupy.
     cpus: f64,
     waiting_tasks: u32,
 }
 
 impl Scheduler {
-    /// Total capacity of the usable machines, counted anew.
+    /// Computes the total capacity of the usable machines.
     pub(crate) fn fleet_capacity(&self) -> FleetCapacity {
         let mut total = FleetCapacity::default();
         for machine in self.machines.values().filter(|machine| machine.indexed) {
             total.machines += 1;
-            total.cpus += self.types.get(&machine.info.kind).map_or(0.0, |t| t.cpus);
+            total.cpus += self
+                .types
+                .get(&machine.info.kind)
+                .map_or(0.0, |kind| kind.cpus);
             total.free_cpus += machine.free_capacity.cpus;
         }
         total
     }
 
-    /// Usable machines, their CPUs, and how many of these are free.
+    /// The number of usable machines, the number of their CPUs, and how many of those CPUs
+    /// are free.
     pub fn capacity(&self) -> (usize, f64, f64) {
         let total = self.fleet_capacity();
         (total.machines, total.cpus, total.free_cpus)
     }
 
-    /// One log line on load: machines, then for each class the CPUs that it occupies and
-    /// its waiting tasks.
+    /// Describes the load in one log line: the capacity of the machines, then for each class
+    /// of jobs the occupied CPUs and the number of waiting tasks.
     pub fn summary(&self) -> String {
         let mut classes: BTreeMap<&str, ClassLoad> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| !job.finished) {
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -1,5 +1,5 @@
-//! A machine as the leader knows it: its sessions, the attempts that may be on it, its
-//! queue, and whether tasks may start on it.
+//! A machine on the leader: its sessions, the attempts that may be on it, its queue, and
+//! whether tasks may start on it.
 //!
 //! Time arguments are in seconds of the leader's monotonic clock.
 
@@ -13,13 +13,14 @@
 pub use crate::coordination::scheduler::attempt::Attempt;
 pub use crate::coordination::scheduler::message_id::MessageId;
 
-/// A lease less the bound on clock drift: the least time that a session lasts.
-const LEAST_LEASE_PART: f64 = 0.999;
+/// Shortest duration of a session, as a fraction of the lease: 1 minus the bound on clock
+/// drift.
+const MIN_SESSION_LEASE_FRACTION: f64 = 0.999;
 
 /// Why a task is in a machine's queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueReason {
-    /// The queue was the shortest of a sample; the task may also start elsewhere.
+    /// The queue was the shortest among sampled machines; the task may also start elsewhere.
     ShortestQueue,
     /// Attempts on this machine are being stopped to free capacity for the task.
     Preemption,
@@ -30,108 +31,113 @@
 pub struct QueuedTask {
     /// The task.
     pub task: TaskId,
-    /// Rank of its job when it was queued, lowest first.
+    /// Rank of its job when the task was queued; lower ranks come first.
     pub rank: u8,
-    /// Its predicted run time in seconds.
+    /// Predicted run time, in seconds.
     pub predicted_s: f64,
-    /// When it was queued.
+    /// When the task was queued.
     pub since: f64,
-    /// Why it is in this queue.
+    /// Why the task is in this queue.
     pub reason: QueueReason,
 }
 
 impl QueuedTask {
-    /// Whether capacity that becomes free on the machine is reserved for it.
+    /// Whether capacity that becomes free on the machine is reserved for this task.
     pub fn is_reserved(&self) -> bool {
         self.reason == QueueReason::Preemption
     }
 }
 
-/// Whether a machine may be used.
+/// Whether a machine takes tasks, as far as this leader decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineStatus {
-    /// It takes tasks.
+    /// The machine takes tasks, provided that it is usable otherwise.
     Up,
-    /// It takes no tasks any more and will be returned to the cloud.
+    /// The machine takes no more tasks and will be returned to the cloud.
     Draining,
-    /// Its lease expired and it was proven empty; its session must not be answered again.
+    /// The machine's lease expired, which proves that it runs no tasks. Heartbeats of its
+    /// last session must not be answered any more.
     Expired,
 }
 
 /// A machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name, address, type and zone, as in the machine record.
+    /// Name, address, type and zone, as in the machine record.
     pub info: MachineInfo,
-    /// The written machine record lists it, so tasks may start on it.
+    /// The written machine record lists the machine. No task may start before.
     pub recorded: bool,
-    /// Whether it may be used.
+    /// Whether the machine takes tasks, as far as this leader decides.
     pub status: MachineStatus,
-    /// Cordoned by an operator: no new task starts on it (see `drains`).
+    /// An operator cordoned the machine: no new task starts on it (see `drains`).
     pub cordoned: bool,
-    /// It was drained and recorded as empty before this leader took over, so that it
-    /// blocks no placement.
+    /// The machine was drained and recorded as empty before this leader took over, so it
+    /// does not block placement.
     pub drained: bool,
-    /// The newest message seen.
+    /// The newest message received from the machine.
     pub last_message: MessageId,
     /// Highest fencing token that the machine is known to have seen.
     pub seen_token: u64,
-    /// The token that it gets from us, if that is above our term.
+    /// The fencing token for commands to the machine, where it was raised above the term.
     pub raised_token: u64,
-    /// It sent a heartbeat under our term since we took over.
+    /// The machine has sent a message under this leader's term, or was proven empty after its
+    /// lease expired. Replies and calls of former leaders can no longer take effect on it.
     pub fenced: bool,
-    /// When its present session was first seen; a session has a lease of its own from its
-    /// beginning, without any answer.
+    /// When the present session was first seen. A session starts with a lease of its own,
+    /// before any of its heartbeats is answered.
     pub session_seen_at: f64,
-    /// When it was fenced: until then a former leader may have answered it.
+    /// When the machine was fenced. Until then a former leader may have answered it.
     pub fenced_at: f64,
-    /// When a message from it last arrived.
+    /// When the latest message from the machine arrived.
     pub heard_at: f64,
-    /// When a message of it seemed to count its sessions anew, and no newer one came since.
+    /// When a message suggested that the machine had restarted its session numbering, unless
+    /// a newer message has arrived since.
     pub renumbered_at: Option<f64>,
-    /// It answered a call with something older than was known when it was called: it
-    /// counts its sessions anew, and may come to the session of a start that is in flight.
+    /// The machine has restarted its session numbering: it answered a direct call with a
+    /// message that is older than the newest one known when the call began. Its sessions may
+    /// therefore reach the number of the session that a start in flight was sent to.
     pub renumbers: bool,
-    /// When a heartbeat of it was last answered.
+    /// When a heartbeat of the machine was last answered.
     pub answered_at: Option<f64>,
-    /// Evidence on whether it receives our replies.
+    /// Evidence on whether the machine receives this leader's replies.
     pub delivery: Delivery,
-    /// When the cloud will take it back, if that was announced.
+    /// When the cloud will take the machine back, if it has announced that.
     pub notice_at: Option<f64>,
-    /// The attempts that are on it, or may be.
+    /// The attempts that are or may be on the machine.
     pub attempts: BTreeMap<AttemptId, Attempt>,
-    /// Count of attempts of jobs unknown to us that have not exited.
+    /// How many attempts of jobs unknown to this leader are on the machine and have not
+    /// exited.
     pub unknown_attempts: u32,
-    /// Its queue, of a bounded length; what waits there may also start elsewhere.
+    /// The machine's queue, of bounded length. Tasks in it may also start elsewhere.
     pub queue: Vec<QueuedTask>,
-    /// Capacity that its live attempts leave.
+    /// Capacity that is not occupied by live attempts.
     pub free_capacity: Resources,
-    /// It stands in the index of usable machines.
+    /// The machine is in the index of usable machines.
     pub indexed: bool,
-    /// The task list of its newest heartbeat, as received, while a heartbeat with the
-    /// same list needs no more than an answer.
+    /// The task list of the newest heartbeat, as received. It is present only while a
+    /// heartbeat with the same list can be answered without commands.
     pub repeatable_tasks: Option<Box<str>>,
-    /// Images that it has cached with their sizes in gigabytes, most recently used last.
+    /// Cached images with their sizes in gigabytes, most recently used last.
     pub images: Vec<(String, f64)>,
-    /// A direct call to it is under way.
+    /// A direct call to the machine is in flight.
     pub call_in_flight: bool,
-    /// When the last direct call began.
+    /// When the latest direct call began.
     pub called_at: f64,
     /// The newest message known when that call began.
     pub called_at_message: MessageId,
-    /// Count of consecutive calls that ended without an answer.
+    /// How many consecutive direct calls ended without a response.
     pub unanswered_calls: u32,
-    /// When it was first asked for a heartbeat under our term.
+    /// When the machine was first asked for a report under this leader's term.
     pub probed_at: Option<f64>,
-    /// Consecutive failures on it, by their jobs: those of a job that never succeeded count
-    /// once, since they may be the job's own fault.
+    /// Jobs of the consecutive failures on the machine. A job that never succeeded is listed
+    /// once, since its failures may be its own fault.
     pub recent_failures: Vec<Name>,
-    /// Since when it has had no attempts.
+    /// Time since which the machine has had no attempts.
     pub idle_since: f64,
 }
 
 impl Machine {
-    /// A machine that no message has arrived from yet.
+    /// A machine from which no message has arrived yet.
     pub fn new(info: MachineInfo, recorded: bool, now: f64) -> Machine {
         Machine {
             info,
@@ -168,37 +174,39 @@
         }
     }
 
-    /// The fencing token of answers and calls to it under our term. Whatever it was raised
-    /// for, a token beyond the term's range would be a later leader's.
+    /// The fencing token of replies and calls to the machine under this term. It stays
+    /// within the term's range of tokens, since a higher one would be a later leader's.
     pub fn token_under(&self, term: u64) -> u64 {
         self.raised_token.clamp(term, term + TOKENS_PER_TERM - 1)
     }
 
-    /// Whether it has cached the image.
+    /// Whether the machine has the image cached.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|(name, _)| name == image)
     }
 
-    /// Records that an image was used, and evicts the least recently used ones beyond the
-    /// size of the cache.
-    pub fn used_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
+    /// Records that an image was used. Evicts the least recently used images while the total
+    /// size exceeds that of the cache.
+    pub fn used_image(&mut self, image: &str, image_gb: f64, cache_gb: f64) {
         self.images.retain(|(name, _)| name != image);
-        self.images.push((image.to_string(), gb));
-        while self.images.len() > 1 && self.images.iter().map(|i| i.1).sum::<f64>() > cache_gb {
+        self.images.push((image.to_string(), image_gb));
+        let total_gb =
+            |images: &[(String, f64)]| images.iter().map(|(_, size_gb)| size_gb).sum::<f64>();
+        while self.images.len() > 1 && total_gb(&self.images) > cache_gb {
             self.images.remove(0);
         }
     }
 
-    /// The capacity of a machine of this type that the live attempts leave.
-    pub(crate) fn unused(&self, kind: &MachineType) -> Resources {
-        let mut unused = Resources::of_type(kind);
+    /// Capacity that is not occupied by live attempts, for a machine of this type.
+    pub(crate) fn unoccupied(&self, kind: &MachineType) -> Resources {
+        let mut unoccupied = Resources::of_type(kind);
         for (_, attempt) in self.live_attempts() {
-            unused.subtract(&attempt.resources);
+            unoccupied.subtract(&attempt.resources);
         }
-        unused
+        unoccupied
     }
 
-    /// Whether any attempt of the task is known here, exited ones included.
+    /// Whether an attempt of the task is or may be on the machine, exited ones included.
     pub fn has_attempt_of(&self, task: &TaskId) -> bool {
         self.attempts
             .range(AttemptId::new(task.clone(), 0)..=AttemptId::new(task.clone(), u64::MAX))
@@ -206,14 +214,15 @@
             .is_some()
     }
 
-    /// Whether it blocks placement after a takeover.
+    /// Whether the machine blocks placement after a takeover: it may run tasks of a former
+    /// leader, or it runs tasks of unknown jobs.
     pub fn blocks_placement(&self) -> bool {
         let unfenced = self.recorded && !self.fenced && self.status != MachineStatus::Expired;
         unfenced && !self.drained || self.unknown_attempts > 0
     }
 
-    /// Whether tasks may start on it, provided that it was heard of less than `silent_s`
-    /// ago.
+    /// Whether tasks may start on the machine. That requires, among other conditions, that a
+    /// message arrived from it less than `silent_s` seconds ago.
     pub fn is_usable(&self, now: f64, silent_s: f64) -> bool {
         self.recorded
             && self.fenced
@@ -226,41 +235,44 @@
             && now - self.heard_at < silent_s
     }
 
-    /// Whether it has been doubtful for longer than `limit_s` that it receives our replies.
+    /// Whether it has been doubtful for more than `limit_s` seconds that the machine receives
+    /// this leader's replies.
     pub fn is_unreachable(&self, now: f64, limit_s: f64) -> bool {
         self.delivery
             .doubtful_for(now)
-            .is_some_and(|doubted_s| doubted_s > limit_s)
+            .is_some_and(|doubtful_s| doubtful_s > limit_s)
     }
 
-    /// Whether this session cannot be a later one than the one we know, since each session
-    /// between them would have lasted a lease. It belongs to an earlier incarnation of a
-    /// machine that counts its sessions anew. (Guards against a late answer to a call from
-    /// just before the machine was back: it looked newer, and what had just started on the
-    /// machine was started elsewhere too.)
+    /// Whether the session is numbered too high to be later than the known one, since each
+    /// session between the two would have lasted at least a lease. Such a session is of an
+    /// earlier incarnation of a machine that has restarted its session numbering. (This
+    /// guards against a late response to a call from just before the restart. It looked
+    /// newer, so that a task that had just started on the machine was started elsewhere too.)
     pub fn is_early_session(&self, session: u64, lease_s: f64, now: f64) -> bool {
         let sessions_between = session
             .saturating_sub(self.last_message.session)
             .saturating_sub(1);
-        let least_s = sessions_between as f64 * lease_s * LEAST_LEASE_PART;
-        self.last_message != MessageId::NONE && now - self.session_seen_at < least_s
+        let min_elapsed_s = sessions_between as f64 * lease_s * MIN_SESSION_LEASE_FRACTION;
+        self.last_message != MessageId::NONE && now - self.session_seen_at < min_elapsed_s
     }
 
-    /// Whether a start may yet be executed in a session to come: if a machine counts its
-    /// sessions anew, silence proves nothing; only a newer session, a higher token or the
-    /// machine's end does. (Guards against a task that ran twice: a start without an answer
-    /// was delayed until the count came to its session, long after the lease expiry had
-    /// seemed to prove the machine empty.)
+    /// Whether a start that was sent may yet be executed in a future session. If a machine
+    /// has restarted its session numbering, its silence does not rule that out; only a newer
+    /// session, a higher token or the end of the machine does. (This guards against a task
+    /// that ran twice: a start without a response was delayed until the machine reached the
+    /// session number that it was sent to, long after the expiry of the lease had seemed to
+    /// prove the machine empty.)
     pub fn may_still_start(&self) -> bool {
-        // A mere suspicion (`renumbered_at`) is not enough: a leader that heard a late
-        // heartbeat first takes the sessions since for early, and such a machine would be
+        // A suspected restart of the numbering (`renumbered_at`) is not sufficient. If the
+        // first message that a leader receives is a late heartbeat of an old session,
+        // `is_early_session` holds for the present session, and such a machine would be
         // refused for ever.
-        let has_live_copy = |attempt: &Attempt| {
+        let may_have_late_copy = |attempt: &Attempt| {
             attempt
                 .duplicate_starts_up_to
                 .is_some_and(|token| token >= self.seen_token)
         };
-        let may_start = |attempt: &Attempt| attempt.is_in_flight() || has_live_copy(attempt);
+        let may_start = |attempt: &Attempt| attempt.is_in_flight() || may_have_late_copy(attempt);
         self.renumbers && self.attempts.values().any(may_start)
     }
 
--- a/src/coordination/scheduler/machines.rs
+++ b/src/coordination/scheduler/machines.rs
@@ -1,7 +1,7 @@
 //! The set of machines: adding, retiring and removing them, and the written machine record.
 //!
-//! Nothing starts on a machine before the record that lists it is written: whoever takes
-//! over reads the record to know which machines may run tasks.
+//! No task starts on a machine before the record that lists the machine is written: the next
+//! leader reads the record to learn which machines may run tasks.
 
 use crate::coordination::scheduler::capacity_index::Availability;
 use crate::coordination::scheduler::job::AttemptId;
@@ -14,20 +14,23 @@
 impl Scheduler {
     /// Replaces the machine types that the cloud offers.
     pub fn set_types(&mut self, types: &[MachineType]) {
-        self.types = types.iter().map(|t| (t.name.clone(), t.clone())).collect();
+        self.types = types
+            .iter()
+            .map(|kind| (kind.name.clone(), kind.clone()))
+            .collect();
         for name in self.machines.keys().cloned().collect::<Vec<_>>() {
             self.update_capacity(&name);
         }
         self.placement_due = true;
     }
 
-    /// Adds a machine of the record that was found at the takeover.
+    /// Adds a machine that the machine record listed at the takeover.
     pub fn add_recorded_machine(&mut self, info: MachineInfo, now: f64) {
         let name = machine::name(&info);
         let cordoned = self.drains.contains_key(&name);
-        // A machine that was proven empty and drained blocks no placement: as long as
-        // its drain record stands no leader starts anything on it, and whoever learns
-        // that the record is gone knows by then whether it is still the leader.
+        // A machine that was drained and proven empty does not block placement. No leader
+        // starts tasks on it while its drain record exists. A leader that learns of the
+        // record's deletion knows by then whether it is still the leader.
         let drained = self.is_drained(&name);
         if !drained {
             self.unfenced.insert(name.clone());
@@ -39,7 +42,7 @@
         });
     }
 
-    /// Brings a machine's free capacity and its place in the index up to date.
+    /// Updates a machine's free capacity and its entry in the capacity index.
     pub(crate) fn update_capacity(&mut self, name: &str) {
         let silent_s = self.config.silent_s();
         let queue_depth = self.config.policy.queue_depth;
@@ -48,7 +51,7 @@
             return;
         };
         let kind = self.types.get(&machine.info.kind);
-        let free = kind.map_or(Resources::default(), |kind| machine.unused(kind));
+        let free = kind.map_or(Resources::default(), |kind| machine.unoccupied(kind));
         let usable = kind.is_some() && machine.is_usable(self.now, silent_s);
         if usable {
             let availability = Availability {
@@ -71,7 +74,8 @@
         machine.indexed = usable;
     }
 
-    /// Forgets all attempts and queued tasks of a machine that was proven empty or is gone.
+    /// Removes all attempts and queued tasks of a machine that was proven empty or is gone.
+    /// The tasks wait again.
     pub(crate) fn clear_machine(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -80,12 +84,12 @@
         machine.repeatable_tasks = None;
         machine.idle_since = self.now;
         let attempts = std::mem::take(&mut machine.attempts);
-        let lost = attempts.iter().filter(|(_, a)| !a.has_exited());
-        let lost: Vec<String> = lost.map(|(id, _)| id.task.wire()).collect();
-        if !lost.is_empty() {
+        let live_attempts = attempts.iter().filter(|(_, attempt)| !attempt.has_exited());
+        let lost_tasks: Vec<String> = live_attempts.map(|(id, _)| id.task.wire()).collect();
+        if !lost_tasks.is_empty() {
             tracing::info!(
                 machine = name,
-                tasks = lost.join(" "),
+                tasks = lost_tasks.join(" "),
                 "lost with its machine"
             );
         }
@@ -96,14 +100,14 @@
         self.clear_queue(name);
     }
 
-    /// The cloud confirmed that the machine was returned: any heartbeat of it that still
-    /// arrives is old.
+    /// Removes a machine whose return the cloud confirmed. Any heartbeat of the machine that
+    /// still arrives was sent before that.
     pub fn confirm_machine_returned(&mut self, name: &str) {
         self.remove_machine(name);
         self.returned_machines.insert(name.into(), ());
     }
 
-    /// The machine and everything on it are gone.
+    /// Removes a machine that does not exist any more, with its attempts and queue.
     pub fn remove_machine(&mut self, name: &str) {
         self.clear_machine(name);
         let removed = self.machines.swap_remove(name);
@@ -115,7 +119,7 @@
         self.placement_due = true;
     }
 
-    /// Takes a machine out of use for good; its tasks are stopped and run elsewhere.
+    /// Takes a machine out of use permanently. Its tasks are stopped and started elsewhere.
     pub fn retire_machine(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -134,7 +138,7 @@
         self.placement_due = true;
     }
 
-    /// The machines that the written record should list.
+    /// The machines that the machine record should list.
     pub fn wanted_machine_record(&self) -> Vec<&MachineInfo> {
         self.machines
             .values()
@@ -143,7 +147,8 @@
             .collect()
     }
 
-    /// The record that lists these machines is written.
+    /// Handles a successful write of the machine record; `written` are the machines that the
+    /// record lists now.
     pub fn machine_record_written(&mut self, written: &[MachineInfo]) {
         for info in written {
             let Some(machine) = self.machines.get_mut(info.id.as_str()) else {
--- a/src/coordination/scheduler/message_id.rs
+++ b/src/coordination/scheduler/message_id.rs
@@ -2,21 +2,21 @@
 
 use crate::protocol::worker::Report;
 
-/// Identifies a message of a machine by its session and its sequence number within that.
-/// Later messages compare greater.
+/// Identifies a message of a machine by its session and its sequence number within the
+/// session. Later messages compare greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageId {
-    /// The session, which changes whenever the worker loses its lease or restarts.
+    /// The session. A new one begins whenever the worker loses its lease or restarts.
     pub session: u64,
-    /// The sequence number within the session.
+    /// Sequence number within the session.
     pub seq: u64,
 }
 
 impl MessageId {
-    /// Compares less than any message.
+    /// Stands for no message; compares less than the identifier of any message.
     pub const NONE: MessageId = MessageId { session: 0, seq: 0 };
 
-    /// The identity of this heartbeat.
+    /// The identifier of a report.
     pub fn of(report: &Report) -> MessageId {
         MessageId {
             session: report.session,
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -1,16 +1,17 @@
-//! The scheduler: which jobs and machines there are, and what runs where. All of it is
-//! deterministic: time and events go in, commands for machines and records to write come
-//! out. Random draws come from a seeded generator.
+//! The scheduler: it tracks the jobs and machines, and decides which task runs on which
+//! machine. It is deterministic: its inputs are the time and events, its outputs are
+//! commands for machines and records to write. Random draws come from a seeded generator.
 //!
-//! The modules form three layers, each importing from those before it only:
+//! The modules form three layers. Each layer imports only from the layers listed before it:
 //!
 //! - Data types: [`job`], [`machine`] with [`attempt`], [`message_id`] and [`delivery`],
 //!   [`resources`], [`capacity_index`], [`team_usage`], [`fair_share`], [`job_order`],
-//!   [`run_time_predictor`], [`fence`], `placement_pass`, `preemption_cost`.
+//!   [`run_time_predictor`], [`fence`], [`drain_target`], `placement_pass`,
+//!   `preemption_cost`.
 //! - State: [`state`] with [`config`].
 //! - Operations on the state:
 //!   - the sets of jobs and machines: `jobs`, `machines`, `attempts`, `completions`, `terms`;
-//!   - the order of jobs: `prediction`, [`quota`], `precedence`, `order_refresh`;
+//!   - the order of precedence among jobs: `prediction`, [`quota`], `precedence`, `order_refresh`;
 //!   - placement: [`placement`], `sampling`, [`queue`], [`preemption`], `zone_constraint`;
 //!   - views: [`load`], [`views`], [`overview`], [`snapshot`].
 
--- a/src/coordination/scheduler/overview.rs
+++ b/src/coordination/scheduler/overview.rs
@@ -1,15 +1,15 @@
-//! Live jobs at a glance as plain text: a rendering of `views` for operators with nothing
-//! but a browser at hand.
+//! A table of live jobs in plain text, for operators who have only a browser. It renders the
+//! rows of `views`.
 
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::admin::Standing;
 use std::fmt::Write;
 
-/// Bound on the jobs shown.
+/// Maximum number of jobs shown.
 const MAX_ROWS: usize = 200;
 
 impl Scheduler {
-    /// A table of live jobs, those first that need attention.
+    /// Renders the table of live jobs. Jobs that need attention come first.
     pub fn overview(&self, now: f64) -> String {
         let jobs = self.job_rows(now, MAX_ROWS);
         let mut text = format!(
--- a/src/coordination/scheduler/snapshot.rs
+++ b/src/coordination/scheduler/snapshot.rs
@@ -1,5 +1,5 @@
-//! A snapshot of the scheduler's state, from which plans are made, and a scheduler made
-//! from one: plans run the same code that decides here.
+//! A snapshot of the scheduler's state, and creating a scheduler from a snapshot. Plans are
+//! computed from snapshots, with the same code that makes the decisions on a leader.
 
 use crate::coordination::scheduler::fence::Fence;
 use crate::coordination::scheduler::job::Job;
@@ -16,71 +16,72 @@
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Count of quantiles of a distribution that a snapshot carries.
+/// Number of quantiles by which a snapshot describes a distribution.
 const QUANTILES: usize = 32;
 
 /// An attempt on a machine.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct SnapTask {
-    /// Its job.
+    /// The job.
     pub job: String,
     /// Index of the task within the job.
     pub index: u32,
     /// Number of the attempt.
     pub attempt: u64,
-    /// For how many seconds it has run; `None` before that.
+    /// For how many seconds the attempt has run; `None` if it has not been reported as
+    /// running.
     pub ran_s: Option<f64>,
 }
 
-/// A machine that tasks may be on.
+/// A machine that may run tasks.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct SnapMachine {
-    /// As in the machine record.
+    /// The machine's entry in the machine record.
     pub info: MachineInfo,
-    /// Fenced and heard of lately, so that it is expected to go on.
+    /// The machine is fenced and not silent, so it is expected to keep running.
     pub alive: bool,
-    /// Its present session.
+    /// The machine's present session.
     pub session: u64,
-    /// The attempts that occupy capacity on it.
+    /// The attempts that occupy capacity on the machine.
     pub tasks: Vec<SnapTask>,
 }
 
 /// A live job.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct SnapJob {
-    /// Its description, as submitted.
+    /// The job description, as submitted.
     pub spec: JobSpec,
-    /// Seconds since it was accepted.
+    /// Seconds since the job was accepted.
     pub age_s: f64,
-    /// Completed tasks, as ranges.
+    /// Completed tasks, as ranges in text form.
     pub done: String,
 }
 
-/// By how much the estimates of a class are off.
+/// Distribution of the errors of run-time estimates of a job class.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ClassError {
-    /// The class; empty for all classes.
+    /// The class; empty for all classes together.
     pub class: String,
-    /// How many tasks this rests on.
+    /// Number of tasks that the distribution is based on.
     pub tasks: u64,
-    /// Run time over estimate at evenly spaced quantiles.
+    /// Ratios of run time to estimate at evenly spaced quantiles.
     pub ratios: Vec<f64>,
 }
 
-/// The state at one moment.
+/// The scheduler's state at one time.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Snapshot {
     /// The leader's term.
     pub term: u64,
-    /// Revision of the live jobs that it shows.
+    /// Revision of the state service up to which changes of live jobs are included.
     pub revision: u64,
-    /// When it was made, in milliseconds of wall-clock time.
+    /// When the snapshot was taken, in milliseconds of wall-clock time.
     pub at_ms: u64,
     /// Interval of heartbeats, in seconds.
     pub report_s: f64,
     /// Lease of a worker, in seconds.
     pub lease_s: f64,
-    /// Deadline of a cancellation, in seconds.
+    /// Time, in seconds, within which all tasks of a cancelled job must have stopped.
     pub cancel_s: f64,
     /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
@@ -90,23 +91,24 @@
     pub policy: Policy,
     /// Machine types that the cloud offers.
     pub types: Vec<MachineType>,
-    /// Machines that tasks may be on.
+    /// Machines that may run tasks.
     pub machines: Vec<SnapMachine>,
     /// Live jobs.
     pub jobs: Vec<SnapJob>,
-    /// Errors of estimates, by class.
+    /// Errors of run-time estimates, by class.
     pub errors: Vec<ClassError>,
     /// Drains in effect.
     pub drains: Vec<Drain>,
 }
 
-/// The error distribution of a class from its run times over estimates, in thousandths.
-fn class_error(class: &str, ratios: &Histogram<u32>) -> ClassError {
+/// The error distribution of a class. The histogram holds ratios of run time to estimate, in
+/// thousandths.
+fn class_error(class: &str, ratios_permille: &Histogram<u32>) -> ClassError {
     let quantile = |i: usize| (i as f64 + 0.5) / QUANTILES as f64;
-    let ratio = |i| ratios.value_at_quantile(quantile(i)) as f64 / 1000.0;
+    let ratio = |i| ratios_permille.value_at_quantile(quantile(i)) as f64 / 1000.0;
     ClassError {
         class: class.into(),
-        tasks: ratios.len(),
+        tasks: ratios_permille.len(),
         ratios: (0..QUANTILES).map(ratio).collect(),
     }
 }
@@ -120,10 +122,10 @@
 }
 
 impl Scheduler {
-    /// The state as it is now.
+    /// Takes a snapshot of the current state.
     pub fn snapshot(&self, now: f64) -> Snapshot {
         let machines = self.machines.values();
-        let present = machines.filter(|machine| machine.status != MachineStatus::Expired);
+        let unexpired = machines.filter(|machine| machine.status != MachineStatus::Expired);
         let jobs = self.jobs.values().filter(|job| !job.finished);
         let errors = self.predictor.ratio.classes().into_iter();
         let mut types: Vec<MachineType> = self.types.values().cloned().collect();
@@ -139,12 +141,18 @@
             objectives: self.config.objectives.clone(),
             policy: self.config.policy.clone(),
             types,
-            machines: present.map(|m| self.snap_machine(m, now)).collect(),
+            machines: unexpired
+                .map(|machine| self.snap_machine(machine, now))
+                .collect(),
             jobs: jobs.map(|job| snap_job(job, now)).collect(),
             errors: errors
                 .map(|(class, ratios)| class_error(class, ratios))
                 .collect(),
-            drains: self.drains.values().map(|t| t.drain.clone()).collect(),
+            drains: self
+                .drains
+                .values()
+                .map(|target| target.drain.clone())
+                .collect(),
         }
     }
 
@@ -164,15 +172,16 @@
         }
     }
 
-    /// A leader that took over this state at the time 0: the machines that go on are in its
-    /// record, and it has heard of none yet. Jobs are as old as in the snapshot, so that
-    /// deadlines count from there.
+    /// Creates the scheduler of a leader that takes over the state of the snapshot at time 0.
+    /// Machines that are alive in the snapshot are in its machine record, and no message has
+    /// arrived from them yet. Jobs keep the age that they have in the snapshot, so deadlines
+    /// count from their acceptance.
     pub fn of_snapshot(snapshot: &Snapshot, seed: u64) -> Scheduler {
         let config = SchedulerConfig {
             lease_s: snapshot.lease_s,
             heartbeat_s: snapshot.report_s,
             cancel_s: snapshot.cancel_s,
-            // In a plan every controller answers.
+            // In a plan every controller responds, so workers never retry in rounds.
             retry_round_s: 0.0,
             teams: snapshot.teams.clone(),
             objectives: snapshot.objectives.clone(),
@@ -181,7 +190,7 @@
         let term = snapshot.term + 1;
         let mut scheduler = Scheduler::new(config, term, Fence::new(term, Some(0.0)), seed);
         scheduler.set_types(&snapshot.types);
-        for machine in snapshot.machines.iter().filter(|m| m.alive) {
+        for machine in snapshot.machines.iter().filter(|machine| machine.alive) {
             scheduler.add_recorded_machine(machine.info.clone(), 0.0);
         }
         for job in &snapshot.jobs {
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -1,12 +1,12 @@
-//! The state of the scheduler as the current leader knows it: jobs, machines, and the
-//! indexes over them.
+//! The state of the scheduler on the current leader: jobs, machines, and indexes of them.
 //!
-//! The operations on it stand in the modules beside this one, each in an `impl Scheduler`
-//! block of its own; the [parent module](super) lists them.
+//! The sibling modules implement the operations on this state, each in its own
+//! `impl Scheduler` block; the [parent module](super) lists them.
 //!
-//! Several sets here are work lists ("machines that have X, and some that had"): an entry
-//! is added as soon as the condition begins and removed lazily when the list is gone over,
-//! so that no event needs a pass over all machines.
+//! Several sets here are work lists. An entry is added as soon as its condition begins to
+//! hold. It is removed lazily, when the list is next processed, so a list may also contain
+//! entries whose condition no longer holds. This way no event needs a pass over all
+//! machines.
 
 use crate::coordination::recent::RecentMap;
 use crate::coordination::scheduler::capacity_index::CapacityIndex;
@@ -28,95 +28,98 @@
 pub use crate::coordination::scheduler::config::{lease_with_margin_s, round_s, SchedulerConfig};
 pub use crate::coordination::scheduler::resources::Types;
 
-/// Bound on the remembered names of machines that were returned to the cloud: one and a
-/// half fleets of 6,000 machines.
+/// Maximum number of remembered names of machines that were returned to the cloud: 1.5
+/// times a fleet of 6,000 machines.
 const MAX_RETURNED_MACHINES: usize = 9_000;
 
-/// Bound on the remembered names of finished jobs. An answer that is overtaken by the ends
-/// of as many jobs is minutes old, and whoever waited for it has given up.
+/// Maximum number of remembered names of finished jobs. A response that arrives after this
+/// many other jobs have finished is minutes old, and its caller has timed out.
 const MAX_FINISHED_JOBS: usize = 8_192;
 
-/// The clock ticks at least every half second; a gap longer than a heartbeat interval and
-/// this many seconds means that this process itself was paused.
+/// Ticks come at least every 0.5 s. If the clock advances by more than a heartbeat interval
+/// plus this margin (in seconds) at once, this process itself was paused.
 const PAUSE_MARGIN_S: f64 = 1.0;
 
-/// The leader's state.
+/// The state of the scheduler on the current leader.
 pub struct Scheduler {
-    /// The settings that it decides by.
+    /// Settings and policy that decisions are based on.
     pub config: SchedulerConfig,
-    /// Current term; answers and commands carry it as their fencing token.
+    /// Current term. Replies and commands to machines carry it as their fencing token,
+    /// unless the machine's token was raised above it.
     pub term: u64,
-    /// What must be known of former leaders before placement may start.
+    /// Blocks placement after a takeover until no machine can run tasks of a former leader
+    /// that this leader does not know of.
     pub fence: Fence,
-    /// Live jobs, and finished ones that may still have attempts on machines.
+    /// Live jobs, and finished jobs that may still have attempts on machines.
     pub jobs: ByName<Job>,
-    /// Machines by name, recorded or not.
+    /// Machines by name, whether or not the written machine record lists them.
     pub machines: ByName<Machine>,
     /// Machine types that the cloud offers.
     pub types: Types,
-    /// Machines with commands to send without waiting for their next heartbeat.
+    /// Machines that get a direct call now instead of a reply to their next heartbeat.
     pub outbox: Names,
-    /// Jobs with completed tasks that are not saved yet.
+    /// Jobs with completed tasks that are not yet saved in the state service.
     pub unsaved_jobs: Names,
-    /// Something changed that may let tasks start.
+    /// An event occurred since the last placement pass that may allow tasks to start.
     pub placement_due: bool,
-    /// The written machine record differs from what it should be.
+    /// The written machine record differs from the one that should be written.
     pub machine_record_dirty: bool,
-    /// Wall-clock time less our monotonic time, in seconds.
+    /// Wall-clock time minus this process's monotonic time, in seconds.
     pub wall_clock_offset_s: f64,
-    /// Revision up to which the watch of live jobs has told us everything.
+    /// Revision of the state service up to which the watch of live jobs has delivered all
+    /// changes.
     pub watched_revision: u64,
-    /// The most recently finished jobs: an older answer, to a submission of our own, must
-    /// not revive one.
+    /// The most recently finished jobs. The response to this controller's own write of a
+    /// job may arrive after the job has finished, and must not add the job again.
     pub(crate) finished_jobs: RecentMap<Name, ()>,
-    /// Latest time passed in.
+    /// Latest time that was passed to `advance_clock`, in seconds of monotonic time.
     pub(crate) now: f64,
-    /// Since when messages were received without a gap: what was missed while this
-    /// process was paused must not be taken for silence of the machines.
+    /// Time since which this process has received messages without a gap. Messages that
+    /// were missed while this process was paused do not count as silence of the machines.
     listening_since: f64,
     /// Usable machines by free capacity.
     pub(crate) capacity_index: CapacityIndex,
-    /// Machines with tasks in their queue, and some that had.
+    /// Work list: machines with tasks in their queue.
     pub(crate) machines_with_queue: Names,
-    /// Machines that have an image, and some that had.
+    /// Work lists by image: machines that have the image cached.
     pub(crate) image_holders: HashMap<String, Vec<Name>, RandomState>,
-    /// Where capacity became free since the last placement pass.
+    /// Capacity that became free since the last placement pass.
     pub(crate) capacity_changes: CapacityChanges,
-    /// Resource usage of teams: updated with every task that is placed or released, and
-    /// counted anew at each full pass.
+    /// Resource usage of teams. It is updated whenever a task is placed or released, and
+    /// recomputed at each full placement pass.
     pub(crate) team_usage: TeamUsage,
-    /// Machines that may block placement after a takeover, and some that did; those that
-    /// do are all here while the fence is closed.
+    /// Work list: machines that may block placement after a takeover. While the fence is
+    /// closed it contains every machine that does.
     pub(crate) unfenced: Names,
-    /// How many of them there were when last counted.
+    /// Length of `unfenced` when it was last pruned.
     pub(crate) unfenced_before: usize,
-    /// Machines that may not receive our replies, and some that did not.
+    /// Work list: machines that may not receive this leader's replies.
     pub(crate) suspects: Names,
-    /// Machines most recently confirmed as returned by the cloud: their heartbeats may
-    /// still arrive late.
+    /// Machines whose return the cloud confirmed most recently. Heartbeats that they sent
+    /// before may still arrive.
     pub(crate) returned_machines: RecentMap<Name, ()>,
-    /// Machines with a start whose outcome is unknown, and some that had.
+    /// Work list: machines with a start command whose outcome is unknown.
     pub(crate) unresolved_starts: Names,
-    /// Attempts being stopped, and some that were.
+    /// Work list: attempts that are being stopped.
     pub(crate) stopping_attempts: IndexSet<(Name, AttemptId), RandomState>,
-    /// Unfinished jobs in their order of precedence.
+    /// Unfinished jobs in order of precedence.
     pub(crate) job_order: JobOrder,
-    /// Which classes and teams meet too few of their objectives.
+    /// Tracks which classes and teams meet too few of their objectives.
     pub fair_share: FairShare,
-    /// When queues were last searched for tasks that waited too long.
+    /// When the queues of machines were last checked for tasks that waited too long.
     pub(crate) queues_aged_at: f64,
-    /// Count of attempts started under this leader.
-    pub(crate) last_attempt: u64,
-    /// Statistics of finished tasks.
+    /// How many attempt numbers this leader has assigned.
+    pub(crate) attempts_numbered: u64,
+    /// Predicts run times from statistics of finished tasks.
     pub predictor: RunTimePredictor,
-    /// Machines that operators drain (see `drains`).
+    /// Machines that operators are draining or have drained (see `drains`).
     pub(crate) drains: ByName<DrainTarget>,
-    /// Source of all random draws, so that a run can be repeated from its seed.
+    /// Source of all random draws, seeded so that a run can be repeated.
     pub(crate) rng: SmallRng,
 }
 
 impl Scheduler {
-    /// An empty scheduler under this term.
+    /// A scheduler without jobs and machines.
     pub fn new(config: SchedulerConfig, term: u64, fence: Fence, seed: u64) -> Scheduler {
         Scheduler {
             config,
@@ -148,20 +151,20 @@
             job_order: JobOrder::default(),
             fair_share: FairShare::default(),
             queues_aged_at: f64::NEG_INFINITY,
-            last_attempt: 0,
+            attempts_numbered: 0,
             predictor: RunTimePredictor::default(),
             drains: ByName::default(),
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Advances the clock, and notices when this process was paused.
+    /// Advances the clock, and detects whether this process was paused.
     pub(crate) fn advance_clock(&mut self, now: f64) {
         self.listening_since = self.listening_since(now);
         self.now = now;
     }
 
-    /// Since when messages were received without a gap, if the time is `now`.
+    /// Time since which this process has received messages without a gap, as of `now`.
     pub(crate) fn listening_since(&self, now: f64) -> f64 {
         if now - self.now > self.config.heartbeat_s + PAUSE_MARGIN_S {
             now
@@ -170,8 +173,8 @@
         }
     }
 
-    /// For how long a machine last heard of at `heard_at` has been silent, not counting
-    /// time in which this process was paused.
+    /// For how many seconds a machine has been silent whose last message arrived at
+    /// `heard_at`. The time before the end of this process's latest pause is not counted.
     pub(crate) fn silent_for(&self, heard_at: f64, now: f64) -> f64 {
         now - heard_at.max(self.listening_since(now))
     }
--- a/src/coordination/scheduler/team_usage.rs
+++ b/src/coordination/scheduler/team_usage.rs
@@ -1,4 +1,4 @@
-//! Resource usage of teams, and the check against a team's limit.
+//! Resource usage of teams, and the checks against a team's guarantee and limit.
 
 use crate::coordination::scheduler::resources::ROUNDING_TOLERANCE;
 use crate::protocol::job::JobSpec;
@@ -14,13 +14,13 @@
 }
 
 impl Usage {
-    /// Adds the usage of `tasks` tasks of the job; a negative count takes it away.
+    /// Adds the usage of `tasks` tasks of the job; a negative count subtracts it.
     pub(crate) fn add_tasks(&mut self, spec: &JobSpec, tasks: f64) {
         self.cpus += tasks * spec.cpus;
         self.gpus += tasks * spec.gpus;
     }
 
-    /// This usage without `other`.
+    /// This usage minus `other`.
     pub(crate) fn less(self, other: Usage) -> Usage {
         Usage {
             cpus: self.cpus - other.cpus,
@@ -28,34 +28,35 @@
         }
     }
 
-    /// Whether this is more of either than the team is guaranteed.
+    /// Whether this exceeds the team's guarantee of CPUs or of GPUs.
     pub(crate) fn exceeds_guarantee(&self, team: &Team) -> bool {
         self.cpus > team.cpus + ROUNDING_TOLERANCE || self.gpus > team.gpus + ROUNDING_TOLERANCE
     }
 
-    /// Whether the team's limit admits this usage and `tasks` more tasks of the job. A
-    /// limit of 0 is none; a job of an unknown team is never admitted.
-    pub(crate) fn admits(&self, limit: Option<&Team>, spec: &JobSpec, tasks: f64) -> bool {
-        let Some(limit) = limit else {
+    /// Whether the limits of the team allow this usage plus `tasks` more tasks of the job. A
+    /// limit of 0 means no limit. A job of an unknown team (`None`) is never admitted.
+    pub(crate) fn admits(&self, team: Option<&Team>, spec: &JobSpec, tasks: f64) -> bool {
+        let Some(team) = team else {
             return false;
         };
-        let fits =
-            |max: f64, used: f64, more: f64| max <= 0.0 || used + more <= max + ROUNDING_TOLERANCE;
-        fits(limit.cpus_max, self.cpus, spec.cpus * tasks)
-            && fits(limit.gpus_max, self.gpus, spec.gpus * tasks)
+        let fits = |limit: f64, used: f64, added: f64| {
+            limit <= 0.0 || used + added <= limit + ROUNDING_TOLERANCE
+        };
+        fits(team.cpus_max, self.cpus, spec.cpus * tasks)
+            && fits(team.gpus_max, self.gpus, spec.gpus * tasks)
     }
 }
 
-/// Usage by the team's index in the settings.
+/// Resource usage of each team, by the team's index in the settings.
 #[derive(Debug, Clone, Default)]
 pub struct TeamUsage {
     teams: Vec<Usage>,
-    /// Usage of jobs whose team the settings do not name any more.
+    /// Usage of jobs whose team the settings do not name.
     unknown_teams: Usage,
 }
 
 impl TeamUsage {
-    /// What the team uses.
+    /// The team's usage; `None` stands for all teams that the settings do not name.
     pub fn of(&self, team: Option<usize>) -> Usage {
         match team {
             Some(team) => self.teams.get(team).copied().unwrap_or_default(),
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Adds `tasks` tasks of the job; a negative count takes them away.
+    /// Adds the usage of `tasks` tasks of the job; a negative count subtracts it.
     pub fn add(&mut self, team: Option<usize>, spec: &JobSpec, tasks: f64) {
         let usage = match team {
             Some(team) => {
@@ -77,7 +78,7 @@
         usage.add_tasks(spec, tasks);
     }
 
-    /// CPUs that all teams use together.
+    /// Total CPUs in use by all teams.
     pub fn cpus(&self) -> f64 {
         self.teams.iter().map(|usage| usage.cpus).sum::<f64>() + self.unknown_teams.cpus
     }
--- a/src/coordination/scheduler/terms.rs
+++ b/src/coordination/scheduler/terms.rs
@@ -1,25 +1,26 @@
 //! Terms and fencing tokens: when placement may begin after a takeover, the numbering of
 //! attempts, and tokens above the term for single machines.
 //!
-//! A term comes with a range of `TOKENS_PER_TERM` tokens. A machine refuses commands under
-//! a token lower than the highest it has seen, so that a higher one rules out late copies
-//! of earlier calls.
+//! Each term has a range of `TOKENS_PER_TERM` tokens, which begins with the term itself. A
+//! machine refuses commands with a token lower than the highest it has seen. A command with
+//! a higher token therefore rules out that late copies of earlier calls are executed.
 
 use crate::coordination::scheduler::machine::Machine;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::storage::records::TOKENS_PER_TERM;
 
-/// Low bits of an attempt number that count the attempts of one term.
+/// Number of low bits of an attempt number that count the attempts of one term.
 const ATTEMPT_BITS: u32 = 24;
 
-/// Part of the cancellation deadline after which a direct start without an answer is ruled
-/// out by a higher token; it leaves time within the deadline for the rest.
-const UNRESOLVED_START_PART: f64 = 8.0;
+/// A direct call with a start that got no response is ruled out by a higher token after the
+/// cancellation deadline divided by this number. That leaves most of the deadline for
+/// stopping the task.
+const UNRESOLVED_START_DIVISOR: f64 = 8.0;
 
 impl Scheduler {
-    /// Whether placement is allowed: every machine of the record is accounted for. It is
-    /// called after every heartbeat of a takeover, so each machine that turned out to be
-    /// accounted for is examined once.
+    /// Whether placement is allowed, which requires that no machine blocks it any more. This
+    /// is called after every heartbeat during a takeover, so it removes each machine that no
+    /// longer blocks placement from `unfenced` instead of examining it again.
     pub fn fencing_complete(&mut self) -> bool {
         if self.fence.open {
             return true;
@@ -36,7 +37,7 @@
         true
     }
 
-    /// How many machines block placement after a takeover; `None` once it is allowed.
+    /// How many machines block placement after a takeover; `None` once placement is allowed.
     pub fn machines_blocking_placement(&self) -> Option<usize> {
         if self.fence.open {
             return None;
@@ -45,27 +46,31 @@
             .unfenced
             .iter()
             .filter_map(|name| self.machines.get(name));
-        Some(machines.filter(|m| m.blocks_placement()).count())
+        Some(
+            machines
+                .filter(|machine| machine.blocks_placement())
+                .count(),
+        )
     }
 
-    /// The next attempt number. Numbers only grow, also across takeovers, since the term
-    /// of the takeover is their upper part.
+    /// Assigns the next attempt number. Numbers only increase, also across takeovers, since
+    /// their high bits are the term of the takeover.
     pub(crate) fn next_attempt(&mut self) -> u64 {
-        self.last_attempt += 1;
-        (self.fence.base_term << ATTEMPT_BITS) + self.last_attempt
+        self.attempts_numbered += 1;
+        (self.fence.base_term << ATTEMPT_BITS) + self.attempts_numbered
     }
 
-    /// Raises the token of machines with a start whose outcome stays unknown. Such a start
-    /// may be executed until the machine has seen a higher token; a token of the present
-    /// term's range needs no write, and so does not wait for the state service in an
-    /// outage. Returns true if a machine has used up the range, so that a new term must
-    /// be written.
+    /// Raises the token of machines with a start whose outcome has been unknown for too long.
+    /// Such a start may be executed until the machine has seen a higher token. A token from
+    /// the range of the present term requires no write to the state service, so this works
+    /// during an outage of that service. Returns true if a machine has used up the range, so
+    /// that a new term must be written.
     pub fn raise_overdue_tokens(&mut self, now: f64) -> bool {
-        let unresolved_limit_s = self.config.cancel_s / UNRESOLVED_START_PART;
+        let unresolved_limit_s = self.config.cancel_s / UNRESOLVED_START_DIVISOR;
         let term = self.term;
         let last_token = term + TOKENS_PER_TERM - 1;
         let machines = &mut self.machines;
-        let mut used_up = false;
+        let mut any_exhausted = false;
         self.unresolved_starts.retain(|name| {
             let Some(machine) = machines.get_mut(name) else {
                 return false;
@@ -74,20 +79,21 @@
                 now - called_at > unresolved_limit_s
             });
             let exhausted = machine.raised_token == last_token;
-            used_up |= exhausted;
+            any_exhausted |= exhausted;
             unresolved || exhausted
         });
-        used_up
+        any_exhausted
     }
 
-    /// A higher term was written for this leader.
+    /// Adopts a higher term that was written for this leader.
     pub fn raise_term(&mut self, term: u64) {
         self.term = self.term.max(term);
     }
 }
 
-/// Raises the machine's token if a start under the present one is overdue and no call is
-/// under way that would be refused for it. Returns whether any start is unresolved.
+/// Raises the machine's token if a start under its present token is overdue. While a call to
+/// the machine is in flight the token stays, since the machine would refuse that call.
+/// Returns whether the outcome of any start is unknown.
 fn raise_token_if_overdue(
     machine: &mut Machine,
     term: u64,
--- a/src/coordination/scheduler/views.rs
+++ b/src/coordination/scheduler/views.rs
@@ -1,5 +1,5 @@
-//! What operators see of the scheduler: jobs, teams, machines, waits. Each view is computed
-//! anew from the state when it is asked for.
+//! Views of the scheduler for operators: jobs, teams, machines and waiting times. Each view
+//! is computed from the current state when it is requested.
 
 use crate::coordination::scheduler::drain_target::DrainTarget;
 use crate::coordination::scheduler::job::Job;
@@ -13,31 +13,31 @@
 use crate::protocol::settings::Team;
 use hdrhistogram::Histogram;
 
-/// A job of which nothing runs is stuck after this many leases.
-const STUCK_LEASES: f64 = 3.0;
+/// A job without running tasks is stuck once it is older than this many leases.
+const STUCK_AGE_LEASES: f64 = 3.0;
 
-/// A distribution in milliseconds as operators see it, in seconds.
-pub fn spread(name: &str, ms: &Histogram<u32>) -> Spread {
-    let at = |quantile| ms.value_at_quantile(quantile) as f64 / 1000.0;
+/// Summarizes a histogram of milliseconds for operators, in seconds.
+pub fn spread(name: &str, histogram_ms: &Histogram<u32>) -> Spread {
+    let quantile_s = |quantile| histogram_ms.value_at_quantile(quantile) as f64 / 1000.0;
     Spread {
         name: name.into(),
-        count: ms.len(),
-        p50_s: at(0.5),
-        p90_s: at(0.9),
-        p99_s: at(0.99),
-        max_s: ms.max() as f64 / 1000.0,
+        count: histogram_ms.len(),
+        p50_s: quantile_s(0.5),
+        p90_s: quantile_s(0.9),
+        p99_s: quantile_s(0.99),
+        max_s: histogram_ms.max() as f64 / 1000.0,
     }
 }
 
-fn spreads(ms: &ClassHistograms) -> Vec<Spread> {
-    let classes = ms.classes().into_iter();
+fn class_spreads(histograms_ms: &ClassHistograms) -> Vec<Spread> {
+    let classes = histograms_ms.classes().into_iter();
     classes
         .filter(|(name, _)| *name != ALL_CLASSES)
         .map(|(name, histogram)| spread(name, histogram))
         .collect()
 }
 
-/// A job in the order in which operators see jobs.
+/// A job with its standing, for the sorted list that operators see.
 struct RankedJob<'a> {
     standing: Standing,
     id: &'a str,
@@ -45,15 +45,15 @@
 }
 
 impl Scheduler {
-    /// Why no further task of the job starts now.
+    /// Why no more tasks of the job start at present.
     fn reason(&self, job: &Job, usage: &TeamUsage, now: f64) -> String {
         if !self.fence.open {
-            return "waits until all machines are accounted for after a takeover".into();
+            return "waits after a takeover until all machines are fenced or proven empty".into();
         }
         if job.is_suspect() {
             let (failures, machines) = (job.failures, job.failed_on.len());
             return format!(
-                "fails on every machine it was tried on ({failures} failures on {machines} machines): look at the job"
+                "fails on every machine it was tried on ({failures} failures on {machines} machines): check the job"
             );
         }
         if job.unplaced_tasks() == 0 {
@@ -72,13 +72,13 @@
         self.capacity_reason(job).into()
     }
 
-    /// What the job lacks, if it is capacity.
+    /// Which kind of capacity a job lacks that nothing else keeps from starting.
     fn capacity_reason(&self, job: &Job) -> &'static str {
         let pools = self
             .capacity_index
             .pools_for(&job.spec, &self.types, |_| true);
         if !pools.is_empty() {
-            return "waits for room";
+            return "waits for free capacity";
         }
         let mut machines = self.machines.values();
         if machines.any(|machine| machine.cordoned && self.may_use(&job.spec, machine)) {
@@ -88,13 +88,14 @@
         }
     }
 
-    /// Whether the job needs attention: none of its tasks runs although several leases have
-    /// passed, it only fails, or it can meet none of its objectives any more.
+    /// Whether the job needs attention. It does if it only fails, if tasks wait and none runs
+    /// although several leases have passed, or if it can no longer meet any of its objectives.
     fn standing(&self, job: &Job, now: f64) -> Standing {
-        let nothing_runs = job.running == 0 && job.unplaced_tasks() > 0;
+        let only_waits = job.running == 0 && job.unplaced_tasks() > 0;
+        let stuck_age_s = STUCK_AGE_LEASES * self.config.lease_s;
         if job.is_suspect() {
             Standing::Failing
-        } else if nothing_runs && now - job.accepted_at > STUCK_LEASES * self.config.lease_s {
+        } else if only_waits && now - job.accepted_at > stuck_age_s {
             Standing::Stuck
         } else if !self.has_reachable_objective(job, now) {
             Standing::Late
@@ -103,11 +104,15 @@
         }
     }
 
-    /// Live jobs, those first that need attention most, and at most `limit` of them.
+    /// Counts of live jobs, and rows of at most `limit` of them. Jobs that most need attention
+    /// come first.
     pub fn job_rows(&self, now: f64, limit: usize) -> Jobs {
         let usage = self.count_usage();
         let ranked = self.ranked_jobs(now);
-        let count = |standing: Standing| ranked.iter().filter(|r| r.standing == standing).count();
+        let count = |standing: Standing| {
+            let of_standing = ranked.iter().filter(|ranked| ranked.standing == standing);
+            of_standing.count()
+        };
         Jobs {
             live: ranked.len(),
             stuck: count(Standing::Stuck),
@@ -162,12 +167,12 @@
         let usage = self.count_usage();
         let teams = self.config.teams.iter().enumerate();
         teams
-            .map(|(at, team)| self.team_row(at, team, &usage))
+            .map(|(index, team)| self.team_row(index, team, &usage))
             .collect()
     }
 
-    fn team_row(&self, at: usize, team: &Team, usage: &TeamUsage) -> TeamRow {
-        let used = usage.of(Some(at));
+    fn team_row(&self, team_index: usize, team: &Team, usage: &TeamUsage) -> TeamRow {
+        let used = usage.of(Some(team_index));
         let mut row = TeamRow {
             name: team.name.clone(),
             cpus: used.cpus,
@@ -180,7 +185,7 @@
             waiting_tasks: 0,
             waiting_cpus: 0.0,
         };
-        let is_own = |job: &&Job| job.team == Some(at) && !job.finished;
+        let is_own = |job: &&Job| job.team == Some(team_index) && !job.finished;
         for job in self.jobs.values().filter(is_own) {
             row.jobs += 1;
             row.waiting_tasks += job.unplaced_tasks();
@@ -189,7 +194,7 @@
         row
     }
 
-    /// A machine's state, and what that follows from.
+    /// A machine's state, and the reason for it.
     fn machine_state(&self, machine: &Machine, now: f64) -> (MachineState, String) {
         if let Some(target) = self.drains.get(&*machine.info.id) {
             return drain_state(target);
@@ -197,21 +202,21 @@
         match machine.status {
             MachineStatus::Draining => {
                 let failures = machine.recent_failures.len();
-                let why = format!("taken out of use; {failures} failures in a row");
+                let why = format!("taken out of use; {failures} consecutive failures");
                 (MachineState::Returning, why)
             }
             MachineStatus::Expired => {
-                let why = "silent for a lease that nobody can have renewed";
+                let why = "its lease expired and cannot have been renewed";
                 (MachineState::Expired, why.into())
             }
             MachineStatus::Up => self.up_state(machine, now),
         }
     }
 
-    /// The state of a machine that is up, and what that follows from.
+    /// The state of a machine with the status `Up`, and the reason for it.
     fn up_state(&self, machine: &Machine, now: f64) -> (MachineState, String) {
         if !machine.recorded {
-            let why = "not in our written record yet";
+            let why = "not yet in the written machine record";
             return (MachineState::Unproven, why.into());
         }
         if !machine.fenced {
@@ -220,12 +225,12 @@
         }
         if machine.unknown_attempts > 0 {
             let attempts = machine.unknown_attempts;
-            let why = format!("runs {attempts} tasks of jobs that we do not know");
+            let why = format!("runs {attempts} tasks of unknown jobs");
             return (MachineState::Unproven, why);
         }
         if let Some(notice_at) = machine.notice_at {
             let left_s = notice_at - now;
-            let why = format!("the cloud takes it in {left_s:.0} s");
+            let why = format!("the cloud takes the machine back in {left_s:.0} s");
             return (MachineState::Noticed, why);
         }
         let silent_s = self.silent_for(machine.heard_at, now);
@@ -235,10 +240,12 @@
         (MachineState::Usable, String::new())
     }
 
-    /// Machines, those first that are of least use.
+    /// Rows of all machines. The least usable ones come first.
     pub fn machine_rows(&self, now: f64) -> Vec<MachineRow> {
         let machines = self.machines.values();
-        let mut rows: Vec<MachineRow> = machines.map(|m| self.machine_row(m, now)).collect();
+        let mut rows: Vec<MachineRow> = machines
+            .map(|machine| self.machine_row(machine, now))
+            .collect();
         rows.sort_by(|a, b| b.state.cmp(&a.state).then_with(|| a.id.cmp(&b.id)));
         rows
     }
@@ -264,7 +271,7 @@
         let mut counts: Vec<(MachineState, usize)> = Vec::new();
         for machine in self.machines.values() {
             let (state, _) = self.machine_state(machine, now);
-            match counts.iter_mut().find(|(known, _)| *known == state) {
+            match counts.iter_mut().find(|(counted, _)| *counted == state) {
                 Some((_, count)) => *count += 1,
                 None => counts.push((state, 1)),
             }
@@ -273,16 +280,16 @@
         counts
     }
 
-    /// How long jobs of each class waited for their first task.
+    /// How long jobs of each class waited until their first task started.
     pub fn waits(&self) -> Waits {
         Waits {
-            first_start: spreads(&self.predictor.wait_ms),
+            first_start: class_spreads(&self.predictor.wait_ms),
             acceptance: None,
         }
     }
 }
 
-/// The state of a machine that an operator drains.
+/// The state of a machine that an operator drains, and the reason for it.
 fn drain_state(target: &DrainTarget) -> (MachineState, String) {
     let drain = &target.drain;
     let state = if drain.drained.is_some() {
