--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -1,6 +1,6 @@
-//! What was cancelled is gone in time: what a leader knows of cancellations and as of when,
-//! and what may not bring a task back. The simulations in tests/pause and tests/simulation
-//! look for the cases that are not here.
+//! Tasks of cancelled jobs must stop within the deadline. The tests cover up to which time a
+//! leader knows all cancellations, and what must not start a cancelled task again. The
+//! simulations in tests/pause and tests/simulation search for further cases.
 
 mod common;
 
@@ -21,42 +21,47 @@
 use foxspur::storage::records::TerminalRecord;
 use foxspur::transport::sockets::Sockets;
 
-/// As of when all cancellations are known: by the watch, never later than the check of the
-/// leadership, or by the reports of every other controller. (Leases extended by a majority
-/// kept a leader answering for six leases while users elsewhere were told `withdrawn`.)
+/// Guards against a leader that answers workers although it may not know of cancellations
+/// that other controllers have confirmed to users. (Leases that a majority had extended kept
+/// a leader answering for six leases while users elsewhere were told `withdrawn`.) A leader
+/// knows all cancellations up to the time of its last answered request of the watch, but not
+/// beyond its last check of the leadership, or up to the time of its queries to all other
+/// controllers.
 #[test]
-fn a_leader_knows_cancellations_as_of_when_it_asked() {
+fn a_leader_knows_cancellations_up_to_the_time_of_its_query() {
     let peers = ["b", "c", "d"].map(String::from);
-    // The watch, the check, reports (peer, asked at, received at), known as of.
+    // A report of a peer: its name, when it was asked for, and when it was received.
     type Report = (&'static str, f64, f64);
+    // Time of the watch's last answered request, time of the last check of the leadership,
+    // reports of peers, and the time up to which all cancellations are known.
     type Case = (&'static str, Option<f64>, f64, &'static [Report], f64);
     let cases: [Case; 8] = [
-        ("nothing yet", None, 9.0, &[], f64::NEG_INFINITY),
-        ("the watch", Some(7.0), 9.0, &[], 7.0),
-        ("the check is older", Some(7.0), 5.0, &[], 5.0),
+        ("no information", None, 9.0, &[], f64::NEG_INFINITY),
+        ("the watch alone", Some(7.0), 9.0, &[], 7.0),
+        ("the leadership check is older", Some(7.0), 5.0, &[], 5.0),
         (
-            "a majority is not all",
+            "reports of a majority are not enough",
             Some(7.0),
             9.0,
             &[("b", 20.0, 20.1), ("c", 20.0, 20.1)],
             7.0,
         ),
         (
-            "all, as of the first asked",
+            "reports of all peers, up to the earliest query",
             Some(7.0),
             9.0,
             &[("b", 20.0, 20.1), ("c", 21.0, 21.1), ("d", 22.0, 22.1)],
             20.0,
         ),
         (
-            "one came late: it was paused",
+            "one report came late, since its peer was paused",
             Some(7.0),
             9.0,
             &[("b", 20.0, 20.1), ("c", 20.0, 20.1), ("d", 20.0, 20.6)],
             7.0,
         ),
         (
-            "an older report does not count back",
+            "an older report does not replace a newer one",
             Some(7.0),
             9.0,
             &[
@@ -75,11 +80,11 @@
             30.0,
         ),
     ];
-    for (what, watched, confirmed_at, reports, known) in cases {
+    for (case, watched_at, confirmed_at, reports, known_until) in cases {
         let mut horizon = CancellationHorizon::default();
-        watched
+        watched_at
             .into_iter()
-            .for_each(|at| horizon.watch_answered(at));
+            .for_each(|asked_at| horizon.watch_answered(asked_at));
         for (peer, asked_at, received_at) in reports {
             horizon.peer_reported(PeerAnswer {
                 term: 1,
@@ -88,23 +93,28 @@
                 received_at: *received_at,
             });
         }
-        assert_eq!(horizon.known_until(confirmed_at, &peers), known, "{what}");
+        assert_eq!(
+            horizon.known_until(confirmed_at, &peers),
+            known_until,
+            "{case}"
+        );
     }
-    // Alone, there is nobody to tell anything.
+    // Without peers there are no reports, so nothing is known.
     assert_eq!(
         CancellationHorizon::default().known_until(9.0, &[]),
         f64::NEG_INFINITY
     );
-    // The sum of the bound and a lease stays below `cancel_s`.
+    // The sum of the staleness bound and a worker's lease stays below `cancel_s`.
     for (cancel_s, lease_s) in [(40.0, 10.0), (51.0, 31.0), (47.5, 17.5)] {
         assert!(staleness_bound_s(cancel_s, lease_s) + 1.0006 * lease_s < cancel_s - 1.0);
     }
 }
 
-/// A report covers all of the time asked for or is not given: a process knows nothing of the
-/// one before it, and keeps the latest cancellations only.
+/// Guards against a report of confirmed cancellations that omits some. A process does not
+/// know the cancellations that its former process confirmed, and remembers only the latest
+/// ones. If it does not know all cancellations of the requested time, it must not report.
 #[test]
-fn a_report_covers_the_time_asked_for() {
+fn a_report_covers_the_requested_time() {
     let mut confirmed = ConfirmedCancellations::since(100.0);
     confirmed.record("run-1", 110.0);
     confirmed.record("run-2", 120.0);
@@ -112,7 +122,7 @@
         (5.0, 121.0, Some(vec!["run-2"])),
         (15.0, 121.0, Some(vec!["run-2", "run-1"])),
         (21.0, 121.0, Some(vec!["run-2", "run-1"])),
-        // It began since.
+        // The process started within the requested time.
         (21.1, 121.0, None),
         (f64::INFINITY, 121.0, None),
         (0.5, 121.0, Some(vec![])),
@@ -124,22 +134,23 @@
         });
         assert_eq!(confirmed.within(for_s, now), report, "{for_s}");
     }
-    for n in 0..16_384 {
-        confirmed.record(&format!("run-x{n}"), 130.0 + f64::from(n));
+    for number in 0..16_384 {
+        confirmed.record(&format!("run-x{number}"), 130.0 + f64::from(number));
     }
     assert!(
         confirmed.within(16_403.0, 16_518.0).is_none(),
-        "some were dropped"
+        "reported although the oldest cancellations were dropped"
     );
     assert!(confirmed
         .within(100.0, 16_518.0)
         .is_some_and(|jobs| jobs.len() == 96));
 }
 
-/// What is known to be over does not come back by an older answer, of a submission of
-/// our own say, also where it was over before we heard of it.
+/// Guards against starting a finished job again. The job's record may arrive after its end is
+/// known, for example in a late response to this controller's own submission, also if the
+/// end was known before the job itself.
 #[test]
-fn what_is_over_stays_over() {
+fn a_finished_job_is_not_revived_by_a_late_response() {
     for known_before in [true, false] {
         let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         assert!(matches!(
@@ -156,18 +167,20 @@
         scheduler.place_all(1.0);
         assert!(
             scheduler.next_direct_call(&"m1".into(), 1.0).is_none(),
-            "it starts"
+            "the finished job's task is started"
         );
     }
 }
 
-/// A worker that restarted at once counts its sessions anew, and what its former process sent
-/// may come later: each session lasts a lease, so one cannot be three further on within a
-/// second. (What had just started was taken for lost and started elsewhere.)
+/// Guards against taking a late message of a worker's former process for a newer one, after
+/// which a task that had just started was considered lost and was started elsewhere. A
+/// worker that restarts at once also restarts its session numbering. Each session lasts a
+/// lease, so the session number cannot rise by three within a second.
 #[test]
 fn a_session_that_cannot_have_begun_is_of_an_earlier_process() {
-    // Sessions further on, how much later in leases, whether it can be.
-    for (further, leases, possible) in [
+    // By how much the session number rises, within how many leases, and whether that is
+    // possible.
+    for (sessions_later, leases, possible) in [
         (1, 0.1, true),
         (3, 0.1, false),
         (3, 1.9, false),
@@ -176,19 +189,20 @@
         let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.0);
         let now = leases * LEASE_S;
-        let reply = scheduler.handle_heartbeat(&report("m1", 1 + further, 97, 5, &[]), now);
+        let reply = scheduler.handle_heartbeat(&report("m1", 1 + sessions_later, 97, 5, &[]), now);
         let accepted = matches!(reply, HeartbeatReply::Commands(_));
         assert_eq!(
             accepted, possible,
-            "{further} further after {leases} leases"
+            "{sessions_later} sessions later after {leases} leases"
         );
     }
 }
 
-/// A start that is on its way to a worker which restarted at once lives for a lease from
-/// then, not from the last heartbeat that was answered.
+/// Guards against considering a machine empty while a start may still take effect on it. A
+/// start may reach a worker that has just restarted. Its task can then run for a lease from
+/// the start on, not from the last answered heartbeat on.
 #[test]
-fn a_start_on_its_way_lives_for_a_lease() {
+fn a_start_in_flight_may_run_for_a_lease() {
     for (started_at, checked_at, empty) in [
         (2.0, LEASE_S + 1.0, false),
         (2.0, LEASE_S + 2.5, true),
@@ -205,7 +219,8 @@
             .expect("a start");
         assert!(matches!(call.commands[..], [Command::Start { .. }]));
         scheduler.direct_call_finished(&name, &call, CallResult::Unknown, started_at + 0.5);
-        // Ticks at their pace, so that our own pause is not taken for the machine's silence.
+        // Ticks come at the usual interval, so that the leader does not detect a pause of its
+        // own process.
         for tick in 0..=(checked_at * 2.0) as u32 {
             let now = f64::from(tick) / 2.0;
             scheduler.tick(now, now);
@@ -219,10 +234,11 @@
     }
 }
 
-/// A task that writes a checkpoint when its job is cancelled is ended by a second stop, at
-/// once and in every reply until it is seen to end.
+/// Guards against a task that goes on writing a checkpoint after its job was cancelled. It
+/// must get another stop, without a grace period, at once and in every reply until a
+/// heartbeat shows that it ended.
 #[test]
-fn a_task_that_writes_a_checkpoint_is_ended() {
+fn a_task_that_writes_a_checkpoint_is_stopped_on_cancellation() {
     let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
     let mut job = spec("run-1", "t", Urgency::Standard, 1, 1.0);
     (job.checkpoint_s, job.save_s) = (10.0, 5.0);
@@ -230,14 +246,15 @@
     let saving = [("run-1/0", 3, Phase::Saving, None)];
     scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &saving), 0.0);
     scheduler.finish_job("run-1");
-    let ends = |commands: &[Command]| {
-        let end = |c: &Command| matches!(c, Command::Stop { grace_s, .. } if *grace_s == 0.0);
-        commands.len() == 1 && commands.iter().all(end)
+    let is_immediate_stop = |commands: &[Command]| {
+        let stops_at_once =
+            |command: &Command| matches!(command, Command::Stop { grace_s, .. } if *grace_s == 0.0);
+        commands.len() == 1 && commands.iter().all(stops_at_once)
     };
     let (_, call) = scheduler
         .next_direct_call(&"m1".into(), 0.1)
         .expect("a stop");
-    assert!(ends(&call.commands));
+    assert!(is_immediate_stop(&call.commands));
     scheduler.direct_call_finished(&"m1".into(), &call, CallResult::Unknown, 1.0);
     for seq in 2..5 {
         let HeartbeatReply::Commands(reply) =
@@ -245,14 +262,19 @@
         else {
             panic!("refused");
         };
-        assert!(ends(&reply.commands), "reply {seq}: {:?}", reply.commands);
+        assert!(
+            is_immediate_stop(&reply.commands),
+            "reply {seq}: {:?}",
+            reply.commands
+        );
     }
 }
 
-/// The budgets of sockets never sum to more than there are, and leave one for each worker of
-/// the largest fleets, and some for users.
+/// Guards against running out of sockets. The limits of the parts must not add up to more
+/// than the sockets of the process, and must leave one for each worker of the largest fleets
+/// and some for users.
 #[test]
-fn sockets_are_divided() {
+fn socket_limits_stay_within_the_total() {
     for (all, workers) in [(800, 324), (2832, 1126), (3198, 1905), (32, 12)] {
         let sockets = Sockets::new(all);
         assert!(sockets.front() >= workers + workers / 10, "{all}");
@@ -264,16 +286,17 @@
     }
 }
 
-/// A controller that confirms a cancellation to a user tells its own scheduler first. (A
-/// cancellation without a response was carried out late, and only a poll at the leader found
-/// it: the other controllers' reports do not have it, and its tasks ran on in an outage.)
+/// Guards against tasks that run on during an outage after their cancellation was confirmed.
+/// A cancellation that got no response was written late, and only a user's poll at the
+/// leader found it, so the reports of other controllers did not contain it. A
+/// controller that confirms a cancellation to a user must tell its own scheduler first.
 #[test]
-fn a_cancellation_found_by_a_poll_at_the_leader_is_known_to_it() {
-    let settings = Settings::parse(SETTINGS).expect("good settings");
-    // Its clients need a runtime, though nothing is sent.
+fn a_cancellation_found_by_a_poll_at_the_leader_reaches_its_scheduler() {
+    let settings = Settings::parse(SETTINGS).expect("valid settings");
+    // The node's clients need a runtime, although nothing is sent.
     let system = actix_rt::System::new();
     let node = system.block_on(async { Node::new(settings, Policy::default()) });
-    for (state, over) in [(JobState::Done, false), (JobState::Cancelled, true)] {
+    for (state, cancelled) in [(JobState::Done, false), (JobState::Cancelled, true)] {
         let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         add(
             &mut scheduler,
@@ -292,28 +315,35 @@
         let job = scheduler
             .as_ref()
             .and_then(|scheduler| scheduler.jobs.get("run-1"));
-        assert_eq!(job.map(|job| job.finished), Some(over), "{state:?}");
-        let confirmed = node
+        assert_eq!(job.map(|job| job.finished), Some(cancelled), "{state:?}");
+        let confirmed_count = node
             .confirmed_cancellations
             .borrow()
             .within(0.0, 0.0)
             .map(|jobs| jobs.len());
-        assert_eq!(confirmed.is_some_and(|count| count > 0), over, "{state:?}");
+        assert_eq!(
+            confirmed_count.is_some_and(|count| count > 0),
+            cancelled,
+            "{state:?}"
+        );
     }
 }
 
-/// A start without a response may be carried out once a worker that counts its sessions anew
-/// comes to the session that it was sent to: silence does not prove its machine empty. (Seed
-/// 1665 of tests/simulation: the task started elsewhere, then here.)
+/// Guards against running a task twice after a start that got no response (seed 1665 of
+/// tests/simulation: the task started elsewhere, then on the first machine too). A worker
+/// that has restarted its session numbering may execute the start once it reaches the
+/// session number that the start was sent to. The machine's silence therefore does not prove
+/// it empty.
 #[test]
 fn a_machine_with_restarted_sessions_is_not_proven_empty_by_silence() {
-    // What the call for a heartbeat shows: the session, if the worker answers at all.
+    // The session in the response to a probe, if there is a response, and whether silence
+    // proves the machine empty.
     let cases = [
-        ("it counts anew", Some(1), false),
+        ("the session numbering restarted", Some(1), false),
         ("the same session", Some(3), true),
         ("no response", None, true),
     ];
-    for (what, session, proven) in cases {
+    for (case, session, proven_empty) in cases {
         let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
         scheduler.handle_heartbeat(&report("m1", 3, 4, 5, &[]), 0.0);
         add(
@@ -325,30 +355,30 @@
         let name = "m1".into();
         let (_, start) = scheduler.next_direct_call(&name, 0.1).expect("a start");
         let [Command::Start { attempt, .. }] = start.commands[..] else {
-            panic!("{what}: {start:?}");
+            panic!("{case}: {start:?}");
         };
         scheduler.direct_call_finished(&name, &start, CallResult::Unknown, 4.1);
-        let asked = foxspur::protocol::worker::Direct {
+        let probe = foxspur::protocol::worker::Direct {
             token: 5,
             session: 3,
             commands: Vec::new(),
         };
         if let Some(session) = session {
-            let seen = report("m1", session, if session == 3 { 9 } else { 2 }, 5, &[]);
+            let shown = report("m1", session, if session == 3 { 9 } else { 2 }, 5, &[]);
             let result = match session {
-                3 => CallResult::Executed(seen),
-                _ => CallResult::Rejected(seen),
+                3 => CallResult::Executed(shown),
+                _ => CallResult::Rejected(shown),
             };
-            scheduler.direct_call_finished(&name, &asked, result, 4.2);
+            scheduler.direct_call_finished(&name, &probe, result, 4.2);
         }
-        let later = 5.0 + 2.0 * LEASE_S;
-        scheduler.tick(later, later);
-        let empty = scheduler.machines["m1"].attempts.is_empty();
-        assert_eq!(empty, proven, "{what}");
-        // A session past the one called rules the start out.
-        scheduler.handle_heartbeat(&report("m1", 4, 1, 5, &[]), later + 1.0);
-        let known = scheduler.machines["m1"].attempts.keys();
-        let attempts: Vec<u64> = known.map(|id| id.number).collect();
-        assert!(!attempts.contains(&attempt), "{what}: {attempts:?}");
+        let lease_over_at = 5.0 + 2.0 * LEASE_S;
+        scheduler.tick(lease_over_at, lease_over_at);
+        let is_empty = scheduler.machines["m1"].attempts.is_empty();
+        assert_eq!(is_empty, proven_empty, "{case}");
+        // A session after the one that the start was sent to rules out the start.
+        scheduler.handle_heartbeat(&report("m1", 4, 1, 5, &[]), lease_over_at + 1.0);
+        let ids = scheduler.machines["m1"].attempts.keys();
+        let attempts: Vec<u64> = ids.map(|id| id.number).collect();
+        assert!(!attempts.contains(&attempt), "{case}: {attempts:?}");
     }
 }
--- a/tests/common/digest.rs
+++ b/tests/common/digest.rs
@@ -1,8 +1,8 @@
-//! A digest of what happened in a simulation. Two versions of the program that decide alike
-//! give the same digest for the same seed; it is printed by `digest.print`, so that a
-//! refactoring can be compared with the sources before it (see `CONTRIBUTING.md`).
+//! A digest of the history of a simulation. Two versions of the program that make the same
+//! decisions give the same digest for the same seed. Simulations print their digests, so
+//! that a refactoring can be compared with the sources before it (see `CONTRIBUTING.md`).
 
-/// 64-bit FNV-1a over the events of one history, in order.
+/// The 64-bit FNV-1a hash of the events of one history, in order.
 #[derive(Debug, Clone)]
 pub struct HistoryDigest(u64);
 
@@ -13,14 +13,14 @@
 }
 
 impl HistoryDigest {
-    /// Adds the bytes of an event as it is on the wire, which no renaming changes.
+    /// Adds the bytes of an event in its wire format, which no renaming in the sources changes.
     pub fn bytes(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
-    /// Adds a number: a kind of event, a place, a term.
+    /// Adds a number, such as a kind of event, an index or a term.
     pub fn number(&mut self, number: u64) {
         self.bytes(&number.to_le_bytes());
     }
@@ -30,7 +30,7 @@
         self.number(seconds.to_bits());
     }
 
-    /// Prints the digest of the history of this seed.
+    /// Prints the digest of the history that this simulation gave for this seed.
     pub fn print(&self, simulation: &str, seed: u64) {
         println!("digest {simulation} {seed} {:016x}", self.0);
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins shared by the tests.
+//! Test data and helpers shared by the tests.
 #![allow(dead_code)]
 
 pub mod digest;
@@ -13,7 +13,7 @@
 use foxspur::storage::completed_tasks::CompletedTasks;
 use foxspur::storage::records::{LiveJob, MachineInfo};
 
-/// A good settings file.
+/// A valid settings file.
 pub const SETTINGS: &str = r#"
 host_name = "berth-0"
 site = "a"
@@ -136,7 +136,7 @@
     }
 }
 
-/// A scheduler with these machines in its record, none of them fenced yet.
+/// A scheduler with these machines in its machine record. None of them is fenced yet.
 pub fn scheduler(teams: Vec<Team>, term: u64, machines: &[&str]) -> Scheduler {
     let mut scheduler = Scheduler::new(
         scheduler_config(teams),
@@ -155,7 +155,7 @@
     scheduler.add_job(live(spec, at_s), 1, CompletedTasks::default());
 }
 
-/// A report; tasks as (name, attempt, phase, cause).
+/// A report of a machine. Each task is given as (name, attempt number, phase, cause).
 pub fn report(
     id: &str,
     session: u64,
@@ -186,17 +186,18 @@
     }
 }
 
-/// Seeds to play: the first few, or as `SEEDS` says: so many, or just `FROM..TO`.
-pub fn seeds(few: u64) -> std::ops::Range<u64> {
-    let wanted = std::env::var("SEEDS").unwrap_or_default();
-    match wanted.split_once("..") {
-        Some((from, to)) => from.parse().unwrap_or(0)..to.parse().unwrap_or(few),
-        None => 0..wanted.parse().unwrap_or(few),
+/// The seeds to simulate. The environment variable `SEEDS` gives either their number or a
+/// range `FROM..TO`; without it they are `0..default_count`.
+pub fn seeds(default_count: u64) -> std::ops::Range<u64> {
+    let requested = std::env::var("SEEDS").unwrap_or_default();
+    match requested.split_once("..") {
+        Some((from, to)) => from.parse().unwrap_or(0)..to.parse().unwrap_or(default_count),
+        None => 0..requested.parse().unwrap_or(default_count),
     }
 }
 
-/// Whether seeds of one's own are played: then counts of what a few of them meet
-/// say nothing.
+/// Whether `SEEDS` gives a range. A range may be small or arbitrary, so the tests then do not
+/// check how often certain situations occurred.
 pub fn own_seeds() -> bool {
-    std::env::var("SEEDS").is_ok_and(|s| s.contains(".."))
+    std::env::var("SEEDS").is_ok_and(|requested| requested.contains(".."))
 }
--- a/tests/delivery.rs
+++ b/tests/delivery.rs
@@ -1,5 +1,7 @@
-//! Machines whose heartbeats arrive while our answers do not reach them, and copies of
-//! heartbeats that arrive late.
+//! Machines whose heartbeats arrive while the leader's replies do not reach them, and
+//! heartbeats that arrive late or twice.
+//!
+//! The leader in these tests has term 5.
 
 mod common;
 
@@ -13,12 +15,12 @@
 use foxspur::protocol::job::Urgency;
 use foxspur::protocol::worker::{Cause, Command, Phase};
 
-/// A leader under term 5 that places tasks, with these machines and one team.
+/// A leader with term 5, with these machines in its record and one team without limits.
 fn leader(machines: &[&str]) -> Scheduler {
     scheduler(vec![team("t", 0.0, 0.0)], 5, machines)
 }
 
-/// Submits the job `run-1` of so many tasks.
+/// Submits the job `run-1` with this number of tasks.
 fn submit(scheduler: &mut Scheduler, tasks: u32, at: f64) {
     add(
         scheduler,
@@ -27,27 +29,27 @@
     );
 }
 
-/// Ticks once a second.
-fn tick(scheduler: &mut Scheduler, from: u32, to: u32) {
-    for second in from..=to {
+/// Ticks once per second, from `from_s` up to and including `to_s`.
+fn tick(scheduler: &mut Scheduler, from_s: u32, to_s: u32) {
+    for second in from_s..=to_s {
         scheduler.tick(f64::from(second), f64::from(second));
     }
 }
 
-fn doubted(scheduler: &Scheduler, id: &str) -> bool {
+fn delivery_is_doubtful(scheduler: &Scheduler, id: &str) -> bool {
     scheduler.machines[id].delivery.is_doubtful()
 }
 
-/// Evidence that our answers do not reach a machine, and that they do. Guards against
-/// taking a heartbeat for proof that our answers arrive.
+/// Guards against taking an arriving heartbeat as proof that replies reach the machine. The
+/// terms and sessions in heartbeats are evidence for or against delivery.
 #[test]
 fn evidence_of_delivery_from_terms_and_sessions() {
-    // Each heartbeat: at, session, sequence number, term, and whether the machine is in
-    // doubt then.
+    // A heartbeat as (time in seconds, session, sequence number, term), and whether delivery
+    // to the machine is doubtful after it.
     type Row = (u32, u64, u64, u64, bool);
     let cases: [(&str, &[Row]); 4] = [
         (
-            "our term is not taken",
+            "the machine does not adopt the term",
             &[
                 (1, 1, 1, 3, false),
                 (6, 1, 2, 3, true),
@@ -55,7 +57,7 @@
             ],
         ),
         (
-            "answers arrive",
+            "replies arrive",
             &[
                 (1, 1, 1, 3, false),
                 (2, 1, 2, 5, false),
@@ -63,11 +65,11 @@
             ],
         ),
         (
-            "its session ends though it was answered",
+            "the session ends although it was answered",
             &[(1, 1, 1, 5, false), (26, 2, 2, 5, true)],
         ),
         (
-            "it stays with us, then it is cut off",
+            "the session goes on under the leader's term",
             &[
                 (1, 1, 1, 5, false),
                 (2, 1, 2, 5, false),
@@ -75,51 +77,59 @@
             ],
         ),
     ];
-    for (what, rows) in cases {
+    for (case, rows) in cases {
         let mut scheduler = leader(&["m1"]);
-        let mut at = 0;
-        for (now, session, seq, term, doubt) in rows {
-            tick(&mut scheduler, at, *now);
-            at = *now;
+        let mut previous = 0;
+        for (now, session, seq, term, doubtful) in rows {
+            tick(&mut scheduler, previous, *now);
+            previous = *now;
             scheduler.handle_heartbeat(&report("m1", *session, *seq, *term, &[]), f64::from(*now));
-            assert_eq!(doubted(&scheduler, "m1"), *doubt, "{what} {now}");
+            assert_eq!(
+                delivery_is_doubtful(&scheduler, "m1"),
+                *doubtful,
+                "{case}, at {now} s"
+            );
         }
     }
 }
 
-/// The same from what becomes of a start, a stop and a forgetting in our answers.
+/// Guards against taking an arriving heartbeat as proof that replies reach the machine. The
+/// tasks in heartbeats show whether commands to start, stop and forget a task had an effect.
 #[test]
 fn evidence_of_delivery_from_tasks() {
     let shown = |phase, cause| vec![("run-1/0", (5 << 24) + 1, phase, cause)];
-    let none = Vec::new();
-    let runs = shown(Phase::Running, None);
-    let over = shown(Phase::Exited, Some(Cause::Stopped));
-    // Heartbeats after the start went out in an answer; the job is over before the one
-    // with `true`. What each shows, and whether the machine is in doubt then.
+    let no_tasks = Vec::new();
+    let running = shown(Phase::Running, None);
+    let exited = shown(Phase::Exited, Some(Cause::Stopped));
+    // Heartbeats after a reply with the start command: whether the job finishes before the
+    // heartbeat, the tasks that it shows, and whether delivery is doubtful after it.
     type Row<'a> = (bool, &'a Vec<(&'a str, u64, Phase, Option<Cause>)>, bool);
     let cases: [(&str, &[Row]); 4] = [
-        ("a start", &[(false, &runs, false)]),
-        ("none", &[(false, &none, true), (false, &runs, false)]),
+        ("the task starts", &[(false, &running, false)]),
+        (
+            "the task does not start at first",
+            &[(false, &no_tasks, true), (false, &running, false)],
+        ),
         (
-            "no stop",
+            "the task does not stop at first",
             &[
-                (false, &runs, false),
-                (true, &runs, false),
-                (false, &runs, true),
-                (false, &over, false),
+                (false, &running, false),
+                (true, &running, false),
+                (false, &running, true),
+                (false, &exited, false),
             ],
         ),
         (
-            "no forgetting",
+            "the task is not forgotten at first",
             &[
-                (false, &runs, false),
-                (true, &over, false),
-                (false, &over, true),
-                (false, &none, false),
+                (false, &running, false),
+                (true, &exited, false),
+                (false, &exited, true),
+                (false, &no_tasks, false),
             ],
         ),
     ];
-    for (what, rows) in cases {
+    for (case, rows) in cases {
         let mut scheduler = leader(&["m1"]);
         scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 0.5);
         submit(&mut scheduler, 1, 0.5);
@@ -128,34 +138,40 @@
         else {
             panic!("refused");
         };
-        assert_eq!(reply.commands.len(), 1, "{what}");
-        for (seq, (ends, tasks, doubt)) in rows.iter().enumerate() {
-            if *ends {
+        assert_eq!(reply.commands.len(), 1, "{case}");
+        for (index, (job_finishes, tasks, doubtful)) in rows.iter().enumerate() {
+            if *job_finishes {
                 scheduler.finish_job("run-1");
             }
-            let seq = seq as u64 + 3;
+            let seq = index as u64 + 3;
             scheduler.handle_heartbeat(&report("m1", 1, seq, 5, tasks), seq as f64);
-            assert_eq!(doubted(&scheduler, "m1"), *doubt, "{what}, heartbeat {seq}");
+            assert_eq!(
+                delivery_is_doubtful(&scheduler, "m1"),
+                *doubtful,
+                "{case}, heartbeat {seq}"
+            );
         }
     }
 }
 
-/// Guards against taking what ended during our own pause for evidence against delivery.
+/// Guards against doubting a machine whose session ended while the leader's own process was
+/// paused and answered nobody.
 #[test]
 fn own_pause_is_no_evidence_against_delivery() {
     let mut scheduler = leader(&["m1"]);
     scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &[]), 1.0);
     scheduler.tick(1.5, 1.5);
-    // 25 s without a tick.
+    // The leader does not tick for 25 s.
     scheduler.handle_heartbeat(&report("m1", 2, 9, 5, &[]), 26.5);
-    assert!(!doubted(&scheduler, "m1"));
+    assert!(!delivery_is_doubtful(&scheduler, "m1"));
 }
 
-/// Guards against an unreachable machine that, always empty, draws task after task: from the
-/// first evidence on nothing new starts there, its CPUs do not count, and it is probed.
-/// An answer to a call brings it back.
+/// Guards against starting task after task on a machine that receives no replies and
+/// therefore always looks empty. From the first evidence against delivery on, no new task
+/// starts there, its CPUs are not counted as capacity, and it is probed. A response to a
+/// direct call makes it usable again.
 #[test]
-fn machine_in_doubt_gets_no_new_tasks() {
+fn machine_with_doubtful_delivery_gets_no_new_tasks() {
     let mut scheduler = leader(&["unreachable", "m2"]);
     let heartbeat = |scheduler: &mut Scheduler, seq: u64, at: f64| {
         scheduler.handle_heartbeat(&report("m2", 1, seq, 5, &[]), at);
@@ -171,20 +187,24 @@
     assert_eq!(scheduler.machines["m2"].attempts.len(), 8);
     assert_eq!(scheduler.capacity().0, 1);
     tick(&mut scheduler, 4, 6);
-    assert!(scheduler.outbox.contains("unreachable"), "it is not probed");
+    assert!(
+        scheduler.outbox.contains("unreachable"),
+        "the machine is not probed"
+    );
     let (_, call) = scheduler
         .next_direct_call(&"unreachable".into(), 6.0)
-        .expect("a call");
+        .expect("a direct call");
     assert!(call.commands.is_empty());
-    let heard = CallResult::Executed(report("unreachable", 1, 3, 5, &[]));
-    scheduler.direct_call_finished(&"unreachable".into(), &call, heard, 6.1);
+    let result = CallResult::Executed(report("unreachable", 1, 3, 5, &[]));
+    scheduler.direct_call_finished(&"unreachable".into(), &call, result, 6.1);
     scheduler.place_all(6.1);
     assert_eq!(scheduler.machines["unreachable"].attempts.len(), 4);
 }
 
-/// Guards against a takeover that waits for ever for a machine that no answer reaches:
-/// each answer may have renewed its lease, so that never proved it empty. It is left
-/// alone, and after a lease it holds up nobody, in this session and the next.
+/// Guards against a takeover that never completes because of a machine that no reply reaches.
+/// While the leader answers the machine, each reply may renew its lease, so the machine is
+/// never proven empty. The leader must stop answering it; one lease later the machine no
+/// longer blocks placement, neither in that session nor in later ones.
 #[test]
 fn takeover_does_not_wait_for_an_unreachable_machine() {
     let teams = vec![team("t", 0.0, 0.0)];
@@ -197,7 +217,7 @@
         let now = f64::from(second);
         scheduler.tick(now, now);
         if second % 5 == 0 {
-            // Its lease ends every ten seconds.
+            // The machine's lease ends every 10 s, which begins a new session.
             session = 1 + u64::from(second) / 10;
             scheduler.handle_heartbeat(
                 &report("unreachable", session, u64::from(second) + 1, 3, &[]),
@@ -215,32 +235,36 @@
         }
     }
     assert!(session > 6);
-    assert!(open_at.is_some_and(|t| t <= 35.0), "open at {open_at:?}");
-    // It goes back to the cloud, and what comes of it then is old.
+    assert!(
+        open_at.is_some_and(|seconds| seconds <= 35.0),
+        "open at {open_at:?}"
+    );
+    // The machine is returned to the cloud. Its late heartbeats are refused.
     assert_eq!(scheduler.machines_given_up(80.0), ["unreachable"]);
     scheduler.confirm_machine_returned("unreachable");
-    let late = scheduler.handle_heartbeat(&report("unreachable", 1, 900, 5, &[]), 200.0);
-    assert!(matches!(late, HeartbeatReply::Refuse));
+    let late_reply = scheduler.handle_heartbeat(&report("unreachable", 1, 900, 5, &[]), 200.0);
+    assert!(matches!(late_reply, HeartbeatReply::Refuse));
     assert!(scheduler.machines.is_empty());
 }
 
-/// A heartbeat that is older than what is known: overtaken by an answer to a call it is
-/// answered; long after that it is a copy, or a machine that counts anew, whose lease
-/// must not be renewed. Guards against a machine that is back at once with counters
-/// from the beginning and is answered for ever while its tasks count as on.
+/// Guards against answering a machine for ever that restarted at once with its session and
+/// sequence numbers reset, while the tasks from before the restart count as running. A
+/// heartbeat that is older than the newest message is answered if it arrives soon after
+/// that message, which may have overtaken it. Later it is a copy, or the machine has reset
+/// its numbers, and the machine's lease must not be renewed.
 #[test]
 fn overtaken_heartbeats() {
     for (after_s, answered) in [(1, true), (3, true), (8, false)] {
         let mut scheduler = leader(&["m1"]);
         scheduler.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
         tick(&mut scheduler, 1, 1 + after_s);
-        let answer =
-            scheduler.handle_heartbeat(&report("m1", 1, 3, 5, &[]), f64::from(1 + after_s));
-        let found = matches!(answer, HeartbeatReply::Commands(_));
-        assert_eq!(found, answered, "after {after_s} s");
-        assert_eq!(doubted(&scheduler, "m1"), !answered);
+        let reply = scheduler.handle_heartbeat(&report("m1", 1, 3, 5, &[]), f64::from(1 + after_s));
+        let was_answered = matches!(reply, HeartbeatReply::Commands(_));
+        assert_eq!(was_answered, answered, "after {after_s} s");
+        assert_eq!(delivery_is_doubtful(&scheduler, "m1"), !answered);
     }
-    // What was started by calls after it came back runs until its own lease ends.
+    // Tasks that direct calls started after the restart run until the lease of the new
+    // session ends, so the machine must not expire before that.
     let mut scheduler = leader(&["m1"]);
     scheduler.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
     let mut expired_at = None;
@@ -256,48 +280,55 @@
             expired_at.get_or_insert(second);
         }
     }
-    assert!(expired_at.is_some_and(|s| s > 18), "{expired_at:?}");
+    assert!(
+        expired_at.is_some_and(|second| second > 18),
+        "{expired_at:?}"
+    );
 }
 
-/// A machine keeps the highest term: newer by session or sequence number and with a lower one is of
-/// another life, and clears nothing. (It did, and a task started twice: seed 69 of the
-/// simulation.) And a start that was executed there, by a message that is no newer than
-/// what we know, is neither shown nor ruled out: it stays in flight.
+/// Guards against removing a start in flight because of a message of an earlier incarnation
+/// of the machine, after which the task was started twice (seed 69 of the simulation). A
+/// machine keeps the highest term that it has seen. A heartbeat with a newer session or
+/// sequence number but a lower term is therefore of an earlier incarnation and removes
+/// nothing. If the report in a call's response is no newer than the newest known message,
+/// it neither proves nor rules out the start, which stays in flight.
 #[test]
-fn heartbeats_of_an_earlier_life() {
+fn heartbeats_of_an_earlier_incarnation_remove_no_attempts() {
     let mut scheduler = leader(&["m1"]);
     scheduler.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
     submit(&mut scheduler, 1, 1.0);
     scheduler.place_all(1.2);
     let name = "m1".into();
     let call = scheduler.next_direct_call(&name, 1.2).expect("a start").1;
-    let late = scheduler.handle_heartbeat(&report("m1", 5, 1, 3, &[]), 1.3);
-    assert!(matches!(late, HeartbeatReply::Refuse));
+    let late_reply = scheduler.handle_heartbeat(&report("m1", 5, 1, 3, &[]), 1.3);
+    assert!(matches!(late_reply, HeartbeatReply::Refuse));
     assert_eq!(
         scheduler.machines["m1"].attempts.len(),
         1,
-        "cleared by a copy"
+        "a late heartbeat removed the attempt"
     );
-    let old = CallResult::Executed(report("m1", 1, 3, 5, &[]));
-    scheduler.direct_call_finished(&name, &call, old, 1.4);
+    let old_result = CallResult::Executed(report("m1", 1, 3, 5, &[]));
+    scheduler.direct_call_finished(&name, &call, old_result, 1.4);
     scheduler.finish_job("run-1");
     scheduler.remove_unstarted(&name);
     assert_eq!(
         scheduler.machines["m1"].attempts.len(),
         1,
-        "taken for never sent"
+        "the start was treated as never sent"
     );
     scheduler.handle_heartbeat(&report("m1", 2, 1, 5, &[]), 20.0);
     assert!(scheduler.machines["m1"].attempts.is_empty());
 }
 
-/// A machine that counts anew can be in the very session that its earlier life was in
-/// last: a heartbeat of that life, held up, then looks newer than all that it says. What it
-/// answers to a call made since is the truth. (Seed 6689 of tests/simulation.rs: a task
-/// that ran here was started elsewhere.)
+/// Guards against starting a task elsewhere that runs on a machine which has restarted its
+/// session numbering (seed 6689 of tests/simulation). Such a machine can reach the session
+/// number in which its earlier incarnation ended. A delayed heartbeat of that incarnation
+/// then looks newer than all present messages. The response to a call that was made since is
+/// decisive.
 #[test]
-fn call_result_outweighs_a_heartbeat_of_an_earlier_life() {
-    for (session, seq, believed) in [(2, 8, true), (2, 70, true), (1, 80, false)] {
+fn call_result_outweighs_a_heartbeat_of_an_earlier_incarnation() {
+    // Session and sequence number in the response, and whether its attempt is accepted.
+    for (session, seq, accepted) in [(2, 8, true), (2, 70, true), (1, 80, false)] {
         let mut scheduler = leader(&["m1"]);
         scheduler.handle_heartbeat(&report("m1", 2, 5, 5, &[]), 1.0);
         submit(&mut scheduler, 1, 1.0);
@@ -307,47 +338,63 @@
         let [Command::Start { attempt, .. }] = start.commands[..] else {
             panic!("{start:?}");
         };
-        let runs = [("run-1/0", attempt, Phase::Running, None)];
-        let shows = report("m1", 2, 6, 5, &runs);
-        scheduler.direct_call_finished(&name, &start, CallResult::Executed(shows), 1.2);
-        // Of the earlier life, sent before it ended, with a later sequence number.
+        let running = [("run-1/0", attempt, Phase::Running, None)];
+        let shown = report("m1", 2, 6, 5, &running);
+        scheduler.direct_call_finished(&name, &start, CallResult::Executed(shown), 1.2);
+        // The earlier incarnation sent this before it ended, with a higher sequence number.
         scheduler.handle_heartbeat(&report("m1", 2, 69, 5, &[]), 1.3);
-        let known = |scheduler: &Scheduler| {
-            let known = scheduler.machines["m1"].attempts.keys();
-            known.map(|id| id.number).collect::<Vec<u64>>()
+        let known_attempts = |scheduler: &Scheduler| {
+            let ids = scheduler.machines["m1"].attempts.keys();
+            ids.map(|id| id.number).collect::<Vec<u64>>()
         };
-        assert!(!known(&scheduler).contains(&attempt), "{session} {seq}");
-        // A start that it drew since is not the matter here.
+        assert!(
+            !known_attempts(&scheduler).contains(&attempt),
+            "{session} {seq}"
+        );
+        // Finishing the job keeps its task from being started again, which is not tested here.
         scheduler.finish_job("run-1");
-        let (_, ask) = scheduler.next_direct_call(&name, 1.4).expect("asked");
-        let shows = report("m1", session, seq, 5, &runs);
-        scheduler.direct_call_finished(&name, &ask, CallResult::Executed(shows), 1.5);
-        assert_eq!(known(&scheduler).contains(&attempt), believed, "{seq}");
-        let recounts = scheduler.machines["m1"].renumbers;
-        assert_eq!(recounts, (session, seq) < (2, 69), "{seq}");
-        // From then on heartbeats say nothing until the next session, which ends all.
-        let late = scheduler.handle_heartbeat(&report("m1", 2, 90, 5, &[]), 1.6);
-        assert_eq!(matches!(late, HeartbeatReply::Refuse), recounts, "{seq}");
+        let (_, probe) = scheduler.next_direct_call(&name, 1.4).expect("a probe");
+        let shown = report("m1", session, seq, 5, &running);
+        scheduler.direct_call_finished(&name, &probe, CallResult::Executed(shown), 1.5);
         assert_eq!(
-            known(&scheduler).contains(&attempt),
+            known_attempts(&scheduler).contains(&attempt),
+            accepted,
+            "{seq}"
+        );
+        let renumbers = scheduler.machines["m1"].renumbers;
+        assert_eq!(renumbers, (session, seq) < (2, 69), "{seq}");
+        // From now on heartbeats of this session are ambiguous and are refused. The next
+        // session proves that all attempts have ended.
+        let late_reply = scheduler.handle_heartbeat(&report("m1", 2, 90, 5, &[]), 1.6);
+        assert_eq!(
+            matches!(late_reply, HeartbeatReply::Refuse),
+            renumbers,
+            "{seq}"
+        );
+        assert_eq!(
+            known_attempts(&scheduler).contains(&attempt),
             (2, 8) == (session, seq)
         );
-        let next = scheduler.handle_heartbeat(&report("m1", 3, 91, 5, &[]), 2.0 + LEASE_S);
-        assert!(matches!(next, HeartbeatReply::Commands(_)) && !scheduler.machines["m1"].renumbers);
-        assert!(!known(&scheduler).contains(&attempt));
+        let next_reply = scheduler.handle_heartbeat(&report("m1", 3, 91, 5, &[]), 2.0 + LEASE_S);
+        assert!(
+            matches!(next_reply, HeartbeatReply::Commands(_))
+                && !scheduler.machines["m1"].renumbers
+        );
+        assert!(!known_attempts(&scheduler).contains(&attempt));
     }
 }
 
-/// Late copies at a leader that took over do not end its fence, bring back what was
-/// forgotten or stop what has started since.
+/// Guards against late copies of heartbeats that arrive at a leader after its takeover. They
+/// must not end the fencing, bring back removed attempts, or end attempts that have
+/// started since.
 #[test]
 fn late_copies_after_a_takeover() {
     let mut scheduler = leader(&["m1"]);
     submit(&mut scheduler, 1, 0.0);
-    let old = [("run-1/0", 9, Phase::Running, None)];
-    scheduler.handle_heartbeat(&report("m1", 1, 4, 3, &old), 1.0);
+    let old_tasks = [("run-1/0", 9, Phase::Running, None)];
+    scheduler.handle_heartbeat(&report("m1", 1, 4, 3, &old_tasks), 1.0);
     assert!(!scheduler.fencing_complete());
-    // The machine reports that it is over, and is told to start it again.
+    // The machine reports no task any more, and is told to start the task again.
     let HeartbeatReply::Commands(reply) =
         scheduler.handle_heartbeat(&report("m1", 1, 9, 5, &[]), 2.0)
     else {
@@ -356,21 +403,22 @@
     let [Command::Start { attempt, .. }] = reply.commands[..] else {
         panic!("{:?}", reply.commands);
     };
-    let runs = [("run-1/0", attempt, Phase::Running, None)];
-    scheduler.handle_heartbeat(&report("m1", 1, 10, 5, &runs), 2.8);
+    let running = [("run-1/0", attempt, Phase::Running, None)];
+    scheduler.handle_heartbeat(&report("m1", 1, 10, 5, &running), 2.8);
     for seq in [4, 9] {
-        scheduler.handle_heartbeat(&report("m1", 1, seq, 3, &old), 3.0);
-        let known: Vec<u64> = scheduler.machines["m1"]
+        scheduler.handle_heartbeat(&report("m1", 1, seq, 3, &old_tasks), 3.0);
+        let known_attempts: Vec<u64> = scheduler.machines["m1"]
             .attempts
             .keys()
             .map(|id| id.number)
             .collect();
-        assert_eq!(known, [attempt], "after a copy of {seq}");
+        assert_eq!(known_attempts, [attempt], "after a copy of heartbeat {seq}");
     }
 }
 
-/// Users are sent elsewhere where the state service does not answer us alone, and
-/// come back without flapping; in an outage for all nobody sends them away.
+/// Guards against keeping users at a controller that alone has lost contact with the state
+/// service, and against sending all users away in an outage of that service for everyone.
+/// The controller becomes ready again without flapping.
 #[test]
 fn controllers_out_of_contact_are_not_ready() {
     let peers = |with, without| {
@@ -380,73 +428,82 @@
             without_contact: without,
         })
     };
-    for (what, found, away) in [
-        ("the others have contact", peers(4, 0), true),
-        ("one has", peers(1, 3), true),
-        ("an outage for all", peers(0, 4), false),
-        ("for most that answer", peers(0, 2), false),
-        ("an island of two", peers(0, 1), true),
-        ("nobody answers", peers(0, 0), true),
-        ("there is nobody else", Some(PeerContacts::default()), false),
+    for (case, contacts, not_ready) in [
+        ("all peers have contact", peers(4, 0), true),
+        ("one peer has contact", peers(1, 3), true),
+        ("no controller has contact", peers(0, 4), false),
+        ("a majority answers and has no contact", peers(0, 2), false),
+        ("partitioned with one peer", peers(0, 1), true),
+        ("no peer answers", peers(0, 0), true),
+        ("there are no peers", Some(PeerContacts::default()), false),
     ] {
-        let mut health = Readiness::default();
-        health.update(10.0, 9.9, 1.0, None);
+        let mut readiness = Readiness::default();
+        readiness.update(10.0, 9.9, 1.0, None);
         assert_eq!(
-            health.update(12.0, 9.9, 1.0, found),
-            away.then_some(true),
-            "{what}"
+            readiness.update(12.0, 9.9, 1.0, contacts),
+            not_ready.then_some(true),
+            "{case}"
         );
-        // It comes back for a moment, is lost, and comes back for good.
-        for (now, contact_at, still) in [
+        // The contact is regained briefly, lost again, and then regained permanently.
+        for (now, contact_at, still_not_ready) in [
             (12.2, 12.2, true),
             (13.5, 12.3, true),
             (13.6, 13.6, true),
             (14.4, 14.4, true),
             (14.7, 14.7, false),
         ] {
-            health.update(
+            readiness.update(
                 now,
                 contact_at,
                 1.0,
-                found.filter(|_| now - contact_at > 1.0),
+                contacts.filter(|_| now - contact_at > 1.0),
+            );
+            assert_eq!(
+                readiness.is_not_ready(),
+                not_ready && still_not_ready,
+                "{case}, at {now} s"
             );
-            assert_eq!(health.is_not_ready(), away && still, "{what} at {now}");
         }
     }
 }
 
-/// A leader that gets a heartbeat of several sessions ago first takes those since for too
-/// early, and refuses them; each refusal costs the machine its lease, so its count never
-/// comes late enough. It is taken back once its lease has proven it empty, also with a
-/// start without an answer on it. (Seed 7110 of tests/simulation.rs without machines that
-/// count anew: it was refused for ever, and its tasks never ran.)
+/// Guards against refusing a machine for ever, so that its tasks never run (seed 7110 of
+/// tests/simulation, without machines that restart their session numbering). The first
+/// message that the leader receives is a heartbeat of several sessions ago. The present
+/// session then seems to have begun too early, and is refused. Each refusal costs the
+/// machine its lease, so its session number rises with each lease and always seems too high.
+/// The machine must be accepted once the end of its lease proves it empty, also if a start
+/// to it got no response.
 #[test]
 fn machine_first_known_by_a_late_copy_is_readmitted() {
-    for unanswered in [false, true] {
+    for has_unanswered_start in [false, true] {
         let mut scheduler = leader(&["m1"]);
         scheduler.handle_heartbeat(&report("m1", 3, 4, 5, &[]), 1.0);
-        if unanswered {
+        if has_unanswered_start {
             submit(&mut scheduler, 1, 1.0);
             scheduler.place_all(1.1);
             let name = "m1".into();
             let (_, start) = scheduler.next_direct_call(&name, 1.1).expect("a start");
             scheduler.direct_call_finished(&name, &start, CallResult::Unknown, 5.1);
         }
-        let (mut refused, mut taken) = (0, None);
+        let (mut refused_count, mut accepted_at) = (0, None);
         for second in 2..60u32 {
             let now = f64::from(second);
             scheduler.tick(now, now);
-            // Five sessions further than that heartbeat said, and one more each lease.
+            // Five sessions after that of the late heartbeat, and one more per lease.
             let session = 8 + u64::from(second) / LEASE_S as u64;
-            if second % 4 == 0 && taken.is_none() {
-                let seen = report("m1", session, 100 + u64::from(second), 5, &[]);
-                match scheduler.handle_heartbeat(&seen, now) {
-                    HeartbeatReply::Commands(_) => taken = Some(now),
-                    _ => refused += 1,
+            if second % 4 == 0 && accepted_at.is_none() {
+                let heartbeat = report("m1", session, 100 + u64::from(second), 5, &[]);
+                match scheduler.handle_heartbeat(&heartbeat, now) {
+                    HeartbeatReply::Commands(_) => accepted_at = Some(now),
+                    _ => refused_count += 1,
                 }
             }
         }
-        assert!(refused > 0, "it was not taken for early");
-        assert!(taken.is_some_and(|t| t < 3.0 * LEASE_S), "{taken:?}");
+        assert!(refused_count > 0, "the present session was never refused");
+        assert!(
+            accepted_at.is_some_and(|seconds| seconds < 3.0 * LEASE_S),
+            "{accepted_at:?}"
+        );
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,6 +1,6 @@
-//! A large fleet: machine records above the size of one value, searches for capacity that are
-//! not repeated, heartbeats that need no more than an answer, zones that fall silent as a
-//! whole.
+//! Large fleets: machine records larger than one value of the state service, searches for
+//! capacity that are not repeated, heartbeats that repeat the previous one, and zones whose
+//! machines fall silent together.
 
 mod common;
 
@@ -13,210 +13,231 @@
 use foxspur::storage::machine_record::{changes_that_fit, plan, txn, MachineRecord};
 use foxspur::storage::records::{chunk_number, machine_chunk_key, MachineInfo};
 
-/// A job of standard urgency.
-fn standard(id: &str, tasks: u32, cpus: f64) -> JobSpec {
+/// A job of the urgency `Standard`.
+fn standard_job(id: &str, tasks: u32, cpus: f64) -> JobSpec {
     spec(id, "t", Urgency::Standard, tasks, cpus)
 }
 
-/// A scheduler of one team without guarantee or limit.
+/// A scheduler with one team that has no guarantee and no limit.
 fn unlimited_scheduler(machines: &[&str]) -> Scheduler {
     scheduler(vec![team("t", 0.0, 0.0)], 5, machines)
 }
 
-/// Receives a heartbeat, and gives the tasks that the answer starts.
-fn starts_in_answer(scheduler: &mut Scheduler, report: &Report, now: f64) -> Vec<String> {
+/// Handles a heartbeat and returns the tasks that the reply starts.
+fn starts_in_reply(scheduler: &mut Scheduler, report: &Report, now: f64) -> Vec<String> {
     let HeartbeatReply::Commands(reply) = scheduler.handle_heartbeat(report, now) else {
-        panic!("{} was not answered", report.machine);
+        panic!("the heartbeat of {} was refused", report.machine);
     };
-    let start = |c: &Command| match c {
+    let started_task = |command: &Command| match command {
         Command::Start { task, .. } => Some(task.clone()),
         _ => None,
     };
-    reply.commands.iter().filter_map(start).collect()
+    reply.commands.iter().filter_map(started_task).collect()
 }
 
-/// Receives a heartbeat that shows no tasks, and gives the tasks that the answer starts.
-fn starts(scheduler: &mut Scheduler, machine: &str, seq: u64, now: f64) -> Vec<String> {
-    starts_in_answer(scheduler, &report(machine, 1, seq, 5, &[]), now)
+/// Handles a heartbeat that shows no tasks and returns the tasks that the reply starts.
+fn starts_in_reply_to_empty(
+    scheduler: &mut Scheduler,
+    machine: &str,
+    seq: u64,
+    now: f64,
+) -> Vec<String> {
+    starts_in_reply(scheduler, &report(machine, 1, seq, 5, &[]), now)
 }
 
 fn refs(machines: &[MachineInfo]) -> Vec<&MachineInfo> {
     machines.iter().collect()
 }
 
-/// Guards against a record above one value or transaction, which made all
-/// machines beyond some 550 useless, and against rewriting all of it for one.
+/// Guards against a machine record larger than one value or transaction of the state service,
+/// which made all machines beyond about 550 unusable, and against rewriting the whole record
+/// when one machine changes.
 #[test]
-fn a_machine_record_in_chunks() {
+fn a_machine_record_is_written_in_chunks() {
     let fleet: Vec<_> = (0..6000)
-        .map(|i| machine(&format!("m-{i:06}"), "a", false))
+        .map(|number| machine(&format!("m-{number:06}"), "a", false))
         .collect();
-    let first = plan(&MachineRecord::default(), &refs(&fleet), 14_000);
-    assert!(first.len() > 5, "{}", first.len());
+    let first_changes = plan(&MachineRecord::default(), &refs(&fleet), 14_000);
+    assert!(first_changes.len() > 5, "{}", first_changes.len());
     let mut written = MachineRecord::default();
-    for (at, chunk) in &first {
+    for (number, chunk) in &first_changes {
         assert!(serde_json::to_vec(chunk).unwrap().len() < 16 * 1024);
-        written.set(*at, chunk.clone(), 7);
+        written.set(*number, chunk.clone(), 7);
     }
     assert_eq!(written.machines().count(), fleet.len());
-    let n = changes_that_fit(&first, 24, 48 * 1024);
-    let bytes = serde_json::to_vec(&first[..n]).unwrap().len();
+    let fitting = changes_that_fit(&first_changes, 24, 48 * 1024);
+    let bytes = serde_json::to_vec(&first_changes[..fitting]).unwrap().len();
     assert!(
-        (1..first.len()).contains(&n) && bytes < 64 * 1024,
-        "{n} {bytes}"
+        (1..first_changes.len()).contains(&fitting) && bytes < 64 * 1024,
+        "{fitting} chunks, {bytes} bytes"
     );
     assert!(plan(&written, &refs(&fleet), 14_000).is_empty());
-    // A write without an answer may still change its chunk: the chunk is written again, so
-    // that no task is started on a machine that the late write removes from the record, and
-    // machines that it added come into use.
+    // A write that got no response may still change its chunk, so the chunk is written again.
+    // Otherwise a task could start on a machine that the late write removes from the record,
+    // and machines that the write added would not come into use.
     written.mark_uncertain(2);
-    let again = plan(&written, &refs(&fleet), 14_000);
-    assert_eq!(again.iter().map(|c| c.0).collect::<Vec<_>>(), [2]);
-    written.set(2, again[0].1.clone(), 7);
+    let repeated = plan(&written, &refs(&fleet), 14_000);
+    assert_eq!(
+        repeated
+            .iter()
+            .map(|(number, _)| *number)
+            .collect::<Vec<_>>(),
+        [2]
+    );
+    written.set(2, repeated[0].1.clone(), 7);
     assert!(plan(&written, &refs(&fleet), 14_000).is_empty());
-    // One machine is removed, one added, one moved: only their chunks are written.
+    // One machine is removed, one is added, and the address of one changes: only the chunks
+    // of these machines are written.
     let mut wanted = fleet.clone();
     wanted.remove(700);
     wanted.push(machine("m-new", "b", true));
     wanted[3].addr = "10.0.0.1:9".into();
     let changes = plan(&written, &refs(&wanted), 14_000);
     assert!(changes.len() <= 3, "{}", changes.len());
-    // Each on condition that it is the chunk we know: a write that was given up
-    // and comes late must not put an old list over a newer one.
-    let write = txn(&written, &changes, 9);
-    for (at, _) in &changes {
-        let version = if first.iter().any(|(a, _)| a == at) {
-            7
-        } else {
-            0
-        };
-        let cond = write.conds.iter().find(|c| c.key == machine_chunk_key(*at));
-        assert_eq!(cond.map(|c| c.version), Some(version), "chunk {at}");
+    // Each chunk is written on the condition that it still has the known version, so that a
+    // late write that was given up cannot replace a newer list by an old one.
+    let transaction = txn(&written, &changes, 9);
+    for (number, _) in &changes {
+        let is_known = first_changes.iter().any(|(known, _)| known == number);
+        let version = if is_known { 7 } else { 0 };
+        let key = machine_chunk_key(*number);
+        let condition = transaction
+            .conds
+            .iter()
+            .find(|condition| condition.key == key);
+        assert_eq!(
+            condition.map(|condition| condition.version),
+            Some(version),
+            "chunk {number}"
+        );
     }
-    let mut after = written;
-    for (at, chunk) in changes {
-        after.set(at, chunk, 10);
+    let mut updated = written;
+    for (number, chunk) in changes {
+        updated.set(number, chunk, 10);
     }
-    let mut names: Vec<_> = after.machines().cloned().collect();
-    names.sort_by(|a, b| a.id.cmp(&b.id));
+    let mut recorded: Vec<_> = updated.machines().cloned().collect();
+    recorded.sort_by(|a, b| a.id.cmp(&b.id));
     wanted.sort_by(|a, b| a.id.cmp(&b.id));
-    assert_eq!(names, wanted);
-    for (key, at) in [
+    assert_eq!(recorded, wanted);
+    for (key, number) in [
         (machine_chunk_key(17), Some(17)),
         ("fx/mach/0/x".into(), None),
     ] {
-        assert_eq!(chunk_number(&key), at, "{key}");
+        assert_eq!(chunk_number(&key), number, "{key}");
     }
 }
 
-/// A search for capacity that failed is repeated once capacity becomes free, also if memory
-/// was lacking and not CPUs.
+/// Guards against a waiting task that is not started when capacity becomes free. A search for
+/// capacity that failed is not repeated until capacity becomes free, and must be repeated
+/// then, also if memory was lacking and not CPUs.
 #[test]
 fn capacity_that_becomes_free_is_found() {
     for (cpus, memory_gb) in [(1.4, 20.0), (8.0, 1.0), (0.3, 31.0)] {
         let mut scheduler = unlimited_scheduler(&["m1", "m2"]);
-        // A queued task would start from its queue.
+        // Without queues, since a queued task would start without a search.
         scheduler.config.policy.queue_depth = 0;
         for id in ["m1", "m2"] {
-            starts(&mut scheduler, id, 1, 0.0);
+            starts_in_reply_to_empty(&mut scheduler, id, 1, 0.0);
         }
-        let mut job = standard("run-1", 3, cpus);
+        let mut job = standard_job("run-1", 3, cpus);
         job.memory_gb = memory_gb;
         add(&mut scheduler, job, 0.0);
         scheduler.place_all(0.1);
-        let started = ["m1", "m2"].map(|id| starts(&mut scheduler, id, 2, 0.5));
-        assert_eq!(started.concat().len(), 2, "one on each machine");
+        let started = ["m1", "m2"].map(|id| starts_in_reply_to_empty(&mut scheduler, id, 2, 0.5));
+        assert_eq!(started.concat().len(), 2, "not one task on each machine");
         scheduler.place_all(0.6);
         scheduler.place_all(0.7);
         let (id, _) = scheduler.machines["m1"].attempts.first_key_value().unwrap();
         let (task, attempt) = (id.task.wire(), id.number);
-        let done = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Done))];
-        let started = starts_in_answer(&mut scheduler, &report("m1", 1, 3, 5, &done), 1.0);
-        assert_eq!(started.len(), 1, "{cpus} {memory_gb}");
+        let completed = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Done))];
+        let started = starts_in_reply(&mut scheduler, &report("m1", 1, 3, 5, &completed), 1.0);
+        assert_eq!(started.len(), 1, "{cpus} CPUs, {memory_gb} GB");
     }
 }
 
-/// A heartbeat that repeats the one before is recognized by its text; one with anything new is
-/// not taken for a repetition.
+/// Guards against missing news in a heartbeat that looks like a repetition. A heartbeat that
+/// repeats the previous one is recognized by its text. One that differs in any relevant
+/// field, or arrives while there are commands for the worker, must not be recognized.
 #[test]
-fn heartbeats_that_repeat() {
+fn repeated_heartbeats_are_recognized() {
     let tasks = r#"[{"shard":"run-1/0","try":7,"status":"running"}]"#;
-    let other = r#"[{"shard":"run-1/0","try":7,"status":"saving"}]"#;
+    let other_tasks = r#"[{"shard":"run-1/0","try":7,"status":"saving"}]"#;
     let head = |session: u64, seq: u64, epoch: u64, warning: &str, tasks: &str| {
         format!(
             r#"{{"host":"m1","endpoint":"127.0.0.1:1","flavor":"small","site":"a","standby":false,
             "tenure":{session},"serial":{seq},"epoch":{epoch},"warning_s":{warning},"shards":{tasks}}}"#
         )
     };
-    for (text, stopped, repeats) in [
+    for (text, job_finished, repeats) in [
         (head(1, 3, 5, "null", tasks), false, true),
-        (head(1, 3, 5, "null", other), false, false),
+        (head(1, 3, 5, "null", other_tasks), false, false),
         (head(2, 3, 5, "null", tasks), false, false),
         (head(1, 2, 5, "null", tasks), false, false),
         (head(1, 3, 6, "null", tasks), false, false),
         (head(1, 3, 5, "20.0", tasks), false, false),
-        // There is something to tell the worker.
+        // The worker must be told to stop the task.
         (head(1, 3, 5, "null", tasks), true, false),
     ] {
         let mut scheduler = unlimited_scheduler(&["m1"]);
-        add(&mut scheduler, standard("run-1", 1, 1.0), 0.0);
+        add(&mut scheduler, standard_job("run-1", 1, 1.0), 0.0);
         let running = [("run-1/0", 7, Phase::Running, None)];
         scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &running), 0.5);
         scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &running), 1.0);
         scheduler.remember_heartbeat("m1", MessageId { session: 1, seq: 2 }, tasks);
-        if stopped {
+        if job_finished {
             scheduler.finish_job("run-1");
         }
         let head: ReportHead = serde_json::from_str(&text).unwrap();
         assert_eq!(
             scheduler.handle_repeated_heartbeat(&head, 2.0).is_some(),
             repeats,
-            "{text} {stopped}"
+            "{text}, job finished: {job_finished}"
         );
-        let answered = scheduler.machines["m1"].answered_at;
-        assert_eq!(answered, Some(if repeats { 2.0 } else { 1.0 }));
+        let answered_at = scheduler.machines["m1"].answered_at;
+        assert_eq!(answered_at, Some(if repeats { 2.0 } else { 1.0 }));
     }
 }
 
-/// Guards against starting a task elsewhere that runs already: the former leader accepted its
-/// job and started it before the new one knew of the job, so the task was an unknown one,
-/// being stopped, when the job became known.
+/// Guards against starting a task a second time while it runs. A former leader accepted the
+/// job and started the task. The new leader saw the task before it learned of the job, so it
+/// was already stopping the task as unknown when the job became known.
 #[test]
-fn a_job_that_becomes_known_after_its_task() {
+fn a_running_task_of_a_job_that_becomes_known_later_is_not_started_twice() {
     let mut scheduler = unlimited_scheduler(&["m1", "m2"]);
-    starts(&mut scheduler, "m2", 1, 0.0);
+    starts_in_reply_to_empty(&mut scheduler, "m2", 1, 0.0);
     let running = [("run-1/0", 7, Phase::Running, None)];
     scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &running), 0.1);
-    add(&mut scheduler, standard("run-1", 1, 1.0), 0.2);
-    // It is still there, though it was told to stop.
+    add(&mut scheduler, standard_job("run-1", 1, 1.0), 0.2);
+    // The task still runs, although it was told to stop.
     scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &running), 0.3);
     scheduler.place_all(0.4);
     assert!(scheduler.fencing_complete());
-    assert!(starts(&mut scheduler, "m2", 2, 0.5).is_empty());
+    assert!(starts_in_reply_to_empty(&mut scheduler, "m2", 2, 0.5).is_empty());
     scheduler.handle_heartbeat(&report("m1", 1, 3, 5, &[]), 0.6);
     scheduler.place_all(0.7);
     let started = [("m2", 3, 0.8), ("m1", 4, 0.9)]
-        .map(|(machine, seq, now)| starts(&mut scheduler, machine, seq, now));
+        .map(|(machine, seq, now)| starts_in_reply_to_empty(&mut scheduler, machine, seq, now));
     assert_eq!(started.concat().len(), 1);
 }
 
 /// Guards against returning the machines of a zone that is only partitioned, and against
-/// scaling out there: most of its machines fell silent together.
+/// scaling out in it. A zone counts as partitioned if most of its machines fall silent
+/// together.
 #[test]
 fn a_zone_that_falls_silent_as_a_whole_is_partitioned() {
-    for (silent, partitioned) in [(0, false), (2, false), (3, true), (4, true)] {
+    for (silent_count, partitioned) in [(0, false), (2, false), (3, true), (4, true)] {
         let names = ["m1", "m2", "m3", "m4"];
         let mut scheduler = unlimited_scheduler(&names);
-        for beat in 1..100 {
-            scheduler.tick(f64::from(beat), 0.0);
+        for second in 1..100 {
+            scheduler.tick(f64::from(second), 0.0);
         }
-        for name in &names[silent..] {
+        for name in &names[silent_count..] {
             scheduler.handle_heartbeat(&report(name, 1, 1, 5, &[]), 100.0);
         }
         assert_eq!(
             !scheduler.partitioned_zones(101.0).is_empty(),
             partitioned,
-            "{silent} silent"
+            "{silent_count} silent machines"
         );
     }
 }
