--- a/src/coordination/scheduler/capacity_index.rs
+++ b/src/coordination/scheduler/capacity_index.rs
@@ -1,12 +1,12 @@
 //! An index of usable machines by free capacity, so that placing a task examines a few
 //! machines rather than all of them.
 //!
-//! Machines that are alike to every job (type, zone, spot or not) form a pool. Within a
-//! pool they are sorted by free CPUs; drawing the n-th machine with enough free CPUs costs
-//! about the same for 20 machines and for 1,200.
+//! Machines that are interchangeable for every job (same type, same zone, all spot or all not)
+//! form a pool. Within a pool, machines are sorted by free CPUs. Drawing the n-th machine with
+//! enough free CPUs costs about the same for 20 machines and for 1,200.
 //!
-//! Invariants: a machine stands in at most one pool, and stays in it; `entries` mirrors the
-//! two lists of every pool.
+//! Invariants: a machine is in at most one pool and never changes pools while it is indexed;
+//! `entries` mirrors the two lists of every pool.
 
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::resources::{Resources, Types, ROUNDING_TOLERANCE};
@@ -15,33 +15,33 @@
 use foldhash::fast::RandomState;
 use std::collections::HashMap;
 
-/// Bound on the remembered requirements that no machine has capacity for; any more are
-/// searched for again.
+/// Bound on the remembered requirements for which no machine has capacity. Requirements beyond
+/// the bound are not remembered, so each placement of such a task searches again.
 const MAX_EXHAUSTED: usize = 64;
 
-/// A machine in a pool's sorted list.
+/// An entry in a pool's list of machines sorted by free CPUs.
 #[derive(Debug)]
 pub(crate) struct FreeCpus {
-    /// Its free CPUs.
+    /// Free CPUs of the machine.
     pub cpus: f64,
-    /// Its name.
     pub machine: Name,
 }
 
-/// Machines alike to every job: one type, one zone, spot or not.
+/// Machines that are interchangeable for every job: of one type, in one zone, and either all
+/// spot machines or none.
 #[derive(Debug)]
 pub(crate) struct MachinePool {
     /// Name of the machine type.
     kind: String,
     /// The zone that all of them are in.
     pub zone: String,
-    /// Whether they are spot machines, which the cloud may take back.
+    /// Whether they are spot machines, which the cloud may reclaim.
     spot: bool,
-    /// Usable machines by free CPUs, least first. Task sizes are arbitrary decimals, so
-    /// that buckets of whole CPUs would hold many machines that do not fit; moving a few
-    /// hundred entries at a change costs less than examining those.
+    /// Usable machines by free CPUs, fewest first. Task sizes are arbitrary decimals, so
+    /// buckets of whole CPUs would contain many machines on which a task does not fit. Moving
+    /// a few hundred list entries on each change costs less than examining those machines.
     by_free_cpus: Vec<FreeCpus>,
-    /// Usable machines whose queue has a place left.
+    /// Usable machines whose queue is not full, in no particular order.
     short_queue: Vec<Name>,
 }
 
@@ -56,18 +56,18 @@
         }
     }
 
-    /// Whether the machine belongs into this pool.
+    /// Whether the machine belongs in this pool.
     fn matches(&self, info: &MachineInfo) -> bool {
         self.kind == info.kind && self.zone == info.zone && self.spot == info.spot
     }
 
-    /// How many usable machines it has.
-    pub fn usable(&self) -> usize {
+    /// How many usable machines the pool has.
+    pub fn usable_count(&self) -> usize {
         self.by_free_cpus.len()
     }
 
-    /// Position of a machine with this many free CPUs: `Ok` if it is listed there, `Err`
-    /// with the position to insert it at otherwise.
+    /// Position of a machine with this many free CPUs: `Ok` if it is listed, otherwise `Err`
+    /// with the position at which to insert it.
     fn position(&self, cpus: f64, name: &str) -> Result<usize, usize> {
         self.by_free_cpus.binary_search_by(|entry| {
             let by_cpus = entry.cpus.total_cmp(&cpus);
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Machines with this many CPUs free, the fullest first.
+    /// Machines with at least this many CPUs free, the fewest first.
     fn with_cpus(&self, cpus: f64) -> &[FreeCpus] {
         let first = self
             .by_free_cpus
@@ -84,24 +84,24 @@
     }
 }
 
-/// What of a machine the index depends on, beside its pool.
+/// The properties of a machine that determine its place in the index, apart from its pool.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Availability {
     pub free_cpus: f64,
-    /// Whether its queue has a place left.
+    /// Whether its queue is not full.
     pub has_short_queue: bool,
 }
 
-/// Where the index has a machine.
+/// The position of a machine in the index.
 #[derive(Debug, Clone, Copy)]
 struct IndexEntry {
     pool: usize,
     free_cpus: f64,
-    /// Position in the pool's list of short queues, if it stands there.
+    /// Position in the pool's list of short queues, if the machine is in that list.
     short_queue_position: Option<usize>,
 }
 
-/// Requirements for which no machine of some pools has capacity.
+/// Requirements for which no machine of the given pools has capacity.
 #[derive(Debug)]
 struct Exhausted {
     pools: Vec<usize>,
@@ -115,8 +115,8 @@
     entries: HashMap<Name, IndexEntry, RandomState>,
     /// Changes whenever a pool gets its first machine or loses its last one.
     pub(crate) version: u64,
-    /// Requirements for which an exhaustive search found no machine. Capacity is freed one
-    /// machine at a time, so this holds until some machine's grows (see `capacity_grew`).
+    /// Requirements for which an exhaustive search found no machine. An entry stays valid until
+    /// the free capacity of some machine grows so that the task fits (see `capacity_grew`).
     exhausted: Vec<Exhausted>,
 }
 
@@ -130,29 +130,29 @@
 }
 
 impl CapacityIndex {
-    /// Removes a machine.
+    /// Removes a machine, if it is indexed.
     pub(crate) fn remove(&mut self, name: &str) {
         let Some(entry) = self.entries.remove(name) else {
             return;
         };
         let pool = &mut self.pools[entry.pool];
-        if let Ok(at) = pool.position(entry.free_cpus, name) {
-            pool.by_free_cpus.remove(at);
+        if let Ok(position) = pool.position(entry.free_cpus, name) {
+            pool.by_free_cpus.remove(position);
         }
         if pool.by_free_cpus.is_empty() {
             self.version += 1;
         }
-        let Some(at) = entry.short_queue_position else {
+        let Some(position) = entry.short_queue_position else {
             return;
         };
-        pool.short_queue.swap_remove(at);
-        let moved = pool.short_queue.get(at);
+        pool.short_queue.swap_remove(position);
+        let moved = pool.short_queue.get(position);
         if let Some(moved) = moved.and_then(|name| self.entries.get_mut(name)) {
-            moved.short_queue_position = Some(at);
+            moved.short_queue_position = Some(position);
         }
     }
 
-    /// Inserts a usable machine, or moves it to where it belongs now.
+    /// Inserts a usable machine, or moves it to its new position.
     pub(crate) fn put(&mut self, name: &Name, info: &MachineInfo, availability: Availability) {
         let known = self.entries.get(name).copied();
         if known.is_some_and(|entry| entry.availability() == availability) {
@@ -163,12 +163,12 @@
             has_short_queue,
         } = availability;
         self.remove(name);
-        // A machine stays in its pool.
-        let at = match known {
+        // An indexed machine stays in its pool.
+        let pool_index = match known {
             Some(entry) => entry.pool,
             None => self.find_or_add_pool(info),
         };
-        let pool = &mut self.pools[at];
+        let pool = &mut self.pools[pool_index];
         if let Err(position) = pool.position(free_cpus, name) {
             let entry = FreeCpus {
                 cpus: free_cpus,
@@ -180,7 +180,7 @@
             self.version += 1;
         }
         let entry = IndexEntry {
-            pool: at,
+            pool: pool_index,
             free_cpus,
             short_queue_position: has_short_queue.then_some(pool.short_queue.len()),
         };
@@ -198,39 +198,40 @@
         })
     }
 
-    /// The pool that has the machine.
+    /// Index of the pool that contains the machine.
     pub(crate) fn pool_of(&self, name: &str) -> Option<usize> {
         self.entries.get(name).map(|entry| entry.pool)
     }
 
     /// The pool at this index.
-    pub(crate) fn pool(&self, at: usize) -> &MachinePool {
-        &self.pools[at]
+    pub(crate) fn pool(&self, index: usize) -> &MachinePool {
+        &self.pools[index]
     }
 
-    /// The non-empty pools that the job may use, apart from free capacity.
+    /// Indexes of the non-empty pools that the job may use, regardless of free capacity.
     pub(crate) fn pools_for(
         &self,
         spec: &JobSpec,
         types: &Types,
-        zone_ok: impl Fn(&str) -> bool,
+        allows_zone: impl Fn(&str) -> bool,
     ) -> Vec<usize> {
-        let fits = |pool: &MachinePool| {
-            pool.usable() > 0
+        let is_usable = |pool: &MachinePool| {
+            pool.usable_count() > 0
                 && is_allowed(spec, &pool.kind, &pool.zone, pool.spot, types)
-                && zone_ok(&pool.zone)
+                && allows_zone(&pool.zone)
         };
         (0..self.pools.len())
-            .filter(|&at| fits(&self.pools[at]))
+            .filter(|&index| is_usable(&self.pools[index]))
             .collect()
     }
 
-    /// A machine has this much free capacity now, and had less.
+    /// Notes that the free capacity of a machine grew to this amount: requirements that fit
+    /// into it are no longer exhausted.
     pub(crate) fn capacity_grew(&mut self, free: &Resources) {
         self.exhausted.retain(|known| !free.fits(&known.need));
     }
 
-    /// No machine of the pools has capacity for this.
+    /// Remembers that no machine of the pools has capacity for these requirements.
     pub(crate) fn set_exhausted(&mut self, pools: &[usize], need: Resources) {
         if self.exhausted.len() < MAX_EXHAUSTED {
             let pools = pools.to_vec();
@@ -238,23 +239,23 @@
         }
     }
 
-    /// Whether it is known that no machine of the pools has capacity for this.
+    /// Whether it is known that no machine of the pools has capacity for these requirements.
     pub(crate) fn is_exhausted(&self, pools: &[usize], need: &Resources) -> bool {
         self.exhausted
             .iter()
             .any(|known| need.fits(&known.need) && known.pools == pools)
     }
 
-    /// How many machines of the pools have this many CPUs free.
+    /// How many machines of the pools have at least this many CPUs free.
     pub(crate) fn count_with_cpus(&self, pools: &[usize], cpus: f64) -> usize {
-        let count = |&at: &usize| self.pools[at].with_cpus(cpus).len();
+        let count = |&index: &usize| self.pools[index].with_cpus(cpus).len();
         pools.iter().map(count).sum()
     }
 
-    /// The `n`-th machine of the pools with this many CPUs free.
+    /// The `n`-th machine of the pools with at least this many CPUs free.
     pub(crate) fn nth_with_cpus(&self, pools: &[usize], cpus: f64, mut n: usize) -> Option<&Name> {
-        for &at in pools {
-            let candidates = self.pools[at].with_cpus(cpus);
+        for &index in pools {
+            let candidates = self.pools[index].with_cpus(cpus);
             if let Some(entry) = candidates.get(n) {
                 return Some(&entry.machine);
             }
@@ -263,21 +264,21 @@
         None
     }
 
-    /// The pool's machines with this many CPUs free, the fullest first.
+    /// The pool's machines with at least this many CPUs free, the fewest first.
     pub(crate) fn with_cpus(&self, pool: usize, cpus: f64) -> &[FreeCpus] {
         self.pools[pool].with_cpus(cpus)
     }
 
-    /// How many machines of the pools have a place in their queue.
+    /// How many machines of the pools have a queue that is not full.
     pub(crate) fn count_short_queues(&self, pools: &[usize]) -> usize {
-        let count = |&at: &usize| self.pools[at].short_queue.len();
+        let count = |&index: &usize| self.pools[index].short_queue.len();
         pools.iter().map(count).sum()
     }
 
-    /// The `n`-th machine of the pools with a place in its queue.
+    /// The `n`-th machine of the pools whose queue is not full.
     pub(crate) fn nth_short_queue(&self, pools: &[usize], mut n: usize) -> Option<&Name> {
-        for &at in pools {
-            let candidates = &self.pools[at].short_queue;
+        for &index in pools {
+            let candidates = &self.pools[index].short_queue;
             if let Some(name) = candidates.get(n) {
                 return Some(name);
             }
@@ -287,14 +288,17 @@
     }
 }
 
-/// Whether the job may use such a machine at all, apart from free capacity.
+/// Whether the job may use machines of the type `kind` in this zone, regardless of free capacity.
+/// Spot machines are only for jobs that accept them.
 fn is_allowed(spec: &JobSpec, kind: &str, zone: &str, spot: bool, types: &Types) -> bool {
     (spec.spot || !spot)
         && spec.zone.as_ref().is_none_or(|required| required == zone)
-        && types.get(kind).is_some_and(|t| fits_type(spec, t))
+        && types
+            .get(kind)
+            .is_some_and(|machine_type| fits_type(spec, machine_type))
 }
 
-/// Whether the job may use the machine at all, apart from free capacity.
+/// Whether the job may use the machine, regardless of free capacity.
 pub(crate) fn may_use(spec: &JobSpec, info: &MachineInfo, types: &Types) -> bool {
     is_allowed(spec, &info.kind, &info.zone, info.spot, types)
 }
--- a/src/coordination/scheduler/drain_target.rs
+++ b/src/coordination/scheduler/drain_target.rs
@@ -1,22 +1,24 @@
-//! One machine's drain, as the scheduler keeps it: data alone, see `fleet::drains` for what is
-//! done about it.
+//! The drain of a machine as the scheduler stores it. This module holds only data;
+//! `fleet::drains` carries drains out.
 
 use crate::protocol::admin::{Drain, Rest};
 
-/// One machine's drain as its leader carries it out.
+/// The drain of a machine that the leader carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DrainTarget {
-    /// The record.
+    /// The drain's record in the state service.
     pub drain: Drain,
-    /// Version of its record.
+    /// Version of that record.
     pub version: u64,
-    /// Its deadline in our steady time.
+    /// Its deadline, in seconds of the leader's monotonic clock.
     pub(crate) deadline_at: Option<f64>,
 }
 
 impl DrainTarget {
-    /// What still runs is stopped now.
+    /// Whether the attempts that still run must be stopped now: the deadline has passed, and
+    /// the operator chose to stop what remains.
     pub(crate) fn must_stop_now(&self, now: f64) -> bool {
-        self.deadline_at.is_some_and(|d| now >= d) && self.drain.rest == Rest::Stop
+        let is_past_deadline = self.deadline_at.is_some_and(|deadline| now >= deadline);
+        is_past_deadline && self.drain.rest == Rest::Stop
     }
 }
--- a/src/coordination/scheduler/fair_share.rs
+++ b/src/coordination/scheduler/fair_share.rs
@@ -1,30 +1,32 @@
-//! Whether each class of jobs and each team meets enough of its service-level objectives,
-//! and which of them are owed capacity because they do not.
+//! Fair share: tracks whether each job class and each team meets enough of its service-level
+//! objectives, and finds the underserved ones.
 //!
-//! Urgency, guarantees and smallest-first may each pass over the same class for as long as
-//! the load lasts. So for each class and team the fraction of its jobs that still met (or
-//! can meet) their first finishing objective is kept, with older outcomes fading. A group
-//! whose fraction falls below a threshold is owed a floor until it recovers: a part of the
-//! fleet's CPUs on which its smallest jobs start before all but `prod` and `high`, and from
-//! which borrowed work may not preempt them.
+//! Urgency, guarantees and smallest-first order can each starve the same class for as long as
+//! the load lasts. For each class and team, the fraction of recent jobs that met their first
+//! finishing objective is therefore tracked as a moving average. A group whose fraction falls
+//! below a threshold is underserved until it recovers, and gets a floor: a share of the fleet's
+//! CPUs for its smallest jobs. On the floor they start before all jobs except `prod` and `high`,
+//! and borrowed work may not preempt them.
 
 use std::collections::HashMap;
 
-/// Outcomes that a group's fraction looks back on, about: enough that one large job does not
-/// tip it, few enough that half a burst does.
-const RECENT_OUTCOMES: f64 = 16.0;
+/// About how many recent outcomes a group's moving average covers. With this many, one large job
+/// that misses its objective does not make a group underserved, but half a burst of jobs does.
+const AVERAGED_OUTCOMES: f64 = 16.0;
 
-/// A group is owed capacity once its fraction is below this. What is asked for is half, but
-/// what is decided now shows only when the jobs are finished, so it is decided earlier.
-const OWED_BELOW: f64 = 0.70;
+/// A group becomes underserved when its fraction falls below this. The goal is that half of its
+/// jobs meet their objective. The threshold is higher because giving a group more capacity shows
+/// only when its jobs finish.
+const UNDERSERVED_BELOW: f64 = 0.70;
 
-/// A group that is owed capacity stays so until its fraction is no longer below this.
-const SETTLED_AT: f64 = 0.80;
+/// An underserved group has recovered when its fraction reaches this.
+const RECOVERED_AT: f64 = 0.80;
 
-/// Bound on the groups counted, at some 50 bytes each: users choose the names of classes.
+/// Bound on the groups tracked, at about 50 bytes each. Users choose the names of classes, so
+/// their number is not limited otherwise.
 const MAX_GROUPS: usize = 1024;
 
-/// Jobs whose outcomes are counted together.
+/// A group of jobs whose outcomes are counted together.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum FairShareGroup {
     /// The class of this name.
@@ -33,60 +35,68 @@
     Team(usize),
 }
 
-/// How well a group is served.
+/// How well a group meets its objectives.
 #[derive(Debug, Clone, Copy)]
-struct Track {
-    /// The fraction of its jobs that meet their objective.
-    met: f64,
-    owed: bool,
+struct GroupStats {
+    /// Moving average of the fraction of its jobs that meet their objective.
+    fraction_met: f64,
+    is_underserved: bool,
 }
 
-impl Track {
-    /// A group of which nothing is known.
-    const NEW: Track = Track {
-        met: 1.0,
-        owed: false,
+impl GroupStats {
+    /// A group without any recorded outcome.
+    const NEW: GroupStats = GroupStats {
+        fraction_met: 1.0,
+        is_underserved: false,
     };
 
     fn record(&mut self, met: bool) {
         let value = if met { 1.0 } else { 0.0 };
-        self.met += (value - self.met) / RECENT_OUTCOMES;
-        let threshold = if self.owed { SETTLED_AT } else { OWED_BELOW };
-        self.owed = self.met < threshold;
+        self.fraction_met += (value - self.fraction_met) / AVERAGED_OUTCOMES;
+        let threshold = if self.is_underserved {
+            RECOVERED_AT
+        } else {
+            UNDERSERVED_BELOW
+        };
+        self.is_underserved = self.fraction_met < threshold;
     }
 }
 
-/// How well each group is served.
+/// How well each group meets its objectives.
 #[derive(Debug, Default)]
 pub struct FairShare {
-    groups: HashMap<FairShareGroup, Track>,
+    groups: HashMap<FairShareGroup, GroupStats>,
 }
 
 impl FairShare {
-    /// A job of the group met its first finishing objective, or missed it.
+    /// Records whether a job of the group met its first finishing objective.
     pub fn record_outcome(&mut self, group: &FairShareGroup, met: bool) {
-        if let Some(track) = self.groups.get_mut(group) {
-            track.record(met);
+        if let Some(stats) = self.groups.get_mut(group) {
+            stats.record(met);
             return;
         }
         if self.groups.len() < MAX_GROUPS {
-            let mut track = Track::NEW;
-            track.record(met);
-            self.groups.insert(group.clone(), track);
+            let mut stats = GroupStats::NEW;
+            stats.record(met);
+            self.groups.insert(group.clone(), stats);
         }
     }
 
-    /// Groups that are owed capacity, the worst served first.
-    pub fn owed(&self) -> Vec<&FairShareGroup> {
-        let owed = self.groups.iter().filter(|(_, track)| track.owed);
-        let mut owed: Vec<(f64, &FairShareGroup)> =
-            owed.map(|(group, track)| (track.met, group)).collect();
-        owed.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(b.1)));
-        owed.into_iter().map(|(_, group)| group).collect()
+    /// Underserved groups, the lowest fraction first.
+    pub fn underserved(&self) -> Vec<&FairShareGroup> {
+        let groups = self.groups.iter().filter(|(_, stats)| stats.is_underserved);
+        let mut groups: Vec<(f64, &FairShareGroup)> = groups
+            .map(|(group, stats)| (stats.fraction_met, group))
+            .collect();
+        groups.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.cmp(b.1)));
+        groups.into_iter().map(|(_, group)| group).collect()
     }
 
-    /// The fraction of the group's jobs that meet their objective, 1 if nothing is known.
+    /// The fraction of the group's recent jobs that met their objective; 1 if no outcome is
+    /// recorded.
     pub fn fraction_met(&self, group: &FairShareGroup) -> f64 {
-        self.groups.get(group).map_or(1.0, |track| track.met)
+        self.groups
+            .get(group)
+            .map_or(1.0, |stats| stats.fraction_met)
     }
 }
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -1,28 +1,28 @@
-//! The order of precedence of jobs: data only. It is made in `order_refresh`.
+//! The data types of the job order, which lists jobs by precedence. `order_refresh` builds it.
 
 use crate::coordination::scheduler::job::{Job, Name};
 use crate::coordination::scheduler::resources::Resources;
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A job's place in the order: by rank, then by `key`, lowest first.
+/// A job's place in the order: lowest rank first, then lowest key.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Precedence {
     pub rank: u8,
-    /// Order within the rank: predicted work or time.
+    /// Sort key within the rank: predicted work or a time, see `Scheduler::precedence`.
     pub key: f64,
 }
 
-/// A job in the order.
+/// An entry of the order: a job, or only its first task.
 #[derive(Debug)]
 pub(crate) struct OrderedJob {
     pub precedence: Precedence,
     pub name: Name,
-    /// What one of its tasks requires.
+    /// The resources that one of its tasks requires.
     pub requirements: Resources,
     /// See `Job::has_new_tasks`.
     pub has_new_tasks: Rc<Cell<bool>>,
-    /// The entry stands for the job's first task alone.
+    /// The entry stands for the job's first task only.
     pub first_task_only: bool,
 }
 
@@ -56,23 +56,25 @@
 /// A job whose tasks may be preempted.
 #[derive(Debug)]
 pub(crate) struct PreemptionCandidate {
-    /// How much more expensive it is to preempt than idle work (see `preemption_cost`).
+    /// Factor by which preempting it is more expensive than preempting work of urgency `idle`
+    /// (see `preemption_cost`).
     pub cost_factor: f64,
-    /// Estimated work left, in CPU or GPU seconds.
+    /// Estimated remaining work, in CPU or GPU seconds.
     pub work_left: f64,
     pub job: Name,
 }
 
-/// The order of jobs, made anew from time to time.
+/// The order of jobs, rebuilt from time to time.
 #[derive(Debug, Default)]
 pub struct JobOrder {
-    /// Unfinished jobs in their order of precedence.
+    /// Unfinished jobs by precedence, preceded by entries for prioritized first tasks.
     pub(crate) jobs: Vec<OrderedJob>,
-    /// The same jobs, cheapest to preempt first.
+    /// The unfinished jobs, cheapest to preempt first.
     pub(crate) preemption_candidates: Vec<PreemptionCandidate>,
-    /// Jobs came or went since it was made.
+    /// Jobs were added or removed since the order was built.
     pub(crate) is_stale: bool,
-    pub(crate) made_at: f64,
+    /// When the order was built.
+    pub(crate) refreshed_at: f64,
 }
 
 impl JobOrder {
@@ -87,7 +89,8 @@
         });
     }
 
-    /// Sorts the candidates: the cheapest first, among equals the largest job.
+    /// Sorts the candidates: the cheapest first, then the most remaining work; names break
+    /// ties.
     pub(crate) fn sort_preemption_candidates(&mut self) {
         self.preemption_candidates.sort_by(|a, b| {
             a.cost_factor
--- a/src/coordination/scheduler/order_refresh.rs
+++ b/src/coordination/scheduler/order_refresh.rs
@@ -1,5 +1,6 @@
-//! Making the order of jobs anew: precedence, then the floors of groups that are owed
-//! capacity, then first tasks that waited for long.
+//! Rebuilding the job order: jobs are sorted by precedence, then jobs of underserved groups are
+//! raised up to their fair-share floor, then the first tasks of jobs that have waited too long
+//! are put in front.
 
 use crate::coordination::scheduler::fair_share::FairShareGroup;
 use crate::coordination::scheduler::job::{Job, Name};
@@ -8,18 +9,20 @@
 use crate::coordination::scheduler::preemption_cost::cost_factor;
 use crate::coordination::scheduler::state::Scheduler;
 
-/// The order is made anew this often within a heartbeat interval, even if no job came or
-/// went: objectives go out of reach and the work left shrinks slowly compared to that.
-const REFRESHES_PER_REPORT: f64 = 4.0;
+/// How often per heartbeat interval the order is rebuilt if no job was added or removed.
+/// Remaining work and reachable objectives change slowly in comparison.
+const REFRESHES_PER_HEARTBEAT: f64 = 4.0;
 
-/// Jobs that come or go within this part of a heartbeat interval are taken in together.
-const STALE_REFRESHES_PER_REPORT: f64 = 20.0;
+/// Bound on how often per heartbeat interval the order is rebuilt. Jobs that are added or
+/// removed in between are covered by the next rebuild.
+const MAX_REFRESHES_PER_HEARTBEAT: f64 = 20.0;
 
-/// Bound on the part of the fleet's CPUs for first tasks that go before all else, as a
-/// divisor: where hundreds of jobs wait, a task of each could have served half of a class.
-const FIRST_TASKS_PART: f64 = 16.0;
+/// Divisor of the fleet's CPUs that gives the CPUs available to prioritized first tasks. The
+/// bound matters when hundreds of jobs wait: the CPUs for one task of each would suffice for
+/// half the jobs of a class.
+const FIRST_TASKS_CPU_DIVISOR: f64 = 16.0;
 
-/// CPUs that become free per second on machines where tasks of one size run.
+/// CPUs that are expected to become free per second from running tasks of one size.
 struct ReleaseRate {
     task_cpus: f64,
     cpus_per_s: f64,
@@ -33,12 +36,12 @@
 }
 
 impl Scheduler {
-    /// Makes the order anew if jobs came or went, or enough time has passed.
+    /// Rebuilds the order if jobs were added or removed, or if enough time has passed.
     pub(crate) fn refresh_job_order(&mut self, now: f64) {
-        let age_s = now - self.job_order.made_at;
-        let report_s = self.config.heartbeat_s;
-        let is_recent = age_s < report_s / REFRESHES_PER_REPORT && !self.job_order.is_stale;
-        if is_recent || (0.0..report_s / STALE_REFRESHES_PER_REPORT).contains(&age_s) {
+        let age_s = now - self.job_order.refreshed_at;
+        let heartbeat_s = self.config.heartbeat_s;
+        let is_recent = age_s < heartbeat_s / REFRESHES_PER_HEARTBEAT && !self.job_order.is_stale;
+        if is_recent || (0.0..heartbeat_s / MAX_REFRESHES_PER_HEARTBEAT).contains(&age_s) {
             return;
         }
         if self.job_order.is_stale {
@@ -47,7 +50,7 @@
         let names = self.jobs_to_order();
         self.record_outcomes(now);
         let mut order = JobOrder {
-            made_at: now,
+            refreshed_at: now,
             ..JobOrder::default()
         };
         for name in names {
@@ -59,13 +62,14 @@
             order.sort_jobs();
         }
         if self.config.policy.patience > 0.0 {
-            self.judge_preemption_need(&order, now);
+            self.update_preemption_need(&order, now);
         }
-        self.put_first_tasks_first(&mut order, now);
+        self.prioritize_first_tasks(&mut order, now);
         order.sort_preemption_candidates();
         self.job_order = order;
     }
 
+    /// Jobs that belong in the order: neither finished nor complete.
     fn jobs_to_order(&self) -> Vec<Name> {
         self.jobs
             .iter()
@@ -74,6 +78,8 @@
             .collect()
     }
 
+    /// Adds the job to the order and the preemption candidates, and updates whether it has a
+    /// reachable objective.
     fn add_to_order(&mut self, order: &mut JobOrder, name: Name, now: f64) {
         let Some(job) = self.jobs.get(&name) else {
             return;
@@ -87,15 +93,16 @@
             return;
         };
         job.claims.objective_reachable = objective_reachable;
-        let left = f64::from(job.tasks_left());
+        let tasks_left = f64::from(job.tasks_left());
         order.preemption_candidates.push(PreemptionCandidate {
             cost_factor: cost_factor(job),
-            work_left: left * job.spec.estimate_s * job.spec.cpus.max(job.spec.gpus),
+            work_left: tasks_left * job.spec.estimate_s * job.spec.cpus.max(job.spec.gpus),
             job: name,
         });
     }
 
-    /// Counts jobs that met their first finishing objective, or cannot any more.
+    /// Records, for their class and team, the jobs that have met their first finishing
+    /// objective or can no longer meet it.
     fn record_outcomes(&mut self, now: f64) {
         let mut outcomes = Vec::new();
         for (name, job) in &self.jobs {
@@ -117,8 +124,8 @@
         }
     }
 
-    /// Whether the job met its first finishing objective; `None` if that is recorded, does
-    /// not apply or is undecided.
+    /// Whether the job met its first finishing objective. `None` if the outcome is recorded
+    /// already or still undecided, if the job has no such objective, or if it was cancelled.
     fn new_outcome(&self, job: &Job, now: f64) -> Option<bool> {
         if job.outcome_recorded || job.finished && !job.is_complete() {
             return None;
@@ -130,25 +137,27 @@
         (left_s < self.predict(job)).then_some(false)
     }
 
-    /// Raises the rank of the first jobs of each group that is owed capacity, up to the
-    /// group's floor.
+    /// Raises the rank of the first jobs of each underserved group, until their tasks require
+    /// the CPUs of the group's floor. Underserved groups share the floor's CPUs equally.
     fn apply_fair_share_floor(&mut self, order: &mut JobOrder) {
         for job in self.jobs.values_mut() {
             job.claims.on_floor = false;
         }
-        let owed: Vec<FairShareGroup> = self.fair_share.owed().into_iter().cloned().collect();
-        if owed.is_empty() {
+        let groups: Vec<FairShareGroup> =
+            self.fair_share.underserved().into_iter().cloned().collect();
+        if groups.is_empty() {
             return;
         }
         let floor_cpus =
-            self.fleet_capacity().cpus * self.config.policy.floor_share / owed.len() as f64;
-        for group in &owed {
+            self.fleet_capacity().cpus * self.config.policy.floor_share / groups.len() as f64;
+        for group in &groups {
             self.raise_to_floor(order, group, floor_cpus);
         }
     }
 
+    /// Raises the rank of the first jobs of the group until their tasks require `floor_cpus`.
     fn raise_to_floor(&mut self, order: &mut JobOrder, group: &FairShareGroup, floor_cpus: f64) {
-        let mut used_cpus = 0.0;
+        let mut required_cpus = 0.0;
         for entry in &mut order.jobs {
             let Some(job) = self.jobs.get_mut(&entry.name) else {
                 continue;
@@ -156,37 +165,40 @@
             if !is_member(job, group) || entry.precedence.rank == LATE_RANK {
                 continue;
             }
-            if used_cpus >= floor_cpus {
+            if required_cpus >= floor_cpus {
                 return;
             }
             let tasks = job.unplaced_tasks() + job.placed.len() as u32;
-            used_cpus += f64::from(tasks) * job.spec.cpus;
+            required_cpus += f64::from(tasks) * job.spec.cpus;
             job.claims.on_floor = true;
             entry.precedence.rank = entry.precedence.rank.min(FLOOR_RANK);
         }
     }
 
-    /// Puts the first tasks of jobs that have waited for long without any start before all
-    /// else. Smallest-first, urgency and floors all pass over the largest jobs for as long
-    /// as the load lasts; one task each takes little from the others.
-    fn put_first_tasks_first(&self, order: &mut JobOrder, now: f64) {
+    /// Puts the first tasks of jobs that have waited too long for their first start in front
+    /// of all other jobs. Without this, smallest-first order, urgency and floors could starve
+    /// the largest jobs for as long as the load lasts. One task of each takes little capacity
+    /// from the other jobs.
+    fn prioritize_first_tasks(&self, order: &mut JobOrder, now: f64) {
         let begin_s = self.config.policy.begin_s;
         if begin_s <= 0.0 {
             return;
         }
-        let waits = |job: &Job| {
+        let has_waited_too_long = |job: &Job| {
             !job.has_started() && !job.is_suspect() && now - job.accepted_at > begin_s / 2.0
         };
         let mut first_tasks: Vec<OrderedJob> = order
             .jobs
             .iter()
             .filter_map(|entry| {
-                let job = self.jobs.get(&entry.name).filter(|job| waits(job))?;
+                let job = self.jobs.get(&entry.name);
+                let job = job.filter(|job| has_waited_too_long(job))?;
                 Some(OrderedJob::first_task(entry, job.accepted_at))
             })
             .collect();
         first_tasks.sort_by(|a, b| a.precedence.key.total_cmp(&b.precedence.key));
-        let mut cpus_left = self.fleet_capacity().cpus / FIRST_TASKS_PART - self.late_first_cpus();
+        let mut cpus_left = self.fleet_capacity().cpus / FIRST_TASKS_CPU_DIVISOR
+            - self.prioritized_first_task_cpus();
         first_tasks.retain(|entry| {
             let fits = cpus_left > 0.0;
             cpus_left -= entry.requirements.cpus;
@@ -195,18 +207,19 @@
         order.jobs.splice(0..0, first_tasks);
     }
 
-    /// CPUs of the first tasks that were started ahead of other jobs and run.
-    fn late_first_cpus(&self) -> f64 {
+    /// CPUs in use by first tasks that were started ahead of other jobs.
+    fn prioritized_first_task_cpus(&self) -> f64 {
         let jobs = self.jobs.values();
         jobs.filter(|job| job.is_only_late_first_task())
             .map(|job| job.spec.cpus)
             .sum()
     }
 
-    /// Determines for which jobs others must be preempted: those for which enough capacity
-    /// will not become free by itself within a part of their slack. Preempting for the rest
-    /// helps no job meet its objective and loses the work that was done.
-    fn judge_preemption_need(&mut self, order: &JobOrder, now: f64) {
+    /// Determines which jobs need preemption: those for which running tasks are not expected to
+    /// end and free enough capacity within a fraction of the job's slack, set by the policy's
+    /// `patience`. For the other jobs preemption would lose work without helping any job to
+    /// meet its objective.
+    fn update_preemption_need(&mut self, order: &JobOrder, now: f64) {
         let rates = self.release_rates();
         let mut cpus_ahead = 0.0;
         for entry in &order.jobs {
@@ -214,8 +227,8 @@
                 continue;
             };
             cpus_ahead += f64::from(job.unplaced_tasks()) * job.spec.cpus;
-            let fitting = rates.iter().filter(|r| r.task_cpus >= job.spec.cpus);
-            let cpus_per_s: f64 = fitting.map(|r| r.cpus_per_s).sum();
+            let fitting = rates.iter().filter(|rate| rate.task_cpus >= job.spec.cpus);
+            let cpus_per_s: f64 = fitting.map(|rate| rate.cpus_per_s).sum();
             let slack_s = self.slack_s(job, now).unwrap_or(0.0);
             let needed = cpus_ahead > cpus_per_s * slack_s * self.config.policy.patience;
             if let Some(job) = self.jobs.get_mut(&entry.name) {
@@ -224,13 +237,13 @@
         }
     }
 
-    /// How fast CPUs become free by themselves, by the size of the tasks that free them.
+    /// How fast running tasks are predicted to free CPUs as they end, by task size.
     fn release_rates(&self) -> Vec<ReleaseRate> {
         let mut rates: Vec<ReleaseRate> = Vec::new();
         for job in self.jobs.values().filter(|job| !job.placed.is_empty()) {
             let task_cpus = job.spec.cpus;
             let cpus_per_s = job.placed.len() as f64 * task_cpus / self.predict(job).max(1.0);
-            match rates.iter_mut().find(|r| r.task_cpus == task_cpus) {
+            match rates.iter_mut().find(|rate| rate.task_cpus == task_cpus) {
                 Some(rate) => rate.cpus_per_s += cpus_per_s,
                 None => rates.push(ReleaseRate {
                     task_cpus,
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -1,16 +1,18 @@
-//! Placement: each task samples fitting machines, starts at once on one with free capacity,
-//! else joins the shorter of the sampled queues.
+//! Placement of tasks on machines. For each task the scheduler samples suitable machines. The
+//! task starts at once on a sampled machine with enough free capacity; if there is none, it
+//! joins the shortest of the sampled queues.
 //!
-//! This is the scheme of the paper (Mitzenmacher, Dell'Amico, "The Supermarket Model with
-//! Known and Predicted Service Times"): a sample of two machines (section 1), the shorter
-//! queue by count of tasks (section 4.2), and the smallest predicted job first within a
-//! queue (SPJF, section 4.2; see `queue`). A machine here runs many tasks, so an idle server
-//! becomes a machine with enough free capacity, and such machines are sampled first;
-//! `docs/design.md` says what else is kept and changed.
+//! This follows the paper by Mitzenmacher and Dell'Amico, "The Supermarket Model with Known
+//! and Predicted Service Times": a sample of two machines (section 1), the queue with fewer
+//! tasks (section 4.2), and the smallest predicted job first within a queue (SPJF, section
+//! 4.2; see `queue`). In the paper a server runs one job at a time; a machine here runs many
+//! tasks. The paper's idle server therefore corresponds to a machine with enough free
+//! capacity, and such machines are sampled first. `docs/design.md` lists the other
+//! similarities and differences.
 //!
 //! A pass runs whenever something may have changed, so it must not examine every machine or
-//! every task: samples come from the index of machines by free capacity, and jobs that
-//! cannot be served are recognized by a few numbers.
+//! every task. Samples are drawn from the index of machines by free capacity. Jobs that cannot
+//! be placed are detected by comparing their requirements with cached results.
 
 use crate::coordination::scheduler::capacity_index::may_use;
 use crate::coordination::scheduler::job::{Job, Name, TaskId};
@@ -23,45 +25,46 @@
 use std::ops::ControlFlow;
 use std::rc::Rc;
 
-/// How many of a job's tasks to place.
+/// How many of a job's waiting tasks to place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TaskLimit {
-    /// All that wait.
+    /// All waiting tasks.
     All,
-    /// One, ahead of other jobs, since the job has waited for long.
+    /// One task, ahead of other jobs, because the job has waited too long for its first start.
     First,
 }
 
-/// The placement of one job's tasks within a pass.
+/// A request to place one job's tasks within a pass.
 struct JobPlacement<'a> {
     name: &'a Name,
     spec: Rc<JobSpec>,
     team: Option<usize>,
-    /// What one task requires.
+    /// The resources that one task requires.
     need: Resources,
     limit: TaskLimit,
     effort: Effort,
 }
 
-/// Where the next task of a job may go.
+/// Where the next task of a job may be placed.
 struct PlacementOptions {
     pools: Rc<[usize]>,
     /// The team's limit admits another task.
     within_limit: bool,
-    /// So does, as far as is known, the free capacity of some machine.
+    /// The team's limit admits another task, and no earlier search has shown that every
+    /// machine lacks the free capacity for it.
     may_start: bool,
 }
 
 impl Scheduler {
-    /// A pass over what may be placed since the last one: jobs with newly waiting tasks, and
-    /// those that fit into capacity that became free. What was passed over for other reasons
-    /// (a limit, no victims) waits for the next full pass, a part of a heartbeat interval
-    /// later.
+    /// Runs a pass over the jobs that may have become placeable since the last pass: jobs with
+    /// newly waiting tasks, and jobs whose tasks fit into capacity that became free. Jobs that
+    /// could not be placed for another reason (the team's limit, no attempts to preempt) wait
+    /// for the next full pass, which follows within a heartbeat interval.
     pub fn place_changed(&mut self, now: f64) {
         self.run_pass(now, PassKind::Changes);
     }
 
-    /// A pass over all waiting tasks.
+    /// Runs a full pass over all waiting tasks.
     pub fn place_all(&mut self, now: f64) {
         self.run_pass(now, PassKind::Full);
     }
@@ -69,7 +72,7 @@
     fn run_pass(&mut self, now: f64, kind: PassKind) {
         self.now = now;
         if !self.fencing_complete() {
-            // To the first pass, all jobs are new.
+            // The first pass after fencing treats all jobs as new, so it needs no changes.
             self.capacity_changes.grown.clear();
             return;
         }
@@ -86,8 +89,8 @@
         self.job_order.jobs = order;
     }
 
-    /// Places the jobs rank by rank; within a rank, tasks for which others were preempted
-    /// come first.
+    /// Places the jobs rank by rank. Within a rank, tasks with reserved capacity, for which
+    /// other attempts were preempted, start first.
     fn place_in_order(
         &mut self,
         order: &[OrderedJob],
@@ -124,7 +127,8 @@
         }
     }
 
-    /// Places waiting tasks of one job until none is left or the next one cannot be placed.
+    /// Places waiting tasks of one job, up to the limit, until none is left or the next one
+    /// cannot be placed.
     fn place_job(
         &mut self,
         name: &Name,
@@ -154,15 +158,15 @@
             effort,
         };
         while self.wants_another_task(name) {
-            let placed = self.place_next_task(&request, pass, now);
-            if placed.is_break() || limit == TaskLimit::First {
+            let outcome = self.place_next_task(&request, pass, now);
+            if outcome.is_break() || limit == TaskLimit::First {
                 return;
             }
         }
     }
 
-    /// Whether the job has a waiting task that should be placed. One placed task suffices to
-    /// tell whether a job that fails everywhere still does.
+    /// Whether the job has a waiting task that should be placed. For a suspect job, whose tasks
+    /// failed on several machines, one placed task suffices to find out whether it still fails.
     fn wants_another_task(&self, name: &Name) -> bool {
         self.jobs.get(name).is_some_and(|job| {
             let is_being_retried = job.is_suspect() && !job.placed.is_empty();
@@ -170,7 +174,8 @@
         })
     }
 
-    /// Starts or queues the job's next waiting task; breaks if that is not possible.
+    /// Starts or queues the job's next waiting task. Breaks if no further task of the job can
+    /// be placed in this pass.
     fn place_next_task(
         &mut self,
         request: &JobPlacement,
@@ -180,8 +185,9 @@
         let Some(options) = self.placement_options(request, pass) else {
             return ControlFlow::Break(());
         };
-        let next = self.jobs.get_mut(request.name).and_then(Job::take_waiting);
-        let Some(index) = next else {
+        let next_index = self.jobs.get_mut(request.name).and_then(Job::take_waiting);
+        let Some(index) = next_index else {
+            // All unplaced tasks of the job are in queues.
             if options.may_start {
                 self.start_queued_elsewhere(request.name, &request.spec, pass, now);
             }
@@ -197,7 +203,7 @@
         self.preempt_or_queue(task, request, &options, pass, now)
     }
 
-    /// Where the job's next task may go; `None` if nowhere.
+    /// Where the job's next task may be placed; `None` if it cannot be placed.
     fn placement_options(
         &mut self,
         request: &JobPlacement,
@@ -221,7 +227,8 @@
         })
     }
 
-    /// Starts the task on a sampled machine with free capacity, if there is one.
+    /// Starts the task on a sampled machine with enough free capacity. Returns false if there
+    /// is none.
     fn start_on_free(
         &mut self,
         task: &TaskId,
@@ -243,8 +250,9 @@
         true
     }
 
-    /// Preempts others for the task, or puts it into a sampled queue; if neither is
-    /// possible, it waits on and the job is done with for this pass.
+    /// Preempts other attempts for the task and reserves their capacity for it, or puts the
+    /// task into the shortest of the sampled queues. If neither is possible, the task keeps
+    /// waiting, and no further task of the job is placed in this pass.
     fn preempt_or_queue(
         &mut self,
         task: TaskId,
@@ -272,7 +280,7 @@
         ControlFlow::Break(())
     }
 
-    /// Starts the task on the machine.
+    /// Starts the task on the machine and adds it to the usage of the pass.
     pub(crate) fn start_task(
         &mut self,
         machine: &Name,
@@ -309,7 +317,7 @@
         Some(pools)
     }
 
-    /// Whether the team has work on machines that is less urgent than this.
+    /// Whether the team has tasks of lower urgency on machines. The pass caches the answer.
     fn team_has_less_urgent(
         &self,
         team: Option<usize>,
@@ -328,7 +336,7 @@
         machine.is_usable(now, self.config.silent_s())
     }
 
-    /// Whether the job may use the machine at all, apart from free capacity.
+    /// Whether the job may use the machine, regardless of free capacity.
     pub(crate) fn may_use(&self, spec: &JobSpec, machine: &Machine) -> bool {
         may_use(spec, &machine.info, &self.types)
     }
--- a/src/coordination/scheduler/placement_pass.rs
+++ b/src/coordination/scheduler/placement_pass.rs
@@ -1,4 +1,5 @@
-//! What one placement pass works on and remembers.
+//! The state of one placement pass: which jobs it covers, how hard it tries to place them, and
+//! the results that it caches.
 
 use crate::coordination::scheduler::job::Names;
 use crate::coordination::scheduler::job_order::OrderedJob;
@@ -8,26 +9,26 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Bound on the jobs, first in the order, that a pass over changes tries thoroughly again
-/// because capacity became free. For the others, which may be hundreds, free capacity is
-/// all that is examined until the next full pass.
+/// Bound on the jobs that a `Changes` pass retries with `Effort::Thorough` because capacity
+/// became free; the first jobs in the order of precedence are retried. Hundreds of other jobs
+/// may wait: these are placed on free capacity only until the next full pass.
 const MAX_THOROUGH_RETRIES: usize = 8;
 
-/// Which jobs a pass goes over.
+/// Which jobs a pass tries to place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PassKind {
     /// All unfinished jobs.
     Full,
-    /// Jobs with newly waiting tasks, and those that fit into capacity that became free.
+    /// Jobs with newly waiting tasks, and jobs whose tasks fit into capacity that became free.
     Changes,
 }
 
 /// How hard a pass tries to place a job's tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Effort {
-    /// On free capacity only.
+    /// Use free capacity only.
     FreeCapacity,
-    /// Also by preempting others and in queues.
+    /// Also preempt other attempts and use queues.
     Thorough,
 }
 
@@ -36,11 +37,11 @@
 pub(crate) struct CapacityChanges {
     /// Machines on which a queued task may start now.
     pub freed_machines: Names,
-    /// Free capacity of machines that have more of it than at the last pass.
+    /// The free capacity of each machine on which it has grown since the last pass.
     pub grown: Vec<Resources>,
 }
 
-/// What a pass goes over.
+/// Selects the jobs of a pass, and the effort for each.
 #[derive(Debug)]
 pub(crate) struct PassScope {
     kind: PassKind,
@@ -49,7 +50,7 @@
 }
 
 impl PassScope {
-    /// The scope of a pass that begins with these changes.
+    /// The scope of a pass, given the capacity changes since the last one.
     pub fn new(kind: PassKind, changes: CapacityChanges) -> PassScope {
         PassScope {
             kind,
@@ -63,7 +64,8 @@
         &self.changes.freed_machines
     }
 
-    /// How hard to try for this job; `None` if nothing has changed for it.
+    /// How hard to try to place this job; `None` if nothing has changed for it since the last
+    /// pass.
     pub fn effort_for(&mut self, job: &OrderedJob) -> Option<Effort> {
         if self.kind == PassKind::Full || job.has_new_tasks.get() {
             return Some(Effort::Thorough);
@@ -80,8 +82,8 @@
     }
 }
 
-/// What decides whether others may be preempted for a task, apart from how much the task
-/// requires.
+/// The properties of a task that decide which attempts may be preempted for it, apart from the
+/// amount of resources that it requires.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct TaskRequirements {
     /// The team whose limit and guarantee apply.
@@ -89,34 +91,35 @@
     pub urgency: Urgency,
     /// Whether its job is within the team's guarantee.
     pub guaranteed: bool,
-    /// The pools of machines on which it may run.
+    /// The pools of machines on which the task may run.
     pub pools: Rc<[usize]>,
 }
 
-/// A task for which preemption was found to be of no use.
+/// A kind of task for which no preemption was found that frees enough capacity.
 #[derive(Debug)]
 struct Infeasible {
     requirements: TaskRequirements,
     resources: Resources,
 }
 
-/// What one pass remembers.
+/// Team usage and cached results during one pass.
 #[derive(Debug, Default)]
 pub(crate) struct PlacementPass {
-    /// Usage of teams, with the starts of this pass.
+    /// Usage of teams, including the tasks started in this pass.
     pub usage: TeamUsage,
     infeasible: Vec<Infeasible>,
-    /// Stop requests that took effect were forgotten in this pass.
+    /// Whether `stopping_attempts` was pruned in this pass: attempts that have exited were
+    /// removed.
     pub stops_pruned: bool,
-    /// What each team's stopped attempts will free, less what is reserved by queued tasks;
-    /// counted when it is first needed.
-    pub freeing: Option<HashMap<usize, Usage>>,
-    /// Whether a team has work on machines that is less urgent than this.
+    /// The usage that each team's stopping attempts will free, less the usage reserved by its
+    /// queued tasks. Computed when first needed; `None` if it is not up to date.
+    pub usage_being_freed: Option<HashMap<usize, Usage>>,
+    /// Cached results of `Scheduler::team_has_less_urgent`.
     pub less_urgent: HashMap<(Option<usize>, Urgency), bool>,
 }
 
 impl PlacementPass {
-    /// A pass that begins with this usage.
+    /// A pass that begins with this usage of teams.
     pub fn new(usage: TeamUsage) -> PlacementPass {
         PlacementPass {
             usage,
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Remembers that nothing can be preempted for such a task.
+    /// Remembers that preemption cannot free enough capacity for such a task.
     pub fn set_infeasible(&mut self, requirements: TaskRequirements, resources: Resources) {
         self.infeasible.push(Infeasible {
             requirements,
@@ -132,8 +135,8 @@
         });
     }
 
-    /// Whether it is known that nothing can be preempted for such a task: it was so for one
-    /// that requires no more.
+    /// Whether preemption is known to be infeasible for such a task: it was infeasible for a
+    /// task with the same requirements that needs no more resources.
     pub fn is_infeasible(&self, requirements: &TaskRequirements, resources: &Resources) -> bool {
         self.infeasible
             .iter()
--- a/src/coordination/scheduler/precedence.rs
+++ b/src/coordination/scheduler/precedence.rs
@@ -1,9 +1,10 @@
-//! Precedence among jobs, and the service-level objectives that it follows from: urgency
-//! first, and jobs that can meet none of their objectives any more after everything that
-//! still can.
+//! Precedence among jobs, and the service-level objectives that determine it. Jobs are ranked by
+//! urgency and guarantee. Jobs that can no longer meet any of their objectives come after all
+//! others.
 //!
-//! Within a rank the job with the smallest predicted work left comes first: the paper's
-//! smallest predicted job first (Mitzenmacher, Dell'Amico, section 4.2), one level up.
+//! Within a rank the job with the smallest predicted remaining work comes first. This applies
+//! the paper's smallest predicted job first (Mitzenmacher, Dell'Amico, section 4.2) to jobs of
+//! many tasks.
 
 use crate::coordination::scheduler::job::Job;
 use crate::coordination::scheduler::job_order::Precedence;
@@ -11,24 +12,25 @@
 use crate::protocol::job::Shape;
 use crate::protocol::settings::Objective;
 
-/// Rank of jobs that can meet none of their objectives any more.
+/// Rank of jobs that can no longer meet any of their objectives, behind all other ranks.
 pub(crate) const LATE_RANK: u8 = 5;
 
-/// Lowest rank of jobs on a fair-share floor: behind `prod` and `high`.
+/// Rank to which jobs on a fair-share floor are raised, directly behind `prod` and `high`.
 pub(crate) const FLOOR_RANK: u8 = 2;
 
-/// Offset of the keys of jobs without an objective in reach, larger than any predicted work:
-/// they come after those with one.
-const NO_OBJECTIVE_KEY: f64 = 1e12;
+/// Offset of the keys of jobs without a reachable objective. It is larger than any predicted
+/// work, so these jobs come after all jobs with a reachable objective.
+const NO_OBJECTIVE_KEY_OFFSET: f64 = 1e12;
 
-/// How long a job has existed and how long a task of it is predicted to run, in seconds.
+/// The time since a job was accepted and the predicted run time of one of its tasks, in seconds.
 #[derive(Clone, Copy)]
 struct JobTimes {
     age_s: f64,
     predicted_s: f64,
 }
 
-/// Seconds until the job cannot meet the objective any more, if the objective applies.
+/// Seconds until the job can no longer meet the objective, negative if it is too late already;
+/// `None` if the objective does not apply to the job.
 fn time_left_s(objective: &Objective, job: &Job, times: JobTimes) -> Option<f64> {
     if objective.class.as_deref() != Some(job.spec.class.as_str()) {
         return None;
@@ -53,8 +55,8 @@
         }
     }
 
-    /// Seconds until the first objective that the job can still meet is missed; `None`
-    /// without one.
+    /// Seconds until the first objective that the job can still meet is missed; `None` if it
+    /// can meet none.
     pub(crate) fn slack_s(&self, job: &Job, now: f64) -> Option<f64> {
         let times = self.job_times(job, now);
         let JobTimes { age_s, predicted_s } = times;
@@ -72,7 +74,8 @@
             .min_by(f64::total_cmp)
     }
 
-    /// Seconds until each objective by which the job should be finished is due.
+    /// Seconds until each objective or deadline by which the job should be finished is due,
+    /// negative if it is past.
     pub(crate) fn due_times<'a>(
         &'a self,
         job: &'a Job,
@@ -82,23 +85,25 @@
             age_s: now - job.accepted_at,
             predicted_s: 0.0,
         };
-        let finishing = self.config.objectives.iter().filter(|o| o.kind != "wait");
+        let objectives = self.config.objectives.iter();
+        let finishing = objectives.filter(|objective| objective.kind != "wait");
         finishing
             .filter_map(move |objective| time_left_s(objective, job, times))
             .chain(job.spec.deadline_s.map(|due_s| due_s - times.age_s))
     }
 
-    /// Whether preempting others for the job still serves a purpose: it can meet an
-    /// objective, or has none to tell by. (Waiting until an objective was close cost short
-    /// jobs their deadlines and saved others nothing: see `docs/measurements.md`.)
+    /// Whether preempting others for the job is still useful: it can meet an objective, or has
+    /// no objectives. Preemption is not postponed until an objective is close: that made short
+    /// jobs miss their deadlines and did not help other jobs (see `docs/measurements.md`).
     pub(crate) fn has_reachable_objective(&self, job: &Job, now: f64) -> bool {
         let mut objectives = self.config.objectives.iter();
         let has_objective = job.spec.deadline_s.is_some()
-            || objectives.any(|o| o.class.as_deref() == Some(job.spec.class.as_str()));
+            || objectives
+                .any(|objective| objective.class.as_deref() == Some(job.spec.class.as_str()));
         !has_objective || self.slack_s(job, now).is_some()
     }
 
-    /// Whether the job has objectives and can meet none of them any more.
+    /// Whether the job is a sweep with objectives and can no longer meet any of them.
     fn is_late(&self, job: &Job, times: JobTimes) -> bool {
         let JobTimes { age_s, predicted_s } = times;
         let mut left = self
@@ -112,7 +117,7 @@
         has_objective && job.spec.shape == Shape::Sweep && left.all(|left_s| left_s < 0.0)
     }
 
-    /// The job's place in the order.
+    /// The job's place in the order of precedence.
     pub(crate) fn precedence(&self, job: &Job, now: f64) -> Precedence {
         let times = self.job_times(job, now);
         let late = self.is_late(job, times);
@@ -120,15 +125,15 @@
         if job.claims.on_floor && !late {
             rank = rank.min(FLOOR_RANK);
         }
-        // The smallest predicted work left comes first, as in a queue: if not all can be
-        // served in time, most are. Jobs without an objective in reach come after; there a
-        // longer prediction counts as a later arrival, so that the smallest goes first and
-        // none is passed over for ever.
+        // The job with the smallest predicted remaining work comes first: if not all jobs can
+        // finish in time, this lets the most of them do so. Jobs without a reachable objective
+        // come last. Their key is the acceptance time plus the predicted run time, so that small
+        // jobs come early and no job is starved for ever.
         let key = if self.slack_s(job, now).is_some() {
-            let left = f64::from(job.tasks_left());
-            left * times.predicted_s * job.spec.cpus.max(job.spec.gpus)
+            let tasks_left = f64::from(job.tasks_left());
+            tasks_left * times.predicted_s * job.spec.cpus.max(job.spec.gpus)
         } else {
-            NO_OBJECTIVE_KEY + job.accepted_at + times.predicted_s
+            NO_OBJECTIVE_KEY_OFFSET + job.accepted_at + times.predicted_s
         };
         Precedence { rank, key }
     }
--- a/src/coordination/scheduler/prediction.rs
+++ b/src/coordination/scheduler/prediction.rs
@@ -1,13 +1,15 @@
-//! Predicted run times of tasks. In the paper the prediction comes with the job; here it is
-//! the job's own estimate, or else learnt from finished tasks of its class.
+//! Predicted run times of tasks. In the paper named in `placement`, the prediction comes with
+//! the job. Here it is the job's own estimate or, without one, learned from finished tasks of its
+//! class.
 
 use crate::coordination::scheduler::job::Job;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::{JobSpec, Shape};
 
 impl Scheduler {
-    /// Predicted run time of a task in seconds: the job's estimate, or the recent median of
-    /// its class, or of all classes, or else a lease.
+    /// Predicted run time of a task in seconds: the job's estimate, else the recent median of
+    /// its class, else that of all classes, else the duration of a lease. For a service it is
+    /// always the estimate.
     pub fn predict(&self, job: &Job) -> f64 {
         if job.spec.estimate_s > 0.0 || job.spec.shape == Shape::Service {
             return job.spec.estimate_s;
@@ -18,6 +20,7 @@
 
     /// Records how long a task ran.
     pub(crate) fn record_run_time(&mut self, spec: &JobSpec, run_s: f64) {
-        self.predictor.ran(&spec.class, run_s, spec.estimate_s);
+        self.predictor
+            .record_run(&spec.class, run_s, spec.estimate_s);
     }
 }
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -1,15 +1,18 @@
-//! Preemption: work of lower urgency yields, and work on borrowed capacity yields to a
-//! guarantee; the attempts that lose least are stopped first.
+//! Preemption: stopping running attempts to free capacity for a task. Work of lower urgency may
+//! be stopped for work of higher urgency, and work on borrowed capacity for work within its
+//! team's guarantee. The attempts that lose the least work are stopped first.
 //!
-//! Only a bounded number of machines is examined for a task: those where attempts are being
-//! stopped already, then some of those that run the work that is cheapest to stop.
+//! For each task only a bounded number of machines is examined: first machines where attempts
+//! are already being stopped, then some of the machines that run the jobs that are cheapest to
+//! preempt.
 //!
-//! Guaranteed work yields to guaranteed work only, so that no circle of preemptions arises.
+//! Guaranteed work is stopped only for other guaranteed work, so that jobs cannot preempt each
+//! other in a cycle.
 
 use crate::coordination::scheduler::job::{AttemptId, Job, Name};
 use crate::coordination::scheduler::machine::{Attempt, Machine};
 use crate::coordination::scheduler::placement_pass::{PlacementPass, TaskRequirements};
-use crate::coordination::scheduler::preemption_cost::{cost_factor, stop_cost, FreedBy};
+use crate::coordination::scheduler::preemption_cost::{cost_factor, stop_cost, StopMode};
 use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::coordination::scheduler::team_usage::{TeamUsage, Usage};
@@ -19,68 +22,71 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Bound on the machines examined for one task because they run cheap work.
-const MAX_VICTIM_MACHINES: usize = 32;
+/// Bound on the machines examined for one task: once this many are, no further victim job is
+/// considered.
+const MAX_EXAMINED_MACHINES: usize = 32;
 
-/// Bound on the machines examined for one task because attempts are being stopped there.
+/// Bound on the machines examined for one task because attempts are already being stopped
+/// there.
 const MAX_STOPPING_MACHINES: usize = 8;
 
-/// Bound on the machines examined for one victim job, so that several jobs are compared.
+/// Bound on the machines examined for one victim job, so that several victim jobs are compared.
 const MAX_MACHINES_PER_VICTIM: usize = 4;
 
-/// Bound of the random offset at which the tasks of a victim job are begun with.
+/// Upper bound of the random offset that selects the first task examined of a victim job.
 const MAX_START_OFFSET: usize = 1 << 16;
 
-/// What stopping an attempt loses, in CPU or GPU seconds, and the grace to stop it with;
-/// `at_once` if there is no time to write a checkpoint.
-pub(crate) fn loss(spec: &JobSpec, ran_s: f64, at_once: bool) -> (f64, f64) {
-    let freed_by = if at_once {
-        FreedBy::AtOnce
+/// The work that stopping an attempt loses, in CPU or GPU seconds, and the grace period to stop
+/// it with, in seconds. `immediate` means that there is no time to write a checkpoint.
+pub(crate) fn loss(spec: &JobSpec, ran_s: f64, immediate: bool) -> (f64, f64) {
+    let stop_mode = if immediate {
+        StopMode::Immediate
     } else {
-        FreedBy::Checkpoint
+        StopMode::Checkpoint
     };
-    let cost = stop_cost(spec, ran_s, freed_by);
+    let cost = stop_cost(spec, ran_s, stop_mode);
     (cost.lost, cost.grace_s)
 }
 
-/// A task for which capacity is to be freed.
+/// A request to free capacity for one task of a job.
 struct PreemptionRequest<'a> {
     job: &'a Job,
     zones: ZoneConstraint,
-    /// The team's limit is what the task lacks, so that only the team's own work frees it.
+    /// The team is at its limit, so only stopping the team's own work makes the task
+    /// admissible.
     over_limit: bool,
     usage: &'a TeamUsage,
     now: f64,
 }
 
 impl PreemptionRequest<'_> {
-    fn freed_by(&self) -> FreedBy {
+    fn stop_mode(&self) -> StopMode {
         if self.job.spec.urgency >= Urgency::High || self.job.claims.guaranteed {
-            FreedBy::AtOnce
+            StopMode::Immediate
         } else {
-            FreedBy::Checkpoint
+            StopMode::Checkpoint
         }
     }
 }
 
-/// An attempt to stop, and the grace in seconds to stop it with.
+/// An attempt to stop, and the grace period for it in seconds.
 #[derive(Debug)]
 struct PlannedStop {
     attempt: AttemptId,
     grace_s: f64,
 }
 
-/// An attempt that may be stopped.
+/// An attempt that may be stopped, with the cost and the resources that stopping it frees.
 struct Victim {
     cost: f64,
     stop: PlannedStop,
     frees: Resources,
 }
 
-/// A way to free capacity for a task.
+/// Attempts to stop on one machine so that a task fits there.
 #[derive(Debug)]
 struct PreemptionPlan {
-    /// What it loses, weighted.
+    /// Sum of the costs of the victims (see `as_victim`).
     cost: f64,
     machine: Name,
     stops: Vec<PlannedStop>,
@@ -94,7 +100,8 @@
 }
 
 impl PlanSearch {
-    /// Examines a machine, unless that was done before.
+    /// Keeps the machine's plan if it is the cheapest so far. A machine that was examined
+    /// before is skipped.
     fn examine(&mut self, machine: &Name, plan: impl FnOnce() -> Option<PreemptionPlan>) {
         if self.examined.contains(machine) {
             return;
@@ -109,14 +116,14 @@
         }
     }
 
-    fn found_free_plan(&self) -> bool {
+    fn has_zero_cost_plan(&self) -> bool {
         self.best.as_ref().is_some_and(|best| best.cost <= 0.0)
     }
 }
 
 impl Scheduler {
     /// Stops attempts on a machine so that a task of the job will fit there, and returns
-    /// that machine.
+    /// that machine; `None` if preemption is not allowed or cannot free enough capacity.
     pub(crate) fn preempt_for(
         &mut self,
         name: &str,
@@ -125,7 +132,7 @@
         now: f64,
     ) -> Option<Name> {
         let job = self.jobs.get(name)?;
-        if !may_ask_for_preemption(job) {
+        if !may_request_preemption(job) {
             return None;
         }
         let (spec, team) = (job.spec.clone(), job.team);
@@ -147,13 +154,13 @@
             pass.set_infeasible(requirements, need);
             return None;
         };
-        // The stops and the reservation of the caller change it.
-        pass.freeing = None;
-        Some(self.carry_out(plan, name))
+        // The stops, and the capacity that the caller reserves, make the cached value stale.
+        pass.usage_being_freed = None;
+        Some(self.execute_plan(plan, name))
     }
 
-    /// Stops what the plan says, for this job; returns the machine.
-    fn carry_out(&mut self, plan: PreemptionPlan, for_job: &str) -> Name {
+    /// Stops the attempts of the plan to free capacity for this job; returns the machine.
+    fn execute_plan(&mut self, plan: PreemptionPlan, for_job: &str) -> Name {
         let machine = plan.machine;
         for PlannedStop { attempt, grace_s } in plan.stops {
             let task = &attempt.task;
@@ -172,22 +179,22 @@
             return false;
         }
         if victim.spec.urgency < job.spec.urgency && job.spec.urgency > Urgency::Idle {
-            // Guaranteed work yields to no borrowed work, not even of its own team: it would
-            // take its capacity from a third job, which took it from the first, and so on in
-            // a circle.
+            // Guaranteed work is not stopped for borrowed work, not even for work of its own
+            // team. Otherwise the stopped job would use its guarantee to preempt a third job,
+            // which would preempt the first, and so on in a cycle.
             return !victim.claims.guaranteed || job.claims.guaranteed;
         }
         if !job.claims.guaranteed || victim.claims.guaranteed || victim.team == job.team {
             return false;
         }
-        let used = usage.of(victim.team);
+        let victim_usage = usage.of(victim.team);
         self.team(victim.team)
-            .is_some_and(|team| used.exceeds_guarantee(team))
+            .is_some_and(|team| victim_usage.exceeds_guarantee(team))
     }
 
-    /// Whether a task of `victim` may be stopped for the request; if the team's limit is
-    /// what it lacks, only less urgent work of the same team may be.
-    fn yields(&self, request: &PreemptionRequest, victim: &Job) -> bool {
+    /// Whether a task of `victim` may be stopped for the request. If the requesting team is at
+    /// its limit, only less urgent work of the same team may be stopped.
+    fn is_valid_victim(&self, request: &PreemptionRequest, victim: &Job) -> bool {
         let job = request.job;
         if request.over_limit {
             victim.team == job.team && victim.spec.urgency < job.spec.urgency
@@ -196,8 +203,8 @@
         }
     }
 
-    /// Whether the team's limit does not admit one more task, counting what is being stopped
-    /// as free and what is queued for it as used.
+    /// Whether the team's limit does not admit one more task. Attempts that are being stopped
+    /// count as free, and queued tasks with reserved capacity as used.
     fn is_over_limit(&self, team: Option<usize>, spec: &JobSpec, pass: &mut PlacementPass) -> bool {
         let Some(limit) = self.team(team) else {
             return true;
@@ -205,9 +212,11 @@
         if limit.cpus_max <= 0.0 && limit.gpus_max <= 0.0 {
             return false;
         }
-        let freeing = pass.freeing.get_or_insert_with(|| self.usage_being_freed());
+        let freed_by_team = pass
+            .usage_being_freed
+            .get_or_insert_with(|| self.usage_being_freed());
         let freed = team
-            .and_then(|team| freeing.get(&team).copied())
+            .and_then(|team| freed_by_team.get(&team).copied())
             .unwrap_or_default();
         !pass
             .usage
@@ -216,7 +225,8 @@
             .admits(Some(limit), spec, 1.0)
     }
 
-    /// What each team's stopped attempts will free, less what is reserved by queued tasks.
+    /// The usage that each team's stopping attempts will free, less the usage reserved by its
+    /// queued tasks.
     fn usage_being_freed(&self) -> HashMap<usize, Usage> {
         let mut sums: HashMap<usize, Usage> = HashMap::new();
         let stopped = self.stopping_attempts.iter().map(|(_, id)| (&id.task, 1.0));
@@ -237,7 +247,7 @@
         sums
     }
 
-    /// The cheapest plan on the machines examined.
+    /// The cheapest plan found on a bounded number of machines.
     fn cheapest_preemption(
         &mut self,
         name: &str,
@@ -259,15 +269,16 @@
             if search.examined.len() >= MAX_STOPPING_MACHINES {
                 break;
             }
-            search.examine(machine, || self.preemption_on(machine, &request));
+            search.examine(machine, || self.plan_on_machine(machine, &request));
         }
-        if !search.found_free_plan() {
+        if !search.has_zero_cost_plan() {
             self.search_victims(&request, start_offset, &mut search);
         }
         search.best
     }
 
-    /// Examines machines that run tasks of the jobs that are cheapest to preempt.
+    /// Examines machines that run tasks of the jobs that are cheapest to preempt, cheapest job
+    /// first.
     fn search_victims(
         &self,
         request: &PreemptionRequest,
@@ -276,29 +287,31 @@
     ) {
         let mut last_cost_factor = 0.0;
         for candidate in &self.job_order.preemption_candidates {
-            // A more expensive job is not worth a look once there is a plan.
+            // Once there is a plan, jobs with a higher cost factor than the last examined one
+            // are not examined.
             let too_expensive = search.best.is_some() && candidate.cost_factor > last_cost_factor;
-            if search.examined.len() >= MAX_VICTIM_MACHINES || too_expensive {
+            if search.examined.len() >= MAX_EXAMINED_MACHINES || too_expensive {
                 return;
             }
             let Some(victim) = self.jobs.get(&candidate.job) else {
                 continue;
             };
-            if victim.placed.is_empty() || !self.yields(request, victim) {
+            if victim.placed.is_empty() || !self.is_valid_victim(request, victim) {
                 continue;
             }
             last_cost_factor = candidate.cost_factor;
-            let from = (start_offset % victim.spec.tasks.max(1) as usize) as u32;
-            let placed = victim.placed.range(from..);
-            let placed = placed.chain(victim.placed.range(..from));
+            let first_task = (start_offset % victim.spec.tasks.max(1) as usize) as u32;
+            let placed = victim.placed.range(first_task..);
+            let placed = placed.chain(victim.placed.range(..first_task));
             for (_, (machine, _)) in placed.take(MAX_MACHINES_PER_VICTIM) {
-                search.examine(machine, || self.preemption_on(machine, request));
+                search.examine(machine, || self.plan_on_machine(machine, request));
             }
         }
     }
 
-    /// What would have to be stopped on this machine for the request.
-    fn preemption_on(
+    /// The attempts to stop on this machine so that the requested task fits; `None` if the
+    /// task may not run there or too few attempts may be stopped.
+    fn plan_on_machine(
         &self,
         machine_name: &Name,
         request: &PreemptionRequest,
@@ -327,7 +340,7 @@
         plan_stops(request, machine_name, capacity, victims)
     }
 
-    /// Free capacity of the machine less what is reserved by tasks in its queue.
+    /// Free capacity of the machine, less the capacity reserved for tasks in its queue.
     fn unreserved_capacity(&self, machine: &Machine) -> Resources {
         let mut capacity = machine.free_capacity;
         for queued in machine.queue.iter().filter(|queued| queued.is_reserved()) {
@@ -338,7 +351,8 @@
         capacity
     }
 
-    /// The attempt as a victim, if it may be stopped for the request.
+    /// The attempt as a victim, if it may be stopped for the request. Its cost is the work
+    /// lost plus its CPUs, times the cost factor of its job.
     fn as_victim(
         &self,
         request: &PreemptionRequest,
@@ -349,12 +363,14 @@
         let preemptions = victim.preemptions.get(&id.task.index).copied();
         if preemptions.unwrap_or(0) >= self.config.policy.max_stops
             || victim.is_only_late_first_task()
-            || !self.yields(request, victim)
+            || !self.is_valid_victim(request, victim)
         {
             return None;
         }
-        let ran_s = attempt.running_since.map_or(0.0, |t| request.now - t);
-        let cost = stop_cost(&victim.spec, ran_s, request.freed_by());
+        let ran_s = attempt
+            .running_since
+            .map_or(0.0, |since| request.now - since);
+        let cost = stop_cost(&victim.spec, ran_s, request.stop_mode());
         Some(Victim {
             cost: (cost.lost + victim.spec.cpus) * cost_factor(victim),
             stop: PlannedStop {
@@ -366,14 +382,15 @@
     }
 }
 
-/// Whether others may be preempted for the job at all.
-fn may_ask_for_preemption(job: &Job) -> bool {
+/// Whether other attempts may be preempted for the job at all.
+fn may_request_preemption(job: &Job) -> bool {
     let has_precedence = job.spec.urgency != Urgency::Idle || job.claims.guaranteed;
     has_precedence && job.claims.objective_reachable && job.claims.preemption_needed
 }
 
-/// Chooses victims, cheapest first, until a task of the request fits into the capacity; if
-/// the team's limit is what it lacks, until they free as much as the task requires.
+/// Chooses victims in the given order, cheapest first, until the requested task fits into the
+/// capacity. If the team is at its limit, the victims must also free as many CPUs and GPUs as
+/// the task requires.
 fn plan_stops(
     request: &PreemptionRequest,
     machine: &Name,
--- a/src/coordination/scheduler/preemption_cost.rs
+++ b/src/coordination/scheduler/preemption_cost.rs
@@ -1,40 +1,41 @@
-//! What preempting a task costs, so that the cheapest victims are chosen.
+//! The cost of preempting a task, by which the cheapest victims are chosen.
 
 use crate::coordination::scheduler::job::Job;
 use crate::protocol::job::{JobSpec, Urgency};
 
-/// Weight of a task that requires hardly any CPU or GPU.
-const LEAST_WEIGHT: f64 = 0.1;
+/// Lower bound on the weight of a task, for tasks that require hardly any CPU or GPU.
+const MIN_TASK_WEIGHT: f64 = 0.1;
 
-/// A grace is a little longer than writing a checkpoint takes, since machines differ.
+/// Ratio of the grace period to the expected time to write a checkpoint, since machines differ
+/// in speed.
 const GRACE_MARGIN: f64 = 1.5;
 
-/// Divisor of the cost of jobs that can meet no objective any more.
+/// Divisor of the cost factor of jobs that can no longer meet any objective.
 const LATE_JOB_DISCOUNT: f64 = 16.0;
 
-/// When the capacity that a preemption frees is needed.
+/// How attempts are stopped, depending on how soon their capacity is needed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum FreedBy {
-    /// Straight away: no checkpoint is written.
-    AtOnce,
-    /// After the task has had time to write a checkpoint.
+pub(crate) enum StopMode {
+    /// The capacity is needed immediately, so no checkpoint is written.
+    Immediate,
+    /// The task gets time to write a checkpoint.
     Checkpoint,
 }
 
-/// What stopping an attempt costs, and the grace to stop it with.
+/// The work that stopping an attempt loses, and the grace period to stop it with.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct StopCost {
     /// Work lost, in CPU or GPU seconds.
     pub lost: f64,
-    /// Grace in seconds; 0 to stop at once.
+    /// Grace period in seconds; 0 to stop the attempt immediately.
     pub grace_s: f64,
 }
 
-/// The cost of stopping a task that has run for `ran_s`. A task that writes checkpoints
-/// does so, unless that takes longer than the work it would keep, or the capacity is
-/// needed at once.
-pub(crate) fn stop_cost(spec: &JobSpec, ran_s: f64, freed_by: FreedBy) -> StopCost {
-    let weight = spec.cpus.max(spec.gpus).max(LEAST_WEIGHT);
+/// The cost of stopping a task that has run for `ran_s` seconds. A task that supports
+/// checkpoints writes one before it stops, unless writing would take at least as long as the
+/// work that it would save, or the capacity is needed immediately.
+pub(crate) fn stop_cost(spec: &JobSpec, ran_s: f64, stop_mode: StopMode) -> StopCost {
+    let weight = spec.cpus.max(spec.gpus).max(MIN_TASK_WEIGHT);
     if spec.checkpoint_s <= 0.0 {
         return StopCost {
             lost: ran_s * weight,
@@ -42,7 +43,7 @@
         };
     }
     let unsaved_s = ran_s % spec.checkpoint_s;
-    if freed_by == FreedBy::AtOnce || unsaved_s <= spec.save_s {
+    if stop_mode == StopMode::Immediate || unsaved_s <= spec.save_s {
         return StopCost {
             lost: unsaved_s * weight,
             grace_s: 0.0,
@@ -54,9 +55,9 @@
     }
 }
 
-/// How much more expensive stopping work of this job is than stopping idle work: a
-/// guaranteed job may preempt any borrowed work, but should preempt the least urgent, and
-/// jobs that are late anyway first.
+/// Factor by which stopping work of this job is more expensive than stopping work of urgency
+/// `idle`. A guaranteed job may preempt any borrowed work, but should first preempt the least
+/// urgent work and jobs that miss all their objectives anyway.
 pub(crate) fn cost_factor(victim: &Job) -> f64 {
     let by_urgency = match victim.spec.urgency {
         Urgency::Idle => 1.0,
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -1,11 +1,14 @@
-//! The short queues at machines: which tasks join them, which start when capacity becomes
-//! free, and which are sampled again.
+//! The short queues of machines: adding and removing tasks, starting them when capacity becomes
+//! free, and removing those that have waited too long so that they are sampled again.
 //!
-//! A place in a queue is no claim: what waits there starts in the order of jobs, on its own
-//! machine or wherever else capacity becomes free first. (When it was a claim, the queues of
-//! a large fleet held more tasks than waited elsewhere, so that capacity went to whatever
-//! stood before it, and the smallest job fared like the largest.) The exception are tasks
-//! for which others were preempted: they keep the machine on which that was done.
+//! A place in a queue reserves no capacity. Queued tasks start in the order of precedence of
+//! their jobs, on their own machine or on whichever machine has free capacity first. When queue
+//! places did reserve capacity, the queues of a large fleet held more tasks than waited outside
+//! them. Free capacity then went to whichever task was queued for it, and the smallest job was
+//! served no better than the largest.
+//!
+//! Tasks for which other attempts were preempted are the exception: the freed capacity is
+//! reserved for them, and they start only on that machine.
 
 use crate::coordination::scheduler::job::{Name, Names, TaskId};
 use crate::coordination::scheduler::machine::{Machine, QueueReason, QueuedTask};
@@ -14,12 +17,12 @@
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::JobSpec;
 
-/// Queues are searched for expired tasks this often per heartbeat interval: ages are limited
-/// in such intervals, so that is often enough.
-const EXPIRY_CHECKS_PER_REPORT: f64 = 4.0;
+/// How often per heartbeat interval queues are searched for expired tasks. The age limit is a
+/// multiple of the heartbeat interval, so this is frequent enough.
+const EXPIRY_CHECKS_PER_HEARTBEAT: f64 = 4.0;
 
 impl Scheduler {
-    /// Age, in seconds, at which a queued task is sampled again.
+    /// How long a task may stay in a queue, in seconds, before it is sampled again.
     fn max_queue_age_s(&self) -> f64 {
         2.0 * (self.config.policy.age_reports * self.config.heartbeat_s)
     }
@@ -52,7 +55,7 @@
         self.update_capacity(machine_name);
     }
 
-    /// Takes a task out of whatever queue it is in.
+    /// Removes a task from the queue that it is in, if any.
     pub(crate) fn dequeue(&mut self, task: &TaskId) {
         let job = self.jobs.get_mut(&task.job);
         let Some(machine_name) = job.and_then(|job| job.queued.remove(&task.index)) else {
@@ -64,7 +67,7 @@
         self.update_capacity(&machine_name);
     }
 
-    /// Empties a machine's queue; its tasks wait outside of any queue again.
+    /// Empties a machine's queue. Its tasks then wait outside any queue.
     pub(crate) fn clear_queue(&mut self, machine_name: &str) {
         let Some(machine) = self.machines.get_mut(machine_name) else {
             return;
@@ -79,10 +82,10 @@
         self.update_capacity(machine_name);
     }
 
-    /// Takes out of the queues what waited past the age limit, so that it is sampled again;
-    /// at a machine that fell silent or goes out of use, everything at once.
+    /// Removes tasks older than the age limit from the queues, so that they are sampled again.
+    /// The queue of a machine that is no longer usable is emptied immediately.
     pub(crate) fn expire_queued(&mut self, now: f64) {
-        let interval_s = self.config.heartbeat_s / EXPIRY_CHECKS_PER_REPORT;
+        let interval_s = self.config.heartbeat_s / EXPIRY_CHECKS_PER_HEARTBEAT;
         if now - self.queues_aged_at < interval_s {
             return;
         }
@@ -96,7 +99,8 @@
             if machine.queue.len() == expired.len() {
                 self.machines_with_queue.swap_remove(&name);
             } else {
-                // A limit may admit more meanwhile.
+                // The team's limit may have become free for a task that has reserved
+                // capacity here, so the next pass tries to start it.
                 self.capacity_changes.freed_machines.insert(name);
             }
             for task in expired {
@@ -108,11 +112,12 @@
         }
     }
 
-    /// The queued tasks that are to be sampled again.
+    /// The tasks to remove from the machine's queue, so that they are sampled again.
     fn expired_tasks(&self, machine: &Machine, now: f64) -> Vec<TaskId> {
         let max_age_s = self.max_queue_age_s();
         let is_unusable = !self.is_usable(machine, now);
-        // A task for which others are preempted waits as long as these write checkpoints.
+        // A task with reserved capacity keeps its place while the preempted attempts are
+        // still stopping, for example while they write checkpoints.
         let is_preempting = machine
             .live_attempts()
             .any(|(_, attempt)| attempt.stop_grace_s.is_some());
@@ -125,8 +130,9 @@
         expired.map(|queued| queued.task.clone()).collect()
     }
 
-    /// Starts tasks of the job that wait in queues on other machines with free capacity, as
-    /// far as it goes.
+    /// Starts queued tasks of the job on sampled machines with free capacity, until the team's
+    /// limit is reached or no machine has enough. Tasks with reserved capacity stay in their
+    /// queue.
     pub(crate) fn start_queued_elsewhere(
         &mut self,
         name: &Name,
@@ -149,7 +155,7 @@
                 index,
                 job: name.clone(),
             };
-            // Each start may close a zone to the rest of the job.
+            // Each start may exclude a zone for the remaining tasks of the job.
             let Some(pools) = self.pools_for_job(name) else {
                 return;
             };
@@ -161,17 +167,19 @@
         }
     }
 
-    /// Whether others are preempted for the task on this machine.
+    /// Whether capacity on this machine is reserved for the task, because other attempts there
+    /// were preempted for it.
     fn is_reserved(&self, job: &Name, index: u32, machine_name: &Name) -> bool {
         self.machines.get(machine_name).is_some_and(|machine| {
-            let mut queue = machine.queue.iter();
-            queue.any(|q| q.is_reserved() && q.task.index == index && q.task.job == *job)
+            machine.queue.iter().any(|queued| {
+                queued.is_reserved() && queued.task.index == index && queued.task.job == *job
+            })
         })
     }
 
-    /// Starts queued tasks up to this rank for which others were preempted, on machines
-    /// where capacity became free: by rank, then the smallest prediction first (SPJF, the
-    /// paper's section 4.2).
+    /// Starts queued tasks with reserved capacity, of this rank or a lower number, on machines
+    /// where capacity became free. They start by rank, then smallest prediction first (SPJF,
+    /// the paper's section 4.2).
     pub(crate) fn start_reserved(
         &mut self,
         rank: u8,
@@ -192,7 +200,8 @@
         }
     }
 
-    /// Starts the queued task on its machine, if it fits and is admitted now.
+    /// Starts the queued task on its machine, if it fits there and the team's limit and the
+    /// job's zone constraint admit it.
     fn start_reserved_task(
         &mut self,
         machine_name: &Name,
@@ -205,7 +214,8 @@
         };
         let (spec, team) = (job.spec.clone(), job.team);
         let machine = self.machines.get(machine_name);
-        let fits = machine.is_some_and(|m| m.free_capacity.fits(&Resources::of_task(&spec)));
+        let need = Resources::of_task(&spec);
+        let fits = machine.is_some_and(|machine| machine.free_capacity.fits(&need));
         if fits
             && pass.usage.of(team).admits(self.team(team), &spec, 1.0)
             && self.zone_allows(&task.job, machine_name)
@@ -215,11 +225,12 @@
         }
     }
 
+    /// Whether the job's zone constraint allows a task on the machine.
     fn zone_allows(&self, job: &str, machine: &str) -> bool {
         let (Some(job), Some(machine)) = (self.jobs.get(job), self.machines.get(machine)) else {
             return false;
         };
-        // As long as no task is placed, any zone is right for the first one.
+        // The first task of a one-zone job may start in any zone and so determines the zone.
         if job.spec.one_zone && job.placed.is_empty() {
             return true;
         }
@@ -227,7 +238,7 @@
     }
 }
 
-/// Tasks of the machine's queue, up to this rank, for which others were preempted, in the
+/// Tasks in the machine's queue with reserved capacity, of this rank or a lower number, in the
 /// order in which they start.
 fn reserved_in_order(machine: &Machine, rank: u8) -> Vec<QueuedTask> {
     let mut reserved: Vec<QueuedTask> = machine
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas: what teams use, and which jobs fit into their team's guarantee.
+//! Quotas: the usage of teams, their limits, and which jobs fit into their team's guarantee.
 
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::state::Scheduler;
@@ -6,14 +6,14 @@
 use crate::protocol::job::JobSpec;
 use crate::protocol::settings::Team;
 
-/// Whether the team's limit admits `tasks` more tasks of the job beside `used` CPUs and
-/// GPUs.
+/// Whether the team's limit admits `tasks` more tasks of the job when the team already uses
+/// `used` CPUs and GPUs.
 pub fn within_limit(team: Option<&Team>, used: (f64, f64), spec: &JobSpec, tasks: f64) -> bool {
     let (cpus, gpus) = used;
     Usage { cpus, gpus }.admits(team, spec, tasks)
 }
 
-/// Whether the team is guaranteed anything at all.
+/// Whether the team is guaranteed any CPUs or GPUs.
 fn has_guarantee(team: &Team) -> bool {
     !(team.cpus <= 0.0 && team.gpus <= 0.0)
 }
@@ -25,13 +25,13 @@
     }
 
     /// The team at this index in the settings.
-    pub(crate) fn team(&self, at: Option<usize>) -> Option<&Team> {
-        at.and_then(|at| self.config.teams.get(at))
+    pub(crate) fn team(&self, index: Option<usize>) -> Option<&Team> {
+        index.and_then(|index| self.config.teams.get(index))
     }
 
-    /// What teams use: every attempt that is on a machine or may be, whether sent, fetching,
-    /// running, writing a checkpoint or out of sight. It is counted anew from the jobs, so
-    /// that it cannot drift from them.
+    /// The usage of teams, computed from all jobs, so that it cannot drift from them. It counts
+    /// every attempt that is or may be on a machine: whether its start was only sent, it is
+    /// fetching its image, running or writing a checkpoint, or its machine is silent.
     pub fn count_usage(&self) -> TeamUsage {
         let mut usage = TeamUsage::default();
         for job in self.jobs.values().filter(|job| !job.placed.is_empty()) {
@@ -40,13 +40,14 @@
         usage
     }
 
-    /// The same, as it is kept up to date between full passes.
+    /// The usage of teams as maintained between full passes; each full pass replaces it by
+    /// `count_usage`.
     pub fn usage(&self) -> &TeamUsage {
         &self.team_usage
     }
 
-    /// Determines which jobs are guaranteed: a job is if it fits into its team's guarantee
-    /// together with the team's earlier unfinished jobs.
+    /// Determines which jobs are guaranteed. A job is guaranteed if all of its tasks fit into
+    /// its team's guarantee together with those of the team's earlier unfinished jobs.
     pub(crate) fn update_guarantees(&mut self) {
         if !self.config.teams.iter().any(has_guarantee) {
             return;
@@ -58,7 +59,7 @@
             };
             sums.add(job.team, &job.spec, f64::from(job.spec.tasks));
             let sum = sums.of(job.team);
-            let team = job.team.and_then(|at| self.config.teams.get(at));
+            let team = job.team.and_then(|index| self.config.teams.get(index));
             job.claims.guaranteed =
                 team.is_some_and(|team| has_guarantee(team) && !sum.exceeds_guarantee(team));
         }
--- a/src/coordination/scheduler/resources.rs
+++ b/src/coordination/scheduler/resources.rs
@@ -1,4 +1,4 @@
-//! Amounts of CPU, GPU and memory: what a task requires and what a machine has.
+//! Amounts of CPU, GPU and memory, as required by tasks and provided by machines.
 
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobSpec;
@@ -8,10 +8,10 @@
 /// Machine types by name.
 pub type Types = HashMap<String, MachineType, RandomState>;
 
-/// Tolerance of comparisons: sums of decimal fractions are off by a little.
+/// Tolerance when comparing amounts, since sums of decimal fractions have rounding errors.
 pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// An amount of each resource that tasks are placed by.
+/// An amount of each resource that placement takes into account.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
     /// CPU cores; fractions are allowed.
@@ -32,7 +32,7 @@
         }
     }
 
-    /// What one task of the job requires.
+    /// The amount that one task of the job requires.
     pub fn of_task(spec: &JobSpec) -> Resources {
         Resources {
             cpus: spec.cpus,
@@ -48,7 +48,7 @@
             && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
-    /// Takes `other` away; the result may be negative.
+    /// Subtracts `other`; the result may be negative.
     pub fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
--- a/src/coordination/scheduler/run_time_predictor.rs
+++ b/src/coordination/scheduler/run_time_predictor.rs
@@ -1,26 +1,28 @@
-//! Statistics of finished tasks: how long those of a class run, by how much their estimates
-//! are off, and how long jobs wait for their first task.
+//! Statistics by job class: run times of tasks, the error of their estimates, and how long jobs
+//! wait for their first task to run.
 
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 
-/// Bound on the classes remembered, at some 30 KB each: users choose their names. It need
-/// not grow with the fleet; for any more the distribution of all classes is used.
+/// Bound on the classes with their own distribution, at about 30 KB each. Users choose the names
+/// of classes, so their number is not limited otherwise. For further classes the distribution
+/// over all classes is used, so the bound need not grow with the fleet.
 const MAX_CLASSES: usize = 256;
 
-/// Count of values after which a class's distribution begins anew, so that old ones fade.
+/// Count of values after which a distribution is reset, so that old values lose their influence.
 const MAX_RECENT_VALUES: u64 = 500;
 
-/// Largest value that a distribution distinguishes: a day in milliseconds.
-const MAX_VALUE: u64 = 86_400_000;
+/// Largest value that a distribution distinguishes: a day in milliseconds. Larger values are
+/// recorded as this one.
+const MAX_HISTOGRAM_VALUE: u64 = 86_400_000;
 
-/// Significant decimal digits of the values.
+/// Significant decimal digits that a distribution keeps of its values.
 const PRECISION_DIGITS: u8 = 2;
 
 /// Name of the distribution over all classes.
 pub(crate) const ALL_CLASSES: &str = "";
 
-/// A distribution for each class, and one for all of them under the empty name.
+/// A distribution for each class, and one over all classes under the empty name.
 #[derive(Debug, Default)]
 pub struct ClassHistograms(HashMap<String, Histogram<u32>>);
 
@@ -38,46 +40,50 @@
         }
     }
 
-    /// The distribution of the class; `None` if there are too many classes already.
+    /// The distribution of the class, added if it is new; `None` if there are too many classes
+    /// already.
     fn find_or_add(&mut self, class: &str) -> Option<&mut Histogram<u32>> {
         if !self.0.contains_key(class) {
             if self.0.len() >= MAX_CLASSES {
                 return None;
             }
-            let fresh = Histogram::new_with_bounds(1, MAX_VALUE, PRECISION_DIGITS).ok()?;
-            self.0.insert(class.to_string(), fresh);
+            let empty =
+                Histogram::new_with_bounds(1, MAX_HISTOGRAM_VALUE, PRECISION_DIGITS).ok()?;
+            self.0.insert(class.to_string(), empty);
         }
         self.0.get_mut(class)
     }
 
-    /// The distribution of a class, if anything is known of it.
+    /// The distribution of a class; `None` if it has no values.
     pub fn of(&self, class: &str) -> Option<&Histogram<u32>> {
         self.0.get(class).filter(|histogram| !histogram.is_empty())
     }
 
     /// All distributions with values, sorted by class.
     pub fn classes(&self) -> Vec<(&str, &Histogram<u32>)> {
-        let known = self.0.iter().filter(|(_, h)| !h.is_empty());
-        let mut classes: Vec<_> = known.map(|(name, h)| (name.as_str(), h)).collect();
+        let non_empty = self.0.iter().filter(|(_, histogram)| !histogram.is_empty());
+        let mut classes: Vec<_> = non_empty
+            .map(|(name, histogram)| (name.as_str(), histogram))
+            .collect();
         classes.sort_by_key(|(name, _)| *name);
         classes
     }
 }
 
-/// Statistics of finished tasks and begun jobs.
+/// Statistics of finished tasks and started jobs, from which run times are predicted.
 #[derive(Debug, Default)]
 pub struct RunTimePredictor {
     /// Run times of tasks, in milliseconds.
     pub run_ms: ClassHistograms,
-    /// Run times over estimates, in thousandths.
+    /// Run times divided by their estimates, in thousandths.
     pub ratio: ClassHistograms,
     /// Times from a job's acceptance until its first task was seen running, in milliseconds.
     pub wait_ms: ClassHistograms,
 }
 
 impl RunTimePredictor {
-    /// Records how long a task of the class ran; an estimate of 0 is none.
-    pub(crate) fn ran(&mut self, class: &str, run_s: f64, estimate_s: f64) {
+    /// Records how long a task of the class ran. An estimate of 0 means that there is none.
+    pub(crate) fn record_run(&mut self, class: &str, run_s: f64, estimate_s: f64) {
         self.run_ms.add(class, run_s * 1000.0);
         if estimate_s > 0.0 {
             self.ratio.add(class, run_s / estimate_s * 1000.0);
@@ -89,7 +95,8 @@
         self.wait_ms.add(class, wait_s * 1000.0);
     }
 
-    /// Recent median run time, in seconds, of tasks of the class, else of all classes.
+    /// Recent median run time of tasks of the class, in seconds, or of all classes if the class
+    /// has no values.
     pub(crate) fn median_s(&self, class: &str) -> Option<f64> {
         let histogram = self.run_ms.of(class);
         let histogram = histogram.or_else(|| self.run_ms.of(ALL_CLASSES))?;
--- a/src/coordination/scheduler/sampling.rs
+++ b/src/coordination/scheduler/sampling.rs
@@ -1,6 +1,7 @@
-//! Random samples of machines, of which a task takes the best: two choices in place of one
-//! shorten waits a lot, more choices hardly more (the paper's section 1). The size of the
-//! sample is a setting.
+//! Random samples of machines, from which the best machine for a task is chosen. Sampling two
+//! machines instead of one shortens waiting times considerably, and sampling more than two
+//! improves them little (section 1 of the paper named in `placement`). The size of the sample
+//! is a setting.
 
 use crate::coordination::scheduler::job::{Name, Names, TaskId};
 use crate::coordination::scheduler::resources::Resources;
@@ -8,23 +9,23 @@
 use crate::protocol::job::JobSpec;
 use rand::Rng;
 
-/// Draws for each machine of a sample: candidates are drawn by free CPUs alone, and most
-/// of them have the memory too.
+/// Random draws per machine of a sample. Candidates are selected by free CPUs alone, and most
+/// of them also have enough memory, so a few draws suffice.
 const DRAWS_PER_PICK: usize = 4;
 
-/// What to do if no drawn candidate is accepted.
+/// What to do if none of the drawn candidates is accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fallback {
-    /// Nothing.
+    /// Return an empty sample.
     None,
-    /// Examine all candidates, from a random one on.
+    /// Examine all candidates in turn, starting at a random one.
     Exhaustive,
 }
 
 impl Scheduler {
-    /// Samples machines with enough free capacity, first among those that have the image,
-    /// and takes the best of the sample: one that has the image, then the one with the
-    /// shorter queue, then the tighter fit, which leaves whole machines to large tasks.
+    /// Samples machines with enough free capacity and returns the best of the sample. Machines
+    /// that have the job's image are sampled first, and others only if none of these is
+    /// suitable. See `best_candidate` for how machines are compared.
     pub(crate) fn sample_with_capacity(
         &mut self,
         spec: &JobSpec,
@@ -41,18 +42,25 @@
         }
         let need = Resources::of_task(spec);
         let mut any_fits = false;
-        let picks = self.sample(count, task, pools, Fallback::Exhaustive, |scheduler, at| {
-            let index = &scheduler.capacity_index;
-            let name = index.nth_with_cpus(pools, spec.cpus, at)?;
-            let machine = scheduler.machines.get(name)?;
-            let fits = machine.free_capacity.fits(&need);
-            any_fits |= fits;
-            // An attempt that the machine has not forgotten yet would refuse the start.
-            let accepts = scheduler.is_usable(machine, now) && !machine.has_attempt_of(task);
-            (fits && accepts).then(|| name.clone())
-        });
+        let picks = self.sample(
+            count,
+            task,
+            pools,
+            Fallback::Exhaustive,
+            |scheduler, candidate| {
+                let index = &scheduler.capacity_index;
+                let name = index.nth_with_cpus(pools, spec.cpus, candidate)?;
+                let machine = scheduler.machines.get(name)?;
+                let fits = machine.free_capacity.fits(&need);
+                any_fits |= fits;
+                // A machine refuses to start a task while it still remembers an attempt of it.
+                let accepts = scheduler.is_usable(machine, now) && !machine.has_attempt_of(task);
+                (fits && accepts).then(|| name.clone())
+            },
+        );
         if !any_fits {
-            // Every machine was examined: not again before one has more free capacity.
+            // Every machine was examined and none has the capacity, so the search is not
+            // repeated before the free capacity of some machine grows.
             self.capacity_index.set_exhausted(pools, need);
         }
         self.best_candidate(picks, spec)
@@ -73,8 +81,8 @@
             task,
             pools,
             Fallback::None,
-            |scheduler, at| {
-                let name = holders.get(at)?;
+            |scheduler, candidate| {
+                let name = holders.get(candidate)?;
                 let machine = scheduler.machines.get(name)?;
                 let pool = scheduler.capacity_index.pool_of(name)?;
                 let fits = machine.free_capacity.fits(&need) && machine.has_image(&spec.image);
@@ -90,6 +98,9 @@
         picks
     }
 
+    /// The best of the sampled machines: one that has the image, then the one with the
+    /// shorter queue, then the one with the fewest free CPUs. The tighter fit leaves whole
+    /// machines to large tasks.
     fn best_candidate(&self, picks: Vec<Name>, spec: &JobSpec) -> Option<Name> {
         picks.into_iter().min_by(|a, b| {
             let (a, b) = (&self.machines[a], &self.machines[b]);
@@ -100,8 +111,9 @@
         })
     }
 
-    /// Samples machines with a place in their queue, and takes the shorter queue by count of
-    /// tasks (the paper's section 4.2: robust where predictions are poor).
+    /// Samples machines whose queue is not full, and returns the one with the fewest queued
+    /// tasks. The count of tasks is robust where predictions are poor (the paper's section
+    /// 4.2).
     pub(crate) fn sample_queues(
         &mut self,
         task: &TaskId,
@@ -109,20 +121,27 @@
         now: f64,
     ) -> Option<Name> {
         let count = self.capacity_index.count_short_queues(pools);
-        let picks = self.sample(count, task, pools, Fallback::Exhaustive, |scheduler, at| {
-            let name = scheduler.capacity_index.nth_short_queue(pools, at)?;
-            let machine = scheduler.machines.get(name)?;
-            scheduler.is_usable(machine, now).then(|| name.clone())
-        });
+        let picks = self.sample(
+            count,
+            task,
+            pools,
+            Fallback::Exhaustive,
+            |scheduler, candidate| {
+                let name = scheduler.capacity_index.nth_short_queue(pools, candidate)?;
+                let machine = scheduler.machines.get(name)?;
+                scheduler.is_usable(machine, now).then(|| name.clone())
+            },
+        );
         picks.into_iter().min_by_key(|name| {
             let machine = &self.machines[name];
             (machine.queue.len(), name.clone())
         })
     }
 
-    /// Draws a sample of different machines among `count` candidates, each as `accept` gives
-    /// it; a machine on which a task of the job failed is taken only if it has failed on all
-    /// machines of the pools.
+    /// Draws a sample of distinct machines from `count` candidates. `accept` returns the
+    /// machine of the candidate with this index, or `None` if the machine is not suitable.
+    /// Machines on which a task of the job failed are left out, unless there are no others
+    /// (see `machines_to_avoid`).
     fn sample(
         &mut self,
         count: usize,
@@ -137,8 +156,8 @@
             return picks;
         }
         let failed_on = self.machines_to_avoid(task, pools);
-        let mut examine = |at: usize, picks: &[Name]| {
-            accept(self, at).filter(|name| {
+        let mut examine = |candidate: usize, picks: &[Name]| {
+            accept(self, candidate).filter(|name| {
                 !picks.contains(name) && failed_on.is_none_or(|failed| !failed.contains(name))
             })
         };
@@ -147,13 +166,13 @@
             if picks.len() == size {
                 break;
             }
-            let at = rng.random_range(0..count);
-            picks.extend(examine(at, &picks));
+            let candidate = rng.random_range(0..count);
+            picks.extend(examine(candidate, &picks));
         }
         if picks.is_empty() && fallback == Fallback::Exhaustive {
-            let from = rng.random_range(0..count);
+            let first = rng.random_range(0..count);
             for step in 0..count {
-                picks.extend(examine((from + step) % count, &picks));
+                picks.extend(examine((first + step) % count, &picks));
                 if picks.len() == size {
                     break;
                 }
@@ -163,14 +182,15 @@
         picks
     }
 
-    /// Machines on which tasks of the job failed, unless there are no others.
+    /// Machines on which tasks of the job failed. `None` if there are none, or if they are at
+    /// least as many as the usable machines of the pools.
     fn machines_to_avoid(&self, task: &TaskId, pools: &[usize]) -> Option<&Names> {
         let failed_on = self.jobs.get(&task.job).map(|job| &job.failed_on)?;
         if failed_on.is_empty() {
             return None;
         }
-        let usable = |&at: &usize| self.capacity_index.pool(at).usable();
-        let usable: usize = pools.iter().map(usable).sum();
-        (failed_on.len() < usable).then_some(failed_on)
+        let usable_in_pool = |&pool: &usize| self.capacity_index.pool(pool).usable_count();
+        let usable_count: usize = pools.iter().map(usable_in_pool).sum();
+        (failed_on.len() < usable_count).then_some(failed_on)
     }
 }
--- a/src/coordination/scheduler/zone_constraint.rs
+++ b/src/coordination/scheduler/zone_constraint.rs
@@ -1,12 +1,13 @@
-//! In which zones another task of a job may start, given where its other tasks are or may
-//! be: all in one zone, or spread over several.
+//! Zone constraints: in which zones another task of a job may start, given the zones where its
+//! placed tasks are or may be. The tasks of a job may have to be in one zone, or spread over
+//! several.
 
 use crate::coordination::scheduler::job::Job;
 use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::JobSpec;
 
-/// Tasks of a job in one zone.
+/// The count of a job's placed tasks in one zone.
 #[derive(Debug, Clone)]
 struct ZoneCount {
     zone: String,
@@ -16,31 +17,32 @@
 /// The zones in which another task of a job may start. The default allows any.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ZoneConstraint {
-    /// The only zone for the job.
-    only: Option<String>,
-    /// Where its placed tasks are.
+    /// The only zone allowed, for a job whose tasks must be in one zone.
+    only_zone: Option<String>,
+    /// The job's placed tasks by zone.
     placed: Vec<ZoneCount>,
-    /// Bound on its tasks in any one zone.
+    /// Bound on the job's tasks in any one zone, for a job that must be spread.
     max_per_zone: Option<u32>,
 }
 
 impl ZoneConstraint {
     /// Whether another task of the job may start in this zone.
     pub fn allows(&self, zone: &str) -> bool {
-        if let Some(only) = &self.only {
-            // Guards against an old heartbeat that shows tasks in another zone than where they
-            // are: as long as either may be true, none may start in any zone. (A machine that
-            // was proven empty blocks no placement after a takeover; an old heartbeat of it
-            // arrived first, and a job whose tasks must be together was started beside
-            // what was gone.)
-            let any_elsewhere = self.placed.iter().any(|count| count.zone != *only);
-            if zone != only || any_elsewhere {
+        if let Some(only_zone) = &self.only_zone {
+            // Because of an outdated heartbeat, a task may seem to be in a zone where it no
+            // longer is. If the placed tasks seem to be in different zones, the right one is
+            // unknown, so no task may start in any zone. (After a takeover, a machine that was
+            // proven empty does not block placement. An old heartbeat of such a machine arrived
+            // first, and tasks of a one-zone job were started in its zone, beside attempts that
+            // no longer existed.)
+            let any_elsewhere = self.placed.iter().any(|count| count.zone != *only_zone);
+            if zone != only_zone || any_elsewhere {
                 return false;
             }
         }
-        let here = self.placed.iter().find(|count| count.zone == zone);
-        let tasks_here = here.map_or(0, |count| count.tasks);
-        self.max_per_zone.is_none_or(|max| tasks_here < max)
+        let in_zone = self.placed.iter().find(|count| count.zone == zone);
+        let tasks_in_zone = in_zone.map_or(0, |count| count.tasks);
+        self.max_per_zone.is_none_or(|max| tasks_in_zone < max)
     }
 }
 
@@ -52,7 +54,7 @@
             return ZoneConstraint::default();
         }
         let placed = self.placed_by_zone(job);
-        let only = if !spec.one_zone {
+        let only_zone = if !spec.one_zone {
             None
         } else if let Some(first) = placed.first() {
             Some(first.zone.clone())
@@ -60,12 +62,13 @@
             self.zone_with_most_capacity(spec)
         };
         ZoneConstraint {
-            only,
+            only_zone,
             placed,
             max_per_zone: spec.spread.then(|| spec.tasks.div_ceil(2)),
         }
     }
 
+    /// Counts the job's placed tasks by zone, in the order in which the zones are found.
     fn placed_by_zone(&self, job: &Job) -> Vec<ZoneCount> {
         let mut counts: Vec<ZoneCount> = Vec::new();
         let machines = job.placed.values();
@@ -82,16 +85,16 @@
         counts
     }
 
-    /// The zone with most free CPUs for the job, which decides for all of its tasks. Only
-    /// machines that a task fits on count. (When free CPUs beside tasks that occupy all memory
-    /// counted, such a zone came first for ever, and the job waited while another zone had
-    /// capacity.)
+    /// The zone with the most free CPUs for the job, in which all of its tasks will run. Only
+    /// machines that a task fits on count. (Before, free CPUs of machines without free memory
+    /// counted too. Such a zone could be chosen again and again, and the job waited for ever
+    /// while another zone had capacity.)
     fn zone_with_most_capacity(&self, spec: &JobSpec) -> Option<String> {
         let mut free_cpus: Vec<(&str, f64)> = Vec::new();
-        for at in self.capacity_index.pools_for(spec, &self.types, |_| true) {
-            let zone = self.capacity_index.pool(at).zone.as_str();
-            let free = self.fitting_free_cpus(at, spec);
-            match free_cpus.iter_mut().find(|(known, _)| *known == zone) {
+        for pool in self.capacity_index.pools_for(spec, &self.types, |_| true) {
+            let zone = self.capacity_index.pool(pool).zone.as_str();
+            let free = self.fitting_free_cpus(pool, spec);
+            match free_cpus.iter_mut().find(|(name, _)| *name == zone) {
                 Some((_, sum)) => *sum += free,
                 None => free_cpus.push((zone, free)),
             }
@@ -100,7 +103,7 @@
         best.map(|(zone, _)| zone.to_string())
     }
 
-    /// Free CPUs of the pool's machines that a task of the job fits on.
+    /// The sum of free CPUs of the pool's machines that a task of the job fits on.
     fn fitting_free_cpus(&self, pool: usize, spec: &JobSpec) -> f64 {
         let need = Resources::of_task(spec);
         let candidates = self.capacity_index.with_cpus(pool, spec.cpus).iter();
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -1,4 +1,5 @@
-//! The scheduler: fencing, starts in flight, quotas, guarantees, preemption, placement.
+//! Tests of the scheduler: fencing after a takeover, starts in flight, quotas, guarantees,
+//! preemption and placement.
 
 mod common;
 
@@ -19,32 +20,33 @@
 use foxspur::transport::token_bucket::TokenBucket;
 use foxspur_testbed::store::Store;
 
-/// A task as a heartbeat shows it: name, attempt, phase, cause.
-type Seen<'a> = (&'a str, u64, Phase, Option<Cause>);
+/// A task as a heartbeat reports it: name, attempt number, phase, cause of its exit.
+type ReportedTask<'a> = (&'a str, u64, Phase, Option<Cause>);
 
-/// A task and the number of an attempt of it.
-type Started = (String, u64);
+/// A task name and the number of an attempt of that task.
+type StartedAttempt = (String, u64);
 
-/// Completed and running tasks of a job.
-fn counts(scheduler: &Scheduler, id: &str) -> Option<(u32, u32)> {
-    scheduler.progress(id).map(|c| (c.done, c.running))
+/// The counts of completed and running tasks of a job.
+fn task_counts(scheduler: &Scheduler, id: &str) -> Option<(u32, u32)> {
+    let progress = scheduler.progress(id);
+    progress.map(|counts| (counts.done, counts.running))
 }
 
-/// Fencing token and commands of the answer to a heartbeat.
-fn answer(scheduler: &mut Scheduler, report: &Report, now: f64) -> (u64, Vec<Command>) {
+/// Delivers a heartbeat and returns the fencing token and the commands of the reply.
+fn heartbeat_reply(scheduler: &mut Scheduler, report: &Report, now: f64) -> (u64, Vec<Command>) {
     match scheduler.handle_heartbeat(report, now) {
         HeartbeatReply::Commands(reply) => (reply.token, reply.commands),
         other => panic!("{other:?}"),
     }
 }
 
-/// Receives a heartbeat, and gives the commands of the answer.
+/// Delivers a heartbeat and returns the commands of the reply.
 fn heartbeat(scheduler: &mut Scheduler, report: &Report, now: f64) -> Vec<Command> {
-    answer(scheduler, report, now).1
+    heartbeat_reply(scheduler, report, now).1
 }
 
-/// The starts among commands.
-fn starts(commands: &[Command]) -> Vec<Started> {
+/// The attempts that the commands start.
+fn started_by(commands: &[Command]) -> Vec<StartedAttempt> {
     let start = |c: &Command| match c {
         Command::Start { task, attempt } => Some((task.clone(), *attempt)),
         _ => None,
@@ -52,26 +54,26 @@
     commands.iter().filter_map(start).collect()
 }
 
-/// How many stops are among commands.
-fn stops(commands: &[Command]) -> usize {
+/// How many of the commands stop an attempt.
+fn count_stops(commands: &[Command]) -> usize {
     let stops = commands.iter();
     stops.filter(|c| matches!(c, Command::Stop { .. })).count()
 }
 
-/// Whether a command to forget a task is among these.
-fn any_forget(commands: &[Command]) -> bool {
+/// Whether any of the commands tells the worker to forget an attempt.
+fn has_forget(commands: &[Command]) -> bool {
     commands.iter().any(|c| matches!(c, Command::Forget { .. }))
 }
 
-/// These attempts, shown as running.
-fn running(started: &[Started]) -> Vec<Seen<'_>> {
+/// The attempts, as a heartbeat reports them while they run.
+fn reported_running(started: &[StartedAttempt]) -> Vec<ReportedTask<'_>> {
     let seen = started.iter();
     seen.map(|(task, attempt)| (task.as_str(), *attempt, Phase::Running, None))
         .collect()
 }
 
-/// This attempt, shown as exited.
-fn exited(started: &Started, cause: Cause) -> [Seen<'_>; 1] {
+/// The attempt, as a heartbeat reports it after its exit.
+fn reported_exited(started: &StartedAttempt, cause: Cause) -> [ReportedTask<'_>; 1] {
     [(started.0.as_str(), started.1, Phase::Exited, Some(cause))]
 }
 
@@ -80,41 +82,43 @@
     vec![team("t", 0.0, 0.0)]
 }
 
-/// A job of the team `t` and of standard urgency.
-fn standard(id: &str, tasks: u32, cpus: f64) -> JobSpec {
+/// A job of the team `t` with standard urgency.
+fn standard_job(id: &str, tasks: u32, cpus: f64) -> JobSpec {
     spec(id, "t", Urgency::Standard, tasks, cpus)
 }
 
-/// A scheduler with one machine, `m1`, that has reported under the term at the time 0.
+/// A scheduler with one machine, `m1`, that has sent a heartbeat under the scheduler's term at
+/// time 0.
 fn fenced_scheduler(teams: Vec<Team>) -> Scheduler {
     let mut scheduler = scheduler(teams, 5, &["m1"]);
     heartbeat(&mut scheduler, &report("m1", 1, 1, 5, &[]), 0.0);
     scheduler
 }
 
-/// Guards against a task started twice after a takeover: an attempt of the former leader
-/// may be on a machine that has sent no heartbeat yet.
+/// Guards against starting a task twice after a takeover: an attempt that the former leader
+/// started may be on a machine that has not sent a heartbeat yet.
 #[test]
 fn nothing_starts_before_every_machine_is_fenced() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1", "m2"]);
-    add(&mut scheduler, standard("run-1", 1, 1.0), 0.0);
-    // The first answer only brings the term to the machine.
+    add(&mut scheduler, standard_job("run-1", 1, 1.0), 0.0);
+    // The reply to the first heartbeat only tells the machine the new term.
     assert!(heartbeat(&mut scheduler, &report("m1", 1, 1, 4, &[]), 1.0).is_empty());
     assert!(heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 2.0).is_empty());
     assert!(!scheduler.fencing_complete());
     let seen = [("run-1/0", 9, Phase::Running, None)];
     assert!(heartbeat(&mut scheduler, &report("m2", 1, 7, 5, &seen), 3.0).is_empty());
     assert!(scheduler.fencing_complete());
-    // It runs on m2, so m1 gets nothing.
+    // The task runs on m2, so m1 gets no start.
     assert!(heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &[]), 4.0).is_empty());
-    assert_eq!(counts(&scheduler, "run-1"), Some((0, 1)));
+    assert_eq!(task_counts(&scheduler, "run-1"), Some((0, 1)));
 }
 
-/// Silence alone proves nothing; a lease after the last possible answer proves a machine
-/// empty.
+/// Guards against treating a silent machine as empty too early. Silence alone proves nothing.
+/// Only when a full lease has passed since the last possible reply is the machine empty.
 #[test]
-fn a_silent_machine_is_empty_only_after_its_lease() {
-    for (quiet, at, open) in [
+fn a_silent_machine_counts_as_empty_only_after_its_lease() {
+    // Time since which former leaders are silent, current time, whether fencing is complete.
+    for (silent_since, at, complete) in [
         (None, 1000.0, false),
         (Some(0.0), 9.0, false),
         (Some(0.0), 10.2, true),
@@ -122,18 +126,18 @@
         (Some(60.0), 70.2, true),
     ] {
         let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
-        scheduler.fence.former_leaders_silent_since = quiet;
+        scheduler.fence.former_leaders_silent_since = silent_since;
         scheduler.tick(at, at);
         assert_eq!(
             scheduler.fencing_complete(),
-            open,
-            "quiet {quiet:?} at {at}"
+            complete,
+            "former leaders silent since {silent_since:?}, at {at}"
         );
     }
 }
 
-/// Guards against answering a session whose tasks were considered lost: the answer would
-/// renew its lease.
+/// Guards against answering a session whose tasks already count as lost: the reply would renew
+/// its lease, and its tasks would run on beside their new attempts.
 #[test]
 fn an_expired_session_is_never_answered_again() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
@@ -149,27 +153,29 @@
     ));
 }
 
-/// Guards against a former leader without contact to the state service considering a machine
-/// expired that a new leader keeps alive, and starting its tasks elsewhere (found by the
-/// simulation).
+/// Guards against two attempts of a task under two leaders: a former leader without contact to
+/// the state service considers a machine expired that a new leader keeps alive, and starts its
+/// tasks elsewhere. (Found by the simulation.)
 #[test]
-fn without_contact_no_machine_expires() {
-    for (confirmed, given_up) in [(5.0, false), (11.0, false), (11.2, true)] {
+fn no_machine_expires_without_contact_to_the_state_service() {
+    // Time of the last confirmed leadership, and whether the machine expires.
+    for (confirmed_at, expired) in [(5.0, false), (11.0, false), (11.2, true)] {
         let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
         heartbeat(&mut scheduler, &report("m1", 1, 1, 5, &[]), 1.0);
-        scheduler.tick(30.0, confirmed);
+        scheduler.tick(30.0, confirmed_at);
         assert_eq!(
             scheduler.wanted_machine_record().is_empty(),
-            given_up,
-            "{confirmed}"
+            expired,
+            "{confirmed_at}"
         );
     }
 }
 
-/// Until the machine has seen our term an answer of the former leader may renew its lease,
-/// even after we answered it ourselves.
+/// Guards against expiring a machine too early after a takeover. Until the machine has seen the
+/// new term, a reply of the former leader may renew its lease, even after the new leader has
+/// answered it.
 #[test]
-fn the_lease_counts_from_the_first_report_under_our_term() {
+fn the_lease_counts_from_the_first_heartbeat_under_the_new_term() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
     heartbeat(&mut scheduler, &report("m1", 1, 1, 4, &[]), 1.0);
     heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 8.0);
@@ -180,54 +186,57 @@
         .any(|m| m.id == "m1"));
 }
 
-/// A start without an answer keeps its task placed until it is ruled out.
+/// Guards against starting a task twice: a start whose outcome is unknown keeps its task placed
+/// until it is certain that the start can no longer be executed.
 #[test]
 fn a_start_in_flight_counts_as_placed() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
     scheduler.set_types(&types());
     heartbeat(&mut scheduler, &report("m1", 1, 1, 5, &[]), 0.0);
-    add(&mut scheduler, standard("run-1", 1, 1.0), 0.0);
+    add(&mut scheduler, standard_job("run-1", 1, 1.0), 0.0);
     scheduler.place_all(0.1);
     let name = "m1".into();
     let due = scheduler.next_direct_call(&name, 0.1);
     let (_, call) = due.expect("a direct call");
-    let (task, attempt) = starts(&call.commands)[0].clone();
+    let (task, attempt) = started_by(&call.commands)[0].clone();
     scheduler.direct_call_finished(&name, &call, CallResult::Unknown, 1.0);
-    // The report does not show it: offered again, the same attempt.
+    // The heartbeat does not report the attempt, so the reply starts the same attempt again.
     let again = heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.5);
-    assert_eq!(starts(&again), vec![(task.clone(), attempt)]);
-    // It failed: not forgotten while the late copy could start it once more.
+    assert_eq!(started_by(&again), vec![(task.clone(), attempt)]);
+    // The attempt failed. The worker must not forget it while the direct call may still arrive
+    // late and start it once more.
     let started = (task, attempt);
-    let failed = exited(&started, Cause::Error);
+    let failed = reported_exited(&started, Cause::Error);
     let reply = heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &failed), 2.0);
-    assert!(!any_forget(&reply), "{reply:?}");
-    // A higher token that the machine has seen rules the copy out: it gets one of its
-    // own, for which nothing is written.
+    assert!(!has_forget(&reply), "{reply:?}");
+    // The late call is refused once the machine has seen a higher token. The machine gets such
+    // a token of its own, which needs no write to the state service.
     let late = 2.0 + CANCEL_S / 8.0;
     heartbeat(&mut scheduler, &report("m1", 1, 4, 5, &failed), late);
     assert!(!scheduler.raise_overdue_tokens(late));
-    let (token, _) = answer(&mut scheduler, &report("m1", 1, 5, 5, &failed), late + 0.5);
+    let (token, _) = heartbeat_reply(&mut scheduler, &report("m1", 1, 5, 5, &failed), late + 0.5);
     assert_eq!(token, 6);
     let reply = heartbeat(&mut scheduler, &report("m1", 1, 6, 6, &failed), late + 1.0);
-    assert!(any_forget(&reply), "{reply:?}");
+    assert!(has_forget(&reply), "{reply:?}");
 }
 
-/// A worker that forgot an attempt starts it once more if a copy of the direct call with its
-/// start arrives: a task cancelled long ago ran on, others ran twice. A command to forget an
-/// attempt carries a token above the call's, and no call in flight is overtaken by it.
+/// Guards against cancelled tasks that run on and tasks that run twice: a worker that has
+/// forgotten an attempt starts it once more if a copy of the direct call that started it arrives
+/// late. Therefore a command to forget an attempt carries a higher token than that call, and is
+/// not sent while another call is in flight.
 #[test]
-fn a_copy_of_a_direct_start_is_refused_once_the_task_is_forgotten() {
+fn a_late_copy_of_a_direct_start_is_refused_once_the_task_is_forgotten() {
     let mut scheduler = fenced_scheduler(unlimited_team());
     let (name, mut seq, mut token) = ("m1".into(), 1, 5);
     for (n, other_call) in [(1, false), (3, true), (5, false)] {
         let (id, now) = (format!("run-{n}"), f64::from(n) * 10.0);
         seq += 1;
         heartbeat(&mut scheduler, &report("m1", 1, seq, token, &[]), now);
-        add(&mut scheduler, standard(&id, 1, 1.0), now);
+        add(&mut scheduler, standard_job(&id, 1, 1.0), now);
         scheduler.place_all(now);
         let due = scheduler.next_direct_call(&name, now);
         let (_, call) = due.expect("a direct call");
-        let (task, attempt) = starts(&call.commands)[0].clone();
+        let (task, attempt) = started_by(&call.commands)[0].clone();
         assert_eq!(call.token, token);
         let failed = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Error))];
         scheduler.finish_job(&id);
@@ -237,32 +246,37 @@
         };
         scheduler.direct_call_finished(&name, &call, CallResult::Executed(next()), now + 0.5);
         if other_call {
-            // Another one is under way: the machine would refuse it under a higher token.
-            let other = standard(&format!("run-{}", n + 1), 1, 1.0);
+            // Another call is in flight. The machine would refuse it after seeing a higher token.
+            let other = standard_job(&format!("run-{}", n + 1), 1, 1.0);
             add(&mut scheduler, other, now);
             scheduler.place_all(now + 0.6);
             let due = scheduler.next_direct_call(&name, now + 0.6);
             let (_, call) = due.expect("a direct call");
-            let early = answer(&mut scheduler, &next(), now + 0.7);
+            let early = heartbeat_reply(&mut scheduler, &next(), now + 0.7);
             assert!(early.0 == call.token && early.1.is_empty(), "{early:?}");
             scheduler.finish_job(&format!("run-{}", n + 1));
             scheduler.direct_call_finished(&name, &call, CallResult::NotSent, now + 1.0);
         }
-        let (told, commands) = answer(&mut scheduler, &next(), now + 2.0);
+        let (new_token, commands) = heartbeat_reply(&mut scheduler, &next(), now + 2.0);
         assert!(matches!(commands[..], [Command::Forget { .. }]));
-        assert!(told > call.token, "a copy under {} starts it", call.token);
-        token = told;
+        assert!(
+            new_token > call.token,
+            "a copy of the call with token {} would start the task again",
+            call.token
+        );
+        token = new_token;
         seq += 1;
         heartbeat(&mut scheduler, &report("m1", 1, seq, token, &[]), now + 3.0);
     }
-    // A heartbeat under a machine's own token is no sign of another leader; one beyond the
-    // range of the term is, and the next term is above all of them.
-    let verdict = scheduler.handle_heartbeat(&report("m1", 1, 99, 5 + TOKENS_PER_TERM, &[]), 50.0);
-    assert!(matches!(verdict, HeartbeatReply::Superseded));
+    // A heartbeat with a token of the machine's own does not indicate another leader. One with a
+    // token beyond the range of the term does, and the next term is above all these tokens.
+    let reply = scheduler.handle_heartbeat(&report("m1", 1, 99, 5 + TOKENS_PER_TERM, &[]), 50.0);
+    assert!(matches!(reply, HeartbeatReply::Superseded));
     assert!(TermCounter::taken(5).term + 1 == 5 + TOKENS_PER_TERM);
 }
 
-/// Once a machine has used up all tokens of a term, a higher term is written.
+/// Guards against a machine whose attempts can no longer be forgotten: once it has used up all
+/// tokens of a term, a higher term must be written.
 #[test]
 fn a_machine_that_used_up_its_tokens_needs_a_higher_term() {
     let mut scheduler = fenced_scheduler(unlimited_team());
@@ -271,12 +285,12 @@
     for n in 0..TOKENS_PER_TERM + 9 {
         let (id, now) = (format!("run-{n}"), 1.0 + n as f64);
         seq += 1;
-        token = answer(&mut scheduler, &report("m1", 1, seq, token, &[]), now).0;
-        add(&mut scheduler, standard(&id, 1, 1.0), now);
+        token = heartbeat_reply(&mut scheduler, &report("m1", 1, seq, token, &[]), now).0;
+        add(&mut scheduler, standard_job(&id, 1, 1.0), now);
         scheduler.place_all(now);
         let due = scheduler.next_direct_call(&name, now);
         let (_, call) = due.expect("a direct call");
-        let (task, attempt) = starts(&call.commands)[0].clone();
+        let (task, attempt) = started_by(&call.commands)[0].clone();
         let failed = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Error))];
         scheduler.finish_job(&id);
         seq += 1;
@@ -287,13 +301,16 @@
             scheduler.raise_term(5 + TOKENS_PER_TERM);
         }
         seq += 1;
-        let (told, commands) = answer(
+        let (new_token, commands) = heartbeat_reply(
             &mut scheduler,
             &report("m1", 1, seq, token, &failed),
             now + 0.2,
         );
-        assert!(commands.len() == 1 && told > token, "{n}: {commands:?}");
-        token = told;
+        assert!(
+            commands.len() == 1 && new_token > token,
+            "{n}: {commands:?}"
+        );
+        token = new_token;
         seq += 1;
         heartbeat(&mut scheduler, &report("m1", 1, seq, token, &[]), now + 0.3);
         scheduler.collect_garbage();
@@ -304,71 +321,72 @@
     );
 }
 
-/// Malformed, old or reordered heartbeats change nothing.
+/// Guards against malformed, outdated or reordered heartbeats changing the state of tasks.
 #[test]
 fn old_heartbeats_change_nothing() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
-    add(&mut scheduler, standard("run-1", 1, 1.0), 0.0);
+    add(&mut scheduler, standard_job("run-1", 1, 1.0), 0.0);
     let running = [("run-1/0", 3, Phase::Running, None)];
     heartbeat(&mut scheduler, &report("m1", 2, 9, 5, &running), 1.0);
     for (session, seq) in [(2, 8), (1, 99), (2, 9)] {
         let done = [("run-1/0", 3, Phase::Exited, Some(Cause::Done))];
         assert!(heartbeat(&mut scheduler, &report("m1", session, seq, 5, &done), 2.0).is_empty());
         assert_eq!(
-            counts(&scheduler, "run-1"),
+            task_counts(&scheduler, "run-1"),
             Some((0, 1)),
             "({session}, {seq})"
         );
     }
-    let odd = [
+    let malformed = [
         ("no task", 1, Phase::Running, None),
         ("run-1/77", 1, Phase::Running, None),
     ];
-    heartbeat(&mut scheduler, &report("m1", 2, 10, 5, &odd), 3.0);
+    heartbeat(&mut scheduler, &report("m1", 2, 10, 5, &malformed), 3.0);
 }
 
-/// A worker is told to forget a completed task only once its completion is saved.
+/// Guards against losing a completion: a worker is told to forget a completed task only after the
+/// completion is saved in the state service.
 #[test]
 fn completions_are_saved_before_they_are_forgotten() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
-    add(&mut scheduler, standard("run-1", 2, 1.0), 0.0);
+    add(&mut scheduler, standard_job("run-1", 2, 1.0), 0.0);
     let done = [("run-1/1", 3, Phase::Exited, Some(Cause::Done))];
     let reply = heartbeat(&mut scheduler, &report("m1", 1, 1, 5, &done), 1.0);
-    assert!(!any_forget(&reply));
+    assert!(!has_forget(&reply));
     assert_eq!(
-        counts(&scheduler, "run-1"),
+        task_counts(&scheduler, "run-1"),
         Some((0, 0)),
         "not counted before it is saved"
     );
     scheduler.completions_written("run-1", &CompletedTasks::from_text("1", 2), 2);
     let reply = heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &done), 2.0);
-    assert!(any_forget(&reply));
-    assert_eq!(counts(&scheduler, "run-1"), Some((1, 0)));
+    assert!(has_forget(&reply));
+    assert_eq!(task_counts(&scheduler, "run-1"), Some((1, 0)));
 }
 
-/// All attempts of a cancelled job are stopped, also those whose start is in flight.
+/// All attempts of a cancelled job are stopped, including those whose start is still in flight.
 #[test]
 fn a_cancelled_job_leaves_no_attempts() {
     let mut scheduler = fenced_scheduler(unlimited_team());
-    add(&mut scheduler, standard("run-1", 3, 1.0), 0.0);
-    let started = starts(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.0));
+    add(&mut scheduler, standard_job("run-1", 3, 1.0), 0.0);
+    let started = started_by(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.0));
     assert_eq!(started.len(), 3);
     scheduler.finish_job("run-1");
-    let shown = running(&started);
+    let shown = reported_running(&started);
     let reply = heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &shown), 2.0);
-    assert_eq!(stops(&reply), 3);
-    assert!(starts(&reply).is_empty());
+    assert_eq!(count_stops(&reply), 3);
+    assert!(started_by(&reply).is_empty());
     heartbeat(&mut scheduler, &report("m1", 1, 4, 5, &[]), 3.0);
     scheduler.collect_garbage();
     assert!(scheduler.jobs.is_empty());
 }
 
-/// Every attempt that is on a machine or may be counts against the limit.
+/// Every attempt that is or may be on a machine counts against its team's limit.
 #[test]
 fn a_team_stays_within_its_limit() {
     let mut scheduler = fenced_scheduler(vec![team("t", 0.0, 6.0)]);
-    add(&mut scheduler, standard("run-1", 9, 2.0), 0.0);
-    let started = starts(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.0));
+    add(&mut scheduler, standard_job("run-1", 9, 2.0), 0.0);
+    let started = started_by(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.0));
     assert_eq!(started.len(), 3);
     for (max, used, tasks, fits) in [
         (0.0, 1e6, 5.0, true),
@@ -382,25 +400,28 @@
     }
 }
 
-/// Lower urgency yields; equal urgency does not; work on borrowed capacity yields to a
-/// guarantee; a team's urgent work preempts its own to get below its limit.
+/// Work is preempted for work of higher urgency, but not of equal urgency. Work on borrowed
+/// capacity is preempted for guaranteed work. A team at its limit preempts its own less urgent
+/// work.
 #[test]
-fn which_jobs_preempt_which() {
+fn preemption_depends_on_urgency_guarantee_and_limit() {
     use Urgency::{High, Idle, Prod, Standard};
     let cases = [
-        // running: team, urgency; waiting: team, urgency; limit of team a; yields
+        // Running job: team, urgency. Waiting job: team, urgency. Limit of team a in CPUs.
+        // Whether the running job is preempted.
         ("a", Idle, "b", Standard, 0.0, true),
         ("a", Standard, "b", Standard, 0.0, false),
         ("a", High, "b", Standard, 0.0, false),
         ("a", High, "b", Prod, 0.0, true),
         ("a", High, "g", Idle, 0.0, true),
         ("g", Idle, "b", High, 0.0, false),
-        // Borrowed work of the same team: it would start a circle of preemptions.
+        // Borrowed work of the same team must not preempt guaranteed work, since jobs could then
+        // preempt each other in a cycle.
         ("g", Idle, "g", High, 0.0, false),
         ("a", Idle, "a", High, 8.0, true),
         ("a", High, "a", High, 8.0, false),
     ];
-    for (i, (run_team, run_urgency, team_name, urgency, limit, yields)) in
+    for (i, (running_team, running_urgency, waiting_team, waiting_urgency, limit, preempted)) in
         cases.into_iter().enumerate()
     {
         let teams = vec![
@@ -411,37 +432,41 @@
         let mut scheduler = fenced_scheduler(teams);
         add(
             &mut scheduler,
-            spec("run-1", run_team, run_urgency, 4, 2.0),
+            spec("run-1", running_team, running_urgency, 4, 2.0),
             0.0,
         );
-        let started = starts(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.0));
+        let started = started_by(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.0));
         assert_eq!(started.len(), 4, "case {i}");
         add(
             &mut scheduler,
-            spec("run-2", team_name, urgency, 1, 2.0),
+            spec("run-2", waiting_team, waiting_urgency, 1, 2.0),
             1.0,
         );
         scheduler.place_all(1.5);
-        let shown = running(&started);
+        let shown = reported_running(&started);
         let reply = heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &shown), 2.0);
-        assert_eq!(stops(&reply), usize::from(yields), "case {i}: {reply:?}");
+        assert_eq!(
+            count_stops(&reply),
+            usize::from(preempted),
+            "case {i}: {reply:?}"
+        );
     }
 }
 
-/// The queue starts the smallest prediction first.
+/// Among queued tasks, the one with the smallest predicted run time starts first.
 #[test]
-fn a_queue_starts_the_smallest_prediction_first() {
+fn the_queued_task_with_the_smallest_prediction_starts_first() {
     let mut scheduler = fenced_scheduler(unlimited_team());
-    add(&mut scheduler, standard("run-1", 1, 8.0), 0.0);
-    let first = starts(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 0.1));
+    add(&mut scheduler, standard_job("run-1", 1, 8.0), 0.0);
+    let first = started_by(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 0.1));
     for (i, estimate) in [30.0, 5.0].into_iter().enumerate() {
-        let mut waiting = standard(&format!("run-{}", i + 2), 1, 8.0);
+        let mut waiting = standard_job(&format!("run-{}", i + 2), 1, 8.0);
         waiting.estimate_s = estimate;
         add(&mut scheduler, waiting, 0.2 + 0.1 * i as f64);
         scheduler.place_all(0.2 + 0.1 * i as f64);
     }
-    let done = exited(&first[0], Cause::Done);
-    let next = starts(&heartbeat(
+    let done = reported_exited(&first[0], Cause::Done);
+    let next = started_by(&heartbeat(
         &mut scheduler,
         &report("m1", 1, 3, 5, &done),
         0.8,
@@ -449,31 +474,36 @@
     assert_eq!(next[0].0, "run-3/0");
 }
 
-/// Tasks of a job are all in one zone, or at most half of them in any.
+/// Tasks of a one-zone job are all in one zone. Of a spread job, at most half of the tasks,
+/// rounded up, are in any one zone.
 #[test]
-fn jobs_with_zone_constraints() {
-    for (one_zone, spread, tasks, placed_in_a) in [(true, false, 4, 4), (false, true, 5, 3)] {
+fn zone_constraints_limit_where_tasks_start() {
+    for (one_zone, spread, tasks, expected_starts) in [(true, false, 4, 4), (false, true, 5, 3)] {
         let mut scheduler = scheduler(unlimited_team(), 5, &["m1", "m2"]);
         for (id, seq) in [("m1", 1), ("m2", 1)] {
             heartbeat(&mut scheduler, &report(id, 1, seq, 5, &[]), 0.0);
         }
-        let mut job = standard("run-1", tasks, 1.0);
+        let mut job = standard_job("run-1", tasks, 1.0);
         (job.one_zone, job.spread) = (one_zone, spread);
         add(&mut scheduler, job, 0.0);
-        let mut n = 0;
+        let mut started = 0;
         for id in ["m1", "m2"] {
-            n += starts(&heartbeat(&mut scheduler, &report(id, 1, 2, 5, &[]), 1.0)).len();
+            started += started_by(&heartbeat(&mut scheduler, &report(id, 1, 2, 5, &[]), 1.0)).len();
         }
-        assert_eq!(n, placed_in_a, "both machines are in zone a");
+        assert_eq!(started, expected_starts, "both machines are in zone a");
     }
 }
 
-/// A machine on which tasks of several jobs fail is taken out of use.
+/// A machine on which tasks of several jobs fail is drained.
 #[test]
 fn a_faulty_machine_is_drained() {
     let mut scheduler = fenced_scheduler(unlimited_team());
     for seq in 2..6 {
-        add(&mut scheduler, standard(&format!("run-{seq}"), 1, 1.0), 0.0);
+        add(
+            &mut scheduler,
+            standard_job(&format!("run-{seq}"), 1, 1.0),
+            0.0,
+        );
         let task = format!("run-{seq}/0");
         let failed = [(task.as_str(), seq, Phase::Exited, Some(Cause::Error))];
         heartbeat(
@@ -487,37 +517,39 @@
     assert_eq!(status, MachineStatus::Draining);
 }
 
-/// A former leader is known to be silent once its host has another incarnation, or when its
-/// time is over by any clock.
+/// A former leader counts as silent once its host has another incarnation, or once its time has
+/// ended by any clock within the drift bound.
 #[test]
-fn former_leaders_fall_silent() {
-    let prior = |until_ms| FormerLeader {
+fn a_former_leader_is_silent_after_a_restart_or_the_end_of_its_time() {
+    let former_leader = |until_ms| FormerLeader {
         host: "h".into(),
         incarnation: 7,
         until_ms,
     };
-    for (alive, until, now, left) in [
+    // Current incarnation of its host, if known; end of the leader's time and current time, in
+    // milliseconds; and how many former leaders are not known to be silent.
+    for (alive, until_ms, now_ms, expected) in [
         (Some(7), 5000, 1000, 1),
         (Some(8), 5000, 1000, 0),
         (None, 5000, 1000, 1),
         (None, 5000, 6900, 1),
         (None, 5000, 7100, 0),
     ] {
-        let list = [prior(until)];
+        let former_leaders = [former_leader(until_ms)];
         assert_eq!(
-            remaining(&list, |_| alive, now, 1000).len(),
-            left,
-            "{alive:?} {now}"
+            remaining(&former_leaders, |_| alive, now_ms, 1000).len(),
+            expected,
+            "{alive:?} {now_ms}"
         );
     }
 }
 
-/// Operators see at a glance which jobs are stuck, and why.
+/// The overview names the jobs that are stuck, with the reason for each.
 #[test]
-fn the_overview_names_stuck_jobs_and_why() {
+fn the_overview_names_stuck_jobs_with_reasons() {
     let mut scheduler = fenced_scheduler(vec![team("t", 0.0, 2.0), team("u", 0.0, 0.0)]);
-    add(&mut scheduler, standard("run-1", 1, 2.0), 0.0);
-    add(&mut scheduler, standard("run-2", 1, 2.0), 1.0);
+    add(&mut scheduler, standard_job("run-1", 1, 2.0), 0.0);
+    add(&mut scheduler, standard_job("run-2", 1, 2.0), 1.0);
     let mut elsewhere = spec("run-3", "u", Urgency::Standard, 1, 2.0);
     elsewhere.zone = Some("b".into());
     add(&mut scheduler, elsewhere, 2.0);
@@ -526,7 +558,7 @@
         spec("run-4", "u", Urgency::Standard, 1, 2.0),
         2.5,
     );
-    let started = starts(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 3.0));
+    let started = started_by(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 3.0));
     let attempt = |job: &str| started.iter().find(|s| s.0 == job).unwrap().1;
     let (first, fourth) = (attempt("run-1/0"), attempt("run-4/0"));
     let shown = [
@@ -535,19 +567,19 @@
     ];
     heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &shown), 40.0);
     let text = scheduler.overview(40.0);
-    for (job, state, why) in [
+    for (job, state, reason) in [
         ("run-1", "ok", "all tasks are on machines"),
         ("run-2", "STUCK", "its team is at its limit"),
         ("run-3", "STUCK", "no machine that it may use is up"),
         ("run-4", "STUCK", "workers do not know its description"),
     ] {
         let line = text.lines().find(|l| l.contains(job)).unwrap_or_default();
-        assert!(line.starts_with(state) && line.contains(why), "{text}");
+        assert!(line.starts_with(state) && line.contains(reason), "{text}");
     }
 }
 
-/// Probes these machines; the calls fail at once.
-fn probe(scheduler: &mut Scheduler, names: &[&str], now: f64) {
+/// Sends a direct call to each of the machines; every call fails immediately.
+fn probe_unanswered(scheduler: &mut Scheduler, names: &[&str], now: f64) {
     for name in names {
         let name = (*name).into();
         let due = scheduler.next_direct_call(&name, now);
@@ -556,10 +588,10 @@
     }
 }
 
-/// One dead machine must not block placement for a lease, but a network partition must not
-/// empty the fleet.
+/// Guards against two failures after a takeover: a few dead machines that block placement for a
+/// whole lease, and a network partition that makes the scheduler replace the whole fleet.
 #[test]
-fn few_silent_machines_are_replaced_many_are_waited_for() {
+fn few_silent_machines_are_given_up_but_not_many() {
     for (silent, given_up) in [(1, 1), (2, 2), (3, 0), (16, 0)] {
         let names: Vec<String> = (0..16).map(|i| format!("m{i}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -567,13 +599,13 @@
         for name in &names[silent..] {
             heartbeat(&mut scheduler, &report(name, 1, 1, 5, &[]), 0.5);
         }
-        // A missing heartbeat proves nothing yet; calls without an answer do.
+        // A missing heartbeat is not enough to give up a machine; unanswered calls are.
         scheduler.tick(2.0, 0.0);
         assert!(scheduler.machines_given_up(2.4).is_empty());
-        probe(&mut scheduler, &names[..silent], 2.5);
+        probe_unanswered(&mut scheduler, &names[..silent], 2.5);
         scheduler.tick(3.0, 0.0);
         assert!(scheduler.machines_given_up(3.6).is_empty());
-        probe(&mut scheduler, &names[..silent], 3.7);
+        probe_unanswered(&mut scheduler, &names[..silent], 3.7);
         assert_eq!(
             scheduler.machines_given_up(3.8).len(),
             given_up,
@@ -582,13 +614,13 @@
     }
 }
 
-/// Guards against a scheduler that places nothing for a lease after a takeover because more
-/// than an eighth of the machines died (an incident of a fleet site), and against returning
-/// the machines of a partitioned zone.
+/// Guards against a scheduler that places nothing for a whole lease after a takeover because more
+/// than an eighth of the machines died (this happened at a fleet site), and against returning the
+/// machines of a partitioned zone to the cloud.
 #[test]
-fn while_placement_is_blocked_a_silent_quarter_is_replaced_later() {
-    // Silent machines of 16, how many of them are in a zone of five, how many are given up
-    // after a tenth of a lease and after a quarter.
+fn while_placement_is_blocked_a_silent_quarter_is_given_up_later() {
+    // Silent machines of 16, how many of them are in zone b, which has five machines, and how
+    // many are given up after a tenth of a lease and after a quarter of a lease.
     for (silent, zone_b, early, late) in [
         (2, 0, 2, 2),
         (4, 0, 0, 4),
@@ -612,22 +644,22 @@
         scheduler.probe_unfenced(1.2, 64);
         let names: Vec<String> = (0..silent).map(|i| format!("m{i}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
-        probe(&mut scheduler, &names, 1.2);
-        probe(&mut scheduler, &names, 1.3);
+        probe_unanswered(&mut scheduler, &names, 1.2);
+        probe_unanswered(&mut scheduler, &names, 1.3);
         for (now, given_up) in [(2.3, early), (3.0, early), (3.8, late)] {
             scheduler.tick(now, 0.0);
             let found = scheduler.machines_given_up(now).len();
             assert_eq!(found, given_up, "{silent} silent, {zone_b} in b, at {now}");
         }
-        // Once placement has begun they are waited for.
+        // Once placement has begun, the scheduler waits for silent machines.
         scheduler.fence.open = true;
         assert!(scheduler.machines_given_up(3.8).len() <= 2);
     }
 }
 
-/// Guards against the expiry of a session that the answer to a direct call told of: its
-/// lease runs from its beginning, not from our last answer to the session before (found by
-/// the simulation).
+/// Guards against expiring too early a session that became known from the reply to a direct call:
+/// its lease runs from its own beginning, not from the last reply to the previous session. (Found
+/// by the simulation.)
 #[test]
 fn a_new_session_has_a_lease_of_its_own() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
@@ -653,29 +685,29 @@
     }
 }
 
-/// Guards against returning a machine that has just come up, before it could see our term
-/// (found in an incident's log).
+/// Guards against returning a machine to the cloud that has just booted and could not see the
+/// leader's term yet. (Found in the log of an incident.)
 #[test]
-fn a_machine_that_just_came_up_is_not_given_up() {
+fn a_machine_that_has_just_booted_is_not_given_up() {
     let mut scheduler = scheduler(unlimited_team(), 5, &[]);
     heartbeat(&mut scheduler, &report("m1", 1, 1, 0, &[]), 100.0);
     scheduler.machine_record_written(&[machine("m1", "a", false)]);
     scheduler.tick(101.5, 0.0);
     assert!(scheduler.machines_given_up(103.0).is_empty());
-    probe(&mut scheduler, &["m1"], 103.0);
-    probe(&mut scheduler, &["m1"], 103.1);
+    probe_unanswered(&mut scheduler, &["m1"], 103.0);
+    probe_unanswered(&mut scheduler, &["m1"], 103.1);
     scheduler.tick(103.5, 0.0);
     assert_eq!(scheduler.machines_given_up(104.1).len(), 1);
 }
 
-/// Guards against a job revived by an answer that arrives after the watch told of its end (a
-/// submission answered late, or while the process was paused), and against dropping one that
-/// was accepted after a listing was made.
+/// Guards against reviving a finished job: the reply to its submission may arrive after the watch
+/// reported its end, because the reply was late or the process was paused. Also guards against
+/// dropping a job that was accepted after a listing was made.
 #[test]
-fn records_of_a_job_in_any_order() {
-    let job = || live(standard("run-1", 1, 1.0), 0.0);
-    // Revision watched up to, version of the record, revision of a listing without it, and
-    // whether the job is live in the end.
+fn job_records_may_arrive_in_any_order() {
+    let job = || live(standard_job("run-1", 1, 1.0), 0.0);
+    // Revision up to which the watch has reported, version of the job's record, revision of a
+    // listing without the job, and whether the job is live in the end.
     for (watched, version, listed_at, live_after) in [
         (0, 10, None, true),
         (9, 10, None, true),
@@ -694,13 +726,13 @@
     }
 }
 
-/// Guards against a third attempt of a task that heartbeats of different ages showed on two
-/// machines: the attempt seen first ended with its session, and the other ran on (found by
-/// the simulation, as ran_twice).
+/// Guards against running a task twice. Heartbeats of different ages reported the task on two
+/// machines. The attempt reported first ended with its session, and a third attempt was started
+/// while the other one was still running. (Found by the simulation as `ran_twice`.)
 #[test]
-fn a_task_shown_on_two_machines_restarts_when_both_attempts_ended() {
+fn a_task_reported_on_two_machines_restarts_after_both_attempts_end() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1", "m2", "m3"]);
-    add(&mut scheduler, standard("run-1", 1, 2.0), 0.0);
+    add(&mut scheduler, standard_job("run-1", 1, 2.0), 0.0);
     let shown = |attempt| [("run-1/0", attempt, Phase::Running, None)];
     heartbeat(&mut scheduler, &report("m1", 1, 1, 5, &shown(7)), 1.0);
     heartbeat(&mut scheduler, &report("m2", 1, 1, 5, &shown(8)), 1.1);
@@ -708,12 +740,12 @@
     assert_eq!(
         scheduler.usage().cpus(),
         4.0,
-        "both count for the team's limit"
+        "both attempts count against the team's limit"
     );
     let mut started = Vec::new();
     for (machine, session, seq, now) in [("m1", 2, 1, 2.0), ("m3", 1, 2, 2.1)] {
         let reply = heartbeat(&mut scheduler, &report(machine, session, seq, 5, &[]), now);
-        started.extend(starts(&reply));
+        started.extend(started_by(&reply));
         scheduler.place_all(now);
     }
     assert!(started.is_empty() && scheduler.outbox.iter().all(|n| **n == *"m2"));
@@ -725,16 +757,17 @@
     assert!(placed.is_some_and(|(_, attempt)| *attempt > 8));
 }
 
-/// A batch of completions without an answer that is executed after a newer one reverts
-/// nothing: each write compares the version that the one before left. (The chunks of a large
-/// job compared the version of its record, which did not change; after a takeover tasks whose
-/// workers had forgotten them would have run once more.)
+/// Guards against losing saved completions: a write whose reply was lost may be executed after a
+/// newer one, and must not revert it. Each write therefore compares the version that the previous
+/// one left. (The chunks of a large job used to compare the version of the job's record, which
+/// does not change. After a takeover, tasks that their workers had forgotten would have run once
+/// more.)
 #[test]
-fn completions_written_late_replace_nothing() {
+fn a_late_completion_write_replaces_nothing() {
     for (tasks, chunked) in [(20, false), (300, true)] {
         let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
         let mut store = Store::default();
-        let record = live(standard("run-1", tasks, 1.0), 0.0);
+        let record = live(standard_job("run-1", tasks, 1.0), 0.0);
         let key = records::live_key("run-1");
         let added = store
             .apply(&Txn::default().put(&key, &record))
@@ -752,7 +785,7 @@
             assert_eq!(batch.completions[0].chunked, chunked);
             batches.push(batch);
             if n == 0 {
-                // No answer: the leader retries with what it has by then.
+                // The reply is lost, so the leader retries later with all completions it then has.
                 continue;
             }
             let version = store.apply(&batches[n].txn).expect("written");
@@ -765,11 +798,11 @@
     }
 }
 
-/// A job that must be in one zone is placed where its tasks fit, not where most CPUs are free:
-/// beside tasks that occupy all memory these are of no use. (The job waited for ever while
-/// another zone had capacity.)
+/// Guards against a one-zone job that waits for ever while another zone has capacity. It must be
+/// placed in a zone where its tasks fit, not in the zone with the most free CPUs, since these are
+/// useless on machines without free memory.
 #[test]
-fn a_job_of_one_zone_goes_where_it_fits() {
+fn a_one_zone_job_is_placed_where_its_tasks_fit() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
     scheduler.add_recorded_machine(machine("m2", "b", false), 0.0);
     let heartbeat_both = |scheduler: &mut Scheduler, seq: u64, now: f64| {
@@ -779,15 +812,19 @@
         (first, heartbeat(scheduler, &two, now))
     };
     heartbeat_both(&mut scheduler, 1, 1.0);
-    // All memory of zone a, and few of its CPUs; many CPUs of zone b.
+    // One job takes nearly all memory of zone a and few of its CPUs, another one many CPUs of
+    // zone b.
     for (id, cpus, memory_gb, zone) in [("run-1", 1.0, 31.5, "a"), ("run-2", 5.0, 1.0, "b")] {
         let mut job = spec(id, "t", Urgency::High, 1, cpus);
         (job.memory_gb, job.zone) = (memory_gb, Some(zone.into()));
         add(&mut scheduler, job, 1.0);
     }
     let (first, second) = heartbeat_both(&mut scheduler, 2, 2.0);
-    assert_eq!((starts(&first).len(), starts(&second).len()), (1, 1));
-    let mut job = standard("run-3", 2, 1.0);
+    assert_eq!(
+        (started_by(&first).len(), started_by(&second).len()),
+        (1, 1)
+    );
+    let mut job = standard_job("run-3", 2, 1.0);
     (job.memory_gb, job.one_zone) = (4.0, true);
     add(&mut scheduler, job, 2.0);
     scheduler.place_all(2.5);
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Jobs whose tasks must all be in one zone.
+//! Tests of jobs whose tasks must all be in one zone.
 
 mod common;
 
@@ -9,8 +9,9 @@
 use foxspur::protocol::worker::{Command, Phase, Report};
 use foxspur::storage::completed_tasks::CompletedTasks;
 
-/// A heartbeat of a machine in this zone that shows these tasks running.
-fn running(machine: &str, zone: &str, seq: u64, tasks: &[(&str, u64)]) -> Report {
+/// A heartbeat of a machine in this zone that reports these tasks (name, attempt number) as
+/// running.
+fn report_running(machine: &str, zone: &str, seq: u64, tasks: &[(&str, u64)]) -> Report {
     let shown: Vec<_> = tasks
         .iter()
         .map(|(task, attempt)| (*task, *attempt, Phase::Running, None))
@@ -21,7 +22,7 @@
     }
 }
 
-/// Runs a placement pass, and gives the machines on which it starts tasks by direct calls.
+/// Runs a placement pass and returns the machines on which it starts tasks by direct calls.
 fn machines_with_starts(scheduler: &mut Scheduler, now: f64) -> Vec<String> {
     scheduler.place_all(now);
     let mut found = Vec::new();
@@ -35,12 +36,12 @@
     found
 }
 
-/// Guards against tasks in the wrong zone because of an old heartbeat: as long as one task may
-/// be in one zone and another one in a second, none starts in any; once that is settled, tasks
-/// start beside the others.
-/// (Seed 3825 of tests/simulation.)
+/// Guards against starting tasks in the wrong zone because of an outdated heartbeat. While the
+/// placed tasks of a one-zone job seem to be in two zones, no task may start in any zone. Once
+/// newer heartbeats show which zone is right, the remaining tasks start there. (Seed 3825 of
+/// tests/simulation.)
 #[test]
-fn tasks_that_must_be_in_one_zone_wait_until_it_is_known_which() {
+fn tasks_of_a_one_zone_job_wait_until_the_zone_is_known() {
     let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &[]);
     scheduler.add_recorded_machine(machine("m-a", "a", false), 0.0);
     scheduler.add_recorded_machine(machine("m-b", "b", false), 0.0);
@@ -49,9 +50,9 @@
     job.one_zone = true;
     scheduler.add_job(live(job, 0.0), 1, CompletedTasks::default());
     let reports = [
-        running("m-a", "a", 1, &[("run-1/0", 1)]),
-        running("m-b", "b", 1, &[("run-1/1", 2)]),
-        running("m-c", "b", 1, &[]),
+        report_running("m-a", "a", 1, &[("run-1/0", 1)]),
+        report_running("m-b", "b", 1, &[("run-1/1", 2)]),
+        report_running("m-c", "b", 1, &[]),
     ];
     for report in &reports {
         assert!(matches!(
@@ -64,7 +65,7 @@
         machines_with_starts(&mut scheduler, 1.1),
         Vec::<String>::new()
     );
-    scheduler.handle_heartbeat(&running("m-a", "a", 2, &[]), 2.0);
+    scheduler.handle_heartbeat(&report_running("m-a", "a", 2, &[]), 2.0);
     let found = machines_with_starts(&mut scheduler, 2.1);
     assert!(!found.is_empty(), "no task starts");
     assert!(!found.contains(&"m-a".into()), "{found:?}");
