--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -1,5 +1,5 @@
-//! Commands for machines: in answers to their heartbeats, in direct calls, and the probes
-//! that ask for a report.
+//! Commands for machines, which are sent in answers to heartbeats and in direct calls, and
+//! probes: direct calls that only ask for a report.
 
 use crate::coordination::scheduler::job::{AttemptId, Name};
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus, MessageId};
@@ -7,13 +7,12 @@
 use crate::protocol::worker::{Cause, Command, Direct, Phase};
 use crate::storage::records::TOKENS_PER_TERM;
 
-/// What the answer to a heartbeat tells a machine, by kind.
+/// The commands in the answer to a heartbeat, by kind, and the answer's token.
 #[derive(Default)]
 struct AnswerCommands {
     forgets: Vec<AttemptId>,
     stops: Vec<Command>,
     starts: Vec<AttemptId>,
-    /// The token of the answer.
     token: u64,
 }
 
@@ -39,30 +38,32 @@
     }
 }
 
-/// The token with which the worker may be told to forget an exited attempt: above that of
-/// any direct call with its start. `None` while a call under way would be refused under the
-/// higher token, or when the term has no token above it left.
+/// The token of an answer that tells the worker to forget an exited attempt. It is above the
+/// token of every direct call with the attempt's start. `None` if the worker would refuse a
+/// call that is in flight because of the higher token, or if the term has no higher token
+/// left.
 ///
-/// A worker that forgot an attempt starts it anew when a copy of a direct call with
-/// its start arrives, however late. (A task of a job cancelled long ago ran, and one
-/// ran twice.) With the higher token copies are refused from then on.
+/// A worker that has forgotten an attempt starts it again when a copy of a direct call with
+/// its start arrives, however late. (In this way a task of a job cancelled long before ran,
+/// and another task ran twice.) Once the worker has seen the higher token, it refuses such
+/// copies.
 fn forget_token(machine: &Machine, attempt: &Attempt, term: u64) -> Option<u64> {
     let token = machine.token_under(term);
     let above = attempt
         .duplicate_starts_up_to
-        .map_or(token, |t| token.max(t + 1));
+        .map_or(token, |call_token| token.max(call_token + 1));
     let available = above == token || !machine.call_in_flight && above < term + TOKENS_PER_TERM;
     available.then_some(above)
 }
 
-/// Notes that the answer tells the machine of its stops and of these attempts to forget:
-/// a later message must show that it did.
+/// Records that the answer tells the machine to stop its unwanted attempts and to forget
+/// these exited ones. A later message must show the effect.
 fn mark_told(machine: &mut Machine, forgets: &[AttemptId]) {
     for attempt in machine.attempts.values_mut() {
         if !attempt.call_in_flight {
             attempt.unsent = false;
         }
-        // A task that saves was told before.
+        // A task that is saving was already told to stop.
         let stoppable = !matches!(attempt.phase, None | Some(Phase::Saving | Phase::Exited));
         attempt.told_to_end = stoppable && attempt.stop_grace_s.is_some();
     }
@@ -73,8 +74,7 @@
     }
 }
 
-/// Takes the stops and starts of the machine that wait to be sent, for a call with this
-/// token.
+/// Takes the machine's unsent stops and starts, for a direct call with this token.
 fn take_unsent_commands(machine: &mut Machine, token: u64) -> Vec<Command> {
     let mut commands = Vec::new();
     for (key, attempt) in &mut machine.attempts {
@@ -94,8 +94,8 @@
 }
 
 impl Scheduler {
-    /// Whether an exited attempt can be forgotten by its worker: what it says
-    /// is recorded, and no copy of its start may still come.
+    /// Whether the worker can forget an exited attempt: the completion of its task is saved,
+    /// if it was completed, and no copy of its start may still arrive.
     fn is_forgettable(&self, key: &AttemptId, attempt: &Attempt) -> bool {
         if attempt.is_in_flight() {
             return false;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Commands for the answer to this heartbeat.
+    /// Returns the commands for the answer to this heartbeat, and records them as sent.
     pub(crate) fn heartbeat_commands(
         &mut self,
         name: &Name,
@@ -125,7 +125,7 @@
         };
         machine.raised_token = answer.token;
         if answer.token == last_token {
-            // All of the term's tokens are used: see `needs_higher_term`.
+            // The term has no higher token left; `raise_overdue_tokens` requests a new term.
             self.unresolved_starts.insert(name.clone());
         }
         mark_told(machine, &answer.forgets);
@@ -142,7 +142,7 @@
         commands
     }
 
-    /// What the machine is to be told of its attempts.
+    /// Selects the commands for the machine's attempts, without changing any state.
     fn answer_commands(&self, machine: &Machine) -> AnswerCommands {
         let mut answer = AnswerCommands {
             token: machine.token_under(self.term),
@@ -164,7 +164,7 @@
         answer
     }
 
-    /// A direct call for the machine, if one is due, with the worker's address.
+    /// Returns the direct call that is due for the machine, if any, with the worker's address.
     pub fn next_direct_call(&mut self, name: &Name, now: f64) -> Option<(String, Direct)> {
         let term = self.term;
         let machine = self.machines.get_mut(name)?;
@@ -191,8 +191,9 @@
         Some((machine.info.addr.clone(), call))
     }
 
-    /// Probes machines that our answers may not reach: an answer to the call is proof. One
-    /// that does not answer is probed again after a part of a lease.
+    /// Probes machines that our answers may not reach. The answer to a probe proves that the
+    /// machine receives our messages. A machine that does not answer is probed again after a
+    /// quarter of a lease.
     pub(crate) fn probe_suspects(&mut self, now: f64) {
         let machines = &self.machines;
         self.suspects
@@ -209,18 +210,18 @@
         self.outbox.extend(due);
     }
 
-    /// Probes up to `max_probes` machines for a report under our term, so that placement
-    /// can begin after a takeover.
+    /// Probes up to `max_probes` machines that have not reported under our term yet, so that
+    /// placement can begin after a takeover.
     pub fn probe_unfenced(&mut self, now: f64, max_probes: usize) {
         let machines = &self.machines;
         self.unfenced
             .retain(|name| machines.get(name).is_some_and(Machine::blocks_placement));
-        // Workers that lost their leader try another controller every second and
-        // are sent here, so most come by themselves. While they do, probing them
-        // as well would double the work of a takeover.
-        let came = self.unfenced_before.saturating_sub(self.unfenced.len());
+        // Workers that lost their leader try another controller every second and are
+        // redirected here, so most of them report without a probe. While many do, probing
+        // them as well would double the work of a takeover.
+        let reported = self.unfenced_before.saturating_sub(self.unfenced.len());
         self.unfenced_before = self.unfenced.len();
-        if came > max_probes / 4 {
+        if reported > max_probes / 4 {
             return;
         }
         let interval_s = self.config.heartbeat_s.min(1.0);
--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -1,8 +1,8 @@
-//! Direct calls to workers: what their results say of a machine.
+//! Processes the results of direct calls to workers.
 //!
-//! A call carries commands for one session under one token. Without an answer a start in it
-//! may be executed at any later time, until the machine shows a newer session or a higher
-//! token; until then its task counts as on the machine.
+//! A call carries commands for one session under one token. If a call has no answer, the
+//! worker may execute a start in it at any later time, until the machine shows a newer
+//! session or a higher token. Until then the start's task counts as placed on the machine.
 
 use super::reconciliation::ReportSource;
 use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
@@ -10,16 +10,16 @@
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Command, Direct, Report};
 
-/// How a direct call ended, as far as the scheduler is concerned.
+/// How a direct call ended.
 #[derive(Debug)]
 pub enum CallResult {
-    /// The worker executed the commands, and reports what it has now.
+    /// The worker executed the commands and reported its attempts.
     Executed(Report),
-    /// The worker dropped the commands, and reports what it has.
+    /// The worker dropped the commands and reported its attempts.
     Rejected(Report),
     /// The call did not leave this process.
     NotSent,
-    /// No answer: the commands may have been executed, or may be later.
+    /// No answer arrived: the worker may have executed the commands, or may do so later.
     Unknown,
 }
 
@@ -32,10 +32,11 @@
     }
 }
 
-/// Notes that a machine counts its sessions anew, if its answer is older than what was
-/// known when it was called. What looked newer was of its earlier life, and in the same
-/// session this answer is the truth. (A heartbeat of the earlier life, held up in a
-/// partition, showed an empty machine, and what ran there was started elsewhere.)
+/// Detects that a machine has restarted its session numbers: its answer has a lower number
+/// than the newest message known when the call was made. That message was then from an
+/// earlier incarnation of the machine. If both are of the same session, this answer is the
+/// valid one. (Guards against a heartbeat of an earlier incarnation, delayed by a partition,
+/// that showed an empty machine, so that its tasks were started elsewhere as well.)
 fn detect_renumbering(machine: &mut Machine, report: &Report) {
     let message = MessageId::of(report);
     if report.machine != machine.info.id || message >= machine.called_at_message {
@@ -48,8 +49,8 @@
     }
 }
 
-/// Notes for the starts of a finished call whether they may still be executed. Commands
-/// that were not executed go out again with the answer to the next heartbeat.
+/// Records for each start in a finished call whether the worker may still execute it.
+/// Commands that were not executed are sent again in the answer to the next heartbeat.
 fn settle_starts(
     machine: &mut Machine,
     call: &Direct,
@@ -57,7 +58,7 @@
     outdated_answer: bool,
     now: f64,
 ) {
-    // A newer session or term seen meanwhile rules a late execution out.
+    // A newer session or token seen in the meantime rules out a late execution.
     let may_execute_later =
         machine.last_message.session <= call.session && machine.seen_token <= call.token;
     for command in &call.commands {
@@ -80,7 +81,7 @@
 }
 
 impl Scheduler {
-    /// Takes in how a direct call to the machine ended.
+    /// Processes the result of a direct call to the machine.
     pub fn direct_call_finished(
         &mut self,
         name: &Name,
@@ -96,8 +97,9 @@
             return;
         };
         machine.call_in_flight = false;
-        // Executed, by a message older than what we know that does not show it: the
-        // machine counts anew. Nothing tells what became of the start.
+        // The worker executed the call, but its answer is older than the newest known message.
+        // The machine has restarted its session numbers, and it is not known whether the
+        // started tasks run.
         let outdated_answer = matches!(
             &result,
             CallResult::Executed(report) if MessageId::of(report) <= machine.last_message
@@ -114,8 +116,8 @@
                 && !early;
             if report.machine == **name && newer {
                 if machine.status == MachineStatus::Expired {
-                    // A new session: its own heartbeat readmits it. The old one was
-                    // proven over: what is late says nothing.
+                    // If the session is new, its own heartbeat readmits the machine. If it is
+                    // the expired session, the late answer means nothing.
                     return;
                 }
                 self.reconcile_report(name, report, ReportSource::DirectCall, now);
@@ -124,8 +126,8 @@
         self.remove_unstarted(name);
     }
 
-    /// Removes stopped attempts that no message showed, once no start of theirs may still
-    /// be executed.
+    /// Removes attempts that are to be stopped and that no message has shown, once no start
+    /// of them may still be executed.
     pub fn remove_unstarted(&mut self, name: &Name) {
         let Some(machine) = self.machines.get(name) else {
             return;
@@ -133,7 +135,9 @@
         let gone: Vec<AttemptId> = machine
             .attempts
             .iter()
-            .filter(|(_, a)| a.phase.is_none() && a.stop_grace_s.is_some() && !a.is_in_flight())
+            .filter(|(_, attempt)| {
+                attempt.phase.is_none() && attempt.stop_grace_s.is_some() && !attempt.is_in_flight()
+            })
             .map(|(key, _)| key.clone())
             .collect();
         for key in &gone {
--- a/src/coordination/agents/dispatcher.rs
+++ b/src/coordination/agents/dispatcher.rs
@@ -1,5 +1,4 @@
-//! Sends direct calls: works off the difference between what machines should do and what
-//! they were told. Also drives the scheduler's clock.
+//! Sends the direct calls that are due to workers, and runs the scheduler's periodic work.
 
 use crate::coordination::agents::direct_calls::CallResult;
 use crate::coordination::node::Node;
@@ -11,21 +10,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Ticks between two log lines of machines that hold up placement.
+/// Ticks between two log lines on machines that block placement after a takeover.
 const UNFENCED_LOG_TICKS: u64 = 4;
-/// Ticks between two collections of garbage, and log lines of the load.
+/// Ticks between two garbage collections, each with a log line on the load.
 const GARBAGE_COLLECTION_TICKS: u64 = 32;
 
 /// A direct call to be sent.
 struct OutgoingCall {
-    /// Base term of the scheduler that made it.
+    /// Base term of the scheduler that created the call.
     base_term: u64,
     machine: Name,
     addr: String,
     call: Direct,
 }
 
-/// Sends what the scheduler wants sent straight away.
+/// Sends all direct calls that are due, without waiting for their results.
 pub fn send_due_calls(node: &Rc<Node>) {
     for outgoing in take_due_calls(node) {
         let node = node.clone();
@@ -33,7 +32,7 @@
     }
 }
 
-/// Takes the calls that are due from the scheduler's outbox, as many as there are sockets.
+/// Takes the due calls from the scheduler's outbox, at most one per free socket.
 fn take_due_calls(node: &Node) -> Vec<OutgoingCall> {
     let mut calls = Vec::new();
     if !node.may_answer_workers() {
@@ -44,8 +43,8 @@
     let Some(scheduler) = scheduler.as_mut() else {
         return calls;
     };
-    // More calls than sockets would wait for one and time out unsent,
-    // which looks like a lost command.
+    // Calls beyond the free sockets would wait for a socket and could time out unsent,
+    // which is indistinguishable from a lost command.
     let free_sockets = node.workers.sockets.saturating_sub(node.direct_calls.get());
     let due = free_sockets.min(scheduler.outbox.len());
     let batch: Vec<Name> = scheduler.outbox.drain(..due).collect();
@@ -68,7 +67,7 @@
     calls
 }
 
-/// Sends the call, and takes its result in if the scheduler that made it is still there.
+/// Sends the call, and passes its result to the scheduler if the same one still exists.
 async fn send(node: Rc<Node>, outgoing: OutgoingCall) {
     let OutgoingCall {
         base_term,
@@ -98,16 +97,16 @@
     send_due_calls(&node);
 }
 
-/// Drives the scheduler's clock.
+/// The actor that runs the scheduler's periodic work.
 pub struct Dispatcher {
-    /// The controller whose scheduler it drives.
+    /// The controller whose scheduler it serves.
     pub node: Rc<Node>,
     /// Ticks since the start.
     pub ticks: u64,
 }
 
 impl Dispatcher {
-    /// One tick: the scheduler's periodic checks, probes and placement.
+    /// Runs the scheduler's periodic checks, probes and placement.
     fn tick(&mut self) {
         self.ticks += 1;
         let now = self.node.now();
@@ -146,8 +145,8 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        // A third of a heartbeat interval: work found by time alone (ages,
-        // silence, probes) then waits less than a worker's own pace.
+        // A third of a heartbeat interval, so that work that only the passing of time makes
+        // due (ages, silence, probes) waits for less than one heartbeat.
         let heartbeat_s = self.node.settings.cluster.workers.report_s;
         let interval = Duration::from_secs_f64((heartbeat_s / 3.0).clamp(0.1, 0.5));
         ctx.run_interval(interval, |this, _| this.tick());
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -1,11 +1,11 @@
-//! Heartbeats of workers: which of them are taken in, and what is answered.
+//! Handles workers' heartbeats: decides which ones update the scheduler and what to answer.
 //!
 //! A worker reports all its attempts with every heartbeat, and an answer renews the lease
 //! of its session. Invariants:
 //!
 //! - A session whose lease was declared expired is never answered again: the answer might
-//!   renew it while its tasks already run elsewhere.
-//! - A message older than the newest known one changes nothing.
+//!   renew the lease while the session's tasks already run elsewhere.
+//! - A message older than the newest known message of its machine changes nothing.
 //! - A worker that has seen a token above those of our term belongs to a later leader.
 
 use super::reconciliation::ReportSource;
@@ -16,10 +16,10 @@
 use crate::protocol::worker::{Reply, Report, ReportHead};
 use crate::storage::records::{MachineInfo, TOKENS_PER_TERM};
 
-/// What to answer a worker's heartbeat.
+/// The answer to a worker's heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatReply {
-    /// The lease is renewed, and these are the commands.
+    /// Renews the lease and carries these commands.
     Commands(Reply),
     /// This session must not be answered.
     Refuse,
@@ -27,32 +27,31 @@
     Superseded,
 }
 
-/// How a heartbeat relates to what is known of its machine.
+/// How a heartbeat relates to the known state of its machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum HeartbeatClass {
-    /// Newer than everything known.
+    /// Newer than every known message of the machine.
     Current,
-    /// Older than another message that overtook it; only answered.
+    /// A newer message overtook it. It is answered, but changes nothing.
     Overtaken,
-    /// A late copy, or the heartbeat of a machine that lost its counters and numbers its
-    /// sessions anew: its session is not the one we know.
-    EarlierLife,
-    /// Of a session whose lease was declared expired.
+    /// A late copy, or a heartbeat of a machine that lost its counters and restarted its
+    /// session numbers. Its session may be of another incarnation than the one we know.
+    OtherIncarnation,
+    /// From a session whose lease was declared expired.
     ExpiredSession,
 }
 
-/// The times that the class of a heartbeat depends on, in seconds.
+/// The times, in seconds, by which a heartbeat is classified.
 struct HeartbeatTiming {
     now: f64,
-    /// Since when messages have been received without a pause of our own.
+    /// Since when this process has received messages without a pause of its own.
     listening_since: f64,
     lease_s: f64,
-    /// Longest time by which a newer message can overtake a heartbeat.
+    /// Longest time by which a newer message can precede a heartbeat that is not a copy.
     max_overtaken_s: f64,
 }
 
 impl HeartbeatClass {
-    /// The class of this heartbeat of the machine.
     fn of(report: &Report, machine: &Machine, timing: &HeartbeatTiming) -> HeartbeatClass {
         let same_or_older_session = report.session <= machine.last_message.session;
         let expired = machine.status == MachineStatus::Expired;
@@ -62,16 +61,18 @@
         let stale = MessageId::of(report) <= machine.last_message;
         let early =
             !expired && machine.is_early_session(report.session, timing.lease_s, timing.now);
-        // A machine keeps the highest term it has seen: newer with a lower one is of
-        // an earlier life of a machine that counts anew.
+        // A machine keeps the highest token it has seen. A heartbeat that looks newer but
+        // has a lower token is from another incarnation of a machine that restarted its
+        // session numbers.
         let lower_token = !stale && report.token < machine.seen_token;
-        // Of a machine known to count anew it cannot be told whether a heartbeat of this
-        // session is of its present life or of the one before; of the next session it can.
+        // If a machine is known to restart its session numbers, a heartbeat of the known
+        // session may be from the present or the previous incarnation. A heartbeat of the
+        // next session is unambiguous.
         let ambiguous = machine.renumbers && same_or_older_session;
         let newest_at = machine.heard_at.max(timing.listening_since);
         let too_old = stale && timing.now - newest_at > timing.max_overtaken_s;
         if early || lower_token || ambiguous || too_old {
-            HeartbeatClass::EarlierLife
+            HeartbeatClass::OtherIncarnation
         } else if stale {
             HeartbeatClass::Overtaken
         } else {
@@ -91,10 +92,10 @@
 }
 
 impl Scheduler {
-    /// Handles a heartbeat that repeats the one before while there is nothing to tell the
-    /// worker: it is taken in, and the answer is the returned token without commands.
-    /// `None` if the heartbeat needs `handle_heartbeat`. Most heartbeats of a large fleet
-    /// are of this kind, so this path parses and allocates nothing.
+    /// Handles a heartbeat that repeats the previous one while there are no commands for the
+    /// worker. The heartbeat is recorded, and the answer is the returned token without
+    /// commands. Returns `None` if the heartbeat needs `handle_heartbeat`. Most heartbeats
+    /// of a large fleet are repetitions, so this path parses and allocates nothing.
     pub fn handle_repeated_heartbeat(&mut self, head: &ReportHead, now: f64) -> Option<u64> {
         let machine = self.machines.get_mut(&*head.machine)?;
         let token = machine.token_under(self.term);
@@ -123,8 +124,8 @@
         repeats.then_some(token)
     }
 
-    /// Remembers the heartbeat's task list, as it came, if the same list again would
-    /// tell nothing new and call for no command.
+    /// Remembers the heartbeat's task list as received, if a heartbeat with the same list
+    /// would bring no new information and need no command.
     pub fn remember_heartbeat(&mut self, name: &str, message: MessageId, tasks: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
             let steady = machine.last_message == message
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Takes in a heartbeat and says what to answer.
+    /// Processes a heartbeat and returns the answer.
     pub fn handle_heartbeat(&mut self, report: &Report, now: f64) -> HeartbeatReply {
         self.advance_clock(now);
         if report.token >= self.term + TOKENS_PER_TERM {
@@ -141,7 +142,7 @@
         }
         let name: Name = report.machine.as_str().into();
         if self.returned_machines.contains(&name) {
-            // A late copy: the machine is gone, and its name is never used again.
+            // A late copy: the machine was returned, and its name is never used again.
             return HeartbeatReply::Refuse;
         }
         let timing = self.heartbeat_timing(now);
@@ -156,12 +157,12 @@
                 self.reconcile_report(&name, report, ReportSource::Heartbeat, now);
             }
             HeartbeatClass::Overtaken => {}
-            HeartbeatClass::EarlierLife | HeartbeatClass::ExpiredSession => {
-                self.doubt_earlier_life(&name, now);
+            HeartbeatClass::OtherIncarnation | HeartbeatClass::ExpiredSession => {
+                self.doubt_delivery(&name, now);
                 return HeartbeatReply::Refuse;
             }
         }
-        if self.is_beyond_reach(&name, now) {
+        if self.must_stop_answering(&name, now) {
             return HeartbeatReply::Refuse;
         }
         let current = class == HeartbeatClass::Current;
@@ -174,14 +175,15 @@
             now,
             listening_since: self.listening_since(now),
             lease_s: self.config.lease_s,
-            // A heartbeat that is not a copy is overtaken by a newer message at most while
-            // its worker waits for the answer; by then the next one is due.
+            // A heartbeat that is not a copy can be overtaken only while its worker waits
+            // for the answer. After that time the worker sends its next heartbeat.
             max_overtaken_s: ANSWER_TIMEOUT_S.max(1.5 * self.config.heartbeat_s),
         }
     }
 
-    /// The machine of this heartbeat. One that is not in our record is added: nothing can
-    /// have been started on it, and it becomes usable once the record with it is written.
+    /// Returns the machine of this heartbeat, and adds it if it is unknown. Nothing can have
+    /// been started on an unknown machine. It becomes usable once the machine record that
+    /// lists it is written.
     fn find_or_register(&mut self, name: &Name, report: &Report, now: f64) -> &Machine {
         let drains = &self.drains;
         let machine_record_dirty = &mut self.machine_record_dirty;
@@ -194,8 +196,9 @@
         })
     }
 
-    /// Takes a machine whose lease expired back with its next session; as it was proven
-    /// empty, it has to be recorded again before tasks start on it.
+    /// Readmits a machine whose lease expired when its next session begins. The expiry
+    /// removed the machine from the machine record, so it must be recorded again before
+    /// tasks start on it.
     fn readmit_expired(&mut self, name: &Name) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -208,10 +211,12 @@
         }
     }
 
-    /// Nothing says what a machine runs that reports from an earlier life. Its lease must
-    /// end, which an answer might renew, and until it can have ended, counted from now on,
-    /// what calls of ours started meanwhile may run.
-    fn doubt_earlier_life(&mut self, name: &Name, now: f64) {
+    /// Marks the delivery to a machine as doubtful after a heartbeat from another
+    /// incarnation. Such a heartbeat doesn't show what the machine runs now. The machine's
+    /// lease must end, so the heartbeat is not answered: an answer might renew the lease.
+    /// The lease is counted from now on, because until it ends the machine may run tasks
+    /// that our direct calls started in the meantime.
+    fn doubt_delivery(&mut self, name: &Name, now: f64) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine
                 .delivery
@@ -222,8 +227,8 @@
         self.update_capacity(name);
     }
 
-    /// The answer that renews the machine's lease. Commands are worked out in reply to a
-    /// current message only.
+    /// Builds the answer that renews the machine's lease. Only the answer to a current
+    /// message carries commands; `message` is `None` for an overtaken one.
     fn answer_heartbeat(&mut self, name: &Name, message: Option<MessageId>, now: f64) -> Reply {
         let mut commands = Vec::new();
         if let Some(message) = message {
--- a/src/coordination/agents/leader_reachability.rs
+++ b/src/coordination/agents/leader_reachability.rs
@@ -1,21 +1,23 @@
-//! Detects a leader that its workers do not reach.
+//! Detects a leader that its workers cannot reach.
 //!
-//! Such a leader keeps its lease in the state service, so nobody takes the shard over,
-//! while the leases of all its workers run out. It resigns when most of its machines fell
-//! silent at once and another controller says that workers come there to be redirected.
+//! Such a leader keeps its lease in the state service, so no other controller takes over the
+//! shard, while the leases of all its workers run out. It resigns when most of its machines
+//! have fallen silent at once and another controller reports that workers go there and are
+//! redirected.
 
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
 
-/// Length of a window, in seconds: a worker whose leader does not answer tries another
-/// controller after 4 s, and again about as often.
+/// Length of a counting window, in seconds. A worker whose leader does not answer tries
+/// another controller after 4 s, and repeats that at about the same interval.
 const WINDOW_S: f64 = 5.0;
-/// Redirected heartbeats within two windows from which on the leader counts as unreached.
-const UNREACHED_REDIRECTS: u32 = 8;
-/// Machines a shard must have for its leader to resign: fewer may have died one by one.
+/// Redirected heartbeats within two windows from which on the leader counts as unreachable.
+const MIN_REDIRECTS_OF_UNREACHABLE_LEADER: u32 = 8;
+/// Smallest number of machines in a shard whose leader may resign. Fewer machines may have
+/// died one by one.
 const MIN_RESIGNATION_MACHINES: usize = 8;
 
-/// Counts redirected heartbeats, in two windows.
+/// Counts redirected heartbeats in the present and the previous window.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct RedirectCounter {
     window_began_at: f64,
@@ -34,30 +36,31 @@
         }
     }
 
-    /// Counts one more; returns how many there were lately.
+    /// Counts one redirected heartbeat; returns the count of both windows.
     pub fn add(&mut self, now: f64) -> u32 {
         self.advance(now);
         self.in_window += 1;
         self.in_window + self.in_previous_window
     }
 
-    /// How many there were lately.
+    /// The count of both windows.
     pub fn recent(&mut self, now: f64) -> u32 {
         self.advance(now);
         self.in_window + self.in_previous_window
     }
 }
 
-/// Whether so many workers come here lately that their leader does not reach them.
-/// To send them back to it costs each 4 s of waiting and a second; a takeover is a
-/// matter of less. (One machine that boots or is cut off comes alone; as many as make
-/// a partition, see `out_of_reach`, do not.)
+/// Whether so many heartbeats were redirected lately that the workers' leader is most likely
+/// unreachable. Redirecting a worker to such a leader costs it a time-out of 4 s and another
+/// second, while a takeover takes less. A single machine that boots or is cut off from the
+/// leader stays below the limit; a partition of many machines (see `out_of_reach`) does not.
 pub fn leader_unreached(recent_redirects: u32) -> bool {
-    recent_redirects >= UNREACHED_REDIRECTS
+    recent_redirects >= MIN_REDIRECTS_OF_UNREACHABLE_LEADER
 }
 
-/// Whether to resign: most of the `machines` are silent, as many as make a partition
-/// and not a few deaths, and at least an eighth of them try another controller.
+/// Whether a leader should resign: more than three quarters of its `machines` are silent,
+/// which is a partition and not a few dead machines, and the number of heartbeats that other
+/// controllers redirected is at least an eighth of `machines`.
 pub fn out_of_reach(machines: usize, silent: usize, redirected: u32) -> bool {
     machines >= MIN_RESIGNATION_MACHINES
         && 4 * silent > 3 * machines
@@ -65,10 +68,11 @@
 }
 
 impl Scheduler {
-    /// How many machines should send heartbeats, and how many of them did not for longer
-    /// than the longest time between two heartbeats (1.25 `report_s`) and a delay.
+    /// Returns the number of machines that should send heartbeats, and the number of those
+    /// that are silent: their last heartbeat is older than the longest interval between two
+    /// heartbeats (1.25 `report_s`) plus a delay.
     pub fn silent_machines(&self, now: f64) -> (usize, usize) {
-        // What operators switched off is silent for another reason.
+        // Cordoned machines may be silent because an operator switched them off.
         let expected = |m: &&Machine| m.recorded && !m.cordoned && m.status == MachineStatus::Up;
         let (mut total, mut silent) = (0, 0);
         for machine in self.machines.values().filter(expected) {
@@ -81,8 +85,8 @@
 
     fn max_heartbeat_gap_s(&self, machine: &Machine) -> f64 {
         let gap_s = 1.5 * self.config.heartbeat_s;
-        // One that hears nobody goes from controller to controller: with another
-        // leader it would be the same.
+        // A machine that receives no answers tries one controller after the other, and would do
+        // so under any other leader too. Its silence in between is no reason to resign.
         if machine.delivery.is_doubtful() {
             gap_s.max(self.config.retry_round_s)
         } else {
--- a/src/coordination/agents/lease_expiry.rs
+++ b/src/coordination/agents/lease_expiry.rs
@@ -1,37 +1,40 @@
-//! Lease expiry: when silence proves a machine empty.
+//! Lease expiry: decides when the silence of a machine proves it empty.
 //!
 //! Each answer to a heartbeat renews the lease of the worker's session, and a worker whose
-//! lease ends kills all its tasks. A machine is therefore empty once every lease that
-//! anyone can have renewed is over, with a margin for the drift of clocks. From then on
-//! the session is never answered again.
+//! lease ends kills all its tasks. A machine is therefore empty once every lease that any
+//! leader can have renewed has ended, with a margin for clock drift. From then on the
+//! session is never answered again.
 
 use crate::coordination::scheduler::config::lease_with_margin_s;
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
 
-/// When the last lease that we can have given to a session of the machine began.
+/// When the last lease that this leader can have granted to a session of the machine began.
 fn last_lease_began_at(machine: &Machine) -> f64 {
-    // A session seen in a direct call's answer runs a lease from its beginning, although
-    // no heartbeat of it was answered yet.
+    // A session has a lease from its beginning, even if it was seen only in the answer to a
+    // direct call and none of its heartbeats has been answered yet.
     let session_seen_at = machine.session_seen_at;
     let renewed_at = machine
         .answered_at
-        .map_or(session_seen_at, |t| t.max(session_seen_at));
+        .map_or(session_seen_at, |at| at.max(session_seen_at));
     let renewed_at = machine
         .renumbered_at
-        .map_or(renewed_at, |t| renewed_at.max(t));
-    // A machine that was back at once may have begun to count when the call with a start
-    // came, which then lives for a lease.
-    let unseen = machine.attempts.values().filter(|a| a.phase.is_none());
+        .map_or(renewed_at, |at| renewed_at.max(at));
+    // A machine may have restarted without our notice just before a call with a start
+    // arrived. The started task then lives for one lease from that time.
+    let unseen = machine
+        .attempts
+        .values()
+        .filter(|attempt| attempt.phase.is_none());
     unseen
-        .map(|a| a.start_decided_at)
+        .map(|attempt| attempt.start_decided_at)
         .fold(renewed_at, f64::max)
 }
 
 impl Scheduler {
-    /// Declares the leases of silent machines expired, and keeps the index of usable
-    /// machines. `confirmed`: see `tick`.
+    /// Declares the leases of silent machines expired, and updates the index of usable
+    /// machines. For `confirmed` see `tick`.
     pub(crate) fn expire_leases(&mut self, now: f64, confirmed: f64) {
         let mut expired = Vec::new();
         let mut usability_changed = Vec::new();
@@ -59,37 +62,38 @@
         }
     }
 
-    /// When all leases of the machine that anyone can have renewed are over; `None` while
-    /// that is not known.
+    /// When all leases of the machine that any leader can have renewed have ended; `None`
+    /// while that is not known.
     fn leases_end_at(&self, machine: &Machine) -> Option<f64> {
         let lease_s = lease_with_margin_s(self.config.lease_s);
         if machine.fenced {
-            // Ours alone counts once the machine has seen our term: from then on it drops
-            // the answers of all former leaders.
+            // Once the machine has seen our term, it drops the answers of all former leaders.
+            // Former leaders' leases count up to that time, and only ours after it.
             let own = last_lease_began_at(machine) + lease_s;
             return Some(own.max(machine.fenced_at + lease_s));
         }
-        // Nothing of ours was started there. What a former leader did is over a lease
-        // after the last answer of anyone: the session that lives then began later. (Each
-        // session of an unreachable machine has a lease of its own, and so would
-        // never prove it empty.)
+        // We have started nothing on a machine that is not fenced. All tasks that a former
+        // leader started there are gone one lease after the last answer of any leader: a
+        // session that is alive at that time began after that answer. The beginnings of
+        // sessions are not counted here. (Each session of an unreachable machine has a lease
+        // of its own, so the machine would never be proven empty.)
         let answered = machine
             .answered_at
-            .map_or(f64::NEG_INFINITY, |t| t + lease_s);
-        self.fence.empty_from(lease_s).map(|t| t.max(answered))
+            .map_or(f64::NEG_INFINITY, |at| at + lease_s);
+        self.fence.empty_from(lease_s).map(|at| at.max(answered))
     }
 
-    /// The machine is proven empty.
+    /// Marks the machine's lease as expired and the machine as proven empty.
     fn expire_machine(&mut self, name: &Name, now: f64) {
         tracing::warn!(machine = %name, term = self.term, "lease expired: proven empty");
         self.clear_machine(name);
         if let Some(machine) = self.machines.get_mut(name) {
             machine.status = MachineStatus::Expired;
             machine.recorded = false;
-            // No former leader answers any more, and what sessions it knew are
-            // over: the next one holds up nobody. (An unreachable machine
-            // never reports under our term; after each lease the whole shard
-            // would wait for it again.)
+            // No former leader answers any more, and all sessions that one knew have ended, so
+            // the machine's next session must not block placement. (An unreachable machine
+            // never reports under our term, so the whole shard would wait for it again after
+            // each lease.)
             if !machine.fenced {
                 machine.fenced = true;
                 machine.fenced_at = now;
--- a/src/coordination/agents/mod.rs
+++ b/src/coordination/agents/mod.rs
@@ -1,5 +1,5 @@
-//! The leader's side of the workers (agents): their heartbeats, the commands they get, and
-//! what their silence proves.
+//! How the leader handles workers (agents): their heartbeats, the commands sent to them, and
+//! the detection of dead or unreachable machines.
 
 pub mod commands;
 pub mod direct_calls;
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -1,9 +1,9 @@
-//! Reconciles a worker's report with what the leader holds of its machine.
+//! Reconciles a worker's report with the leader's state of its machine.
 //!
-//! A report lists all attempts that the worker has, so an attempt that it does not list is
-//! not there, unless a command that starts it may still be on its way. What the report
-//! shows of our earlier answers is evidence of whether answers reach the machine
-//! (see `scheduler::delivery`).
+//! A report lists all attempts that the worker has. An attempt that is not listed is not on
+//! the machine, unless a command that starts it may still be in flight. The effects of our
+//! earlier answers that the report shows, or lacks, are evidence of whether answers reach
+//! the machine (see `scheduler::delivery`).
 
 use super::task_reconciliation::ShownTask;
 use crate::coordination::scheduler::delivery::{Evidence, EvidenceSummary};
@@ -13,23 +13,23 @@
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::worker::{Phase, Report, Shown};
 
-/// How a report reached us.
+/// How a report reached the leader.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) enum ReportSource {
-    /// A heartbeat of the worker, whose lease our answer renews.
+    /// A heartbeat of the worker; our answer renews its lease.
     Heartbeat,
     /// The answer to a direct call.
     DirectCall,
 }
 
-/// How a report relates to the sessions that were known before it.
+/// How a report's session relates to the machine's sessions known so far.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SessionChange {
-    /// The session that was known.
+    /// The known session.
     Same,
-    /// The first one that is known of the machine.
+    /// The machine's first known session.
     First,
-    /// A newer one: the one before is over, with all that ran in it.
+    /// A newer session: the previous one has ended, and all its tasks were killed.
     Newer,
 }
 
@@ -45,8 +45,9 @@
     }
 }
 
-/// Notes what the heartbeat's term, time and session say of our earlier answers. What the
-/// machine did not hear of before is seen from its tasks.
+/// Adds the evidence on the delivery of our earlier answers that the heartbeat's token,
+/// arrival time and session give. A session that ended unexpectedly is evidence only if
+/// `ended_session_counts`. The heartbeat's tasks are evaluated separately.
 fn note_heartbeat_evidence(
     machine: &mut Machine,
     report: &Report,
@@ -69,7 +70,7 @@
     }
 }
 
-/// Takes over the report's session, sequence number, token and termination notice.
+/// Records the report's session, sequence number, token and termination notice.
 fn record_message(machine: &mut Machine, report: &Report, now: f64) {
     machine.heard_at = now;
     machine.renumbered_at = None;
@@ -84,8 +85,9 @@
     machine.notice_at = report.notice_s.map(|s| now + s);
 }
 
-/// Notes what it says of our answers that this attempt is, or is not, in the machine's
-/// newest message, and settles the starts which that message proves executed or dropped.
+/// Adds the evidence on the delivery of our answers that follows from the presence or
+/// absence of this attempt in the machine's newest message (`shown`). Clears the pending
+/// starts which that message proves executed or dropped.
 fn settle_commands(
     attempt: &mut Attempt,
     shown: bool,
@@ -93,8 +95,8 @@
     seen_token: u64,
     evidence: &mut EvidenceSummary,
 ) {
-    // Answers to earlier heartbeats were executed or dropped before this one was sent;
-    // answers to direct calls say nothing about them.
+    // The worker executed or dropped the answers to earlier heartbeats before it sent this
+    // one. The answer to a direct call doesn't prove that.
     if source == ReportSource::Heartbeat && attempt.sent_in_reply_to.take().is_some() {
         evidence.add(if shown {
             Evidence::Delivered
@@ -107,14 +109,14 @@
     }
     if attempt
         .unresolved_call
-        .is_some_and(|(term, _)| term < seen_token)
+        .is_some_and(|(token, _)| token < seen_token)
     {
         attempt.unresolved_call = None;
     }
 }
 
-/// Settles the commands to all attempts of the machine; returns those that are gone: not
-/// in the newest message, and no start of theirs may still be executed.
+/// Settles the commands to all attempts of the machine. Returns the attempts that are gone:
+/// the newest message does not list them, and no start of them may still be executed.
 fn settle_attempts(
     machine: &mut Machine,
     source: ReportSource,
@@ -134,7 +136,7 @@
 }
 
 impl Scheduler {
-    /// Reconciles a report that is newer than what is known of its machine.
+    /// Reconciles a report that is newer than every known message of its machine.
     pub(crate) fn reconcile_report(
         &mut self,
         name: &Name,
@@ -142,8 +144,8 @@
         source: ReportSource,
         now: f64,
     ) {
-        // A session that ended while we stood still says nothing of delivery.
-        let steady = now - self.listening_since(now) > self.config.lease_s;
+        // A session that ended while this process was paused is no evidence on delivery.
+        let listening_steadily = now - self.listening_since(now) > self.config.lease_s;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -152,14 +154,14 @@
         match source {
             ReportSource::DirectCall => evidence.add(Evidence::Delivered),
             ReportSource::Heartbeat => {
-                let counts = session == SessionChange::Newer && steady;
-                note_heartbeat_evidence(machine, report, counts, now, &mut evidence);
+                let ended_session_counts = session == SessionChange::Newer && listening_steadily;
+                note_heartbeat_evidence(machine, report, ended_session_counts, now, &mut evidence);
             }
         }
         record_message(machine, report, now);
         self.record_fencing_and_address(name, report, now);
         if session == SessionChange::Newer {
-            // All tasks of the old session were killed, and commands to it are dropped.
+            // The worker killed all tasks of the old session and drops commands to it.
             tracing::info!(machine = %name, session = report.session, "new session");
             self.clear_machine(name);
         }
@@ -169,8 +171,8 @@
         self.update_capacity(name);
     }
 
-    /// A machine that has seen our term is fenced: it drops the answers and calls of all
-    /// former leaders.
+    /// Records the machine's address, and that it is fenced once it has seen our term: from
+    /// then on it drops the answers and calls of all former leaders.
     fn record_fencing_and_address(&mut self, name: &Name, report: &Report, now: f64) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Reconciles the report's tasks one by one. Live attempts of unknown jobs hold up
+    /// Reconciles the report's tasks one by one. Live attempts of unknown jobs block
     /// placement until they are gone.
     fn reconcile_tasks(
         &mut self,
@@ -213,8 +215,8 @@
         }
     }
 
-    /// A report's entry with what is known of its job; `None` if the task's name does not
-    /// parse.
+    /// Combines a report's entry with the resources that its job takes. Returns `None` if
+    /// the task's name does not parse.
     fn shown_task(&self, entry: &Shown) -> Option<ShownTask> {
         let (job, index) = TaskId::split(&entry.task)?;
         let known = self.jobs.get_key_value(job);
@@ -230,7 +232,7 @@
         })
     }
 
-    /// Removes attempts that the newest message proves gone.
+    /// Removes the attempts that the newest message proves gone.
     fn remove_gone_attempts(
         &mut self,
         name: &Name,
@@ -245,8 +247,8 @@
         }
     }
 
-    /// Draws the conclusion from the evidence of one message: a machine that answers may
-    /// not reach gets nothing new.
+    /// Updates the machine's delivery state with the evidence of one message. A machine with
+    /// doubtful delivery gets no new tasks.
     fn conclude_delivery(&mut self, name: &Name, evidence: &EvidenceSummary, now: f64) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
--- a/src/coordination/agents/task_reconciliation.rs
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -1,8 +1,8 @@
-//! Reconciles one attempt of a worker's report: it is adopted, counted as running, taken
-//! for ended, or stopped as unwanted.
+//! Reconciles one attempt of a worker's report: adopts it, counts it as running, records its
+//! end, or stops it as unwanted.
 //!
-//! As long as any message shows a task on a machine, the task is placed and must not start
-//! again elsewhere, also if two machines show it.
+//! As long as the newest message of any machine shows a task, the task counts as placed and
+//! must not start elsewhere. This also holds if two machines show it.
 
 use crate::coordination::scheduler::delivery::Evidence;
 use crate::coordination::scheduler::job::{AttemptId, Job, Name, TaskId};
@@ -16,26 +16,26 @@
     pub(crate) attempt: AttemptId,
     pub(crate) phase: Phase,
     pub(crate) cause: Option<Cause>,
-    /// What it takes of the machine; `None` if its job is not known.
+    /// The resources that it takes of the machine; `None` if its job is not known.
     pub(crate) resources: Option<Resources>,
 }
 
-/// What is known of an attempt beside the report that shows it.
-struct ShownBefore {
-    /// No message has shown it before, and it was not started by us.
+/// The leader's state of an attempt that a report shows.
+struct KnownAttempt {
+    /// No earlier message has shown it, and this leader did not start it.
     adopted: bool,
     running_since: Option<f64>,
 }
 
-/// An attempt that we did not start: a former leader did.
+/// An attempt that a former leader started.
 fn adopted_attempt(now: f64) -> Attempt {
     let mut attempt = Attempt::new(now, Resources::default());
     attempt.unsent = false;
     attempt
 }
 
-/// Takes over what the message shows of the attempt; returns what that says of an answer
-/// that told the machine to stop or forget it.
+/// Records the attempt's state as the message shows it. Returns the evidence on whether an
+/// answer that told the machine to stop or forget the attempt was delivered.
 fn record_shown(
     attempt: &mut Attempt,
     shown: &ShownTask,
@@ -57,7 +57,7 @@
     evidence
 }
 
-/// Keeps the job's count of running tasks; whether its first task began to run.
+/// Updates the job's count of running tasks. Returns whether its first task began to run.
 fn update_running_count(job: &mut Job, attempt: &mut Attempt) -> bool {
     let runs = !attempt.has_exited() && attempt.running_since.is_some();
     if runs == attempt.counted_as_running {
@@ -74,7 +74,8 @@
 }
 
 impl Scheduler {
-    /// Reconciles one attempt of a report that is already the machine's newest message.
+    /// Reconciles one attempt of a report, which is already recorded as the machine's newest
+    /// message.
     pub(crate) fn reconcile_task(&mut self, name: &Name, shown: &ShownTask, now: f64) -> Evidence {
         let Some(machine) = self.machines.get_mut(name) else {
             return Evidence::Neutral;
@@ -92,7 +93,7 @@
         let job_name = &shown.attempt.task.job;
         let job = self.jobs.get_mut(job_name);
         let Some(job) = job.filter(|_| shown.resources.is_some()) else {
-            // Its job is over, or was never accepted: it must go.
+            // Its job has ended or was never accepted, so the attempt is stopped.
             if shown.phase != Phase::Exited && attempt.stop_grace_s.is_none() {
                 attempt.stop_grace_s = Some(0.0);
                 attempt.unsent = true;
@@ -105,40 +106,41 @@
         if newly_exited {
             attempt.cause = shown.cause;
         }
-        let before = ShownBefore {
+        let known = KnownAttempt {
             adopted,
             running_since: attempt.running_since,
         };
         if first_start {
-            self.record_first_start(job_name, &before, now);
+            self.record_first_start(job_name, &known, now);
         }
         if newly_exited {
-            self.reconcile_exited_attempt(name, shown, &before, now);
+            self.reconcile_exited_attempt(name, shown, &known, now);
         } else if shown.phase != Phase::Exited {
-            self.reconcile_live_attempt(name, shown, &before, now);
+            self.reconcile_live_attempt(name, shown, &known, now);
         }
         evidence
     }
 
-    /// The first task of the job runs.
-    fn record_first_start(&mut self, job_name: &Name, before: &ShownBefore, now: f64) {
+    /// Records that the first task of the job runs.
+    fn record_first_start(&mut self, job_name: &Name, known: &KnownAttempt, now: f64) {
         let Some(job) = self.jobs.get(job_name) else {
             return;
         };
         let waited_s = now - job.accepted_at;
         tracing::info!(job = %job_name, waited_s, "begun");
-        // One that is shown for the first time began before we knew of it.
-        if !before.adopted {
+        // An adopted task began before this leader knew of it, so its wait is not known.
+        if !known.adopted {
             self.predictor.waited(&job.spec.class, waited_s);
         }
     }
 
-    /// The attempt is on the machine: its task is placed here, or here as well.
+    /// Reconciles an attempt that is on the machine: its task is placed on this machine, or
+    /// on this machine as well as on another one.
     fn reconcile_live_attempt(
         &mut self,
         name: &Name,
         shown: &ShownTask,
-        before: &ShownBefore,
+        known: &KnownAttempt,
         now: f64,
     ) {
         let AttemptId { task, number } = &shown.attempt;
@@ -148,20 +150,21 @@
         let placed_attempt = job.placed.get(&task.index).map(|(_, attempt)| *attempt);
         let elsewhere = placed_attempt.is_some_and(|attempt| attempt != *number);
         if placed_attempt.is_none() {
-            // A former leader's task: adopted. It need not be the first report that shows
-            // it: a job can become known to us after its task did, and while that is being
-            // stopped it is still on.
+            // A former leader started the task, and it is adopted. An earlier report may have
+            // shown it already: a job can become known after its task did, and the task stays
+            // on the machine while it is being stopped as unknown.
             job.set_placed(task.index, name.clone(), *number);
             self.team_usage.add(job.team, &job.spec, 1.0);
         } else if elsewhere && job.add_extra_attempt(task.index, name.clone(), *number) {
-            // One of the two reports is older, and we cannot tell which: as long as either
-            // attempt may be on, the task must not start again. (The one seen first went
-            // with its session, and the task started a third time while the other ran.)
+            // One of the two reports is outdated, and it is not known which. As long as either
+            // attempt may be on its machine, the task must not start again. (Once only the
+            // first attempt counted; it ended with its session, and the task started a third
+            // time while the second attempt ran.)
             self.team_usage.add(job.team, &job.spec, 1.0);
         }
         let unwanted = elsewhere || job.finished || job.completed.contains(task.index);
-        let just_began = shown.phase == Phase::Running && before.running_since == Some(now);
-        if before.adopted || just_began {
+        let just_began = shown.phase == Phase::Running && known.running_since == Some(now);
+        if known.adopted || just_began {
             self.record_image_use(name, &task.job);
         }
         if placed_attempt.is_none() {
@@ -172,7 +175,7 @@
         }
     }
 
-    /// The machine has the job's image, used last.
+    /// Records that the machine holds the job's image, as its most recently used one.
     fn record_image_use(&mut self, name: &Name, job: &Name) {
         let (Some(machine), Some(job)) = (self.machines.get_mut(name), self.jobs.get(job)) else {
             return;
@@ -192,17 +195,17 @@
         machine.used_image(&spec.image, spec.image_gb, cache_gb);
     }
 
-    /// The attempt has ended, and no earlier message said so.
+    /// Reconciles an attempt that has ended since the previous message.
     fn reconcile_exited_attempt(
         &mut self,
         name: &Name,
         shown: &ShownTask,
-        before: &ShownBefore,
+        known: &KnownAttempt,
         now: f64,
     ) {
         let task = &shown.attempt.task;
         match shown.cause {
-            Some(Cause::Done) => self.task_completed(name, task, before.running_since, now),
+            Some(Cause::Done) => self.task_completed(name, task, known.running_since, now),
             Some(Cause::Error) => self.task_failed(name, task, now),
             Some(cause @ (Cause::NoRoom | Cause::Busy | Cause::Unknown)) => {
                 self.start_refused(name, task, cause, now);
@@ -228,7 +231,7 @@
         }
     }
 
-    /// A task failed, by the fault of its job or of its machine.
+    /// Records a failed task; either its job or its machine may be at fault.
     fn task_failed(&mut self, name: &Name, task: &TaskId, now: f64) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -247,10 +250,10 @@
         }
     }
 
-    /// A job that fails on machine after machine is retried ever more rarely, and with one
-    /// task at a time, so that a good one that was suspected starts at once. It was not
-    /// the machines' fault: a job of hundreds of tasks would take a part of a healthy
-    /// fleet out of use.
+    /// Backs off a job that fails on several machines: it is retried at growing intervals
+    /// and with one task at a time, so that a good job that was suspected can start again
+    /// at once. Its failures no longer count against the machines, since otherwise a broken
+    /// job of hundreds of tasks would take a part of a healthy fleet out of use.
     fn back_off_suspect_job(&mut self, name: &Name, job_name: &Name, now: f64) {
         let Some(job) = self.jobs.get_mut(job_name) else {
             return;
@@ -261,15 +264,15 @@
         if job.retries <= 1 {
             tracing::warn!(job = %job_name, machine = %name, "fails everywhere");
         }
-        for blamed in &job.failed_on {
-            if let Some(machine) = self.machines.get_mut(blamed) {
+        for machine_name in &job.failed_on {
+            if let Some(machine) = self.machines.get_mut(machine_name) {
                 machine.recent_failures.retain(|failed| failed != job_name);
             }
         }
     }
 
-    /// The worker did not start the task: it had no room, was busy, or did not know the
-    /// job's description.
+    /// Records that the worker refused to start the task: it had no room, was busy, or did
+    /// not know the job's description.
     fn start_refused(&mut self, name: &Name, task: &TaskId, cause: Cause, now: f64) {
         tracing::info!(task = %task.wire(), machine = %name, cause = ?Some(cause), "start refused");
         if let Some(job) = self.jobs.get_mut(&task.job) {
--- a/src/coordination/agents/unhealthy_machines.rs
+++ b/src/coordination/agents/unhealthy_machines.rs
@@ -1,19 +1,21 @@
-//! Machines that will be taken away, or that fail task after task.
+//! Handles machines that the cloud will terminate, and machines that keep failing tasks.
 
 use crate::coordination::scheduler::job::{AttemptId, Name};
 use crate::coordination::scheduler::machine::{Attempt, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
 
-/// A stop that is due, and its grace in seconds.
+/// A stop that is due.
 struct DueStop {
     machine: Name,
     attempt: AttemptId,
+    /// Time that the task gets to save a checkpoint, in seconds.
     grace_s: f64,
 }
 
 impl Scheduler {
-    /// Acts on the cloud's termination notices for spot machines: what can save a
-    /// checkpoint is stopped, what ends in time may finish.
+    /// Acts on the cloud's termination notices for spot machines. Tasks that have not begun
+    /// to run are stopped. Running tasks that save checkpoints are stopped unless they are
+    /// predicted to end before the termination. All other tasks run on.
     pub(crate) fn handle_termination_notices(&mut self, now: f64) {
         let mut stops = Vec::new();
         for (name, machine) in &self.machines {
@@ -55,14 +57,16 @@
         !ends_in_time && saves_checkpoints
     }
 
-    /// Takes machines that fail task after task out of use.
+    /// Takes machines out of use whose recent failures have reached the policy's limit.
     pub(crate) fn retire_failing_machines(&mut self) {
         let limit = self.config.policy.cordon_errors as usize;
         let failing: Vec<Name> = self
             .machines
             .iter()
-            .filter(|(_, m)| {
-                m.status == MachineStatus::Up && !m.cordoned && m.recent_failures.len() >= limit
+            .filter(|(_, machine)| {
+                machine.status == MachineStatus::Up
+                    && !machine.cordoned
+                    && machine.recent_failures.len() >= limit
             })
             .map(|(name, _)| name.clone())
             .collect();
