--- a/src/coordination/leadership/cluster_view.rs
+++ b/src/coordination/leadership/cluster_view.rs
@@ -1,7 +1,6 @@
 //! What one controller knows of the control prefix, the watched keys of the state service.
-//! Of two things known about a key the one with the higher version counts, in whatever
-//! order they were learnt: responses overtake each other, most of all when a controller was
-//! paused for a while.
+//! If two versions of a key are known, the higher one counts, whichever was learnt first:
+//! responses may arrive out of order, most of all after a controller was paused.
 
 use crate::protocol::admin::Drain;
 use crate::protocol::cloud::{MachineType, TypeList};
@@ -10,10 +9,10 @@
 use crate::storage::records::{self, AliveRecord, ShardRecord, TermCounter};
 use std::collections::HashMap;
 
-/// What the control prefix holds, as far as it is known.
+/// The records of the control prefix, as far as they are known.
 #[derive(Default, Debug)]
 pub struct ClusterView {
-    /// The prefix was listed at least once.
+    /// Whether the prefix was listed at least once.
     pub loaded: bool,
     /// Revision up to which all changes are known.
     pub revision: u64,
@@ -21,20 +20,20 @@
     pub shard: Option<(ShardRecord, u64)>,
     /// The term counter and its version.
     pub term: (u64, u64),
-    /// Controllers' alive keys: incarnation and version.
+    /// The alive keys of the controllers, by host: incarnation and version.
     pub alive: HashMap<String, (u64, u64)>,
-    /// The machine types that the cloud offers, once they were written.
+    /// The machine types that the cloud offers; `None` until a list of them was read.
     pub types: Option<Vec<MachineType>>,
     /// Drains of machines by host, each with its record's version.
     pub drains: HashMap<String, (Drain, u64)>,
     /// Rollouts by name, each with its record's version.
     pub rollouts: HashMap<String, (Roll, u64)>,
-    /// Counts changes of drains.
+    /// The number of changes of `drains` so far.
     pub drains_generation: u64,
 }
 
 impl ClusterView {
-    /// A controller's alive key has this version.
+    /// Updates a controller's alive key, unless a newer version is known.
     pub fn see_alive(&mut self, host: String, incarnation: u64, version: u64) {
         let known = self.alive.get(&host);
         if known.is_none_or(|(_, known_version)| version >= *known_version) {
@@ -42,8 +41,8 @@
         }
     }
 
-    /// Applies one record of the prefix, unless a newer one is known. A record that cannot
-    /// be read is left to whoever wrote it, except for a drain.
+    /// Applies one record of the prefix, unless a newer version is known. A record that cannot
+    /// be read is ignored, except for a drain.
     pub fn apply_entry(&mut self, entry: &Entry) {
         let key = entry.key.as_str();
         if key == records::SHARD_KEY {
@@ -52,7 +51,7 @@
             }
         } else if key == records::TERM_KEY {
             if let Ok(term) = entry.read::<TermCounter>() {
-                self.see_term(term.term, entry.version);
+                self.update_term(term.term, entry.version);
             }
         } else if key == records::TYPES_KEY {
             if let Ok(list) = entry.read::<TypeList>() {
@@ -60,10 +59,10 @@
             }
         } else if key.starts_with(records::ROLLOUTS_PREFIX) {
             if let Ok(rollout) = entry.read::<Roll>() {
-                self.see_rollout(rollout, entry.version);
+                self.update_rollout(rollout, entry.version);
             }
         } else if let Some(host) = key.strip_prefix(records::DRAINS_PREFIX) {
-            self.see_drain(host, entry);
+            self.update_drain(host, entry);
         } else if let Some(host) = key.strip_prefix(&records::alive_key("")) {
             if let Ok(alive) = entry.read::<AliveRecord>() {
                 self.see_alive(host.to_string(), alive.incarnation, entry.version);
@@ -71,23 +70,28 @@
         }
     }
 
-    /// A drain's record. One that cannot be read cordons its machine all the same: a newer
-    /// version of the program may have written it.
-    fn see_drain(&mut self, host: &str, entry: &Entry) {
+    /// Updates the drain of a machine, unless this or a newer version is known. A record that
+    /// cannot be read also cordons its machine: a newer version of the program may have written
+    /// it.
+    fn update_drain(&mut self, host: &str, entry: &Entry) {
         let known = self.drains.get(host).map_or(0, |(_, version)| *version);
         if entry.version <= known {
             return;
         }
         let drain = entry.read::<Drain>().unwrap_or_else(|error| {
-            tracing::error!(key = %entry.key, %error, "unreadable drain");
+            tracing::error!(
+                key = %entry.key,
+                %error,
+                "unreadable drain record; cordoning the machine"
+            );
             records::unreadable_drain(host)
         });
         self.drains.insert(host.into(), (drain, entry.version));
         self.drains_generation += 1;
     }
 
-    /// A rollout has this version.
-    fn see_rollout(&mut self, rollout: Roll, version: u64) {
+    /// Updates a rollout, unless a newer version is known.
+    fn update_rollout(&mut self, rollout: Roll, version: u64) {
         let known = self
             .rollouts
             .get(&rollout.name)
@@ -98,22 +102,22 @@
         }
     }
 
-    /// The shard record has this version.
+    /// Updates the shard record, unless a newer version is known.
     pub fn see_shard(&mut self, shard: ShardRecord, version: u64) {
         if version >= self.shard_version() {
             self.shard = Some((shard, version));
         }
     }
 
-    /// The term counter has this version.
-    pub(super) fn see_term(&mut self, term: u64, version: u64) {
+    /// Updates the term counter, unless a newer version is known.
+    pub(super) fn update_term(&mut self, term: u64, version: u64) {
         if version >= self.term.1 {
             self.term = (term, version);
         }
     }
 
-    /// Applies a listing of the whole prefix as of `revision`; a controller that is not in it
-    /// was not alive then. What is known from later stays.
+    /// Applies a listing of the whole prefix as of `revision`. A controller that is missing
+    /// from it was not alive then. Keys that are known at a later revision stay.
     pub fn apply_listing(&mut self, entries: &[Entry], revision: u64) {
         self.alive.retain(|_, (_, version)| *version > revision);
         self.rollouts.retain(|_, (_, version)| *version > revision);
@@ -122,8 +126,9 @@
         self.advance_to(revision);
     }
 
-    /// Applies a listing of all drains as of `revision`. If we know of later changes there is
-    /// nothing to learn: a drain that was ended since would come back for good.
+    /// Applies a listing of all drains as of `revision`. A listing that is older than the known
+    /// changes is ignored: it would bring back a drain that was ended since, and no later event
+    /// would remove that drain again.
     pub fn apply_drain_listing(&mut self, entries: &[Entry], revision: u64) {
         if revision < self.revision {
             return;
@@ -135,12 +140,13 @@
         }
     }
 
-    /// All changes up to this revision are known.
+    /// Records that all changes up to this revision are known.
     pub fn advance_to(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// A key of the prefix was deleted at `version`.
+    /// Applies the deletion of a key of the prefix at `version`, unless a newer version of the
+    /// key is known.
     pub fn apply_deletion(&mut self, key: &str, version: u64) {
         if let Some(name) = key.strip_prefix(records::ROLLOUTS_PREFIX) {
             if self
@@ -166,14 +172,14 @@
         }
     }
 
-    /// Version of the shard record that we know, 0 if there is none.
+    /// The known version of the shard record; 0 if none is known.
     pub fn shard_version(&self) -> u64 {
         self.shard.as_ref().map_or(0, |(_, version)| *version)
     }
 
-    /// A read begun while the shard record had this version found no alive key of its
-    /// leader. If the record has changed since, the response is too old: the leader may be
-    /// back.
+    /// A read found no alive key of the leader `host`; when the read began, the shard record had
+    /// this version. If the record has changed since, the response is outdated and ignored: the
+    /// leader may be alive again.
     pub fn leader_not_alive(&mut self, host: &str, shard_version: u64) {
         if self.shard_version() == shard_version {
             self.alive.remove(host);
--- a/src/coordination/leadership/confirmed_cancellations.rs
+++ b/src/coordination/leadership/confirmed_cancellations.rs
@@ -1,10 +1,10 @@
-//! The latest cancellations that this process confirmed to users, or heard of, for a leader
-//! that has no other way to learn them. It answers for a span of time completely or not at
-//! all.
+//! The latest cancellations that this process confirmed to users, or that peers reported to
+//! it. A leader that cannot reach the state service learns them from here. A query for a
+//! period of time returns all cancellations of that period, or nothing if some are missing.
 
 use std::collections::VecDeque;
 
-/// Most cancellations kept: as many as terminal states of jobs.
+/// Most cancellations kept; as many as terminal job states are kept.
 const MAX_CANCELLATIONS: usize = 16_384;
 
 #[derive(Debug)]
@@ -13,17 +13,17 @@
     job: String,
 }
 
-/// Cancellations that this process confirmed to users, the latest ones.
+/// The latest cancellations that this process confirmed to users or learnt from peers.
 #[derive(Debug, Default)]
 pub struct ConfirmedCancellations {
-    /// The earliest first.
+    /// In the order in which they were recorded.
     latest: VecDeque<Cancellation>,
-    /// No cancellation from here on is missing; the process started at 0.
+    /// No cancellation at or after this time is missing.
     complete_from: f64,
 }
 
 impl ConfirmedCancellations {
-    /// Those of a process that started at this time by its clock.
+    /// An empty list, complete from `started_at` by the process's clock.
     pub fn since(started_at: f64) -> ConfirmedCancellations {
         ConfirmedCancellations {
             complete_from: started_at,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The cancellation of the job `id` is about to be confirmed to a user.
+    /// Records that the cancellation of the job `id` is about to be confirmed to a user.
     pub fn record(&mut self, id: &str, now: f64) {
         self.latest.push_back(Cancellation {
             confirmed_at: now,
@@ -44,8 +44,8 @@
         }
     }
 
-    /// The jobs whose cancellation was confirmed over the last `for_s`, the latest first;
-    /// `None` if not all of them are known.
+    /// The jobs whose cancellation was confirmed within the last `for_s` seconds, the latest
+    /// first; `None` if not all of them are known.
     pub fn within(&self, for_s: f64, now: f64) -> Option<Vec<String>> {
         let from = now - for_s;
         if from < self.complete_from || !for_s.is_finite() {
--- a/src/coordination/leadership/lease.rs
+++ b/src/coordination/leadership/lease.rs
@@ -1,5 +1,5 @@
-//! Our lease in the state service and the alive key on it: which request the lease loop
-//! sends next, and what follows from the responses.
+//! This controller's lease in the state service and the alive key attached to it: which
+//! request the lease loop sends next, and what follows from the responses.
 
 use crate::coordination::leadership::state::{AliveKey, Leadership};
 use crate::protocol::state::{Entry, Txn};
@@ -8,11 +8,11 @@
 /// A write of our alive key.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AliveKeyWrite {
-    /// The lease on which the key is put.
+    /// The lease to which the key is attached.
     pub lease: u64,
     /// The incarnation to write.
     pub incarnation: u64,
-    /// The key's version that is replaced (0: the key does not exist).
+    /// The version of the key that the write replaces (0: the key does not exist).
     pub expected_version: u64,
 }
 
@@ -28,25 +28,26 @@
 pub enum LeaseStep {
     /// Get a lease from the state service.
     Grant,
-    /// Write our alive key on the lease.
+    /// Write our alive key, attached to the lease.
     WriteAliveKey(AliveKeyWrite),
     /// Renew this lease.
     Renew(u64),
     /// Revoke this lease, since we resigned.
     Revoke(u64),
-    /// We resigned: nothing until another controller took over, or a while passed.
+    /// Do nothing: we resigned, and neither has another controller taken over nor a worker's
+    /// lease passed.
     Wait,
 }
 
 impl Leadership {
     /// What the lease loop should do next.
     pub fn next_lease_step(&self, now: f64) -> LeaseStep {
-        let yields = self.has_resigned(now) && !self.others_lead();
-        match (self.lease, yields) {
+        let leaves_to_others = self.has_resigned(now) && !self.another_controller_leads();
+        match (self.lease, leaves_to_others) {
             (Some(lease), true) => LeaseStep::Revoke(lease),
             (None, true) => LeaseStep::Wait,
             (None, false) => LeaseStep::Grant,
-            (Some(lease), false) if self.alive_key_stands(lease) => LeaseStep::Renew(lease),
+            (Some(lease), false) if self.alive_key_is_current(lease) => LeaseStep::Renew(lease),
             (Some(lease), false) => LeaseStep::WriteAliveKey(AliveKeyWrite {
                 lease,
                 incarnation: self.incarnation,
@@ -59,12 +60,12 @@
         }
     }
 
-    /// Whether our alive key was written on this lease by this incarnation, and nothing was
-    /// written over it.
+    /// Whether this incarnation wrote our alive key under this lease, and no other incarnation
+    /// has overwritten it.
     ///
-    /// Guards against a write of an earlier incarnation that came late, over ours: others
-    /// would wait for a leader that is no more.
-    fn alive_key_stands(&self, lease: u64) -> bool {
+    /// A delayed write of an earlier incarnation can overwrite the key. The other controllers
+    /// would then wait for a leader that no longer exists.
+    fn alive_key_is_current(&self, lease: u64) -> bool {
         let Some(key) = self.own_alive_key().filter(|key| key.lease == lease) else {
             return false;
         };
@@ -85,7 +86,7 @@
         self.lease = Some(lease);
     }
 
-    /// The lease expired, or was revoked by us.
+    /// The lease expired, or we revoked it.
     pub fn lease_ended(&mut self, lease: u64) {
         if self.lease == Some(lease) {
             self.lease = None;
@@ -94,12 +95,12 @@
         }
     }
 
-    /// Our alive key as it was read, after it was not the one that we wanted to replace. An
-    /// older response does no harm: what is written is conditional on its version.
+    /// Our alive key was read again, because a write found another version than expected. An
+    /// outdated response does no harm: the next write is conditional on the version read.
     pub fn alive_key_read(&mut self, found: Option<&Entry>) {
         self.view.alive.remove(&self.config.host);
         if let Some(entry) = found {
-            // One that this version of the program cannot read is replaced all the same.
+            // A value that this version of the program cannot read is replaced as well.
             let incarnation = entry
                 .read::<AliveRecord>()
                 .map_or(0, |alive| alive.incarnation);
@@ -121,9 +122,9 @@
         }
     }
 
-    /// The lease was alive some time after `asked_at`. While it lives nobody can take the
-    /// shard over, if it is the lease under which the shard was made ours: a later one says
-    /// nothing, another controller may have been faster.
+    /// The lease was alive at some time after `asked_at`. While `confirmed_lease` lives, no
+    /// other controller can take the shard over. The renewal of a newer lease proves nothing:
+    /// another controller may have taken over before that lease was granted.
     pub fn lease_renewed(&mut self, lease: u64, asked_at: f64) {
         if self.leader_term.is_some() && self.confirmed_lease == Some(lease) {
             self.confirmed_at = self.confirmed_at.max(asked_at);
--- a/src/coordination/leadership/lease_extension.rs
+++ b/src/coordination/leadership/lease_extension.rs
@@ -1,99 +1,105 @@
 //! How long a leader without contact to the state service goes on answering its workers,
-//! and how soon a new leader knows that it has stopped.
+//! and when a new leader knows that a former leader has stopped.
 //!
-//! Without contact a leader cannot tell an outage for all, during which nobody can take
-//! over and its workers' leases should live, from a refusal of itself alone. So it goes on
-//! for a little more than its lease in the state service, and after that only while a
-//! majority of the controllers extends its lease: each answers that it knows of no later
-//! leader. A controller that takes over asks for promises never to extend an earlier
-//! leader's lease again, as a Paxos proposer does with a higher ballot: with promises of a
-//! majority, no majority of extensions can arise any more, since any two majorities
-//! intersect.
+//! A leader without contact cannot distinguish two cases. In an outage of the state service
+//! for all controllers, no other controller can take over, and the workers' leases should be
+//! renewed. If the state service refuses this leader alone, another controller may take over.
+//! So the leader goes on for a little longer than its lease in the state service. After that
+//! it goes on only while a majority of the controllers extends its lease: each of them
+//! answers that it knows of no later leader.
+//!
+//! A controller that takes over asks the others to promise that they will never again extend
+//! an earlier leader's lease, as a Paxos proposer does with a higher ballot. Once a majority
+//! has promised, no majority can extend an earlier lease, since any two majorities intersect.
 
 use crate::coordination::leadership::queries::PeerAnswer;
 use std::collections::HashMap;
 
-/// A leader goes on alone for so many of its leases: before the first ends nobody can have
-/// taken over, and half a lease more covers a slow renewal.
+/// How long a leader goes on without extensions after its last confirmation, in leases. No
+/// other controller can take over during the first lease; the other half covers a slow
+/// renewal.
 const UNCONFIRMED_LEASES: f64 = 1.5;
 
-/// An extension counts for this part of a lease.
+/// How long an extension is valid, in leases.
 const EXTENSION_LEASES: f64 = 0.5;
 
-/// Clocks drift by half a thousandth against each other; this is ample.
-const CLOCK_DRIFT: f64 = 0.002;
+/// Largest relative drift between two clocks. Clocks drift by 0.0005 against each other, so
+/// this leaves an ample margin.
+const MAX_CLOCK_DRIFT: f64 = 0.002;
 
-/// By how much timers may come late, in seconds.
-const TIMER_DELAY_S: f64 = 0.1;
+/// Largest delay of a timer, in seconds.
+const MAX_TIMER_DELAY_S: f64 = 0.1;
 
-/// The spans of time involved, in seconds.
+/// The durations, in seconds, that limit how long a leader without contact answers workers.
 #[derive(Debug, Clone, Copy)]
-pub struct LeaseSpans {
-    /// A leader goes on alone for this long after its last check.
+pub struct LeaseDurations {
+    /// How long a leader goes on without extensions after its last confirmation.
     pub unconfirmed_s: f64,
-    /// An extension counts for this long from when it was asked for.
+    /// How long an extension is valid, from when it was requested.
     pub extension_s: f64,
-    /// However many peers extend the lease, not longer than this.
-    pub longest_s: f64,
+    /// The limit after the last confirmation, however many peers extend the lease.
+    pub max_without_contact_s: f64,
 }
 
-impl LeaseSpans {
-    /// The spans for a controller's lease of `lease_ttl_s`, and `longest_s` as the bound of
-    /// all.
-    pub fn new(lease_ttl_s: f64, longest_s: f64) -> LeaseSpans {
-        LeaseSpans {
-            unconfirmed_s: (UNCONFIRMED_LEASES * lease_ttl_s).min(longest_s),
+impl LeaseDurations {
+    /// The durations for a controller's lease of `lease_ttl_s`, with `max_without_contact_s` as
+    /// the limit after the last confirmation.
+    pub fn new(lease_ttl_s: f64, max_without_contact_s: f64) -> LeaseDurations {
+        LeaseDurations {
+            unconfirmed_s: (UNCONFIRMED_LEASES * lease_ttl_s).min(max_without_contact_s),
             extension_s: lease_ttl_s * EXTENSION_LEASES,
-            longest_s,
+            max_without_contact_s,
         }
     }
 
-    /// Whether a leader may answer its workers, given the last check of its leadership and
-    /// the extensions of its lease.
+    /// Whether a leader whose leadership was last confirmed at `confirmed_at` may answer its
+    /// workers, given the extensions of its lease.
     pub fn may_answer(&self, extensions: &QuorumRound, confirmed_at: f64, now: f64) -> bool {
         let unconfirmed_s = now - confirmed_at;
         if unconfirmed_s < self.unconfirmed_s {
             return true;
         }
-        unconfirmed_s < self.longest_s && extensions.majority_asked_within(self.extension_s, now)
+        unconfirmed_s < self.max_without_contact_s
+            && extensions.majority_asked_within(self.extension_s, now)
     }
 
-    /// From when on no earlier leader answers, once enough peers have promised;
-    /// `taken_over_at` is when the takeover was known to be done.
+    /// From when on no former leader answers a worker; `None` until a majority has promised.
+    /// `taken_over_at` is when the new leader learnt that its takeover was carried out.
     pub fn former_leaders_silent_from(
         &self,
         promises: &QuorumRound,
         taken_over_at: f64,
     ) -> Option<f64> {
-        let last_extension_ends = promises.complete_at? + self.extension_s;
-        let margin_s = CLOCK_DRIFT * (self.unconfirmed_s + self.extension_s) + TIMER_DELAY_S;
+        let last_extension_ends = promises.majority_at? + self.extension_s;
+        let margin_s =
+            MAX_CLOCK_DRIFT * (self.unconfirmed_s + self.extension_s) + MAX_TIMER_DELAY_S;
         Some(last_extension_ends.max(taken_over_at + self.unconfirmed_s) + margin_s)
     }
 }
 
-/// The peers that agreed for one term, and when each was asked.
+/// The peers that agreed to a query for one term, and when each of them was asked.
 #[derive(Debug)]
 pub struct QuorumRound {
     /// How many controllers there are, this one included.
     controllers: usize,
     term: u64,
     acknowledged_at: HashMap<String, f64>,
-    /// When a majority was there for the first time.
-    complete_at: Option<f64>,
+    /// When a majority had agreed for the first time.
+    majority_at: Option<f64>,
 }
 
 impl QuorumRound {
-    /// A round among so many controllers, this one included.
+    /// A round among `controllers` controllers, this one included.
     pub fn new(controllers: usize) -> QuorumRound {
         QuorumRound {
             controllers,
             term: 0,
             acknowledged_at: HashMap::new(),
-            complete_at: None,
+            majority_at: None,
         }
     }
 
-    /// Starts anew if the round is about another term.
+    /// Starts a new round, without answers, unless the present one is for this term.
     pub fn restart_for(&mut self, term: u64) {
         if self.term != term {
             *self = QuorumRound {
@@ -103,15 +109,15 @@
         }
     }
 
-    /// A peer agreed; one that was asked for another term counts for nothing.
+    /// A peer agreed. An answer for another term than the round's is ignored.
     pub fn acknowledge(&mut self, answer: PeerAnswer) {
         if answer.term != self.term {
             return;
         }
         self.acknowledged_at
             .insert(answer.peer.to_string(), answer.asked_at);
-        if self.complete_at.is_none() && self.is_majority(self.acknowledged_at.len()) {
-            self.complete_at = Some(answer.received_at);
+        if self.majority_at.is_none() && self.is_majority(self.acknowledged_at.len()) {
+            self.majority_at = Some(answer.received_at);
         }
     }
 
@@ -120,13 +126,13 @@
         self.acknowledged_at.contains_key(peer)
     }
 
-    /// Whether a majority agreed when it was asked within the last `span_s`.
-    fn majority_asked_within(&self, span_s: f64, now: f64) -> bool {
-        let recent = |asked_at: &&f64| now - **asked_at < span_s;
+    /// Whether a majority agreed to queries that were sent within the last `window_s`.
+    fn majority_asked_within(&self, window_s: f64, now: f64) -> bool {
+        let recent = |asked_at: &&f64| now - **asked_at < window_s;
         self.is_majority(self.acknowledged_at.values().filter(recent).count())
     }
 
-    /// Whether so many peers and we are more than half of all controllers.
+    /// Whether this controller and `peers` others are more than half of all controllers.
     fn is_majority(&self, peers: usize) -> bool {
         2 * (peers + 1) > self.controllers
     }
--- a/src/coordination/leadership/loops/control_watch.rs
+++ b/src/coordination/leadership/loops/control_watch.rs
@@ -12,10 +12,10 @@
 /// How long a watch request waits for changes, in seconds.
 const WATCH_WAIT_S: f64 = 20.0;
 
-/// Wait before a listing that failed is tried again, in seconds.
+/// Wait before a failed listing is repeated, in seconds.
 const LISTING_RETRY_S: f64 = 0.2;
 
-/// Wait before a watch that failed is tried again, in seconds.
+/// Wait before a failed watch request is repeated, in seconds.
 const WATCH_RETRY_S: f64 = 0.25;
 
 /// Keeps the cluster view up to date until the process ends.
@@ -28,7 +28,7 @@
     }
 }
 
-/// Lists the prefix; the revision of the listing.
+/// Lists the prefix; returns the revision of the listing, or `None` if it failed.
 async fn list(node: &Rc<Node>) -> Option<u64> {
     let listed = node
         .state
@@ -43,8 +43,8 @@
     Some(revision)
 }
 
-/// Follows the changes from this revision on until the state service has no longer all of
-/// them.
+/// Follows the changes after `revision`. Returns when the state service has compacted some of
+/// them away, so that the prefix must be listed again.
 async fn follow_changes(node: &Rc<Node>, mut revision: u64) {
     loop {
         let changes = node
@@ -61,7 +61,8 @@
                 view.advance_to(revision);
             }
             Err(ServiceError::Compacted) => return,
-            // Changes missed while the state service is away are still in its history.
+            // The state service keeps a history: the next request returns the changes that were
+            // missed while it was unavailable.
             Err(_) => {
                 sleep(WATCH_RETRY_S).await;
                 continue;
@@ -71,8 +72,8 @@
     }
 }
 
-fn apply(view: &mut ClusterView, seen: Option<Seen>) {
-    match seen {
+fn apply(view: &mut ClusterView, change: Option<Seen>) {
+    match change {
         Some(Seen::Put(entry)) => view.apply_entry(&entry),
         Some(Seen::Deleted { key, version }) => view.apply_deletion(&key, version),
         None => {}
--- a/src/coordination/leadership/loops/drain_records.rs
+++ b/src/coordination/leadership/loops/drain_records.rs
@@ -1,5 +1,5 @@
-//! Drains of machines: the scheduler is told of their records, and the leader records which
-//! machines are proven empty.
+//! Drains of machines: passes their records to the scheduler, and records which machines are
+//! proven empty.
 
 use super::failover::reread_shard;
 use crate::coordination::node::Node;
@@ -9,21 +9,21 @@
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
-/// Tells the scheduler of drains that came, changed or ended.
+/// Passes the drains to the scheduler if one was added, changed or ended.
 pub(super) fn apply_drains(node: &Node) {
     let leadership = node.leadership.borrow();
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut() else {
         return;
     };
-    let seen = (scheduler.fence.base_term, leadership.view.drains_generation);
-    if node.applied_drains.replace(seen) != seen {
+    let current = (scheduler.fence.base_term, leadership.view.drains_generation);
+    if node.applied_drains.replace(current) != current {
         scheduler.set_drains(&leadership.view.drains);
     }
 }
 
-/// Records which machines are proven empty, as long as the shard is ours and the drain is
-/// the one that was carried out.
+/// Records which machines are proven empty, on condition that the shard is still ours and
+/// that the records of the drains are unchanged.
 pub(super) async fn record_drained(node: &Rc<Node>) {
     let Some(proven) = unrecorded_drains(node) else {
         return;
@@ -43,28 +43,29 @@
                 .iter()
                 .map(|(drain, _)| drain.host.as_str())
                 .collect();
-            tracing::info!(machines = ?hosts, "drained");
-            // What is written is known from the watch alone, in its order; until it comes the
-            // same is not written again.
+            tracing::info!(machines = ?hosts, "recorded machines as drained");
+            // The view learns of these writes only from the watch, in its order. Until then
+            // the versions are remembered, so that the same records are not written again.
             let versions = proven.iter().map(|(_, version)| *version);
             node.recorded_drains.borrow_mut().extend(versions);
         }
-        // Another controller leads, or the drain ended: the watch will report it.
+        // Another controller leads, or a drain changed or ended, which the watch will report.
         Err(ServiceError::Conflict(_)) => reread_shard(node).await,
         Err(_) => {}
     }
 }
 
-/// The drains that are proven, as the records to write with the version that each replaces,
-/// without those that we wrote and the watch has not shown yet; `None` if we do not lead.
+/// The drain records of machines that are proven empty, each with the version that it
+/// replaces. Records that we wrote and the watch has not reported yet are left out. `None` if
+/// we are not certain to lead.
 fn unrecorded_drains(node: &Node) -> Option<Vec<(Drain, u64)>> {
     let max_drains = node.settings.cluster.state.txn_ops;
     let now_ms = node.wall_ms();
     let scheduler = node.scheduler.borrow();
     let scheduler = scheduler.as_ref().filter(|_| node.is_certain_leader())?;
     let mut proven = scheduler.proven_drains(now_ms, max_drains);
-    let mut noted = node.recorded_drains.borrow_mut();
-    noted.retain(|version| proven.iter().any(|(_, proven)| proven == version));
-    proven.retain(|(_, version)| !noted.contains(version));
+    let mut recorded = node.recorded_drains.borrow_mut();
+    recorded.retain(|version| proven.iter().any(|(_, proven)| proven == version));
+    proven.retain(|(_, version)| !recorded.contains(version));
     Some(proven)
 }
--- a/src/coordination/leadership/loops/failover.rs
+++ b/src/coordination/leadership/loops/failover.rs
@@ -1,4 +1,4 @@
-//! Failover: takes the shard over in one conditional transaction under a fresh term, then
+//! Failover: takes the shard over in one conditional transaction under a new term, then
 //! loads its records into a new scheduler.
 
 use super::sleep;
@@ -14,18 +14,18 @@
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
-/// Wait before records that could not be read are read again, in seconds.
+/// Wait before records that could not be loaded are loaded again, in seconds.
 const LOAD_RETRY_S: f64 = 0.2;
 
-/// Wait after a takeover whose outcome is unknown, before the shard is read again, in
+/// Wait after a takeover with an unknown outcome, before the shard record is read again, in
 /// seconds.
 const UNKNOWN_OUTCOME_WAIT_S: f64 = 0.1;
 
-/// A new scheduler and what it was built from.
+/// A new scheduler with the records that it was built from.
 struct LoadedShard {
     scheduler: Scheduler,
     machine_record: MachineRecord,
-    /// The live jobs were listed after this time.
+    /// The listing of live jobs began at this time.
     listed_at: f64,
 }
 
@@ -39,7 +39,10 @@
                     .borrow_mut()
                     .takeover_written(&attempt, version, node.now());
             if !holds {
-                tracing::warn!(term, "takeover overtaken by another controller");
+                tracing::warn!(
+                    term,
+                    "another controller took the shard over before our takeover was confirmed"
+                );
                 return;
             }
             tracing::info!(term, "shard taken over");
@@ -47,17 +50,17 @@
         }
         Err(ServiceError::Conflict(_)) => reread_shard(node).await,
         Err(error) => {
-            tracing::info!(%error, "takeover failed");
+            tracing::info!(%error, "takeover not confirmed; reading the shard record again");
             sleep(UNKNOWN_OUTCOME_WAIT_S).await;
             reread_shard(node).await;
         }
     }
 }
 
-/// Loads the shard, and tries again as long as it is ours.
+/// Loads the shard's records; repeats a failed attempt as long as the shard is ours.
 async fn load_until_done(node: &Rc<Node>, shard: &ShardRecord) {
     while let Err(error) = load(node, shard).await {
-        tracing::warn!(%error, "shard not loaded yet");
+        tracing::warn!(%error, "shard records could not be loaded");
         sleep(LOAD_RETRY_S).await;
         if !node.leadership.borrow().holds_term(shard.term) {
             return;
@@ -66,8 +69,8 @@
     dispatcher::send_due_calls(node);
 }
 
-/// Reads the shard record and the term counter afresh, and its leader's alive key; steps
-/// down if the shard is not ours any more.
+/// Reads the shard record, the term counter and the leader's alive key again; steps down if
+/// the shard is not ours any more.
 pub async fn reread_shard(node: &Rc<Node>) {
     for key in [records::SHARD_KEY, records::TERM_KEY] {
         if let Ok(Some(entry)) = node.state.get(key, Priority::Control).await {
@@ -80,7 +83,8 @@
     }
 }
 
-/// Reads the alive key of another controller that leads: a watch may be behind.
+/// Reads the alive key of the leader if that is another controller, since the watch may be
+/// behind.
 async fn reread_leader_alive_key(node: &Rc<Node>) {
     let (leader, shard_version) = {
         let leadership = node.leadership.borrow();
@@ -102,7 +106,7 @@
 }
 
 /// Builds the scheduler from the records of the shard and begins the term with it, unless
-/// the shard was lost meanwhile.
+/// the shard was lost while they were read.
 async fn load(node: &Rc<Node>, shard: &ShardRecord) -> Result<(), ServiceError> {
     let mut scheduler = empty_scheduler(node, shard);
     load_drains(node, &mut scheduler).await?;
@@ -129,8 +133,8 @@
     scheduler
 }
 
-/// Reads the drains, after the shard was taken over, so that no drain ordered under the
-/// leader before us is missed: its machines must get nothing new.
+/// Reads the drains after the takeover, so that no drain that was ordered under the former
+/// leader is missed: no new tasks may start on machines that are being drained.
 async fn load_drains(node: &Node, scheduler: &mut Scheduler) -> Result<(), ServiceError> {
     let (drains, revision) = node
         .state
@@ -151,11 +155,11 @@
         .list(records::MACHINES_PREFIX, Priority::Control)
         .await?;
     let now = node.now();
-    let written = MachineRecord::read(&listed);
-    for info in written.machines() {
+    let recorded = MachineRecord::read(&listed);
+    for info in recorded.machines() {
         scheduler.add_recorded_machine(info.clone(), now);
     }
-    Ok(written)
+    Ok(recorded)
 }
 
 async fn load_jobs(node: &Rc<Node>, scheduler: &mut Scheduler) -> Result<(), ServiceError> {
@@ -175,22 +179,22 @@
     Ok(())
 }
 
-/// Finishes the jobs whose cancellation was written while the live jobs were read: of those
-/// that were confirmed to users here, or that peers told us of, nobody else could tell us;
-/// all others the watch will report, which is later.
+/// Finishes the jobs whose cancellation was confirmed to a user by this controller, or
+/// reported to it by a peer, while the live jobs were read. Without this, the new scheduler
+/// would learn of them only later, from its watch of live jobs.
 fn finish_cancelled_jobs(node: &Node, scheduler: &mut Scheduler, listed_at: f64) {
     let now = node.now();
     for cancellations in [&node.confirmed_cancellations, &node.relayed_cancellations] {
-        let since = cancellations.borrow().within(now - listed_at, now);
-        since
+        let recent = cancellations.borrow().within(now - listed_at, now);
+        recent
             .iter()
             .flatten()
             .for_each(|id| scheduler.finish_job(id));
     }
 }
 
-/// Acts for the shard from now on, if it is still ours: much may have happened while its
-/// records were read, or while we were paused.
+/// Starts to lead the shard with the new scheduler, if the shard is still ours: it may have
+/// been lost while its records were read, or while this process was paused.
 fn begin_term(node: &Rc<Node>, term: u64, loaded: LoadedShard) {
     let LoadedShard {
         mut scheduler,
@@ -208,9 +212,9 @@
         jobs = scheduler.jobs.len(),
         "shard loaded"
     );
-    // After the last wait: types that became known while the records were read would else be
-    // missed until the cloud is asked again, half a minute in which nothing is placed (see
-    // `fleet::manager`).
+    // Set after the last await. Otherwise the scheduler would miss types that became known
+    // while the records were read. It would place nothing until the cloud is queried again,
+    // half a minute later (see `fleet::manager`).
     if let Some(types) = &node.leadership.borrow().view.types {
         scheduler.set_types(types);
     }
--- a/src/coordination/leadership/loops/leader_loop.rs
+++ b/src/coordination/leadership/loops/leader_loop.rs
@@ -1,5 +1,5 @@
-//! The periodic work of the leader: keeps what its leadership rests on, writes its records,
-//! raises the term, and learns when former leaders are fenced.
+//! The periodic work of the leader: keeps its leadership confirmed, writes its records,
+//! raises the term, and detects when all former leaders are fenced.
 
 use super::drain_records::record_drained;
 use super::failover::reread_shard;
@@ -13,17 +13,19 @@
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
-/// Turns of the loop in a lease, within the bounds below: takeovers are decided by the end
-/// of a lease.
-const TURNS_PER_LEASE: f64 = 10.0;
+/// How often the loop runs per lease, within the bounds below. It scales with the lease
+/// because takeovers depend on the end of a lease.
+const ITERATIONS_PER_LEASE: f64 = 10.0;
 
-/// Shortest and longest time between two turns, in seconds.
+/// Shortest and longest time between two iterations, in seconds.
 const MIN_INTERVAL_S: f64 = 0.1;
 const MAX_INTERVAL_S: f64 = 0.5;
 
-/// Takes the shard over when it is free, and does what is due while it is ours.
+/// Takes the shard over when it has no live leader, and does the leader's periodic work while
+/// the shard is ours.
 pub(super) async fn run(node: Rc<Node>) {
-    let interval_s = (node.lease_ttl_s() / TURNS_PER_LEASE).clamp(MIN_INTERVAL_S, MAX_INTERVAL_S);
+    let interval_s =
+        (node.lease_ttl_s() / ITERATIONS_PER_LEASE).clamp(MIN_INTERVAL_S, MAX_INTERVAL_S);
     loop {
         sleep(interval_s).await;
         confirm_under_new_lease(&node).await;
@@ -31,7 +33,7 @@
         query_lease_extensions(&node);
         query_cancellations(&node);
         query_promises(&node);
-        note_fenced_former_leaders(&node);
+        mark_former_leaders_fenced(&node);
         record_drained(&node).await;
         rollout_writer::advance_rollouts(&node).await;
         while write_machine_record(&node).await {}
@@ -39,16 +41,16 @@
     }
 }
 
-/// Writes the shard record under a lease that we got after the last one expired.
+/// Rewrites the shard record under a new lease if the previous one expired.
 async fn confirm_under_new_lease(node: &Rc<Node>) {
-    let update = node.leadership.borrow().reassert(node.now());
+    let update = node.leadership.borrow().update_under_new_lease(node.now());
     if let Some(update) = update {
-        tracing::info!("new lease: rewriting the shard record to confirm our leadership");
+        tracing::info!("got a new lease; rewriting the shard record to confirm leadership");
         carry_out(node, update).await;
     }
 }
 
-/// Writes a higher term when starts whose fate is unknown must be ruled out.
+/// Raises the term when start commands with an unknown outcome must be ruled out.
 async fn raise_term(node: &Rc<Node>) {
     let now = node.now();
     let wanted = node
@@ -61,12 +63,12 @@
     }
     let update = node.leadership.borrow().raise_term(now);
     if let Some(update) = update {
-        tracing::info!("raising the term to rule out lost commands");
+        tracing::info!("raising the term so that workers reject lost start commands");
         carry_out(node, update).await;
     }
 }
 
-/// Writes the shard record once more, under the same or a higher term.
+/// Rewrites the shard record under the same or a higher term.
 async fn carry_out(node: &Rc<Node>, update: ShardUpdate) {
     match node.state.txn(&update.txn, Priority::Control).await {
         Ok(version) => {
@@ -83,8 +85,8 @@
     }
 }
 
-/// Notices that no former leader can answer a worker any more.
-fn note_fenced_former_leaders(node: &Node) {
+/// Tells the scheduler's fence once no former leader can answer a worker any more.
+fn mark_former_leaders_fenced(node: &Node) {
     let mut scheduler = node.scheduler.borrow_mut();
     let unfenced = scheduler
         .as_mut()
--- a/src/coordination/leadership/loops/lease_loop.rs
+++ b/src/coordination/leadership/loops/lease_loop.rs
@@ -1,4 +1,4 @@
-//! Keeps our lease in the state service and the alive key on it.
+//! Keeps this controller's lease in the state service and the alive key attached to it.
 
 use super::shard_changes::react_to_shard_changes;
 use super::sleep;
@@ -8,18 +8,18 @@
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
-/// Renewals in a lease: three may be lost in a row.
+/// Renewals per lease; up to three in a row may be lost.
 const RENEWALS_PER_LEASE: f64 = 5.0;
 
-/// Longest wait before a request that failed is sent again, in seconds.
+/// Longest wait before a failed request is repeated, in seconds.
 const MAX_RETRY_S: f64 = 0.25;
 
-/// The times of the loop, in seconds.
+/// The intervals of the loop, in seconds.
 #[derive(Clone, Copy)]
 struct Timing {
     lease_ttl_s: f64,
     renewal_interval_s: f64,
-    /// Between two looks at whether to get a lease again, after we resigned.
+    /// After we resigned: the time between two checks whether to get a lease again.
     idle_interval_s: f64,
     retry_interval_s: f64,
 }
@@ -43,18 +43,20 @@
     loop {
         let now = node.now();
         let step = node.leadership.borrow().next_lease_step(now);
-        if let Some(pause_s) = carry_out(&node, step, timing, now).await {
-            sleep(pause_s).await;
+        if let Some(wait_s) = carry_out(&node, step, timing, now).await {
+            sleep(wait_s).await;
         }
     }
 }
 
-/// Carries a step out; how long to wait before the next one, if at all.
+/// Carries a step out; returns how long to wait before the next one, or `None` if it is due
+/// at once.
 async fn carry_out(node: &Rc<Node>, step: LeaseStep, timing: Timing, now: f64) -> Option<f64> {
     match step {
         LeaseStep::Wait => Some(timing.idle_interval_s),
         LeaseStep::Revoke(lease) => {
-            // Without our lease the others may take the shard over.
+            // Without our lease the other controllers may take the shard over. If the request
+            // fails, the lease expires by itself.
             let _ = node.state.revoke_lease(lease).await;
             node.leadership.borrow_mut().lease_ended(lease);
             None
@@ -87,7 +89,7 @@
         }
         Err(ServiceError::Conflict(_)) => reread_alive_key(node, timing).await,
         Err(error) => {
-            tracing::warn!(%error, "alive key not written");
+            tracing::warn!(%error, "alive key could not be written");
             Some(timing.retry_interval_s)
         }
     }
@@ -111,7 +113,7 @@
             Some(timing.renewal_interval_s)
         }
         Err(ServiceError::LeaseNotFound) => {
-            tracing::warn!("our lease expired");
+            tracing::warn!("lease in the state service expired");
             node.leadership.borrow_mut().lease_ended(lease);
             None
         }
--- a/src/coordination/leadership/loops/mod.rs
+++ b/src/coordination/leadership/loops/mod.rs
@@ -1,15 +1,17 @@
-//! The loops of the leadership: they ask the pure state machine what is due, send the
-//! requests, and hand the responses back. No borrow of the state is held across an await.
+//! The asynchronous loops of the leadership. They ask the pure state machine which requests
+//! are due, send them, and pass the responses back to it. No borrow of the state is held
+//! across an await.
 //!
-//! - `lease_loop`: gets, renews and revokes our lease, and writes the alive key.
+//! - `lease_loop`: gets, renews and revokes this controller's lease, and writes its alive
+//!   key.
 //! - `control_watch`: follows the control prefix of the state service.
 //! - `leader_loop`: the periodic work of the leader, with `drain_records` and
 //!   `peer_calls`.
-//! - `shard_changes`: reacts when the shard may have changed hands; starts a
-//!   [`failover`] or a [`step_down`].
-//! - `reachability_check`: resigns where workers cannot reach this leader.
-//! - `readiness_check`: sends users elsewhere where this controller alone has no contact
-//!   to the state service.
+//! - `shard_changes`: reacts when the shard may have another leader; starts a [`failover`] or
+//!   a [`step_down`].
+//! - `reachability_check`: resigns when workers cannot reach this leader.
+//! - `readiness_check`: reports this controller as not ready, so that users go to another one,
+//!   when it alone has no contact to the state service.
 
 mod control_watch;
 mod drain_records;
--- a/src/coordination/leadership/loops/peer_calls.rs
+++ b/src/coordination/leadership/loops/peer_calls.rs
@@ -1,5 +1,5 @@
-//! Calls to the other controllers: queries whose answers all are awaited, and the leader's
-//! periodic queries, which run beside its loop.
+//! Calls to the other controllers: calls that wait for all responses, and the leader's
+//! periodic queries, which run concurrently with its loop.
 
 use crate::coordination::agents::dispatcher;
 use crate::coordination::leadership::queries::PeerAnswer;
@@ -10,7 +10,7 @@
 use futures_util::future::join_all;
 use std::rc::Rc;
 
-/// A peer's response and when it was asked, by our clock.
+/// A peer's response, and when its request was sent, by our clock.
 struct Response<'a> {
     peer: &'a str,
     asked_at: f64,
@@ -18,7 +18,7 @@
 }
 
 impl<'a> Response<'a> {
-    /// The answer as of now, to a query under this term.
+    /// The response, received now, as an answer to a query under this term.
     fn answer(&self, term: u64, node: &Node) -> PeerAnswer<'a> {
         PeerAnswer {
             term,
@@ -29,15 +29,15 @@
     }
 }
 
-/// Asks all peers and waits for their responses, in the order of the settings; `None` for a
-/// peer that did not answer.
+/// Sends a request to all peers and waits for their responses, which are in the order of the
+/// peers in the settings; `None` for a peer that did not answer.
 pub(super) async fn ask_all(node: &Node, request: &PeerRequest) -> Vec<Option<PeerResponse>> {
     let peers = node.settings.peers.iter();
     let calls = peers.map(|peer| node.mesh.ask(peer.addr, request));
     join_all(calls).await
 }
 
-/// Without contact to the state service asks the peers to extend our lease.
+/// Asks the peers to extend our lease while we have no contact to the state service.
 pub(super) fn query_lease_extensions(node: &Rc<Node>) {
     let due = node.leadership.borrow_mut().extension_due(node.now());
     if let Some(term) = due {
@@ -53,7 +53,7 @@
     }
 }
 
-/// After a takeover asks the peers never to extend an earlier leader's lease.
+/// Asks the peers, after a takeover, to promise never to extend an earlier leader's lease.
 pub(super) fn query_promises(node: &Rc<Node>) {
     let unfenced = node
         .scheduler
@@ -73,7 +73,8 @@
     }
 }
 
-/// While we hear nothing of cancellations asks the peers which ones they confirmed to users.
+/// Asks the peers which cancellations they confirmed to users, while our own knowledge of
+/// cancellations is not up to date.
 pub(super) fn query_cancellations(node: &Rc<Node>) {
     let due = node
         .leadership
@@ -93,15 +94,15 @@
     }
 }
 
-/// Asks the peers that `wanted` lets pass, each in a task of its own, and hands their
-/// responses on as they come.
+/// Sends a request to each peer that `is_addressee` selects, in a task of its own, and passes
+/// each response to `handle` when it arrives.
 fn ask_each(
     node: &Rc<Node>,
     request: &PeerRequest,
-    wanted: impl Fn(&Peer) -> bool,
+    is_addressee: impl Fn(&Peer) -> bool,
     handle: impl Fn(&Rc<Node>, Response) + Clone + 'static,
 ) {
-    for peer in node.settings.peers.iter().filter(|peer| wanted(peer)) {
+    for peer in node.settings.peers.iter().filter(|peer| is_addressee(peer)) {
         let (node, request, handle) = (node.clone(), request.clone(), handle.clone());
         let (name, addr) = (peer.name.clone(), peer.addr);
         actix_rt::spawn(async move {
@@ -122,11 +123,11 @@
     node: &Node,
     term: u64,
     response: &Response,
-    note: fn(&mut Leadership, PeerAnswer),
+    acknowledge: fn(&mut Leadership, PeerAnswer),
 ) {
     if response.body == PeerResponse::Agreed {
         let answer = response.answer(term, node);
-        note(&mut node.leadership.borrow_mut(), answer);
+        acknowledge(&mut node.leadership.borrow_mut(), answer);
     }
 }
 
@@ -134,7 +135,8 @@
     let PeerResponse::ConfirmedCancellations(jobs) = &response.body else {
         return;
     };
-    // First what was reported, then what rests on knowing it.
+    // The scheduler must know the reported cancellations before the leadership relies on that
+    // knowledge.
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
         jobs.iter().for_each(|id| scheduler.finish_job(id));
     }
--- a/src/coordination/leadership/loops/reachability_check.rs
+++ b/src/coordination/leadership/loops/reachability_check.rs
@@ -1,4 +1,4 @@
-//! Resigns where workers cannot reach this leader but come to another controller.
+//! Resigns when workers cannot reach this leader but reach other controllers.
 
 use super::peer_calls::ask_all;
 use super::sleep;
@@ -8,8 +8,9 @@
 use crate::protocol::mesh::{PeerRequest, PeerResponse};
 use std::rc::Rc;
 
-/// More redirected heartbeats than any decision takes, and not too many to multiply.
-const ANY_REDIRECTED: u32 = u32::MAX / 8;
+/// A count of redirected heartbeats that is always high enough to resign, and low enough to be
+/// multiplied without overflow.
+const ALWAYS_ENOUGH_REDIRECTED: u32 = u32::MAX / 8;
 
 /// The machines of a leader, and how many of them are silent.
 #[derive(Clone, Copy)]
@@ -20,7 +21,7 @@
 }
 
 impl SilentMachines {
-    /// Those of the scheduler, if we lead.
+    /// Counts the scheduler's machines; `None` if we do not lead.
     fn of(node: &Node) -> Option<SilentMachines> {
         let now = node.now();
         let scheduler = node.scheduler.borrow();
@@ -33,13 +34,13 @@
         })
     }
 
-    /// Whether to resign if peers redirected so many heartbeats lately.
+    /// Whether to resign if the peers recently redirected this many heartbeats.
     fn out_of_reach(&self, redirected: u32) -> bool {
         out_of_reach(self.all, self.silent, redirected)
     }
 }
 
-/// Checks until the process ends.
+/// Runs the check periodically until the process ends.
 pub(super) async fn run(node: Rc<Node>) {
     let heartbeat_interval_s = node.settings.cluster.workers.report_s;
     loop {
@@ -49,32 +50,32 @@
 }
 
 async fn check(node: &Rc<Node>) {
-    // Peers are asked only where enough machines are silent, whatever the peers may say.
+    // The peers are asked only if so many machines are silent that their answers can matter.
     let suspicious =
-        SilentMachines::of(node).filter(|machines| machines.out_of_reach(ANY_REDIRECTED));
+        SilentMachines::of(node).filter(|machines| machines.out_of_reach(ALWAYS_ENOUGH_REDIRECTED));
     let Some(machines) = suspicious.filter(|_| node.is_certain_leader()) else {
         return;
     };
-    let elsewhere = redirected_heartbeats(node).await;
+    let redirected = redirected_heartbeats(node).await;
     let still_leads = node
         .scheduler
         .borrow()
         .as_ref()
         .is_some_and(|scheduler| scheduler.term == machines.term);
-    if still_leads && machines.out_of_reach(elsewhere) {
+    if still_leads && machines.out_of_reach(redirected) {
         let SilentMachines { term, all, silent } = machines;
         tracing::warn!(
             term,
             all,
             silent,
-            elsewhere,
-            "workers cannot reach this leader: resigning"
+            redirected,
+            "workers cannot reach this leader but reach its peers; resigning"
         );
         resign(node);
     }
 }
 
-/// How many heartbeats the peers redirected lately.
+/// How many heartbeats the peers recently redirected to this leader.
 async fn redirected_heartbeats(node: &Node) -> u32 {
     let responses = ask_all(node, &PeerRequest::RedirectedHeartbeats).await;
     let counts = responses.into_iter().map(|response| match response {
--- a/src/coordination/leadership/loops/readiness_check.rs
+++ b/src/coordination/leadership/loops/readiness_check.rs
@@ -1,4 +1,5 @@
-//! Sends users elsewhere where the state service does not answer this controller alone.
+//! Reports this controller as not ready when it alone gets no answers from the state service,
+//! so that users go to another controller.
 
 use super::peer_calls::ask_all;
 use super::sleep;
@@ -9,7 +10,7 @@
 use crate::transport::clients::Priority;
 use std::rc::Rc;
 
-/// Checks until the process ends.
+/// Runs the check periodically until the process ends.
 pub(super) async fn run(node: Rc<Node>) {
     let timeout_s = node.contact_timeout_s();
     loop {
@@ -20,11 +21,11 @@
 
 async fn check(node: &Node, timeout_s: f64) {
     if node.now() - node.last_contact_at() > timeout_s / 2.0 {
-        // It may be that nothing else sends requests at all.
+        // No other part of the controller may have sent a request recently.
         let _ = node.state.get(records::SHARD_KEY, Priority::Control).await;
     }
-    let lost = node.now() - node.last_contact_at() > timeout_s;
-    let peers = if lost {
+    let contact_lost = node.now() - node.last_contact_at() > timeout_s;
+    let peers = if contact_lost {
         Some(peer_contacts(node).await)
     } else {
         None
@@ -34,16 +35,16 @@
         .readiness
         .borrow_mut()
         .update(now, contact_at, timeout_s, peers);
-    if let Some(away) = change {
+    if let Some(not_ready) = change {
         tracing::warn!(
-            away,
+            not_ready,
             ?peers,
-            "readiness changed with the contact to the state service"
+            "contact to the state service lost or regained; readiness changed"
         );
     }
 }
 
-/// What the peers say of their contact to the state service.
+/// Asks the peers about their contact to the state service and counts their answers.
 async fn peer_contacts(node: &Node) -> PeerContacts {
     let responses = ask_all(node, &PeerRequest::Contact).await;
     let mut contacts = PeerContacts {
@@ -52,7 +53,8 @@
     };
     for response in responses {
         match response {
-            // A peer that has just got its contact back proves nothing of our own way.
+            // A peer that regained its contact only recently does not prove that the fault is
+            // ours alone.
             Some(PeerResponse::Contact(steady_ms))
                 if steady_ms as f64 > node.contact_timeout_s() * 1000.0 =>
             {
--- a/src/coordination/leadership/loops/shard_changes.rs
+++ b/src/coordination/leadership/loops/shard_changes.rs
@@ -1,5 +1,5 @@
-//! Reacts when what is known of the shard may have changed: steps down, adopts a raised
-//! term, tells those who wait, or starts a takeover.
+//! Reacts when the known state of the shard may have changed: steps down, adopts a raised
+//! term, wakes waiting requests, or starts a takeover.
 
 use super::drain_records::apply_drains;
 use super::failover;
@@ -7,15 +7,16 @@
 use crate::coordination::node::Node;
 use std::rc::Rc;
 
-/// Does what follows from the present view of the shard.
+/// Reacts to the present view of the shard.
 pub(super) fn react_to_shard_changes(node: &Rc<Node>) {
     if node.leadership.borrow().is_deposed() {
-        tracing::warn!("leadership lost: stepping down");
+        tracing::warn!("another controller leads the shard; stepping down");
         step_down(node);
     }
     adopt_raised_term(node);
     announce_term(node);
-    // Only now: a drain that ended under a later leader frees nothing for us.
+    // Only after the step-down: a former leader must not use a machine whose drain ended
+    // under a later leader.
     apply_drains(node);
     start_takeover(node);
 }
@@ -25,13 +26,13 @@
     if let (Some(term), Some(scheduler)) = (raised, node.scheduler.borrow_mut().as_mut()) {
         tracing::info!(
             term,
-            "adopting our raised term, whose write had no response"
+            "adopting the term that we raised; the response to the write was lost"
         );
         scheduler.raise_term(term);
     }
 }
 
-/// Wakes those who wait for the shard to change hands.
+/// Wakes the tasks that wait for a new leader or a new term.
 fn announce_term(node: &Node) {
     let term = node
         .leadership
@@ -45,7 +46,7 @@
     }
 }
 
-/// Starts a takeover if the shard may be taken, and none is under way.
+/// Starts a takeover if the shard may be taken over and no takeover is running.
 fn start_takeover(node: &Rc<Node>) {
     let (now, now_ms) = (node.now(), node.wall_ms());
     if node.taking_over.get() {
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -1,34 +1,34 @@
-//! Leadership: which controller leads the shard, and what that rests on.
+//! Leadership: which controller leads the shard, and what proves it.
 //!
-//! Every controller keeps a lease in the state service, with its *alive key* on it. The
-//! shard record names the leader and its term; when the leader's lease is gone, another
-//! controller takes the shard over in one conditional transaction under a higher term
-//! (failover).
+//! Every controller keeps a lease in the state service. Its *alive key* is attached to that
+//! lease and is deleted when the lease ends. The shard record names the leader and its term.
+//! When the leader's lease has ended, another controller takes the shard over in one
+//! conditional transaction under a higher term (failover).
 //!
 //! Invariants:
 //!
-//! - Each takeover is under a higher term than all before, and writes of the machine list,
-//!   drains and rollouts are conditional on the version of the leader's own shard record: a
-//!   deposed leader writes none of them.
-//! - No former leader answers a worker once a later leader takes it to be silent
-//!   ([`lease_extension`]).
+//! - Each takeover uses a higher term than all earlier ones. Writes of the machine list,
+//!   drains and rollouts are conditional on the version of the leader's own shard record, so
+//!   a deposed leader writes none of them.
+//! - Once a later leader considers a former leader silent, that former leader answers no
+//!   worker ([`lease_extension`]).
 //! - No leader answers a worker without knowing every cancellation that was confirmed to a
 //!   user before a bounded time ago ([`cancellation_horizon`]).
-//! - A promise for a later term is kept: whoever gave it neither acts under an earlier term
-//!   nor extends the lease of a leader under one.
+//! - A controller that has promised for a term neither acts under an earlier term nor
+//!   extends the lease of a leader of an earlier term.
 //!
 //! The decisions are pure code, with time passed in:
 //!
-//! - [`state`]: the state machine; who leads and may answer workers.
-//! - [`lease`]: our lease and alive key.
+//! - [`state`]: the state machine; whether this controller leads and may answer workers.
+//! - [`lease`]: this controller's lease and alive key.
 //! - [`takeover`], [`shard_update`]: the transactions, and what their responses prove.
-//! - [`queries`], [`peer_queries`]: what the controllers ask of each other, and when.
-//! - [`lease_extension`], [`cancellation_horizon`], [`confirmed_cancellations`]: for how long
-//!   a leader without contact goes on.
+//! - [`queries`], [`peer_queries`]: which queries controllers send to each other, and when.
+//! - [`lease_extension`], [`cancellation_horizon`], [`confirmed_cancellations`]: how long a
+//!   leader without contact to the state service may go on answering workers.
 //! - [`cluster_view`]: what is known of the watched control prefix.
 //!
-//! The [`loops`] carry the decisions out: they send the requests and hand the responses
-//! back.
+//! The [`loops`] send the requests that these modules decide on, and pass the responses
+//! back to them.
 
 pub mod cancellation_horizon;
 pub mod cluster_view;
--- a/src/coordination/leadership/peer_queries.rs
+++ b/src/coordination/leadership/peer_queries.rs
@@ -1,16 +1,17 @@
-//! What a leader asks the other controllers, when, and what follows from their answers:
-//! extensions of its lease, promises after a takeover, and the cancellations that they
-//! confirmed to users. Also what this controller may answer when it is asked.
+//! The queries that a leader sends to its peers: for extensions of its lease, for promises
+//! after a takeover, and for the cancellations that they confirmed to users. This file
+//! decides when each query is sent, what follows from the answers, and what this controller
+//! may answer to the queries of a leader.
 
 use crate::coordination::leadership::queries::{CancellationQuery, PeerAnswer, PromiseQuery};
 use crate::coordination::leadership::state::Leadership;
 
-/// Queries are repeated so many times within a controller's lease.
+/// How often a query is repeated within a controller's lease.
 const QUERIES_PER_LEASE: f64 = 8.0;
 
 impl Leadership {
-    /// The term to ask lease extensions for, if it is time: without contact for half of our
-    /// lease, several times within the span that an extension counts.
+    /// The term for which to request lease extensions, if a request is due: when leadership
+    /// was not confirmed for half of our lease, several times while an extension is valid.
     pub fn extension_due(&mut self, now: f64) -> Option<u64> {
         let acting = self.leader_term?;
         let unconfirmed = now - self.confirmed_at > self.unconfirmed_before_query_s();
@@ -27,7 +28,7 @@
         self.extensions.acknowledge(answer);
     }
 
-    /// The promises to ask for, if any is missing and it is time.
+    /// The query for promises, if any is missing and the query is due.
     pub fn promise_due(&mut self, now: f64) -> Option<PromiseQuery> {
         let acting = self.leader_term?;
         let peers = self.config.peers.iter();
@@ -45,24 +46,27 @@
         })
     }
 
-    /// A peer promised.
+    /// A peer gave the promise that we asked for.
     pub fn promise_received(&mut self, answer: PeerAnswer) {
         self.promises.acknowledge(answer);
     }
 
-    /// Promises never to extend the lease of a leader before this term, nor to be one.
+    /// Promises never to extend the lease of a leader under an earlier term, nor to lead under
+    /// one.
     pub fn promise(&mut self, term: u64) {
         self.promised_term = self.promised_term.max(term);
     }
 
-    /// The watch of live jobs reported all changes until after `asked_at`.
+    /// The watch of live jobs was requested at `asked_at` and reported all changes up to at
+    /// least that time.
     pub fn job_watch_answered(&mut self, asked_at: f64) {
         if self.leader_term.is_some() {
             self.horizon.watch_answered(asked_at);
         }
     }
 
-    /// The query for confirmed cancellations, if it is time: as for lease extensions.
+    /// The query for confirmed cancellations, if it is due: when our knowledge of them is older
+    /// than half of our lease, as often as the query for lease extensions.
     pub fn cancellation_query_due(&mut self, now: f64) -> Option<CancellationQuery> {
         let acting = self.leader_term?;
         let stale = now - self.cancellations_known_until() > self.unconfirmed_before_query_s();
@@ -79,7 +83,8 @@
 
     /// A peer reported all cancellations that it confirmed to users.
     pub fn cancellations_reported(&mut self, answer: PeerAnswer) {
-        // What was asked before another takeover of ours counts from a listing of then.
+        // An answer to a query of an earlier takeover of ours is ignored: its lookback period
+        // starts from the listing of that takeover.
         if self
             .leader_term
             .is_some_and(|acting| acting.base_term <= answer.term)
@@ -88,9 +93,9 @@
         }
     }
 
-    /// Whether to report confirmed cancellations to the leader under this term: that keeps
-    /// it answering workers, so not after a takeover attempt of ours that may count on its
-    /// silence.
+    /// Whether to report confirmed cancellations to the leader under this term. A report lets
+    /// that leader go on answering workers. So none is sent after we attempted a takeover that
+    /// may still be carried out, because that takeover assumes that the leader falls silent.
     pub fn may_report_cancellations_to(&self, term: u64) -> bool {
         self.knows_no_later_leader(term)
             && self
@@ -98,7 +103,7 @@
                 .is_none_or(|version| self.view.shard_version() > version)
     }
 
-    /// As of when we know all confirmed cancellations.
+    /// The time up to which we know all confirmed cancellations.
     pub(super) fn cancellations_known_until(&self) -> f64 {
         self.horizon
             .known_until(self.confirmed_at, &self.config.peers)
--- a/src/coordination/leadership/queries.rs
+++ b/src/coordination/leadership/queries.rs
@@ -1,6 +1,7 @@
-//! The queries that a leader sends to the other controllers, and their answers, as values.
+//! Plain data types for the queries that a leader sends to its peers, the other controllers,
+//! and for their answers.
 
-/// When the peers were last asked.
+/// When each kind of query was last sent to the peers.
 #[derive(Debug)]
 pub(super) struct QueryTimes {
     pub(super) lease_extension: f64,
@@ -21,17 +22,17 @@
 /// A peer's positive answer to a query.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerAnswer<'a> {
-    /// The term under which it was asked.
+    /// The term of the query.
     pub term: u64,
-    /// Its name.
+    /// The peer's name.
     pub peer: &'a str,
-    /// When it was asked, by our clock.
+    /// When the query was sent, by our clock.
     pub asked_at: f64,
-    /// When the answer came, by our clock.
+    /// When the answer arrived, by our clock.
     pub received_at: f64,
 }
 
-/// Ask these peers for promises.
+/// A query that asks peers to promise never to extend an earlier leader's lease.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PromiseQuery {
     /// The term of the takeover.
@@ -40,11 +41,11 @@
     pub missing_peers: Vec<String>,
 }
 
-/// Ask all peers which cancellations they confirmed to users.
+/// A query that asks all peers which cancellations they confirmed to users.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CancellationQuery {
     /// The term under which we act.
     pub term: u64,
-    /// Over how many seconds the peers must look back.
+    /// How far back the peers' reports must reach, in seconds.
     pub lookback_s: f64,
 }
--- a/src/coordination/leadership/shard_update.rs
+++ b/src/coordination/leadership/shard_update.rs
@@ -1,12 +1,13 @@
-//! Rewrites of our own shard record: under a new lease, to confirm that the shard is still
-//! ours, and under a higher term, to rule out lost commands; and what follows when their
-//! responses come, or never do.
+//! Rewrites of this controller's own shard record, and what follows from their responses or
+//! from a lost response. The record is rewritten under a new lease, to confirm that the shard
+//! is still ours, and under a higher term, so that workers reject commands that were lost on
+//! their way and may still arrive.
 
 use crate::coordination::leadership::state::Leadership;
 use crate::protocol::state::Txn;
 use crate::storage::records::{self, ShardRecord, TermCounter};
 
-/// What a rewrite of the shard record is for.
+/// Why the shard record is rewritten.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Purpose {
     /// Confirm our leadership under this lease.
@@ -15,10 +16,10 @@
     RaiseTerm,
 }
 
-/// A rewrite of our own shard record under way.
+/// A rewrite of our own shard record, with what is needed to process its response.
 #[derive(Debug, Clone)]
 pub struct ShardUpdate {
-    /// The transaction that rewrites it.
+    /// The transaction that rewrites the record.
     pub txn: Txn,
     shard: ShardRecord,
     purpose: Purpose,
@@ -26,16 +27,16 @@
 }
 
 impl ShardUpdate {
-    /// Whether it is under a higher term.
+    /// Whether the rewrite raises the term.
     pub fn raises_term(&self) -> bool {
         self.purpose == Purpose::RaiseTerm
     }
 }
 
 impl Leadership {
-    /// After our lease expired while we act: the record written once more under the present
-    /// lease, if nobody took the shard over in between.
-    pub fn reassert(&self, now: f64) -> Option<ShardUpdate> {
+    /// The rewrite that confirms our leadership under the present lease, if our previous lease
+    /// expired while we lead. It fails if another controller has taken the shard over since.
+    pub fn update_under_new_lease(&self, now: f64) -> Option<ShardUpdate> {
         self.leader_term?;
         let key = self.own_alive_key()?;
         let (shard, version) = self.own_shard()?;
@@ -54,7 +55,8 @@
         })
     }
 
-    /// A higher term for our shard, to rule out lost commands.
+    /// The rewrite that raises the term of our shard, so that lost commands are rejected if
+    /// they arrive late.
     pub fn raise_term(&self, now: f64) -> Option<ShardUpdate> {
         self.leader_term?;
         let (shard, version) = self.own_shard()?;
@@ -74,14 +76,16 @@
         })
     }
 
-    /// The record was rewritten at `version`; our term, if it still is ours.
+    /// The record was rewritten at `version`. Returns the term under which we act now, if the
+    /// shard is still ours.
     pub fn shard_record_written(&mut self, update: &ShardUpdate, version: u64) -> Option<u64> {
         let term = update.shard.term;
         self.view.see_shard(update.shard.clone(), version);
         if update.raises_term() {
-            self.view.see_term(TermCounter::taken(term).term, version);
+            self.view
+                .update_term(TermCounter::taken(term).term, version);
         }
-        // If we stepped down and took over again meanwhile, this was about another term.
+        // If we stepped down and took over again since, this response is about an earlier term.
         let holds = self.holds_term(term);
         let acting = self.leader_term.as_mut().filter(|_| holds)?;
         acting.term = acting.term.max(term);
@@ -95,15 +99,18 @@
         Some(acting_term)
     }
 
-    /// Acts under the term of our own record where that is higher, and says which it is: a
-    /// rewrite was carried out and its response lost.
+    /// Adopts the term of our own shard record if it is higher than the one under which we
+    /// act, and returns it. That happens when a rewrite was carried out and its response lost.
     ///
-    /// Guards against a leader that goes on under its old term: peers that know the record
-    /// do not extend a lease under that, and in an outage its workers' leases expired.
+    /// If the leader kept its old term, peers that know the record would not extend its lease,
+    /// and in an outage its workers' leases would expire.
     pub fn adopt_raised_term(&mut self) -> Option<u64> {
         let (shard, _) = self.own_shard()?;
         let term = shard.term;
-        let acting = self.leader_term.as_mut().filter(|a| a.term < term)?;
+        let acting = self
+            .leader_term
+            .as_mut()
+            .filter(|acting| acting.term < term)?;
         acting.term = term;
         self.promised_term = self.promised_term.max(term);
         self.extensions.restart_for(term);
--- a/src/coordination/leadership/state.rs
+++ b/src/coordination/leadership/state.rs
@@ -1,29 +1,28 @@
 //! The leadership state machine of one controller: whether it leads the shard, and what
-//! that rests on. It is pure, with time passed in, so that a simulation can pause a
-//! controller at any point and let it go on with what it knew before.
+//! proves it. The code is pure, with time passed in, so that a simulation can pause a
+//! controller at any point and resume it with the state that it had before.
 //!
-//! A controller that was paused wakes with stale state: responses to requests of long ago,
-//! an old view of the control prefix, a transaction under way. So nothing here follows
-//! from *that* a response came, only from what it proves about the time when its request
-//! was sent. Three invariants hold throughout:
+//! A controller that was paused resumes with stale state: responses to requests sent long
+//! ago, an old view of the control prefix, a transaction in flight. A response therefore
+//! proves something only about the time when its request was sent, never about the time of
+//! its arrival. Three invariants hold throughout:
 //!
-//! - A renewal proves leadership only for the lease under which the shard record was last
-//!   written as ours (`confirmed_lease`). After a lease expired the record is not just read
-//!   but written again, on condition that it is unchanged; that also voids every takeover
-//!   that another controller attempted before.
-//! - Of two things known about a key the one with the higher version counts, in whatever
-//!   order they were learnt.
-//! - A controller that promised for a later term acts under no earlier one, also if its own
-//!   takeover under that term is answered only afterwards.
+//! - A renewal proves leadership only for the lease under which this controller last wrote
+//!   the shard record (`confirmed_lease`). After that lease has expired, reading the record
+//!   is not enough: the controller writes it again, on condition that it is unchanged. That
+//!   write also voids every takeover that another controller attempted before.
+//! - If two versions of a key are known, the higher one counts, whichever was learnt first.
+//! - A controller that has promised for a term acts under no earlier term, even if the
+//!   response to its own takeover under an earlier term arrives after the promise.
 
 use crate::coordination::leadership::cancellation_horizon::CancellationHorizon;
 use crate::coordination::leadership::cluster_view::ClusterView;
-use crate::coordination::leadership::lease_extension::{LeaseSpans, QuorumRound};
+use crate::coordination::leadership::lease_extension::{LeaseDurations, QuorumRound};
 use crate::coordination::leadership::queries::QueryTimes;
 use crate::coordination::scheduler::fence::remaining;
 use crate::storage::records::{FormerLeader, ShardRecord};
 
-/// What the leadership needs of the settings.
+/// The settings that leadership decisions need.
 #[derive(Debug, Clone)]
 pub struct LeadershipConfig {
     /// This controller's name.
@@ -34,18 +33,19 @@
     pub teams: Vec<String>,
     /// Time to live of a controller's lease in the state service, in seconds.
     pub lease_ttl_s: f64,
-    /// How long a leader may go on without contact at most, in seconds.
+    /// The longest time for which a leader may answer workers without contact to the state
+    /// service, in seconds.
     pub longest_silence_s: f64,
     /// A worker's lease, in seconds.
     pub worker_lease_s: f64,
-    /// How old a leader's knowledge of cancellations may be while it answers workers, in
-    /// seconds.
+    /// The greatest age of a leader's knowledge of cancellations at which it may answer
+    /// workers, in seconds.
     pub staleness_bound_s: f64,
-    /// By how much the time of day may be off, in milliseconds.
+    /// The largest error of a controller's time of day, in milliseconds.
     pub clock_bound_ms: u64,
 }
 
-/// Our alive key in the state service, as we wrote it.
+/// This controller's alive key in the state service, as this process wrote it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct AliveKey {
     pub(super) lease: u64,
@@ -53,16 +53,17 @@
     pub(super) version: u64,
 }
 
-/// The terms of a leader that has loaded the shard.
+/// The terms of a leader that has loaded the shard's records.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct LeaderTerm {
     /// The term of the takeover.
     pub(super) base_term: u64,
-    /// The term under which it acts now.
+    /// The term under which the leader acts now: `base_term`, or a higher one if the leader has
+    /// raised its term since.
     pub(super) term: u64,
 }
 
-/// One controller's part in leading the shard.
+/// One controller's leadership state. "We" and "our" below mean this controller.
 pub struct Leadership {
     pub(super) config: LeadershipConfig,
     /// What is known of the control prefix.
@@ -81,17 +82,18 @@
     pub(super) promises: QuorumRound,
     pub(super) horizon: CancellationHorizon,
     pub(super) queried_at: QueryTimes,
-    /// Version of the shard record on which our last takeover attempt rested: until we see a
-    /// newer one the attempt may yet be carried out.
+    /// Version of the shard record that our last takeover attempt requires. Until we see a
+    /// newer version, the state service may still carry that attempt out.
     pub(super) attempted_version: Option<u64>,
     pub(super) taken_over_at: f64,
-    /// Highest term of a leader that we know of by a promise or a takeover of ours.
+    /// The highest term among the promises that we gave and our own takeovers.
     pub(super) promised_term: u64,
     pub(super) resigned_at: f64,
 }
 
 impl Leadership {
-    /// A controller that knows nothing yet and starts with this incarnation.
+    /// The state of a controller that has just started with this incarnation and has read
+    /// nothing yet.
     pub fn new(config: LeadershipConfig, incarnation: u64) -> Leadership {
         let controllers = config.peers.len() + 1;
         Leadership {
@@ -114,9 +116,9 @@
         }
     }
 
-    /// Our present incarnation. It differs for each start of the process, and is drawn anew
-    /// when we step down: whoever sees another one in our alive key knows that the former
-    /// leader is silent.
+    /// Our present incarnation. Each start of the process draws a new one, and so does each
+    /// step-down. A controller that sees a changed incarnation in our alive key knows that the
+    /// former leader under the old incarnation is silent.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -139,30 +141,31 @@
             .is_some_and(|acting| acting.term >= self.promised_term);
         acting
             && self
-                .lease_spans()
+                .lease_durations()
                 .may_answer(&self.extensions, self.confirmed_at, now)
             && now - self.cancellations_known_until() < self.config.staleness_bound_s
     }
 
-    /// Whether nobody can have taken the shard from us: our lease in the state service
-    /// cannot have expired since it was last renewed.
+    /// Whether no other controller can have taken the shard over: we lead, and our lease in
+    /// the state service cannot have expired since it was last renewed.
     pub fn is_certain_leader(&self, now: f64) -> bool {
         self.leader_term.is_some() && now - self.confirmed_at < self.config.lease_ttl_s
     }
 
-    /// Whether we know of no leader later than the one under this term.
+    /// Whether we know of no leader with a higher term than this one. False until the control
+    /// prefix has been listed.
     pub fn knows_no_later_leader(&self, term: u64) -> bool {
         let known = self.view.shard.as_ref().map_or(0, |(shard, _)| shard.term);
         self.view.loaded && known <= term && self.promised_term <= term
     }
 
-    /// Whether we resigned a moment ago: for a worker's lease another controller may take
-    /// over, and after that we are better than none.
+    /// Whether we resigned less than a worker's lease ago. During that time the shard is left
+    /// to the other controllers; if none has taken it over by then, we may lead again.
     pub fn has_resigned(&self, now: f64) -> bool {
         now - self.resigned_at < self.config.worker_lease_s
     }
 
-    /// The leader's name, if it is known, alive and not us.
+    /// The leader's name, if the leader is known, alive and another controller.
     pub fn other_leader(&self) -> Option<String> {
         let (shard, _) = self.view.shard.as_ref()?;
         let alive = self.view.alive.contains_key(&shard.leader);
@@ -174,13 +177,13 @@
         self.own_shard().map(|(_, version)| *version)
     }
 
-    /// Whether the shard is still ours under just this term, as far as we know.
+    /// Whether, as far as we know, the shard is still ours under exactly this term.
     pub fn holds_term(&self, term: u64) -> bool {
         let shard = self.own_shard();
         shard.is_some_and(|(shard, _)| shard.term == term) && self.promised_term <= term
     }
 
-    /// Whether we act for a shard that, by what we know, is not ours any more.
+    /// Whether we still act as leader although we know that the shard is not ours any more.
     pub fn is_deposed(&self) -> bool {
         let Some(acting) = self.leader_term else {
             return false;
@@ -193,7 +196,8 @@
         other_leads || self.promised_term > acting.term
     }
 
-    /// Stops acting for the shard; the new incarnation tells whoever looks.
+    /// Stops leading. The new incarnation, once written into our alive key, tells the other
+    /// controllers that the former leader is silent.
     pub fn step_down(&mut self, incarnation: u64) {
         self.leader_term = None;
         self.confirmed_lease = None;
@@ -201,7 +205,7 @@
         self.incarnation = incarnation;
     }
 
-    /// Steps down and leaves the shard to others for a while.
+    /// Steps down and leaves the shard to the other controllers for a worker's lease.
     pub fn resign(&mut self, now: f64, incarnation: u64) {
         self.resigned_at = now;
         self.step_down(incarnation);
@@ -213,15 +217,15 @@
             return false;
         };
         let silent_from = self
-            .lease_spans()
+            .lease_durations()
             .former_leaders_silent_from(&self.promises, self.taken_over_at);
-        self.remaining_former_leaders(&shard.former_leaders, now_ms)
+        self.unfenced_former_leaders(&shard.former_leaders, now_ms)
             .is_empty()
             || silent_from.is_some_and(|at| now > at)
     }
 
-    /// Those of the former leaders that may still answer a worker.
-    pub(super) fn remaining_former_leaders(
+    /// The former leaders among `former_leaders` that may still answer a worker.
+    pub(super) fn unfenced_former_leaders(
         &self,
         former_leaders: &[FormerLeader],
         now_ms: u64,
@@ -252,8 +256,8 @@
             .filter(|(shard, _)| self.is_ours(shard))
     }
 
-    /// Whether the record names another controller.
-    pub(super) fn others_lead(&self) -> bool {
+    /// Whether the shard record names another controller as leader.
+    pub(super) fn another_controller_leads(&self) -> bool {
         let shard = self.view.shard.as_ref();
         shard.is_some_and(|(shard, _)| shard.leader != self.config.host)
     }
@@ -262,7 +266,7 @@
         shard.leader == self.config.host && shard.incarnation == self.incarnation
     }
 
-    fn lease_spans(&self) -> LeaseSpans {
-        LeaseSpans::new(self.config.lease_ttl_s, self.config.longest_silence_s)
+    fn lease_durations(&self) -> LeaseDurations {
+        LeaseDurations::new(self.config.lease_ttl_s, self.config.longest_silence_s)
     }
 }
--- a/src/coordination/leadership/takeover.rs
+++ b/src/coordination/leadership/takeover.rs
@@ -1,30 +1,31 @@
-//! Failover, the decisions: when this controller may take the shard over, the conditional
-//! transaction that does it under a fresh term, and what follows when its response comes,
-//! however late. The requests themselves are sent in `loops::failover`.
+//! The decisions of a failover: when this controller may take the shard over, the
+//! conditional transaction that does so under a new term, and what follows from its
+//! response, however late that arrives. `loops::failover` sends the requests.
 
 use crate::coordination::leadership::cancellation_horizon::CancellationHorizon;
 use crate::coordination::leadership::state::{AliveKey, LeaderTerm, Leadership};
 use crate::protocol::state::Txn;
 use crate::storage::records::{self, FormerLeader, ShardRecord, TermCounter};
 
-/// Milliseconds by the slowest clock in a second by the fastest one, with room to spare.
-const SLOW_CLOCK_MS_PER_S: f64 = 1002.0;
+/// Upper bound on the milliseconds that one controller's clock advances during one second of
+/// another's. The excess over 1000 is an ample margin for clock drift.
+const MS_PER_S_WITH_DRIFT: f64 = 1002.0;
 
-/// A takeover under way, and what it will mean if it succeeds.
+/// A takeover attempt, with what is needed to process its response.
 #[derive(Debug, Clone)]
 pub struct TakeoverAttempt {
     /// The transaction that takes the shard over.
     pub txn: Txn,
     /// The shard record that it writes.
     pub shard: ShardRecord,
-    /// The lease on which our alive key stands.
+    /// The lease to which our alive key is attached.
     lease: u64,
     asked_at: f64,
 }
 
 impl Leadership {
-    /// The takeover to attempt if the shard may be taken: nobody leads it, its leader's lease
-    /// is gone, or it is our own from before a restart.
+    /// The takeover to attempt, if the shard may be taken over: it has no leader, its leader's
+    /// lease has ended, or it was ours before we restarted or stepped down.
     pub fn attempt_takeover(&mut self, now: f64, now_ms: u64) -> Option<TakeoverAttempt> {
         if !self.view.loaded || self.leader_term.is_some() || self.has_resigned(now) {
             return None;
@@ -51,8 +52,7 @@
         })
     }
 
-    /// What must still hold when the takeover is carried out; `None` if another leader is
-    /// alive.
+    /// The conditions of the takeover transaction; `None` if another leader is alive.
     fn takeover_conditions(&self, key: AliveKey) -> Option<Txn> {
         let host = &self.config.host;
         let txn = Txn::default()
@@ -67,20 +67,20 @@
         if self.view.alive.contains_key(&shard.leader) {
             return None;
         }
-        // Taken from a leader that may not know yet. However late this is carried out: its
-        // lease was gone when we looked at the clock, and had it come back since, the shard
-        // record would have been written again.
+        // The present leader may not know yet that its lease has ended. The conditions hold
+        // however late the transaction is carried out: the lease had ended when we read the
+        // clock, and a leader that got a new lease since would have rewritten the shard record.
         let leader_key = records::alive_key(&shard.leader);
         Some(txn.when(records::SHARD_KEY, *version).when(&leader_key, 0))
     }
 
-    /// The leaders before us that may still answer workers, with the one that the shard is
-    /// taken from.
+    /// The former leaders that may still answer workers, including the leader from which the
+    /// shard is taken.
     fn former_leaders_after_takeover(&self, now_ms: u64) -> Vec<FormerLeader> {
         let Some((shard, _)) = &self.view.shard else {
             return Vec::new();
         };
-        let mut former_leaders = self.remaining_former_leaders(&shard.former_leaders, now_ms);
+        let mut former_leaders = self.unfenced_former_leaders(&shard.former_leaders, now_ms);
         if shard.leader != self.config.host {
             former_leaders.push(FormerLeader {
                 host: shard.leader.clone(),
@@ -91,12 +91,13 @@
         former_leaders
     }
 
-    /// How long the shard's present leader may answer workers at most if it is taken over
-    /// now, in milliseconds by any clock.
+    /// The longest time for which the shard's present leader may still answer workers if the
+    /// shard is taken over now, in milliseconds by any controller's clock.
     ///
-    /// It knows nothing newer of cancellations than the check of its leadership, and gets no
-    /// report of ours from now on. An older program goes on all the same, for as long as its
-    /// lease is extended.
+    /// The leader's knowledge of cancellations cannot be newer than the last check of its
+    /// leadership, and from now on we report no cancellations to it. So it stops when that
+    /// knowledge is older than the staleness bound. A leader that runs an older program has no
+    /// such bound and goes on for as long as its lease is extended.
     fn silent_after_ms(&self, shard: &ShardRecord) -> u64 {
         let config = &self.config;
         let silent_s = if shard.bounded_staleness {
@@ -104,15 +105,16 @@
         } else {
             config.longest_silence_s
         };
-        (silent_s * SLOW_CLOCK_MS_PER_S) as u64
+        (silent_s * MS_PER_S_WITH_DRIFT) as u64
     }
 
-    /// The takeover was carried out at `version`; false if it has been overtaken while the
-    /// response was on its way, or while we were paused.
+    /// The takeover was carried out at `version`. Returns false if another controller has taken
+    /// the shard over since, before we processed this response.
     pub fn takeover_written(&mut self, attempt: &TakeoverAttempt, version: u64, now: f64) -> bool {
         let term = attempt.shard.term;
         self.view.see_shard(attempt.shard.clone(), version);
-        self.view.see_term(TermCounter::taken(term).term, version);
+        self.view
+            .update_term(TermCounter::taken(term).term, version);
         if !self.holds_term(term) || self.leader_term.is_some() {
             return false;
         }
@@ -123,9 +125,10 @@
         true
     }
 
-    /// The shard is loaded: from now on we act for it, unless it was lost meanwhile.
+    /// Starts to lead the shard, whose records are loaded; returns false if the shard was lost
+    /// while they were read.
     ///
-    /// The live jobs were read after `listed_at`.
+    /// The live jobs were listed after `listed_at`.
     pub fn begin_term(&mut self, term: u64, listed_at: f64) -> bool {
         if !self.holds_term(term) {
             return false;
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -119,7 +119,10 @@
     let mut pair = Pair::new();
     let late = pair.lose_lease();
     pair.get_new_lease();
-    let update = pair.leader.reassert(5.6).expect("the lease is new");
+    let update = pair
+        .leader
+        .update_under_new_lease(5.6)
+        .expect("the lease is new");
     let version = pair.store.apply(&update.txn).expect("still ours");
     assert_eq!(pair.leader.shard_record_written(&update, version), Some(1));
     assert_eq!(pair.leader.confirmed_at(), 5.6);
@@ -165,7 +168,10 @@
     assert!(!pair.standby.may_report_cancellations_to(1));
     // It is written once more: the attempt is void.
     let since = pair.store.revision;
-    let update = pair.leader.reassert(5.6).expect("the lease is new");
+    let update = pair
+        .leader
+        .update_under_new_lease(5.6)
+        .expect("the lease is new");
     pair.store.apply(&update.txn).expect("still ours");
     follow(&mut pair.standby, &pair.store, since);
     assert!(pair.standby.may_report_cancellations_to(1) && pair.store.apply(&late.txn).is_err());
@@ -212,7 +218,10 @@
     let lease = pair.get_new_lease();
     pair.leader.lease_renewed(lease, 6.0);
     assert_eq!(pair.leader.confirmed_at(), 0.0);
-    let update = pair.leader.reassert(6.1).expect("the lease is new");
+    let update = pair
+        .leader
+        .update_under_new_lease(6.1)
+        .expect("the lease is new");
     assert!(pair.store.apply(&update.txn).is_err());
     // The renewal of an old lease, answered late, says nothing new either.
     pair.leader.lease_renewed(lease - 1, 7.0);
@@ -226,7 +235,10 @@
     let mut pair = Pair::new();
     pair.store.end(pair.leader_lease);
     pair.get_new_lease();
-    let update = pair.leader.reassert(5.6).expect("the lease is new");
+    let update = pair
+        .leader
+        .update_under_new_lease(5.6)
+        .expect("the lease is new");
     let version = pair.store.apply(&update.txn).expect("still ours");
     let attempt = {
         let since = pair.store.revision;
@@ -304,7 +316,10 @@
         pair.store.revision,
     );
     pair.get_new_lease();
-    let update = pair.leader.reassert(5.6).expect("the lease is new");
+    let update = pair
+        .leader
+        .update_under_new_lease(5.6)
+        .expect("the lease is new");
     pair.store.apply(&update.txn).expect("still ours");
     follow(&mut pair.standby, &pair.store, listed_at);
     let known = pair.standby.view.shard_version();
--- a/tests/lease_extension.rs
+++ b/tests/lease_extension.rs
@@ -1,7 +1,7 @@
 //! A leader that lost contact must have stopped answering before a new leader takes its
 //! machines for empty: by cases, and by many random courses of who reaches whom.
 
-use foxspur::coordination::leadership::lease_extension::{LeaseSpans, QuorumRound};
+use foxspur::coordination::leadership::lease_extension::{LeaseDurations, QuorumRound};
 use foxspur::coordination::leadership::queries::PeerAnswer;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -32,7 +32,7 @@
 
 #[test]
 fn how_long_a_leader_answers_without_contact() {
-    let spans = LeaseSpans::new(LEASE_TTL_S, LONGEST_S);
+    let spans = LeaseDurations::new(LEASE_TTL_S, LONGEST_S);
     // (controllers, extensions as (peer, asked at), now, may answer); last check at 0.
     type Case<'a> = (usize, &'a [(&'a str, f64)], f64, bool);
     let cases: [Case; 8] = [
@@ -152,7 +152,7 @@
 /// them alive with its lease extended by a majority.
 #[test]
 fn a_former_leader_is_silent_before_it_is_taken_to_be() {
-    let spans = LeaseSpans::new(LEASE_TTL_S, LONGEST_S);
+    let spans = LeaseDurations::new(LEASE_TTL_S, LONGEST_S);
     let (mut settled, mut extended) = (0, 0);
     for seed in 0..400 {
         let mut course = Course::new(seed);
--- a/tests/pause/controller.rs
+++ b/tests/pause/controller.rs
@@ -138,7 +138,10 @@
 
     fn leader_turn(&mut self, node: usize, now: f64) {
         let raises_term = self.rng.random_bool(0.002);
-        let update = match self.controllers[node].leadership.reassert(now) {
+        let update = match self.controllers[node]
+            .leadership
+            .update_under_new_lease(now)
+        {
             None if raises_term || self.rng.random_bool(0.002) => {
                 self.controllers[node].leadership.raise_term(now)
             }
