--- a/src/coordination/leadership/confirmed_cancellations.rs
+++ b/src/coordination/leadership/confirmed_cancellations.rs
@@ -44,11 +44,11 @@
         }
     }
 
-    /// The jobs whose cancellation was confirmed within the last `for_s` seconds, the latest
+    /// The jobs whose cancellation was confirmed within the last `period_s` seconds, the latest
     /// first; `None` if not all of them are known.
-    pub fn within(&self, for_s: f64, now: f64) -> Option<Vec<String>> {
-        let from = now - for_s;
-        if from < self.complete_from || !for_s.is_finite() {
+    pub fn within(&self, period_s: f64, now: f64) -> Option<Vec<String>> {
+        let from = now - period_s;
+        if from < self.complete_from || !period_s.is_finite() {
             return None;
         }
         let newest_first = self.latest.iter().rev();
--- a/src/coordination/leadership/lease.rs
+++ b/src/coordination/leadership/lease.rs
@@ -42,8 +42,8 @@
 impl Leadership {
     /// What the lease loop should do next.
     pub fn next_lease_step(&self, now: f64) -> LeaseStep {
-        let leaves_to_others = self.has_resigned(now) && !self.another_controller_leads();
-        match (self.lease, leaves_to_others) {
+        let leaves_shard_to_others = self.has_resigned(now) && !self.another_controller_leads();
+        match (self.lease, leaves_shard_to_others) {
             (Some(lease), true) => LeaseStep::Revoke(lease),
             (None, true) => LeaseStep::Wait,
             (None, false) => LeaseStep::Grant,
--- a/src/coordination/leadership/loops/failover.rs
+++ b/src/coordination/leadership/loops/failover.rs
@@ -180,8 +180,9 @@
 }
 
 /// Finishes the jobs whose cancellation was confirmed to a user by this controller, or
-/// reported to it by a peer, while the live jobs were read. Without this, the new scheduler
-/// would learn of them only later, from its watch of live jobs.
+/// reported to it by a peer, while the live jobs were read. No peer would report these again,
+/// so the new scheduler would learn of them only later, from its watch of live jobs. The watch
+/// reports all other cancellations.
 fn finish_cancelled_jobs(node: &Node, scheduler: &mut Scheduler, listed_at: f64) {
     let now = node.now();
     for cancellations in [&node.confirmed_cancellations, &node.relayed_cancellations] {
--- a/src/coordination/leadership/takeover.rs
+++ b/src/coordination/leadership/takeover.rs
@@ -67,7 +67,7 @@
         if self.view.alive.contains_key(&shard.leader) {
             return None;
         }
-        // The present leader may not know yet that its lease has ended. The conditions hold
+        // The present leader may not know yet that its lease has ended. These conditions suffice
         // however late the transaction is carried out: the lease had ended when we read the
         // clock, and a leader that got a new lease since would have rewritten the shard record.
         let leader_key = records::alive_key(&shard.leader);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Jobs are cancelled in the seconds in which the leader changes: real controllers with their
-//! own loops, on simulated time and an unreliable network.
+//! Jobs are cancelled while the leader changes. The test runs real controllers with their own
+//! loops on simulated time and an unreliable network.
 
 mod common;
 mod simulated;
@@ -19,28 +19,32 @@
 use tokio::time::{sleep, Instant};
 
 const JOBS: usize = 36;
-/// Jobs on a page of a listing: a takeover reads several pages.
+/// Jobs per page of a listing; few enough that a takeover reads several pages.
 const JOBS_PER_PAGE: usize = 3;
 const HANDOVERS: usize = 6;
 const CANCELS_PER_HANDOVER: usize = JOBS / HANDOVERS;
-/// Of these, cancelled at the former leader as soon as the state service answers it again.
+/// How many of these are requested from the former leader, as soon as it has resigned or the
+/// state service answers it again.
 const CANCELS_AT_FORMER_LEADER: usize = 2;
-/// How far back a controller's own knowledge of cancellations is compared with its scheduler.
+/// How far back a controller's list of confirmed cancellations is compared with its scheduler,
+/// in seconds.
 const LOOKBACK_S: f64 = 20.0;
-/// How long a leader that the state service answers may take to learn of a cancellation.
+/// How long a leader with contact to the state service may take to learn of a cancellation.
 const LEARNING_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Cancellations that met a change of leader.
+/// Counts the cancellations that were confirmed during a change of leader, by circumstance.
 #[derive(Default, Debug)]
 struct Counters {
-    /// Confirmed while a new leader loaded its records, and just after a page of them.
+    /// Confirmed while a new leader loaded its records.
     while_loading: usize,
+    /// Confirmed just after a new leader read a page of its records.
     between_pages: usize,
-    /// Confirmed by a controller that took itself for the leader and was not.
-    by_former: usize,
-    /// Confirmed by the new leader before it had its scheduler, or reported to it then.
-    by_new: usize,
-    reported_to_new: usize,
+    /// Confirmed by a former leader that still acted as leader.
+    by_former_leader: usize,
+    /// Confirmed by the new leader before it had its scheduler.
+    by_new_leader: usize,
+    /// Reported to the new leader before it had its scheduler.
+    reported_to_new_leader: usize,
     handovers: usize,
     confirmed: usize,
 }
@@ -49,26 +53,27 @@
     fn add(&mut self, other: &Counters) {
         self.while_loading += other.while_loading;
         self.between_pages += other.between_pages;
-        self.by_former += other.by_former;
-        self.by_new += other.by_new;
-        self.reported_to_new += other.reported_to_new;
+        self.by_former_leader += other.by_former_leader;
+        self.by_new_leader += other.by_new_leader;
+        self.reported_to_new_leader += other.reported_to_new_leader;
         self.handovers += other.handovers;
         self.confirmed += other.confirmed;
     }
 }
 
-/// Who accepted a call.
+/// The controller that accepted a call.
 struct Accepted {
     controller: usize,
-    /// Whether it was a former leader when it was called.
+    /// Whether the controller was a former leader, still acting, when it was called.
     was_former_leader: bool,
 }
 
 struct Scenario {
     cluster: Rc<Cluster>,
     controllers: Vec<Controller>,
-    /// Cancellations that were confirmed to users.
+    /// Cancellations that were confirmed to users: the job, and when.
     confirmed: RefCell<Vec<(String, Instant)>>,
+    /// When the state service last refused a leader.
     refused_at: RefCell<Option<Instant>>,
     counters: RefCell<Counters>,
 }
@@ -78,14 +83,14 @@
         self.cluster.rng.borrow_mut().random_range(range)
     }
 
-    /// The leader by the state service's record.
+    /// The leader according to the shard record in the state service.
     fn recorded_leader(&self) -> Option<usize> {
         let entry = self.cluster.store.borrow().get(records::SHARD_KEY)?;
         let leader = entry.read::<ShardRecord>().expect("a shard record").leader;
         leader.strip_prefix("berth-")?.parse().ok()
     }
 
-    /// Whether the controller leads by the record and has no scheduler yet.
+    /// Whether the controller leads according to the shard record and has no scheduler yet.
     fn is_loading(&self, controller: usize) -> bool {
         let node = &self.controllers[controller].node;
         self.recorded_leader() == Some(controller) && node.scheduler.borrow().is_none()
@@ -95,17 +100,17 @@
         self.draw(0..self.controllers.len() as u64) as usize
     }
 
-    /// Whether the controller takes itself for the leader and is not.
+    /// Whether the controller acts as leader although the shard record names another one.
     fn is_former_leader(&self, controller: usize) -> bool {
-        let acts = self.controllers[controller]
+        let has_scheduler = self.controllers[controller]
             .node
             .scheduler
             .borrow()
             .is_some();
-        acts && self.recorded_leader() != Some(controller)
+        has_scheduler && self.recorded_leader() != Some(controller)
     }
 
-    /// Calls this controller, and then any, until one accepts the request.
+    /// Calls the controller `first`, then controllers at random, until one accepts the request.
     async fn call_until_accepted(
         &self,
         first: usize,
@@ -150,18 +155,19 @@
             Some(*by) == loading && at.elapsed() < Duration::from_millis(300)
         };
         counters.between_pages += usize::from(pages.iter().any(just_read));
-        counters.by_new += usize::from(loading == Some(accepted.controller));
-        counters.by_former += usize::from(accepted.was_former_leader);
+        counters.by_new_leader += usize::from(loading == Some(accepted.controller));
+        counters.by_former_leader += usize::from(accepted.was_former_leader);
         let reported = loading.is_some_and(|leader| {
             let node = &self.controllers[leader].node;
             let reported = node.relayed_cancellations.borrow().within(0.5, node.now());
             reported.is_some_and(|jobs| jobs.contains(&id(job)))
         });
-        counters.reported_to_new += usize::from(reported);
+        counters.reported_to_new_leader += usize::from(reported);
     }
 
-    /// A controller that confirmed a cancellation, or had it reported, has it in its scheduler;
-    /// and a leader that the state service answers learns of all others soon.
+    /// Checks two properties of each controller that has a scheduler. Its scheduler runs no job
+    /// whose cancellation it confirmed itself or had reported by a peer. If it leads and has
+    /// contact to the state service, it learns of all other cancellations within a time limit.
     fn check(&self, seed: u64) {
         for (index, controller) in self.controllers.iter().enumerate() {
             let node = &controller.node;
@@ -169,27 +175,30 @@
             let Some(scheduler) = scheduler.as_ref() else {
                 continue;
             };
-            let runs = |id: &str| scheduler.jobs.get(id).is_some_and(|job| !job.finished);
+            let is_live = |id: &str| scheduler.jobs.get(id).is_some_and(|job| !job.finished);
             for known in [&node.confirmed_cancellations, &node.relayed_cancellations] {
                 let lookback_s = LOOKBACK_S.min(node.now());
                 let ids = known.borrow().within(lookback_s, node.now());
                 for id in ids.into_iter().flatten() {
                     assert!(
-                        !runs(&id),
-                        "seed {seed}: berth-{index} knows that {id} is over"
+                        !is_live(&id),
+                        "seed {seed}: berth-{index} runs {id} although it knows of the cancellation"
                     );
                 }
             }
-            let refused = self
+            let recently_refused = self
                 .refused_at
                 .borrow()
                 .is_some_and(|at| at.elapsed() < 2 * LEARNING_TIMEOUT);
-            if refused || self.recorded_leader() != Some(index) {
+            if recently_refused || self.recorded_leader() != Some(index) {
                 continue;
             }
             for (id, at) in self.confirmed.borrow().iter() {
                 let late = at.elapsed() > LEARNING_TIMEOUT;
-                assert!(!late || !runs(id), "seed {seed}: berth-{index} runs {id}");
+                assert!(
+                    !late || !is_live(id),
+                    "seed {seed}: berth-{index} runs {id}, which was cancelled"
+                );
             }
         }
     }
@@ -216,14 +225,14 @@
         }
     }
 
-    /// The state service refuses the leader for a while, mostly with the other controllers
-    /// out of its reach.
+    /// The state service refuses the leader for some seconds. In most cases the other controllers
+    /// cannot reach the leader during that time either.
     async fn refuse(&self, leader: usize) {
         self.cluster.refused.set(Some(leader));
-        let alone = self.draw(0..3) > 0;
-        self.cluster.unreachable.set(alone.then_some(leader));
-        let for_s = self.draw(4..8);
-        for _ in 0..for_s * 10 {
+        let isolated = self.draw(0..3) > 0;
+        self.cluster.unreachable.set(isolated.then_some(leader));
+        let duration_s = self.draw(4..8);
+        for _ in 0..duration_s * 10 {
             *self.refused_at.borrow_mut() = Some(Instant::now());
             sleep(Duration::from_millis(100)).await;
         }
@@ -231,7 +240,8 @@
         self.cluster.unreachable.set(None);
     }
 
-    async fn play(self: &Rc<Self>) {
+    /// Submits all jobs and cancels each of them around one of the handovers.
+    async fn run(self: &Rc<Self>) {
         for job in 0..JOBS {
             let submission = submission(job);
             self.call_until_accepted(self.any_controller(), Method::POST, "/work", &submission)
@@ -248,19 +258,20 @@
                 actix_rt::spawn(cancel);
             }
             self.hand_over(round).await;
-            let ms = self.draw(9000..13_000);
-            sleep(Duration::from_millis(ms)).await;
+            let pause_ms = self.draw(9000..13_000);
+            sleep(Duration::from_millis(pause_ms)).await;
         }
         sleep(Duration::from_secs(15)).await;
     }
 }
 
-async fn play(seed: u64) -> Counters {
+async fn run_seed(seed: u64) -> Counters {
     let count = 3 + (seed % 3) as usize;
     let (cluster, controllers) = Cluster::without_leader(seed, count).await;
     cluster.rough.set(true);
     cluster.page.set(JOBS_PER_PAGE);
-    // What was cancelled between two pages must come by the watch alone, often.
+    // Many calls between controllers are lost, so that a new leader often learns only from its
+    // watch of cancellations that were confirmed between two pages.
     cluster.mesh_loss.set(0.4);
     for controller in &controllers {
         let node = controller.node.clone();
@@ -273,45 +284,46 @@
         refused_at: RefCell::default(),
         counters: RefCell::default(),
     });
-    let watcher = scenario.clone();
+    let checked = scenario.clone();
     let checks = async move {
         loop {
-            watcher.check(seed);
+            checked.check(seed);
             sleep(Duration::from_millis(5)).await;
         }
     };
     tokio::select! {
-        () = scenario.play() => {}
+        () = scenario.run() => {}
         () = checks => {}
     }
     scenario.cluster.calls.borrow().print("handover", seed);
     let confirmed = scenario.confirmed.borrow().len();
     assert_eq!(
         confirmed, JOBS,
-        "seed {seed}: a cancellation had no response"
+        "seed {seed}: not all cancellations were confirmed"
     );
     scenario.counters.take()
 }
 
-/// Guards against a new leader that starts what was cancelled while it took over: a job on
-/// a page that it had read, cancelled by a controller that still took itself for the
-/// leader, by itself before it had its scheduler, or by one that reported it then.
+/// Guards against a new leader that starts a job whose cancellation was confirmed while the
+/// leader took over and had already read the page with the job. The cancellation was confirmed
+/// by a former leader that still acted as leader, by the new leader before it had its
+/// scheduler, or by another controller that reported it to the new leader.
 #[test]
-fn what_is_cancelled_as_the_leader_changes_is_known_to_the_next() {
+fn new_leader_knows_cancellations_confirmed_during_the_handover() {
     let mut all = Counters::default();
     for seed in seeds(24) {
-        all.add(&block_on(play(seed)));
+        all.add(&block_on(run_seed(seed)));
     }
     println!("{all:?}");
-    let least = [
+    let counts = [
         all.while_loading,
         all.between_pages,
-        all.by_former,
-        all.by_new,
-        all.reported_to_new,
+        all.by_former_leader,
+        all.by_new_leader,
+        all.reported_to_new_leader,
     ];
     assert!(
-        own_seeds() || least.iter().all(|count| *count > 5),
-        "too weak: {all:?}"
+        own_seeds() || counts.iter().all(|count| *count > 5),
+        "too few cancellations of some kind: {all:?}"
     );
 }
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -1,5 +1,5 @@
-//! What a leader may conclude from responses that come late, one case each; the simulation
-//! in tests/pause looks for the cases that are not here.
+//! What a controller may conclude from responses that arrive late, one case per test. The
+//! simulation in tests/pause searches for further cases.
 
 use foxspur::coordination::leadership::lease::{AliveKeyWrite, LeaseStep};
 use foxspur::coordination::leadership::state::{Leadership, LeadershipConfig};
@@ -9,7 +9,8 @@
 use foxspur_testbed::store::Store;
 
 const LEASE_TTL_S: f64 = 4.0;
-/// The watch of live jobs never falls behind in these cases.
+/// When the live jobs were listed. The greatest time, so that the knowledge of cancellations is
+/// never too old in these tests.
 const LISTED_AT: f64 = f64::MAX;
 
 fn leadership(host: &str, peers: &[&str], incarnation: u64) -> Leadership {
@@ -26,16 +27,21 @@
     Leadership::new(config, incarnation)
 }
 
-/// The alive key that is to be written next.
+/// The write of the alive key that the lease loop would send next.
 fn next_alive_key(controller: &Leadership, now: f64) -> AliveKeyWrite {
     match controller.next_lease_step(now) {
         LeaseStep::WriteAliveKey(write) => write,
-        other => panic!("no alive key is to be written: {other:?}"),
+        other => panic!("the next step is no write of the alive key: {other:?}"),
     }
 }
 
 /// Gets a lease and writes the alive key, as the lease loop does.
-fn enlist(controller: &mut Leadership, host: &str, store: &mut Store, now: f64) -> u64 {
+fn get_lease_and_write_alive_key(
+    controller: &mut Leadership,
+    host: &str,
+    store: &mut Store,
+    now: f64,
+) -> u64 {
     let lease = store.grant(LEASE_TTL_S, now);
     controller.lease_granted(lease);
     let write = next_alive_key(controller, now);
@@ -44,14 +50,14 @@
     write.lease
 }
 
-/// Reads the control prefix.
-fn read(controller: &mut Leadership, store: &Store) {
+/// Lists the control prefix and applies it to the controller's view.
+fn list_control_prefix(controller: &mut Leadership, store: &Store) {
     let listed = store.list(records::CONTROL_PREFIX);
     controller.view.apply_listing(&listed, store.revision);
 }
 
-/// Tells the controller of all changes since this revision.
-fn follow(controller: &mut Leadership, store: &Store, since: u64) {
+/// Applies all changes after this revision to the controller's view.
+fn apply_changes_since(controller: &mut Leadership, store: &Store, since: u64) {
     for (version, key, value) in store.log.iter().filter(|change| change.0 > since).cloned() {
         match value {
             Some(value) => controller.view.apply_entry(&Entry {
@@ -64,7 +70,7 @@
     }
 }
 
-/// Two controllers: `a` leads the shard under term 1 since 0, `b` is alive.
+/// Two controllers: `a` has led the shard under term 1 since time 0, and `b` is alive.
 struct Pair {
     store: Store,
     leader: Leadership,
@@ -77,14 +83,16 @@
         let mut store = Store::default();
         let mut leader = leadership("a", &["b"], 1);
         let mut standby = leadership("b", &["a"], 2);
-        let leader_lease = enlist(&mut leader, "a", &mut store, 0.0);
-        read(&mut leader, &store);
-        let attempt = leader.attempt_takeover(0.0, 0).expect("free");
+        let leader_lease = get_lease_and_write_alive_key(&mut leader, "a", &mut store, 0.0);
+        list_control_prefix(&mut leader, &store);
+        let attempt = leader
+            .attempt_takeover(0.0, 0)
+            .expect("the shard has no leader");
         let version = store.apply(&attempt.txn).expect("taken over");
         assert!(leader.takeover_written(&attempt, version, 0.0));
         assert!(leader.begin_term(1, LISTED_AT));
-        enlist(&mut standby, "b", &mut store, 0.0);
-        read(&mut standby, &store);
+        get_lease_and_write_alive_key(&mut standby, "b", &mut store, 0.0);
+        list_control_prefix(&mut standby, &store);
         Pair {
             store,
             leader,
@@ -93,11 +101,11 @@
         }
     }
 
-    /// The leader's lease ends, the standby hears of it, and attempts a takeover.
-    fn lose_lease(&mut self) -> TakeoverAttempt {
+    /// The leader's lease ends; the standby learns of that and attempts a takeover.
+    fn expire_lease_and_attempt_takeover(&mut self) -> TakeoverAttempt {
         let since = self.store.revision;
         self.store.end(self.leader_lease);
-        follow(&mut self.standby, &self.store, since);
+        apply_changes_since(&mut self.standby, &self.store, since);
         self.standby
             .attempt_takeover(5.0, 5000)
             .expect("the leader is gone")
@@ -106,18 +114,19 @@
     /// The leader notices that its lease ended, and gets another one.
     fn get_new_lease(&mut self) -> u64 {
         self.leader.lease_ended(self.leader_lease);
-        self.leader_lease = enlist(&mut self.leader, "a", &mut self.store, 5.5);
+        self.leader_lease =
+            get_lease_and_write_alive_key(&mut self.leader, "a", &mut self.store, 5.5);
         self.leader_lease
     }
 }
 
-/// Guards against a takeover that is attempted just before the leader's lease comes back and
-/// carried out when that has ended as well: by the time of the attempt the former leader
-/// would long be silent, and it is not.
+/// Guards against a delayed takeover. It is attempted while the leader has no lease, and
+/// carried out after the leader has got a new lease and lost that one as well. Counted from
+/// the attempt, the former leader would have been silent for long, but it is not.
 #[test]
-fn a_takeover_attempted_before_the_leader_came_back_is_void() {
+fn takeover_attempted_before_the_leader_got_a_new_lease_is_void() {
     let mut pair = Pair::new();
-    let late = pair.lose_lease();
+    let late_attempt = pair.expire_lease_and_attempt_takeover();
     pair.get_new_lease();
     let update = pair
         .leader
@@ -127,94 +136,111 @@
     assert_eq!(pair.leader.shard_record_written(&update, version), Some(1));
     assert_eq!(pair.leader.confirmed_at(), 5.6);
     pair.store.end(pair.leader_lease);
-    assert!(pair.store.apply(&late.txn).is_err());
+    assert!(pair.store.apply(&late_attempt.txn).is_err());
 }
 
-/// Guards against a leader whose raised term was written while the response was lost: under
-/// its old term nobody extends its lease, and an outage ends its workers' leases.
+/// Guards against a leader that keeps its old term after it raised the term and the response
+/// was lost. No controller extends a lease under the old term, so an outage would end the
+/// leases of its workers.
 #[test]
-fn a_term_raised_without_a_response_is_adopted() {
-    for known in [true, false] {
+fn raised_term_is_adopted_after_a_lost_response() {
+    for leader_saw_write in [true, false] {
         let mut pair = Pair::new();
         let since = pair.store.revision;
-        let update = pair.leader.raise_term(1.0).expect("it is ours");
+        let update = pair.leader.raise_term(1.0).expect("the shard is ours");
         pair.store.apply(&update.txn).expect("carried out");
-        follow(&mut pair.standby, &pair.store, since);
-        if known {
-            follow(&mut pair.leader, &pair.store, since);
+        apply_changes_since(&mut pair.standby, &pair.store, since);
+        if leader_saw_write {
+            apply_changes_since(&mut pair.leader, &pair.store, since);
         }
         let adopted = pair.leader.adopt_raised_term();
-        assert_eq!(adopted.is_some(), known);
-        assert_eq!(pair.leader.adopt_raised_term(), None, "twice");
+        assert_eq!(adopted.is_some(), leader_saw_write);
+        assert_eq!(pair.leader.adopt_raised_term(), None, "adopted twice");
         let term = pair.leader.extension_due(10.0).expect("no contact");
-        assert_eq!(pair.standby.knows_no_later_leader(term), known, "{term}");
+        assert_eq!(
+            pair.standby.knows_no_later_leader(term),
+            leader_saw_write,
+            "term {term}"
+        );
         assert!(!pair.leader.is_deposed());
     }
 }
 
-/// Guards against a leader kept answering by the report of a controller that is about to take
-/// over: a takeover counts the leader's silence from when it was attempted, and one that had
-/// no response may yet be carried out, until the record it rests on is seen to have changed.
+/// Guards against a controller that attempts a takeover and also reports cancellations to the
+/// leader, which lets the leader go on answering workers. A takeover counts the leader's
+/// silence from the attempt. An attempt without a response may still be carried out until the
+/// shard record that it requires is known to have changed.
 #[test]
-fn a_controller_that_attempted_a_takeover_reports_nothing_to_the_leader() {
+fn no_cancellations_are_reported_to_the_leader_after_a_takeover_attempt() {
     let mut pair = Pair::new();
     assert!(pair.standby.may_report_cancellations_to(1));
-    let late = pair.lose_lease();
+    let late_attempt = pair.expire_lease_and_attempt_takeover();
     assert!(pair.standby.knows_no_later_leader(1) && !pair.standby.may_report_cancellations_to(1));
-    // The leader is back, the record as it was: the attempt is still valid.
+    // The leader has a new lease and the shard record is unchanged: the attempt is still valid.
     let since = pair.store.revision;
     pair.get_new_lease();
-    follow(&mut pair.standby, &pair.store, since);
+    apply_changes_since(&mut pair.standby, &pair.store, since);
     assert!(!pair.standby.may_report_cancellations_to(1));
-    // It is written once more: the attempt is void.
+    // The leader rewrites the shard record: the attempt is void.
     let since = pair.store.revision;
     let update = pair
         .leader
         .update_under_new_lease(5.6)
         .expect("the lease is new");
     pair.store.apply(&update.txn).expect("still ours");
-    follow(&mut pair.standby, &pair.store, since);
-    assert!(pair.standby.may_report_cancellations_to(1) && pair.store.apply(&late.txn).is_err());
+    apply_changes_since(&mut pair.standby, &pair.store, since);
+    assert!(
+        pair.standby.may_report_cancellations_to(1) && pair.store.apply(&late_attempt.txn).is_err()
+    );
 }
 
-/// Guards against a successor that counts on the silence of a leader of an older program,
-/// which does not fall silent when it does not know of cancellations: while the controllers
-/// are exchanged one by one, its lease may be extended for as long as ever.
+/// Guards against a new leader that waits too briefly for a former leader of an older program
+/// version, as happens while the controllers are upgraded one by one. The older version does
+/// not stop answering when its knowledge of cancellations is old, so it may go on for as long
+/// as its lease can be extended.
 #[test]
-fn a_leader_of_an_older_program_is_given_its_longer_time() {
-    // Whether the record says so, how long after the attempt it is silent, in seconds.
-    for (bounded, silent_s) in [(true, 24.0), (false, 96.0)] {
+fn former_leader_of_an_older_version_is_given_more_time() {
+    // Whether the leader's staleness is bounded, and the seconds from the attempt until it is
+    // silent.
+    for (bounded, silent_after_s) in [(true, 24.0), (false, 96.0)] {
         let mut pair = Pair::new();
         let entry = pair.store.get(records::SHARD_KEY).expect("taken");
-        let mut shard = entry.read::<ShardRecord>().expect("reads");
+        let mut shard = entry.read::<ShardRecord>().expect("a shard record");
         assert!(shard.bounded_staleness);
         shard.bounded_staleness = bounded;
         let since = pair.store.revision;
         let txn = Txn::default().put(records::SHARD_KEY, &shard);
         pair.store.apply(&txn).expect("written");
-        follow(&mut pair.standby, &pair.store, since);
-        let attempt = pair.lose_lease();
-        let until = attempt
+        apply_changes_since(&mut pair.standby, &pair.store, since);
+        let attempt = pair.expire_lease_and_attempt_takeover();
+        let until_ms = attempt
             .shard
             .former_leaders
             .first()
             .expect("a former leader")
             .until_ms;
-        assert_eq!(until, 5000 + (silent_s * 1002.0) as u64 + 1000, "{bounded}");
+        assert_eq!(
+            until_ms,
+            5000 + (silent_after_s * 1002.0) as u64 + 1000,
+            "bounded: {bounded}"
+        );
     }
-    // A record of an older program has no such field.
-    let old = r#"{"owner":"a","boot":1,"term":1,"teams":[]}"#;
-    assert!(serde_json::from_str::<ShardRecord>(old).is_ok_and(|s| !s.bounded_staleness));
+    // A record that an older version wrote has no such field.
+    let old_record = r#"{"owner":"a","boot":1,"term":1,"teams":[]}"#;
+    assert!(
+        serde_json::from_str::<ShardRecord>(old_record).is_ok_and(|shard| !shard.bounded_staleness)
+    );
 }
 
-/// Guards against renewals of a lease got after the shard was lost.
+/// Guards against a former leader that takes the renewal of a new lease, granted after it lost
+/// the shard, as a confirmation of its leadership.
 #[test]
-fn a_new_lease_proves_nothing_before_the_record_is_written_under_it() {
+fn new_lease_confirms_nothing_before_the_shard_record_is_rewritten() {
     let mut pair = Pair::new();
-    let attempt = pair.lose_lease();
+    let attempt = pair.expire_lease_and_attempt_takeover();
     let version = pair.store.apply(&attempt.txn).expect("taken over");
     assert!(pair.standby.takeover_written(&attempt, version, 5.1));
-    // The leader was paused and has heard of nothing.
+    // The former leader was paused and does not know of the takeover.
     let lease = pair.get_new_lease();
     pair.leader.lease_renewed(lease, 6.0);
     assert_eq!(pair.leader.confirmed_at(), 0.0);
@@ -223,15 +249,15 @@
         .update_under_new_lease(6.1)
         .expect("the lease is new");
     assert!(pair.store.apply(&update.txn).is_err());
-    // The renewal of an old lease, answered late, says nothing new either.
+    // A late response to the renewal of an old lease confirms nothing either.
     pair.leader.lease_renewed(lease - 1, 7.0);
     assert!(!pair.leader.is_certain_leader(7.0) && !pair.leader.may_answer_workers(7.0));
 }
 
-/// Guards against the response to a rewrite that comes under the next lease but one: it
-/// proves nothing about that.
+/// Guards against a late response to a rewrite of the shard record that is taken to confirm
+/// leadership under a newer lease than the one under which the record was rewritten.
 #[test]
-fn a_rewrite_counts_for_the_lease_it_was_made_under() {
+fn rewrite_confirms_only_the_lease_it_was_made_under() {
     let mut pair = Pair::new();
     pair.store.end(pair.leader_lease);
     pair.get_new_lease();
@@ -243,8 +269,8 @@
     let attempt = {
         let since = pair.store.revision;
         pair.store.end(pair.leader_lease);
-        read(&mut pair.standby, &pair.store);
-        follow(&mut pair.standby, &pair.store, since);
+        list_control_prefix(&mut pair.standby, &pair.store);
+        apply_changes_since(&mut pair.standby, &pair.store, since);
         pair.standby
             .attempt_takeover(9.0, 9000)
             .expect("the leader is gone")
@@ -256,18 +282,20 @@
     assert_eq!(pair.leader.confirmed_at(), 5.6);
 }
 
-/// Guards against a takeover that was itself overtaken before its response came: while the
-/// shard was being taken over, while it was being loaded, and by a promise.
+/// Guards against a controller that begins a term although another controller has taken the
+/// shard over since. It learns of the later takeover before its own response arrives, while
+/// it loads the shard, or by a promise that it gives.
 #[test]
-fn a_takeover_overtaken_before_its_response_begins_no_term() {
-    for (heard_before_response, promised) in [(true, false), (false, false), (false, true)] {
+fn superseded_takeover_begins_no_term() {
+    for (informed_before_response, promised) in [(true, false), (false, false), (false, true)] {
         let mut pair = Pair::new();
-        let attempt = pair.lose_lease();
+        let attempt = pair.expire_lease_and_attempt_takeover();
         let version = pair.store.apply(&attempt.txn).expect("taken over");
-        // The standby is paused; the former leader is back and takes the shard from it.
+        // The standby is paused and its lease, the second that was granted, ends. The former
+        // leader takes the shard back.
         pair.store.end(2);
         pair.get_new_lease();
-        read(&mut pair.leader, &pair.store);
+        list_control_prefix(&mut pair.leader, &pair.store);
         assert!(pair.leader.is_deposed());
         pair.leader.step_down(3);
         let write = AliveKeyWrite {
@@ -286,15 +314,15 @@
             .attempt_takeover(9.0, 9000)
             .expect("the standby's lease is gone");
         pair.store.apply(&later_attempt.txn).expect("taken back");
-        // The standby goes on.
-        if heard_before_response {
-            follow(&mut pair.standby, &pair.store, version - 1);
+        // The standby resumes.
+        if informed_before_response {
+            apply_changes_since(&mut pair.standby, &pair.store, version - 1);
             assert!(!pair.standby.takeover_written(&attempt, version, 20.0));
         } else {
             assert!(pair.standby.takeover_written(&attempt, version, 20.0));
             match promised {
                 true => pair.standby.promise(later_attempt.shard.term),
-                false => follow(&mut pair.standby, &pair.store, version - 1),
+                false => apply_changes_since(&mut pair.standby, &pair.store, version - 1),
             }
         }
         assert!(
@@ -304,13 +332,14 @@
     }
 }
 
-/// Guards against the response to an earlier read that wipes out what came since, and
-/// against an alive key of an earlier incarnation that stays.
+/// Guards against an outdated response that replaces newer knowledge, and against an alive key
+/// of an earlier incarnation that is not overwritten.
 #[test]
-fn what_is_older_does_not_replace_what_is_newer() {
+fn outdated_responses_do_not_replace_newer_knowledge() {
     let mut pair = Pair::new();
     pair.store.end(pair.leader_lease);
-    // Listed while its leader had no lease, and answered after it was back.
+    // A listing made while the leader had no lease, whose response arrives after the leader got
+    // a new one.
     let (old_listing, listed_at) = (
         pair.store.list(records::CONTROL_PREFIX),
         pair.store.revision,
@@ -321,21 +350,21 @@
         .update_under_new_lease(5.6)
         .expect("the lease is new");
     pair.store.apply(&update.txn).expect("still ours");
-    follow(&mut pair.standby, &pair.store, listed_at);
-    let known = pair.standby.view.shard_version();
+    apply_changes_since(&mut pair.standby, &pair.store, listed_at);
+    let known_version = pair.standby.view.shard_version();
     pair.standby.view.apply_listing(&old_listing, listed_at);
-    assert_eq!(pair.standby.view.shard_version(), known);
+    assert_eq!(pair.standby.view.shard_version(), known_version);
     assert!(
         pair.standby.attempt_takeover(6.0, 6000).is_none(),
         "its leader is alive"
     );
-    // A read of the leader's key, begun before the record changed.
+    // A read of the leader's alive key that began before the shard record changed.
     pair.standby.view.leader_not_alive("a", listed_at);
     assert!(
         pair.standby.attempt_takeover(6.0, 6000).is_none(),
         "its leader is alive"
     );
-    // A write of an earlier incarnation comes late, over ours.
+    // A delayed write of an earlier incarnation overwrites the leader's alive key.
     let key = records::alive_key("a");
     let txn = Txn::default().put_leased(
         &key,
@@ -354,43 +383,43 @@
     ));
 }
 
-/// An alive key of our own that this version of the program cannot read is replaced, not
-/// retried against for ever.
+/// Guards against a controller that finds its own alive key in a format that it cannot read
+/// and retries forever instead of replacing the key.
 #[test]
-fn an_alive_key_that_cannot_be_read_is_replaced() {
+fn unreadable_alive_key_is_replaced() {
     let mut store = Store::default();
     let key = records::alive_key("a");
     let unreadable = serde_json::json!({"of": "a later version"});
     let version = store
         .apply(&Txn::default().put(&key, &unreadable))
         .expect("put");
-    let mut a = leadership("a", &["b"], 1);
-    read(&mut a, &store);
-    a.lease_granted(store.grant(LEASE_TTL_S, 0.0));
-    a.alive_key_read(store.get(&key).as_ref());
-    assert_eq!(next_alive_key(&a, 0.1).expected_version, version);
+    let mut controller = leadership("a", &["b"], 1);
+    list_control_prefix(&mut controller, &store);
+    controller.lease_granted(store.grant(LEASE_TTL_S, 0.0));
+    controller.alive_key_read(store.get(&key).as_ref());
+    assert_eq!(next_alive_key(&controller, 0.1).expected_version, version);
 }
 
-/// Guards against a write of the alive key by an earlier incarnation that is carried out
-/// after a later one: it would put the key under a lease that is about to end.
+/// Guards against a delayed write of the alive key by an earlier process that is carried out
+/// after the write of its successor. It would attach the key to a lease that is about to end.
 #[test]
-fn an_alive_key_of_an_earlier_incarnation_is_not_written_late() {
-    // Whether the earlier process's key exists when the later one looks, and whether that one
-    // had read the control prefix before.
-    for (existed, read_before) in [(true, true), (true, false), (false, true), (false, false)] {
+fn late_alive_key_write_of_an_earlier_process_fails() {
+    // Whether the earlier process had written its alive key, and whether the restarted process
+    // lists the control prefix before it writes the key.
+    for (existed, listed_before) in [(true, true), (true, false), (false, true), (false, false)] {
         let mut store = Store::default();
-        let mut before = leadership("a", &["b"], 1);
+        let mut earlier = leadership("a", &["b"], 1);
         if existed {
-            enlist(&mut before, "a", &mut store, 0.0);
-            before.step_down(2);
+            get_lease_and_write_alive_key(&mut earlier, "a", &mut store, 0.0);
+            earlier.step_down(2);
         } else {
-            before.lease_granted(store.grant(LEASE_TTL_S, 0.0));
+            earlier.lease_granted(store.grant(LEASE_TTL_S, 0.0));
         }
-        let late = next_alive_key(&before, 0.1).txn("a");
-        // The process ends, and is back within its lease.
+        let late_write = next_alive_key(&earlier, 0.1).txn("a");
+        // The process ends and restarts before its lease expires.
         let mut restarted = leadership("a", &["b"], 3);
-        if read_before {
-            read(&mut restarted, &store);
+        if listed_before {
+            list_control_prefix(&mut restarted, &store);
         }
         restarted.lease_granted(store.grant(LEASE_TTL_S, 0.5));
         let mut version = None;
@@ -405,8 +434,11 @@
                 Err(_) => restarted.alive_key_read(store.get(&records::alive_key("a")).as_ref()),
             }
         }
-        let written = version.expect("written at the second try at last");
-        assert!(store.apply(&late).is_err(), "{existed} {read_before}");
+        let written = version.expect("written by the second attempt");
+        assert!(
+            store.apply(&late_write).is_err(),
+            "existed: {existed}, listed before: {listed_before}"
+        );
         assert_eq!(store.version(&records::alive_key("a")), written);
         assert!(matches!(
             restarted.next_lease_step(0.7),
--- a/tests/lease_extension.rs
+++ b/tests/lease_extension.rs
@@ -1,5 +1,6 @@
-//! A leader that lost contact must have stopped answering before a new leader takes its
-//! machines for empty: by cases, and by many random courses of who reaches whom.
+//! A leader without contact must have stopped answering workers before a new leader considers
+//! it silent. Tested by single cases, and by many random scenarios of lost calls between
+//! controllers.
 
 use foxspur::coordination::leadership::lease_extension::{LeaseDurations, QuorumRound};
 use foxspur::coordination::leadership::queries::PeerAnswer;
@@ -7,12 +8,12 @@
 use rand::{Rng, SeedableRng};
 
 const LEASE_TTL_S: f64 = 4.0;
-const LONGEST_S: f64 = 60.0;
+const MAX_WITHOUT_CONTACT_S: f64 = 60.0;
 
-/// The former leader, its term, and the new one's.
-const FORMER: usize = 0;
+/// The controllers that are the former and the new leader, and their terms.
+const FORMER_LEADER: usize = 0;
 const FORMER_TERM: u64 = 1;
-const NEW: usize = 1;
+const NEW_LEADER: usize = 1;
 const NEW_TERM: u64 = 2;
 
 fn answer(term: u64, peer: &str, asked_at: f64, received_at: f64) -> PeerAnswer<'_> {
@@ -30,10 +31,13 @@
     round
 }
 
+/// Guards against a leader that answers workers without contact for longer than its own lease
+/// and the extensions by a majority allow, and against one that stops too early.
 #[test]
-fn how_long_a_leader_answers_without_contact() {
-    let spans = LeaseDurations::new(LEASE_TTL_S, LONGEST_S);
-    // (controllers, extensions as (peer, asked at), now, may answer); last check at 0.
+fn leader_without_contact_answers_for_a_bounded_time() {
+    let durations = LeaseDurations::new(LEASE_TTL_S, MAX_WITHOUT_CONTACT_S);
+    // (controllers, extensions as (peer, asked at), now, may answer); leadership was last
+    // confirmed at 0.
     type Case<'a> = (usize, &'a [(&'a str, f64)], f64, bool);
     let cases: [Case; 8] = [
         (5, &[], 5.9, true),
@@ -45,29 +49,32 @@
         (1, &[], 30.0, true),
         (5, &[("a", 60.0), ("b", 60.0)], 60.1, false),
     ];
-    for (controllers, given, now, expected) in cases {
+    for (controllers, extended_by, now, expected) in cases {
         let mut extensions = round(7, controllers);
-        for (peer, asked_at) in given {
+        for (peer, asked_at) in extended_by {
             extensions.acknowledge(answer(7, peer, *asked_at, *asked_at));
-            // About an earlier term: counts for nothing.
+            // An answer for an earlier term does not count.
             extensions.acknowledge(answer(6, "old", now, now));
         }
-        let may_answer = spans.may_answer(&extensions, 0.0, now);
-        assert_eq!(may_answer, expected, "{controllers} {given:?} at {now}");
+        let may_answer = durations.may_answer(&extensions, 0.0, now);
+        assert_eq!(
+            may_answer, expected,
+            "{controllers} controllers, extended by {extended_by:?}, at {now}"
+        );
     }
 }
 
-/// An answer on its way.
-struct Pending {
+/// An answer that has not arrived yet.
+struct PendingAnswer {
     arrives_at: f64,
-    /// Whether it extends the former leader's lease; else it promises.
-    extends: bool,
+    /// Whether it extends the former leader's lease; otherwise it is a promise.
+    is_extension: bool,
     peer: usize,
     asked_at: f64,
 }
 
-/// A random course of who reaches whom around one takeover.
-struct Course {
+/// A takeover during which calls between the controllers succeed at random.
+struct Scenario {
     rng: StdRng,
     controllers: usize,
     taken_over_at: f64,
@@ -75,24 +82,25 @@
     promise_probability: f64,
     /// Which controllers have promised.
     promised: Vec<bool>,
-    /// The former leader's extensions, and the new one's promises.
+    /// The extensions of the former leader's lease.
     extensions: QuorumRound,
+    /// The promises to the new leader.
     promises: QuorumRound,
-    pending: Vec<Pending>,
-    /// The former leader knows that it is not the leader any more.
+    pending: Vec<PendingAnswer>,
+    /// Whether the former leader knows that it does not lead any more.
     deposed: bool,
 }
 
-impl Course {
-    fn new(seed: u64) -> Course {
+impl Scenario {
+    fn new(seed: u64) -> Scenario {
         let mut rng = StdRng::seed_from_u64(seed);
         let controllers: usize = rng.random_range(2..=7);
-        Course {
+        Scenario {
             controllers,
             // The former leader's lease ended before the new one took over.
             taken_over_at: LEASE_TTL_S + rng.random_range(0.0..20.0),
             reach_probability: rng.random_range(0.2..1.0),
-            // The new leader may reach the others late only.
+            // So low that the new leader may reach the other controllers only late.
             promise_probability: rng.random_range(0.002..0.1),
             rng,
             promised: vec![false; controllers],
@@ -103,28 +111,31 @@
         }
     }
 
-    /// Both leaders may ask each controller: it answers now, the answer arrives a little
-    /// later.
+    /// Each of the two leaders may ask each controller. The controller decides on its answer at
+    /// once; the answer arrives a little later.
     fn ask_all(&mut self, now: f64) {
         let taken_over = now >= self.taken_over_at;
         for peer in 0..self.controllers {
             let arrives_at = now + self.rng.random_range(0.0..0.3);
-            let asks = self.rng.random_bool(0.2);
-            let answer = |extends| Pending {
+            let former_leader_asks = self.rng.random_bool(0.2);
+            let answer = |is_extension| PendingAnswer {
                 arrives_at,
-                extends,
+                is_extension,
                 peer,
                 asked_at: now,
             };
-            if peer != FORMER && asks && self.rng.random_bool(self.reach_probability) {
-                let knows_later = self.promised[peer] || (peer == NEW && taken_over);
-                if !knows_later {
+            if peer != FORMER_LEADER
+                && former_leader_asks
+                && self.rng.random_bool(self.reach_probability)
+            {
+                let knows_later_leader = self.promised[peer] || (peer == NEW_LEADER && taken_over);
+                if !knows_later_leader {
                     self.pending.push(answer(true));
                 }
             }
-            if peer != NEW && taken_over && self.rng.random_bool(self.promise_probability) {
+            if peer != NEW_LEADER && taken_over && self.rng.random_bool(self.promise_probability) {
                 self.promised[peer] = true;
-                self.deposed |= peer == FORMER;
+                self.deposed |= peer == FORMER_LEADER;
                 self.pending.push(answer(false));
             }
         }
@@ -132,47 +143,53 @@
 
     fn receive_answers(&mut self, now: f64) {
         let pending = std::mem::take(&mut self.pending);
-        let (due, later) = pending.into_iter().partition(|a| a.arrives_at <= now);
+        let (arrived, later) = pending
+            .into_iter()
+            .partition(|pending| pending.arrives_at <= now);
         self.pending = later;
-        let due: Vec<Pending> = due;
-        for due in due {
-            let peer = due.peer.to_string();
-            if due.extends {
-                let extension = answer(FORMER_TERM, &peer, due.asked_at, now);
+        let arrived: Vec<PendingAnswer> = arrived;
+        for pending in arrived {
+            let peer = pending.peer.to_string();
+            if pending.is_extension {
+                let extension = answer(FORMER_TERM, &peer, pending.asked_at, now);
                 self.extensions.acknowledge(extension);
             } else {
-                let promise = answer(NEW_TERM, &peer, due.asked_at, now);
+                let promise = answer(NEW_TERM, &peer, pending.asked_at, now);
                 self.promises.acknowledge(promise);
             }
         }
     }
 }
 
-/// Guards against a new leader that takes machines for empty while a former one still keeps
-/// them alive with its lease extended by a majority.
+/// Guards against a new leader that considers machines empty while a former leader, whose lease
+/// a majority extended, still renews the leases of their workers.
 #[test]
-fn a_former_leader_is_silent_before_it_is_taken_to_be() {
-    let spans = LeaseDurations::new(LEASE_TTL_S, LONGEST_S);
-    let (mut settled, mut extended) = (0, 0);
+fn former_leader_stops_answering_before_it_is_considered_silent() {
+    let durations = LeaseDurations::new(LEASE_TTL_S, MAX_WITHOUT_CONTACT_S);
+    let (mut checks_after_promises, mut extended_steps) = (0, 0);
     for seed in 0..400 {
-        let mut course = Course::new(seed);
+        let mut scenario = Scenario::new(seed);
         let mut now = 0.0;
         while now < 70.0 {
             now += 0.1;
-            course.ask_all(now);
-            course.receive_answers(now);
-            let goes_on = !course.deposed && spans.may_answer(&course.extensions, 0.0, now);
-            extended += usize::from(goes_on && now > spans.unconfirmed_s);
+            scenario.ask_all(now);
+            scenario.receive_answers(now);
+            let answers = !scenario.deposed && durations.may_answer(&scenario.extensions, 0.0, now);
+            extended_steps += usize::from(answers && now > durations.unconfirmed_s);
             let silent_from =
-                spans.former_leaders_silent_from(&course.promises, course.taken_over_at);
+                durations.former_leaders_silent_from(&scenario.promises, scenario.taken_over_at);
             if let Some(silent_from) = silent_from {
-                settled += 1;
-                assert!(!(now >= silent_from && goes_on), "seed {seed}, at {now:.1}");
+                checks_after_promises += 1;
+                assert!(
+                    !(now >= silent_from && answers),
+                    "seed {seed}, at {now:.1}: the former leader still answers"
+                );
             }
         }
     }
     assert!(
-        settled > 1000 && extended > 1000,
-        "{settled} {extended}: too weak"
+        checks_after_promises > 1000 && extended_steps > 1000,
+        "the scenarios are too weak: {checks_after_promises} checks after promises, \
+         {extended_steps} steps with an extended lease"
     );
 }
--- a/tests/pause/checks.rs
+++ b/tests/pause/checks.rs
@@ -1,4 +1,4 @@
-//! What is checked after each event, and the digest of the history.
+//! The checks after each event, and the digest of the history.
 
 use super::*;
 
@@ -12,7 +12,7 @@
             acting.former_leaders_silent_since.map(|_| acting.base_term)
         };
         let awake = self.controllers.iter().filter(is_awake);
-        let fenced = awake.filter_map(fenced_term).max();
+        let highest_fenced = awake.filter_map(fenced_term).max();
         for (node, controller) in self.controllers.iter().enumerate() {
             let Some(acting) = controller.acting.filter(|_| is_awake(&controller)) else {
                 continue;
@@ -23,31 +23,36 @@
                 .leadership
                 .may_answer_workers(self.local_time(node));
             assert!(
-                !answers || fenced.is_none_or(|term| term <= base_term),
-                "{context} answers under term {base_term}, {fenced:?} takes it for silent",
+                !answers || highest_fenced.is_none_or(|term| term <= base_term),
+                "{context} answers under term {base_term}, but the leader of term \
+                 {highest_fenced:?} considers it silent",
             );
             let unknown = self.unknown_cancellation(controller);
             assert!(
                 !answers || unknown.is_none(),
-                "{context} answers and does not know of {unknown:?}",
+                "{context} answers and does not know of the cancellation {unknown:?}",
             );
             Self::check_acting_term(controller, &context);
             self.check_confirmation(controller, base_term, &context);
         }
     }
 
-    /// A cancellation that was confirmed is known to whoever renews workers' leases, with
-    /// time for the last of them to end: one that is not.
+    /// A cancellation that the controller should know and does not, if there is one. A leader
+    /// that answers workers must know each cancellation that was confirmed longer ago than the
+    /// staleness bound.
     fn unknown_cancellation(&self, controller: &Controller) -> Option<u64> {
-        let bound = self.now - self.staleness_bound_s * 1.002 - 0.01;
+        let must_be_known_before = self.now - self.staleness_bound_s * 1.002 - 0.01;
         let newest_first = self.confirmed.iter().rev();
-        let due = newest_first.skip_while(|known| known.at >= bound);
-        due.take(9)
-            .map(|known| known.job)
+        let must_be_known =
+            newest_first.skip_while(|cancellation| cancellation.at >= must_be_known_before);
+        must_be_known
+            .take(9)
+            .map(|cancellation| cancellation.job)
             .find(|job| !controller.known_cancellations.contains(job))
     }
 
-    /// Under an older term than its own record's nobody extends a leader's lease.
+    /// Checks that no leader acts under a lower term than that of its own shard record: under
+    /// such a term no controller would extend its lease.
     fn check_acting_term(controller: &Controller, context: &str) {
         let leadership = &controller.leadership;
         let own_shard = leadership
@@ -57,23 +62,30 @@
         let acting_term = leadership.acting_term();
         assert!(
             own_term <= acting_term,
-            "{context} acts under {acting_term:?}, its record says {own_term:?}",
+            "{context} acts under term {acting_term:?}, its shard record has term {own_term:?}",
         );
     }
 
-    /// No check of the leadership counts as newer than the takeover by which it was lost.
+    /// Checks that no confirmation of the leadership is dated after the takeover by which the
+    /// shard was lost.
     fn check_confirmation(&self, controller: &Controller, base_term: u64, context: &str) {
-        let later = self.takeovers.iter().filter(|t| t.term > base_term);
-        let lost_at = later.map(|t| t.at).fold(f64::MAX, f64::min);
+        let later_takeovers = self
+            .takeovers
+            .iter()
+            .filter(|takeover| takeover.term > base_term);
+        let lost_at = later_takeovers
+            .map(|takeover| takeover.at)
+            .fold(f64::MAX, f64::min);
         let confirmed_at = (controller.leadership.confirmed_at() - controller.clock_offset_s)
             / (1.0 + controller.clock_drift);
         assert!(
             confirmed_at <= lost_at + 1e-3,
-            "{context} of term {base_term} is sure as of {confirmed_at:.2}, lost at {lost_at:.2}",
+            "{context} of term {base_term} dates its confirmation at {confirmed_at:.2}, but lost \
+             the shard at {lost_at:.2}",
         );
     }
 
-    /// The leaders that would answer workers now.
+    /// The controllers that would answer workers as leader now.
     pub(crate) fn answering_leaders(&self) -> impl Iterator<Item = &Controller> {
         let answers = |(node, controller): &(usize, &Controller)| {
             let now = self.local_time(*node);
@@ -85,17 +97,22 @@
             .map(|(_, controller)| controller)
     }
 
-    /// At the end one leader answers, and knows that all former ones are silent.
+    /// Checks that at the end exactly one leader answers workers and knows that all former
+    /// leaders are silent.
     pub(crate) fn check_one_leader(&self, seed: u64) {
         let leaders = self.answering_leaders().filter(|controller| {
             controller
                 .acting
                 .is_some_and(|acting| acting.former_leaders_silent_since.is_some())
         });
-        assert_eq!(leaders.count(), 1, "seed {seed}: leaders at the end");
+        assert_eq!(
+            leaders.count(),
+            1,
+            "seed {seed}: number of leaders at the end"
+        );
     }
 
-    /// Adds what each controller takes itself for to the digest of the history.
+    /// Adds the leadership state of each controller, as it sees it, to the digest.
     pub(crate) fn record(&mut self) {
         self.digest.time(self.now);
         self.digest.number(self.events.len() as u64);
--- a/tests/pause/controller.rs
+++ b/tests/pause/controller.rs
@@ -1,19 +1,19 @@
-//! One controller, and the turns of its loops.
+//! One simulated controller and the iterations of its loops.
 
 use super::*;
 use foxspur::coordination::leadership::lease::LeaseStep;
 use foxspur::coordination::leadership::state::{Leadership, LeadershipConfig};
 
-/// The leadership that a controller acts under, with its shard loaded.
+/// The state of a controller that leads and has loaded the shard.
 #[derive(Clone, Copy)]
 pub(crate) struct Acting {
     /// The term of the takeover.
     pub(crate) base_term: u64,
-    /// Since when no former leader is left.
+    /// Since when no former leader can answer a worker, once that is known.
     pub(crate) former_leaders_silent_since: Option<f64>,
 }
 
-/// What a takeover under way has read of the cancellations, and when it asked.
+/// The cancelled jobs that a running takeover has read, and when it requested them.
 #[derive(Default)]
 pub(crate) struct JobListing {
     pub(crate) asked_at: f64,
@@ -22,35 +22,38 @@
 
 pub(crate) struct Controller {
     pub(crate) leadership: Leadership,
-    /// Restarts of the process so far: what was meant for an earlier one is void.
+    /// The number of restarts of the process. Events for an earlier process are dropped.
     pub(crate) process: usize,
     pub(crate) clock_offset_s: f64,
     pub(crate) clock_drift: f64,
     pub(crate) wall_clock_error_ms: f64,
     pub(crate) paused_until: f64,
-    /// Messages to it are held back or lost.
+    /// Until when the network delays or drops the controller's messages.
     pub(crate) partitioned_until: f64,
-    /// The state service refuses it.
+    /// Until when the state service refuses the controller.
     pub(crate) refused_until: f64,
-    /// It reaches neither the state service nor the other controllers, but its workers.
+    /// Until when the controller cannot reach the other controllers, though it still reaches its
+    /// workers. The state service refuses it at the same time.
     pub(crate) isolated_until: f64,
     pub(crate) down_until: f64,
     pub(crate) taking_over: bool,
-    /// Requests under way; a response to any other comes after its timeout.
+    /// Requests without a response. A response to any other request arrives after its timeout
+    /// and is ignored.
     pub(crate) pending_requests: Vec<u64>,
-    /// Incarnations drawn so far.
+    /// The number of incarnations drawn so far.
     pub(crate) incarnations: u64,
     pub(crate) acting: Option<Acting>,
-    /// Cancellations that it confirmed to users.
+    /// Cancellations that this process confirmed to users.
     pub(crate) confirmed_cancellations: ConfirmedCancellations,
+    /// Jobs whose terminal state this process has learnt.
     pub(crate) terminal_jobs: BTreeSet<u64>,
-    /// Cancellations that its scheduler knows.
+    /// Cancellations that the controller's scheduler knows.
     pub(crate) known_cancellations: BTreeSet<u64>,
     pub(crate) job_listing: JobListing,
 }
 
 impl Controller {
-    /// An incarnation that no controller had before.
+    /// Draws an incarnation that no controller has had before.
     pub(crate) fn draw_incarnation(&mut self, node: usize) -> u64 {
         self.incarnations += 1;
         1000 * self.incarnations + node as u64
@@ -61,12 +64,12 @@
     format!("berth-{node}")
 }
 
-/// A controller's leadership as its process starts.
+/// The leadership state of a controller whose process starts.
 pub(crate) fn leadership(
     node: usize,
     count: usize,
     incarnation: u64,
-    longest_silence_s: f64,
+    max_without_contact_s: f64,
     staleness_bound_s: f64,
 ) -> Leadership {
     let peers = (0..count).filter(|peer| *peer != node);
@@ -75,7 +78,7 @@
         peers: peers.map(host_name).collect(),
         teams: Vec::new(),
         lease_ttl_s: LEASE_TTL_S,
-        longest_silence_s,
+        longest_silence_s: max_without_contact_s,
         worker_lease_s: WORKER_LEASE_S,
         staleness_bound_s,
         clock_bound_ms: CLOCK_BOUND_MS,
@@ -84,47 +87,47 @@
 }
 
 impl Simulation {
-    /// The loops of the controller's present process begin at this time.
+    /// Starts the loops of the controller's present process at the time `at`.
     pub(crate) fn start_loops(&mut self, node: usize, at: f64) {
         let process = self.controllers[node].process;
-        for each in Loop::ALL {
-            let turn = Event::LoopTurn {
+        for controller_loop in Loop::ALL {
+            let iteration = Event::LoopIteration {
                 node,
                 process,
-                each,
+                controller_loop,
             };
-            self.schedule(at, turn);
+            self.schedule(at, iteration);
         }
     }
 
-    /// The loop goes on after a pause.
-    pub(crate) fn continue_loop(&mut self, node: usize, each: Loop, pause_s: f64) {
+    /// Schedules the next iteration of a loop after `wait_s`.
+    pub(crate) fn schedule_loop(&mut self, node: usize, controller_loop: Loop, wait_s: f64) {
         let process = self.controllers[node].process;
-        let turn = Event::LoopTurn {
+        let iteration = Event::LoopIteration {
             node,
             process,
-            each,
+            controller_loop,
         };
-        self.schedule(self.now + pause_s, turn);
+        self.schedule(self.now + wait_s, iteration);
     }
 
-    /// A loop of the controller goes on.
-    pub(crate) fn loop_turn(&mut self, node: usize, each: Loop) {
+    /// Runs one iteration of a loop of the controller.
+    pub(crate) fn loop_iteration(&mut self, node: usize, controller_loop: Loop) {
         let now = self.local_time(node);
-        match each {
-            Loop::Lease => self.lease_turn(node, now),
-            Loop::Leader => self.leader_turn(node, now),
+        match controller_loop {
+            Loop::Lease => self.lease_loop_iteration(node, now),
+            Loop::Leader => self.leader_loop_iteration(node, now),
             Loop::ControlWatch => self.send(node, Request::ListControlPrefix),
             Loop::JobWatch if self.controllers[node].acting.is_none() => {
-                self.continue_loop(node, each, 0.3);
+                self.schedule_loop(node, controller_loop, 0.3);
             }
             Loop::JobWatch => self.send(node, Request::WatchJobs { asked_at: now }),
         }
     }
 
-    fn lease_turn(&mut self, node: usize, now: f64) {
+    fn lease_loop_iteration(&mut self, node: usize, now: f64) {
         let request = match self.controllers[node].leadership.next_lease_step(now) {
-            LeaseStep::Wait => return self.continue_loop(node, Loop::Lease, 0.2),
+            LeaseStep::Wait => return self.schedule_loop(node, Loop::Lease, 0.2),
             LeaseStep::Grant => Request::Grant,
             LeaseStep::Revoke(lease) => Request::Revoke(lease),
             LeaseStep::WriteAliveKey(write) => Request::WriteAliveKey(write),
@@ -136,7 +139,7 @@
         self.send(node, request);
     }
 
-    fn leader_turn(&mut self, node: usize, now: f64) {
+    fn leader_loop_iteration(&mut self, node: usize, now: f64) {
         let raises_term = self.rng.random_bool(0.002);
         let update = match self.controllers[node]
             .leadership
@@ -149,10 +152,10 @@
         };
         self.react_to_shard_changes(node);
         self.query_peers(node);
-        self.note_fenced_former_leaders(node);
+        self.mark_former_leaders_fenced(node);
         match update {
             Some(update) => self.send(node, Request::UpdateShard(Box::new(update))),
-            None => self.continue_loop(node, Loop::Leader, LEASE_TTL_S / 10.0),
+            None => self.schedule_loop(node, Loop::Leader, LEASE_TTL_S / 10.0),
         }
     }
 
@@ -163,7 +166,7 @@
         controller.leadership.step_down(incarnation);
     }
 
-    /// As `loops::shard_changes`.
+    /// Does the same as `react_to_shard_changes` in `loops::shard_changes`.
     pub(crate) fn react_to_shard_changes(&mut self, node: usize) {
         if self.controllers[node].leadership.is_deposed() {
             self.step_down(node);
@@ -181,7 +184,7 @@
         }
     }
 
-    fn note_fenced_former_leaders(&mut self, node: usize) {
+    fn mark_former_leaders_fenced(&mut self, node: usize) {
         let (now, now_ms) = (self.local_time(node), self.wall_ms(node));
         let controller = &mut self.controllers[node];
         let fenced = controller.leadership.former_leaders_fenced(now, now_ms);
@@ -190,7 +193,7 @@
         }
     }
 
-    /// The records of the shard were read by a takeover.
+    /// A takeover has read the records of the shard: the controller begins the term.
     pub(crate) fn shard_loaded(&mut self, node: usize, term: u64) {
         let now = self.local_time(node);
         let controller = &mut self.controllers[node];
@@ -199,7 +202,7 @@
         if !controller.leadership.begin_term(term, listing.asked_at) {
             return;
         }
-        // What we confirmed to users ourselves while we read.
+        // The controller's own confirmations to users while it read the records.
         let confirmed = controller
             .confirmed_cancellations
             .within(now - listing.asked_at, now);
@@ -209,14 +212,14 @@
             .known_cancellations
             .extend(confirmed.filter_map(|id| id.parse::<u64>().ok()));
         let shard = controller.leadership.view.shard.as_ref();
-        let nobody_before = shard.is_some_and(|(shard, _)| shard.former_leaders.is_empty());
+        let no_former_leaders = shard.is_some_and(|(shard, _)| shard.former_leaders.is_empty());
         controller.acting = Some(Acting {
             base_term: term,
-            former_leaders_silent_since: nobody_before.then_some(self.now),
+            former_leaders_silent_since: no_former_leaders.then_some(self.now),
         });
     }
 
-    /// The scheduler of a leader learns of a cancellation, otherwise than by its watch.
+    /// The scheduler of a leader learns of a cancellation from another source than its watch.
     pub(crate) fn learn_cancellation(&mut self, node: usize, job: u64) {
         let in_refusal_outage = self.now < self.refusal_until && self.is_outage();
         let controller = &mut self.controllers[node];
--- a/tests/pause/events.rs
+++ b/tests/pause/events.rs
@@ -1,10 +1,10 @@
-//! The order of events.
+//! The events of the simulation, their queue, and the main loop.
 
 use super::*;
 use crate::peers::{AgreementQuery, Call};
 use foxspur::coordination::leadership::queries::CancellationQuery;
 
-/// A loop of a controller.
+/// The loops of a controller.
 #[derive(Clone, Copy)]
 pub(crate) enum Loop {
     Lease,
@@ -23,10 +23,10 @@
 }
 
 pub(crate) enum Event {
-    LoopTurn {
+    LoopIteration {
         node: usize,
         process: usize,
-        each: Loop,
+        controller_loop: Loop,
     },
     /// A request arrives at the state service.
     RequestArrives {
@@ -35,7 +35,7 @@
         id: u64,
         request: Request,
     },
-    /// A response arrives at the controller, or its timeout is over.
+    /// A response arrives at the controller, or the request times out.
     ResponseArrives {
         node: usize,
         process: usize,
@@ -67,17 +67,18 @@
     },
 }
 
-/// The controller that an event happens to.
+/// The controller that receives an event.
 struct Target {
     node: usize,
-    /// The process that it is meant for, if not for any.
+    /// The process for which the event is meant; `None` if any process of the controller
+    /// receives it.
     process: Option<usize>,
 }
 
 impl Event {
     fn target(&self) -> Option<Target> {
         match self {
-            Event::LoopTurn { node, process, .. }
+            Event::LoopIteration { node, process, .. }
             | Event::ResponseArrives { node, process, .. }
             | Event::ShardLoaded { node, process, .. } => Some(Target {
                 node: *node,
@@ -102,21 +103,22 @@
 
 impl Simulation {
     pub(crate) fn schedule(&mut self, at: f64, event: Event) {
-        let order = self.events.len() as u64;
+        let index = self.events.len() as u64;
         self.events.push(Some(event));
         let micros = (at.max(self.now) * 1e6) as u64;
-        self.queue.push((Reverse(micros), Reverse(order)));
+        self.queue.push((Reverse(micros), Reverse(index)));
     }
 
-    /// Nothing reaches a controller that is paused until it goes on; what waited for it then
-    /// comes in any order. One that is down has forgotten.
+    /// Handles an event that is due. A paused controller receives its events after the pause, in
+    /// random order. An event for a controller that is down, or for an earlier process, is
+    /// dropped.
     pub(crate) fn handle(&mut self, event: Event) {
         if let Some(target) = event.target() {
             let controller = &self.controllers[target.node];
-            let void = target
+            let for_earlier_process = target
                 .process
                 .is_some_and(|process| process != controller.process);
-            if void || controller.down_until > self.now {
+            if for_earlier_process || controller.down_until > self.now {
                 return;
             }
             if controller.paused_until > self.now {
@@ -129,7 +131,11 @@
 
     fn dispatch(&mut self, event: Event) {
         match event {
-            Event::LoopTurn { node, each, .. } => self.loop_turn(node, each),
+            Event::LoopIteration {
+                node,
+                controller_loop,
+                ..
+            } => self.loop_iteration(node, controller_loop),
             Event::RequestArrives {
                 node,
                 process,
@@ -144,8 +150,8 @@
                 ..
             } => {
                 let pending = &mut self.controllers[node].pending_requests;
-                if let Some(at) = pending.iter().position(|known| *known == id) {
-                    pending.swap_remove(at);
+                if let Some(index) = pending.iter().position(|known| *known == id) {
+                    pending.swap_remove(index);
                     self.response_received(node, request, response);
                 }
             }
@@ -159,7 +165,8 @@
         }
     }
 
-    pub(crate) fn play(&mut self, seed: u64, until: f64) {
+    /// Runs the simulation up to the time `until`.
+    pub(crate) fn run(&mut self, seed: u64, until: f64) {
         let mut next_tick = 0.0;
         while self.now < until {
             let due = self
@@ -180,22 +187,25 @@
     }
 
     fn handle_next(&mut self) {
-        if let Some((_, Reverse(at))) = self.queue.pop() {
-            if let Some(event) = self.events[at as usize].take() {
+        if let Some((_, Reverse(index))) = self.queue.pop() {
+            if let Some(event) = self.events[index as usize].take() {
                 self.handle(event);
             }
         }
     }
 
-    /// The state service's time goes on, faults happen, and users ask.
+    /// Advances the state service's time, and draws whether a fault occurs and whether users
+    /// cancel or poll jobs.
     fn tick(&mut self, until: f64) {
-        self.follow_outage();
-        // Half a minute is left for what is late, and as much to settle.
-        self.calm = self.now > until - 120.0;
-        let undisturbed = self.undisturbed && self.now < self.refusal_until;
-        if !self.calm && !undisturbed && self.rng.random_bool(0.015) {
+        self.update_outage();
+        // The last two minutes are without new faults: delayed messages arrive, and one leader
+        // remains.
+        self.without_faults = self.now > until - 120.0;
+        let no_other_faults = self.refusal_without_other_faults && self.now < self.refusal_until;
+        if !self.without_faults && !no_other_faults && self.rng.random_bool(0.015) {
             self.cause_fault();
-            // Often the last thing that a controller does before.
+            // A request at the same time is often the last one that a controller sends before
+            // the fault takes effect.
             if self.rng.random_bool(0.5) {
                 self.cancel();
             }
@@ -213,7 +223,9 @@
         }
     }
 
-    fn follow_outage(&mut self) {
+    /// Notices the begin and the end of an outage, and advances the state service's time unless
+    /// it is unavailable.
+    fn update_outage(&mut self) {
         let outage = self.is_outage();
         if self.in_outage && !outage {
             self.store.full_time(self.now);
@@ -221,7 +233,7 @@
             self.outage_began_at = self.now;
         }
         if outage && self.now - self.outage_began_at > self.staleness_bound_s {
-            self.counters.answers_on_reports += self.answering_leaders().count();
+            self.counters.answers_due_to_reports += self.answering_leaders().count();
         }
         self.in_outage = outage;
         if !outage {
--- a/tests/pause/faults.rs
+++ b/tests/pause/faults.rs
@@ -1,38 +1,38 @@
-//! The faults, and what users ask.
+//! The faults, and the requests of users.
 
 use super::*;
 
 impl Simulation {
-    /// The controller is paused from here on, with what it was about to do.
+    /// Pauses the controller from now on; its pending events are handled after the pause.
     pub(crate) fn pause(&mut self, node: usize, longest_s: f64) {
         let until = self.now + self.rng.random_range(0.2..longest_s);
         let controller = &mut self.controllers[node];
         controller.paused_until = controller.paused_until.max(until);
-        self.counters.woken_leaders += usize::from(controller.acting.is_some());
+        self.counters.leader_pauses += usize::from(controller.acting.is_some());
     }
 
     fn any_controller(&mut self) -> usize {
         self.rng.random_range(0..self.controllers.len())
     }
 
-    /// The state service refuses the leader alone; users cancel and ask elsewhere and at the
-    /// leader; then it is away for all, longer than anyone may go on without knowing.
+    /// The state service first refuses only the leader, while users cancel and poll jobs at all
+    /// controllers. Then it is unavailable for all, for longer than the staleness bound.
     fn refuse_leader_then_all(&mut self, leader: usize) {
-        let alone_s = self.rng.random_range(0.2..LEASE_TTL_S);
+        let only_leader_s = self.rng.random_range(0.2..LEASE_TTL_S);
         let outage_s = self.rng.random_range(1.0..2.5) * self.staleness_bound_s;
         self.controllers[leader].refused_until =
-            self.now + self.rng.random_range(0.2..1.5) * alone_s;
-        self.outage_from = self.now + alone_s;
+            self.now + self.rng.random_range(0.2..1.5) * only_leader_s;
+        self.outage_from = self.now + only_leader_s;
         self.outage_until = self.outage_from + outage_s;
         self.refusal_until = self.outage_until;
-        self.undisturbed = self.rng.random_bool(0.5);
+        self.refusal_without_other_faults = self.rng.random_bool(0.5);
         for _ in 0..4 {
             self.cancel();
         }
         match self.rng.random_range(0..7) {
             4 => self.poll_late_cancellation(leader),
             0 => {
-                // A controller that confirmed is back within a second, or paused.
+                // A controller that may have confirmed a cancellation restarts.
                 let node = self.any_controller();
                 self.crash(node);
             }
@@ -49,8 +49,8 @@
         }
     }
 
-    /// A cancellation without a response is carried out just now, and a poll at the leader
-    /// finds it: no other controller has confirmed it to anyone.
+    /// A cancellation whose response was lost is carried out now, and a poll at the leader finds
+    /// it. No other controller has confirmed it to a user.
     fn poll_late_cancellation(&mut self, leader: usize) {
         self.next_id += 1;
         let job = self.next_id;
@@ -67,10 +67,10 @@
             .controllers
             .iter()
             .position(|controller| controller.acting.is_some());
-        // Mostly the leader's.
+        // The leader is affected more often than the others.
         let node = leader.filter(|_| self.rng.random_bool(0.6)).unwrap_or(any);
-        let for_s = self.rng.random_range(0.5..30.0);
-        let until = self.now + for_s;
+        let duration_s = self.rng.random_range(0.5..30.0);
+        let until = self.now + duration_s;
         match self.rng.random_range(0..17) {
             15 | 16 => {
                 if let Some(leader) = leader.filter(|_| self.now > self.outage_until) {
@@ -80,7 +80,7 @@
             0..5 => self.pause(node, 3.0 * WORKER_LEASE_S),
             5..7 => self.controllers[node].partitioned_until = until,
             7..9 => self.controllers[node].refused_until = until,
-            9 => (self.outage_from, self.outage_until) = (self.now, self.now + for_s * 1.5),
+            9 => (self.outage_from, self.outage_until) = (self.now, self.now + duration_s * 1.5),
             10 => self.resign(node),
             11 | 12 => self.isolate(node, until),
             _ => self.crash(node),
@@ -96,7 +96,8 @@
         }
     }
 
-    /// The controller's successor is often isolated in the same way next.
+    /// Isolates the controller, and in half of the cases also a random one, which may be its
+    /// successor.
     fn isolate(&mut self, node: usize, until: f64) {
         let other = self.any_controller();
         for node in [node, other] {
@@ -108,8 +109,8 @@
         }
     }
 
-    /// The controller is back after a while, or within a fraction of a second, before its
-    /// lease has ended and whatever it was about to do.
+    /// The controller's process ends and restarts after 3 s. In most cases it restarts within
+    /// half a second, before its lease has ended and before its last requests arrive.
     fn crash(&mut self, node: usize) {
         let down_s = match self.rng.random_bool(0.7) {
             true => self.rng.random_range(0.01..0.5),
@@ -132,23 +133,24 @@
             node,
             count,
             incarnation,
-            self.longest_silence_s,
+            self.max_without_contact_s,
             self.staleness_bound_s,
         );
         let begin_at = controller.down_until + 0.01;
         self.start_loops(node, begin_at);
     }
 
-    /// A user cancels a job at some controller.
+    /// A user cancels a job at a random controller.
     pub(crate) fn cancel(&mut self) {
         self.next_id += 1;
         let job = self.next_id;
         self.call_any(Request::Cancel(job));
-        // A user who has no answer asks again, at any controller.
+        // A user who gets no answer polls the job, at any controller.
         self.requested_cancellations.push(job);
     }
 
-    /// A user calls some controller; one that is down or paused does not hear.
+    /// A user calls a random controller. The call is dropped if that controller is down or
+    /// paused.
     fn call_any(&mut self, request: Request) {
         let node = self.any_controller();
         let controller = &self.controllers[node];
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Users ask about jobs that they cancelled lately, answered or not.
+    /// A user polls a job whose cancellation was requested recently, confirmed or not.
     pub(crate) fn poll(&mut self) {
         let from = self.requested_cancellations.len().saturating_sub(6);
         let recent = &self.requested_cancellations[from..];
--- a/tests/pause/main.rs
+++ b/tests/pause/main.rs
@@ -1,14 +1,20 @@
-//! A seeded simulation of who leads the shard: controllers that are paused at any await for
-//! up to several leases while their clocks run on, others that take over meanwhile, requests
-//! carried out minutes late, partitions, a state service that is away for all or for one, or
-//! first for the leader and then for all while users cancel and ask, crashes. It drives the
-//! controllers' own `Leadership`; after every event it is checked that
+//! A seeded simulation of which controller leads the shard. It drives the controllers' own
+//! `Leadership` through these faults:
 //!
-//! - no former leader would answer a worker once a later leader takes it to be silent, and
-//! - no leader takes a check of its leadership for newer than the takeover by which it lost
-//!   it, and
+//! - Controllers are paused at any await for up to several leases, while their clocks run on
+//!   and other controllers take over.
+//! - Requests are carried out up to a minute late, or their responses are lost.
+//! - Controllers are partitioned, or crash.
+//! - The state service is unavailable for all controllers, refuses one of them, or first
+//!   refuses the leader and is then unavailable for all, while users cancel and poll jobs.
+//!
+//! After every event the simulation checks that
+//!
+//! - no former leader would answer a worker once a later leader considers it silent,
+//! - no leader dates the confirmation of its leadership after the takeover by which it lost
+//!   the shard, and
 //! - no leader would answer a worker without knowing every cancellation that was confirmed
-//!   to any user a bounded time ago.
+//!   to any user longer than a bounded time ago.
 
 mod checks;
 #[path = "../common/mod.rs"]
@@ -33,14 +39,15 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// A worker's lease; a controller's own is a quarter of it.
+/// A worker's lease; a controller's lease is a quarter of it.
 const WORKER_LEASE_S: f64 = 16.0;
 const LEASE_TTL_S: f64 = 4.0;
-/// How long a leader goes on at most: as long as by default, or so short that a takeover
-/// carried out late matters.
-const LONGEST_SILENCE_S: [f64; 3] = [6.0 * WORKER_LEASE_S, 0.7 * WORKER_LEASE_S, WORKER_LEASE_S];
-/// How old a leader's knowledge of cancellations may be while it answers workers: as at the
-/// fleets' sizes, in its leases.
+/// The longest time for which a leader answers workers without contact to the state service:
+/// the default, or so short that a takeover that is carried out late matters.
+const MAX_WITHOUT_CONTACT_S: [f64; 3] =
+    [6.0 * WORKER_LEASE_S, 0.7 * WORKER_LEASE_S, WORKER_LEASE_S];
+/// The greatest age of a leader's knowledge of cancellations at which it answers workers. The
+/// ratios to a controller's lease are those of the usual fleet sizes.
 const STALENESS_BOUND_S: [f64; 4] = [
     2.4 * LEASE_TTL_S,
     6.0 * LEASE_TTL_S,
@@ -50,36 +57,37 @@
 const CLOCK_BOUND_MS: u64 = 1000;
 const REQUEST_TIMEOUT_S: f64 = 1.5;
 
-/// A takeover as the state service carried it out.
+/// A takeover that the state service carried out.
 struct Takeover {
     term: u64,
     at: f64,
 }
 
 /// A cancellation that was confirmed to a user.
-struct Confirmed {
+struct ConfirmedCancellation {
     at: f64,
     job: u64,
 }
 
-/// What the simulation met: it must be enough to prove anything.
+/// How often certain situations arose. The test fails if one of them is too rare for the
+/// simulation to prove anything.
 #[derive(Default)]
 struct Counters {
     /// Pauses of a leader.
-    woken_leaders: usize,
-    /// Checks at which a leader goes on in an outage that is longer than it may without its
-    /// peers' reports of cancellations.
-    answers_on_reports: usize,
-    /// Cancellations that a leader learnt by a report or from a poll of its own, in an
-    /// outage that began by refusing it alone.
+    leader_pauses: usize,
+    /// Leaders that answer workers at a tick of an outage that lasts longer than the staleness
+    /// bound, which only the peers' reports of cancellations permit.
+    answers_due_to_reports: usize,
+    /// Cancellations that a leader learnt from a peer's report or from a user's call to itself,
+    /// while the state service refused it alone or in the outage that followed.
     learnt_while_refused: usize,
-    /// Cancellations confirmed while the leader was refused alone.
+    /// Cancellations confirmed while the state service refused only the leader.
     confirmed_while_refused: usize,
-    /// Polls that found a cancellation whose user had no answer.
+    /// Polls that were the first to confirm a cancellation to a user.
     found_by_poll: usize,
-    /// Requests that were carried out at once while the response was lost, by kind.
+    /// Writes that were carried out and whose response was lost, by kind.
     lost_responses: BTreeMap<&'static str, usize>,
-    /// Terms that were raised like that and then adopted.
+    /// Raised terms that were adopted after the response was lost.
     adopted_terms: usize,
 }
 
@@ -87,31 +95,33 @@
     now: f64,
     rng: StdRng,
     store: Store,
-    /// The state service is away for all from here until there.
+    /// When the state service becomes unavailable for all controllers, and until when.
     outage_from: f64,
     outage_until: f64,
-    /// Whether it was away at the last check, and since when.
+    /// Whether the state service was unavailable at the last tick.
     in_outage: bool,
+    /// The first tick of the present or latest outage.
     outage_began_at: f64,
     controllers: Vec<Controller>,
-    /// When each event is due, in microseconds, and its place in `events`.
+    /// When each event is due, in microseconds, and its index in `events`.
     queue: BinaryHeap<(Reverse<u64>, Reverse<u64>)>,
     events: Vec<Option<Event>>,
     next_id: u64,
     takeovers: Vec<Takeover>,
-    /// No more faults: what is late arrives, and all settles.
-    calm: bool,
-    longest_silence_s: f64,
+    /// The phase at the end, without new faults, in which delayed messages still arrive.
+    without_faults: bool,
+    max_without_contact_s: f64,
     staleness_bound_s: f64,
-    /// Cancellations that stand in the state service.
+    /// Cancellations that are written in the state service.
     cancelled_jobs: BTreeSet<u64>,
-    confirmed: Vec<Confirmed>,
-    /// Cancellations that users asked for, answered or not.
+    confirmed: Vec<ConfirmedCancellation>,
+    /// Cancellations that users requested, confirmed or not.
     requested_cancellations: Vec<u64>,
-    /// End of a refusal of the leader alone and the outage that follows it.
+    /// When the latest fault ends in which the state service first refuses only the leader and
+    /// is then unavailable for all.
     refusal_until: f64,
-    /// No further fault joins that one.
-    undisturbed: bool,
+    /// Whether no other fault is caused before `refusal_until`.
+    refusal_without_other_faults: bool,
     counters: Counters,
     digest: HistoryDigest,
 }
@@ -131,14 +141,15 @@
             events: Vec::new(),
             next_id: 0,
             takeovers: Vec::new(),
-            calm: false,
-            longest_silence_s: LONGEST_SILENCE_S[seed as usize % LONGEST_SILENCE_S.len()],
+            without_faults: false,
+            max_without_contact_s: MAX_WITHOUT_CONTACT_S
+                [seed as usize % MAX_WITHOUT_CONTACT_S.len()],
             staleness_bound_s: STALENESS_BOUND_S[seed as usize % STALENESS_BOUND_S.len()],
             cancelled_jobs: BTreeSet::new(),
             confirmed: Vec::new(),
             requested_cancellations: Vec::new(),
             refusal_until: 0.0,
-            undisturbed: false,
+            refusal_without_other_faults: false,
             counters: Counters::default(),
             digest: HistoryDigest::default(),
         };
@@ -156,7 +167,7 @@
                 node,
                 count,
                 node as u64 + 1,
-                self.longest_silence_s,
+                self.max_without_contact_s,
                 self.staleness_bound_s,
             ),
             process: 0,
@@ -184,7 +195,7 @@
         (self.outage_from..self.outage_until).contains(&self.now)
     }
 
-    /// The controller's steady clock, in seconds.
+    /// The controller's monotonic clock, in seconds.
     fn local_time(&self, node: usize) -> f64 {
         let controller = &self.controllers[node];
         controller.clock_offset_s + self.now * (1.0 + controller.clock_drift)
@@ -196,16 +207,15 @@
     }
 }
 
-/// Guards against every way in which a controller that was paused, or whose request was
-/// carried out late, goes on with what was true before: see docs/notes/pause.md for what
-/// breaks it.
+/// Guards against a controller that acts on stale state after a pause, or after a request that
+/// was carried out late. See docs/notes/pause.md for the changes that make this test fail.
 #[test]
-fn a_paused_controller_does_not_act_on_stale_state() {
+fn paused_controller_does_not_act_on_stale_state() {
     let (mut takeovers, mut confirmed) = (0, 0);
     let mut all = Counters::default();
     for seed in seeds(60) {
         let mut simulation = Simulation::new(seed, [3, 5, 7, 2][seed as usize % 4]);
-        simulation.play(seed, 700.0);
+        simulation.run(seed, 700.0);
         simulation.digest.print("pause", seed);
         takeovers += simulation.takeovers.len();
         confirmed += simulation.confirmed.len();
@@ -213,30 +223,30 @@
     }
     let (lost, adopted) = (&all.lost_responses, all.adopted_terms);
     println!("{lost:?}, {adopted} terms adopted");
-    let each = lost.values().all(|count| *count > 10);
+    let each_kind_lost = lost.values().all(|count| *count > 10);
     assert!(
-        own_seeds() || lost.len() == 8 && each && adopted > 5,
-        "responses lost: {lost:?}, {adopted} terms adopted: too weak"
+        own_seeds() || lost.len() == 8 && each_kind_lost && adopted > 5,
+        "too few lost responses: {lost:?}, {adopted} terms adopted"
     );
-    let (woken, reports) = (all.woken_leaders, all.answers_on_reports);
+    let (pauses, reports) = (all.leader_pauses, all.answers_due_to_reports);
     assert!(
-        own_seeds() || takeovers > 400 && woken > 400 && reports > 20 && confirmed > 4000,
-        "{takeovers} takeovers, {woken} leaders woken, {confirmed} confirmed, {reports} answers \
-         on reports: too weak"
+        own_seeds() || takeovers > 400 && pauses > 400 && reports > 20 && confirmed > 4000,
+        "too few events: {takeovers} takeovers, {pauses} pauses of a leader, {confirmed} \
+         cancellations confirmed, {reports} answers due to reports"
     );
     let (while_refused, learnt) = (all.confirmed_while_refused, all.learnt_while_refused);
     let found_by_poll = all.found_by_poll;
     assert!(
         own_seeds() || while_refused > 400 && learnt > 50 && found_by_poll > 30,
-        "{while_refused} confirmed while the leader was refused alone, {learnt} learnt without \
-         the watch, {found_by_poll} found by polls alone: too weak"
+        "too few cancellations: {while_refused} confirmed while only the leader was refused, \
+         {learnt} learnt without the watch, {found_by_poll} first confirmed by a poll"
     );
 }
 
 impl Counters {
     fn add(&mut self, other: Counters) {
-        self.woken_leaders += other.woken_leaders;
-        self.answers_on_reports += other.answers_on_reports;
+        self.leader_pauses += other.leader_pauses;
+        self.answers_due_to_reports += other.answers_due_to_reports;
         self.learnt_while_refused += other.learnt_while_refused;
         self.confirmed_while_refused += other.confirmed_while_refused;
         self.found_by_poll += other.found_by_poll;
--- a/tests/pause/messages.rs
+++ b/tests/pause/messages.rs
@@ -7,12 +7,12 @@
 use foxspur_testbed::store::Logged;
 use std::collections::BTreeSet;
 
-/// What a controller asked the state service for.
+/// A controller's request to the state service.
 #[derive(Clone)]
 pub(crate) enum Request {
     Grant,
     WriteAliveKey(AliveKeyWrite),
-    /// Our own alive key, after it was not the one to replace.
+    /// Read the controller's own alive key, after a write found another version than expected.
     ReadOwnAliveKey,
     Renew {
         lease: u64,
@@ -21,20 +21,21 @@
     Revoke(u64),
     TakeOver(Box<TakeoverAttempt>),
     UpdateShard(Box<ShardUpdate>),
-    /// The shard record and its leader's alive key, one after the other.
+    /// Read the shard record; `ReadLeaderAliveKey` follows if another controller leads.
     ReadShard,
     ReadLeaderAliveKey {
         leader: String,
         shard_version: u64,
     },
     ListControlPrefix,
-    /// The changes of the control prefix since this revision.
+    /// Wait for changes of the control prefix after this revision.
     WatchControlPrefix(u64),
-    /// A user's cancellation.
+    /// Write a user's cancellation of this job.
     Cancel(u64),
-    /// A poll, a repeated submission or a repeated cancellation: it finds what stands.
+    /// Read whether the job is cancelled, for a user's poll, repeated submission or repeated
+    /// cancellation.
     Poll(u64),
-    /// All cancellations written.
+    /// Read all cancellations that are written.
     WatchJobs {
         asked_at: f64,
     },
@@ -42,22 +43,23 @@
 
 pub(crate) enum Response {
     Lease(u64),
-    /// Carried out, at this version.
+    /// The request was carried out, at this version.
     Done(u64),
     Conflict,
     NoLease,
     Entry(Option<Entry>),
     /// All entries, and the revision of the listing.
     Listed(Vec<Entry>, u64),
-    /// What changed, and the revision up to which these are all changes.
+    /// All changes up to a revision, and that revision.
     Changes(Vec<Logged>, u64),
     CancelledJobs(BTreeSet<u64>),
-    /// Refused, or timed out: the request may have been carried out, or may be later.
+    /// The request was refused or timed out. After a time-out it may have been carried out, or
+    /// may still be.
     None,
 }
 
 impl Request {
-    /// What kind of write it is, if it is one.
+    /// The kind of write, if the request is a write.
     pub(crate) fn kind_of_write(&self) -> Option<&'static str> {
         match self {
             Request::Grant => Some("lease"),
--- a/tests/pause/network.rs
+++ b/tests/pause/network.rs
@@ -1,25 +1,27 @@
-//! The network to the state service, and what becomes of each request there.
+//! The network between the controllers and the state service, and how the state service carries
+//! out each request.
 
 use super::*;
 use foxspur::coordination::leadership::takeover::TakeoverAttempt;
 use foxspur::storage::records;
 use foxspur_testbed::store::{Logged, Refusal};
 
-/// How long a message takes on an undisturbed network, in seconds.
+/// How long a message takes on a network without faults, in seconds.
 const DELAY_S: f64 = 0.005;
 
 /// How long a watch request waits for changes, in seconds.
 const WATCH_TIMEOUT_S: f64 = 20.0;
 
 impl Simulation {
-    /// Sends a request to the state service; the controller may be paused before the request
-    /// leaves, the way may be long, and a request times out after a while.
+    /// Sends a request to the state service. The controller may be paused before the request
+    /// leaves, the network may delay or lose the request, and a request without a response times
+    /// out.
     pub(crate) fn send(&mut self, node: usize, request: Request) {
-        if !self.calm && self.rng.random_bool(0.01) {
+        if !self.without_faults && self.rng.random_bool(0.01) {
             self.pause(node, 3.0 * WORKER_LEASE_S);
         }
         let leaves_at = self.now.max(self.controllers[node].paused_until);
-        let arrives_at = self.arrival(node, leaves_at);
+        let arrives_at = self.arrival_time(node, leaves_at);
         self.next_id += 1;
         let id = self.next_id;
         let controller = &mut self.controllers[node];
@@ -48,17 +50,17 @@
         }
     }
 
-    /// When a request of the controller arrives, if it does.
-    fn arrival(&mut self, node: usize, leaves_at: f64) -> Option<f64> {
+    /// When a request that leaves the controller at `leaves_at` arrives; `None` if it is lost.
+    fn arrival_time(&mut self, node: usize, leaves_at: f64) -> Option<f64> {
         let mut delay_s = DELAY_S;
-        if !self.calm && self.rng.random_bool(0.02) {
+        if !self.without_faults && self.rng.random_bool(0.02) {
             delay_s = self.rng.random_range(0.5..60.0);
         }
         let partitioned_until = self.controllers[node].partitioned_until;
         if partitioned_until <= leaves_at {
             return Some(leaves_at + delay_s);
         }
-        // Held back, or lost.
+        // A partition delays the request until it ends, or loses it.
         let lost = self.rng.random_bool(0.4);
         (!lost).then_some(partitioned_until + 0.01)
     }
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Carries a request out; `None` for a watch that waits for changes.
+    /// Carries a request out; returns `None` for a watch that has to wait for changes.
     fn carry_out(&mut self, node: usize, id: u64, request: &Request) -> Option<Response> {
         let now = self.now;
         let response = match request {
@@ -144,8 +146,8 @@
         response
     }
 
-    /// The changes since this revision; `None` if there are none and the request, still
-    /// pending, waits for some.
+    /// The changes after this revision; `None` if there are none and the request is still
+    /// pending, so that it waits for some.
     fn changes_since(&self, since: u64, pending: bool) -> Option<Response> {
         let changes = self.store.log.iter().filter(|change| change.0 > since);
         let changes: Vec<Logged> = changes.cloned().collect();
@@ -159,19 +161,19 @@
         Response::Entry(self.store.get(key))
     }
 
-    /// Whether the response to a write that was carried out is lost: others see what was
-    /// written, and the request times out.
+    /// Draws whether the response to a write that was carried out is lost: the other controllers
+    /// see the write, while the request times out at its sender.
     fn loses_response(&mut self, request: &Request, response: &Response) -> bool {
         let carried_out = !matches!(
             response,
             Response::Conflict | Response::NoLease | Response::None
         );
-        let write = request.kind_of_write();
-        let Some(kind) = write.filter(|_| carried_out && !self.calm) else {
+        let kind = request.kind_of_write();
+        let Some(kind) = kind.filter(|_| carried_out && !self.without_faults) else {
             return false;
         };
-        let rare = matches!(request, Request::UpdateShard(_) | Request::Revoke(_));
-        let lost = self.rng.random_bool(if rare { 0.5 } else { 0.06 });
+        let rarely_sent = matches!(request, Request::UpdateShard(_) | Request::Revoke(_));
+        let lost = self.rng.random_bool(if rarely_sent { 0.5 } else { 0.06 });
         if lost {
             *self.counters.lost_responses.entry(kind).or_default() += 1;
         }
@@ -187,7 +189,7 @@
         response: Response,
     ) {
         let mut delay_s = DELAY_S;
-        if !self.calm && self.rng.random_bool(0.02) {
+        if !self.without_faults && self.rng.random_bool(0.02) {
             delay_s = self.rng.random_range(0.1..3.0);
         }
         let partitioned_until = self.controllers[node].partitioned_until;
--- a/tests/pause/peers.rs
+++ b/tests/pause/peers.rs
@@ -1,4 +1,4 @@
-//! What the controllers ask each other, and what follows from their answers.
+//! The queries that controllers send to each other, and what follows from their answers.
 
 use super::*;
 use foxspur::coordination::leadership::queries::{CancellationQuery, PeerAnswer};
@@ -6,16 +6,16 @@
 /// How long a message to another controller takes, in seconds.
 const PEER_DELAY_S: f64 = 0.005;
 
-/// What a leader asks one other controller to agree to.
+/// A query to which a peer can agree.
 #[derive(Clone, Copy)]
 pub(crate) enum AgreementQuery {
-    /// Extend our lease under this term.
+    /// Extend the lease of the leader that asks, under this term.
     ExtendLease(u64),
-    /// Promise not to extend the lease of a leader before this term.
+    /// Promise not to extend the lease of a leader under an earlier term.
     Promise(u64),
 }
 
-/// Who asked whom, and when by the clock of the one that asked.
+/// A call from one controller to another, and when it was sent by the caller's clock.
 #[derive(Clone, Copy)]
 pub(crate) struct Call {
     pub(crate) from: usize,
@@ -24,7 +24,7 @@
 }
 
 impl Simulation {
-    /// The leader asks its peers what is due.
+    /// Sends the queries that are due for the controller, if it leads.
     pub(crate) fn query_peers(&mut self, node: usize) {
         let now = self.local_time(node);
         self.query_agreements(node, now);
@@ -111,7 +111,8 @@
 
     pub(crate) fn agreed(&mut self, call: Call, query: AgreementQuery) {
         let received_at = self.local_time(call.from);
-        // Timed out after 0.3 s, unless the controller was paused just then.
+        // Real calls time out after 0.3 s, but a controller that was paused may process a later
+        // answer. So all answers are processed here.
         let leadership = &mut self.controllers[call.from].leadership;
         let peer = host_name(call.to);
         let answer = |term| PeerAnswer {
--- a/tests/pause/responses.rs
+++ b/tests/pause/responses.rs
@@ -1,4 +1,4 @@
-//! What follows in a controller from each response of the state service.
+//! How a controller processes each response of the state service.
 
 use super::*;
 use foxspur::coordination::leadership::shard_update::ShardUpdate;
@@ -42,7 +42,7 @@
                     controller.leadership.job_watch_answered(asked_at);
                     controller.known_cancellations.extend(jobs);
                 }
-                self.continue_loop(node, Loop::JobWatch, 0.3);
+                self.schedule_loop(node, Loop::JobWatch, 0.3);
             }
         }
     }
@@ -52,12 +52,12 @@
         match (request, response) {
             (Request::Grant, Response::Lease(lease)) => {
                 leadership.lease_granted(lease);
-                self.loop_turn(node, Loop::Lease);
+                self.loop_iteration(node, Loop::Lease);
             }
             (Request::WriteAliveKey(write), Response::Done(version)) => {
                 leadership.alive_key_written(write, version);
                 self.react_to_shard_changes(node);
-                self.loop_turn(node, Loop::Lease);
+                self.loop_iteration(node, Loop::Lease);
             }
             (Request::WriteAliveKey(_), Response::Conflict) => {
                 self.send(node, Request::ReadOwnAliveKey);
@@ -66,11 +66,11 @@
                 if let Response::Entry(found) = response {
                     leadership.alive_key_read(found.as_ref());
                 }
-                self.continue_loop(node, Loop::Lease, 0.05);
+                self.schedule_loop(node, Loop::Lease, 0.05);
             }
             (Request::Renew { lease, asked_at }, Response::Done(_)) => {
                 leadership.lease_renewed(lease, asked_at);
-                self.continue_loop(node, Loop::Lease, LEASE_TTL_S / 5.0);
+                self.schedule_loop(node, Loop::Lease, LEASE_TTL_S / 5.0);
             }
             (Request::WriteAliveKey(write), Response::NoLease) => {
                 self.lease_ended(node, write.lease);
@@ -78,13 +78,13 @@
             (Request::Renew { lease, .. }, Response::NoLease) | (Request::Revoke(lease), _) => {
                 self.lease_ended(node, lease);
             }
-            _ => self.continue_loop(node, Loop::Lease, 0.2),
+            _ => self.schedule_loop(node, Loop::Lease, 0.2),
         }
     }
 
     fn lease_ended(&mut self, node: usize, lease: u64) {
         self.controllers[node].leadership.lease_ended(lease);
-        self.loop_turn(node, Loop::Lease);
+        self.loop_iteration(node, Loop::Lease);
     }
 
     fn takeover_response(&mut self, node: usize, attempt: &TakeoverAttempt, response: &Response) {
@@ -121,7 +121,7 @@
         } else {
             self.send(node, Request::ReadShard);
         }
-        self.continue_loop(node, Loop::Leader, 0.05);
+        self.schedule_loop(node, Loop::Leader, 0.05);
     }
 
     fn shard_response(&mut self, node: usize, response: Response) {
@@ -145,7 +145,7 @@
 
     fn listing_response(&mut self, node: usize, response: Response) {
         let Response::Listed(entries, revision) = response else {
-            return self.continue_loop(node, Loop::ControlWatch, 0.2);
+            return self.schedule_loop(node, Loop::ControlWatch, 0.2);
         };
         let view = &mut self.controllers[node].leadership.view;
         view.apply_listing(&entries, revision);
@@ -173,10 +173,13 @@
         self.send(node, Request::WatchControlPrefix(since));
     }
 
-    /// A user is told of a cancellation, as in `Node::learn_terminal_state`.
+    /// The controller confirms a cancellation to a user, as in `Node::learn_terminal_state`.
     fn cancellation_confirmed(&mut self, node: usize, job: u64, polled: bool) {
         let now = self.local_time(node);
-        let first = !self.confirmed.iter().any(|known| known.job == job);
+        let first = !self
+            .confirmed
+            .iter()
+            .any(|cancellation| cancellation.job == job);
         self.counters.found_by_poll += usize::from(first && polled);
         let controller = &mut self.controllers[node];
         if controller.terminal_jobs.insert(job) {
@@ -184,8 +187,9 @@
             controller.confirmed_cancellations.record(&id, now);
             self.learn_cancellation(node, job);
         }
-        self.confirmed.push(Confirmed { at: self.now, job });
-        let leader_refused = self.now < self.refusal_until && !self.is_outage();
-        self.counters.confirmed_while_refused += usize::from(leader_refused);
+        self.confirmed
+            .push(ConfirmedCancellation { at: self.now, job });
+        let only_leader_refused = self.now < self.refusal_until && !self.is_outage();
+        self.counters.confirmed_while_refused += usize::from(only_leader_refused);
     }
 }
