--- a/src/coordination/leadership/loops/shard_changes.rs
+++ b/src/coordination/leadership/loops/shard_changes.rs
@@ -10,7 +10,7 @@
 /// Reacts to the present view of the shard.
 pub(super) fn react_to_shard_changes(node: &Rc<Node>) {
     if node.leadership.borrow().is_deposed() {
-        tracing::warn!("another controller leads the shard; stepping down");
+        tracing::warn!("leadership of the shard lost; stepping down");
         step_down(node);
     }
     adopt_raised_term(node);
