--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -1,17 +1,19 @@
-//! Drains: machines that operators cordoned, and the graceful eviction of what runs there.
+//! Drains: operators cordon machines, and the leader gracefully evicts the tasks on them.
 //!
-//! A drain is a record in the state service, written before anything is done about it;
-//! what is here works out, at each tick, the difference between that record and what is on
-//! the machine.
+//! A drain is a record in the state service. It is written before the leader acts on it. At
+//! each tick the scheduler compares the record with the attempts on the machine and evicts
+//! what is due.
 //!
-//! - Nothing new starts on a cordoned machine, from the moment its record is known; the
-//!   next leader reads the records before it places.
-//! - What runs there may finish in time, else it is evicted, least loss first and a
-//!   quarter of it at once (see `eviction`).
-//! - The machine is *drained* once it is proven empty, as in fencing, and the proof is
-//!   recorded. It holds as long as the drain's record stands, since no leader starts
-//!   anything there: so a machine that is switched off then holds up no takeover, and is
-//!   not returned to the cloud.
+//! - No new task starts on a cordoned machine once the leader knows the drain record. A new
+//!   leader reads the drain records before it places any task.
+//! - An attempt that ends in time may finish. Any other is evicted unless there is a reason
+//!   to keep it (see `eviction`). Those that lose the least work are evicted first, and at
+//!   most a quarter of the machine's attempts are being stopped at a time. All are stopped at
+//!   once when the deadline has passed and the operator ordered a stop.
+//! - The machine is *drained* once it is proven empty, by the same proofs as in fencing, and
+//!   the proof is recorded. The proof holds as long as the drain record exists, because no
+//!   leader starts anything on the machine. A drained machine that is then switched off
+//!   delays no takeover and is not returned to the cloud.
 
 use super::eviction::{decide, AttemptOutlook, DrainDecision, Relocation, StopCost};
 use crate::coordination::scheduler::drain_target::DrainTarget;
@@ -24,10 +26,10 @@
 use crate::protocol::job::{JobSpec, Shape};
 use std::collections::HashMap;
 
-/// One part of the attempts in so many is evicted at once: the next ones are weighed with
-/// the room that is left when these have found theirs.
+/// At most one in this many live attempts of a machine is being stopped at a time. Later
+/// evictions are decided with the capacity that is left after the earlier ones are placed.
 const EVICTION_DIVISOR: usize = 4;
-/// Least speed at which a machine fetches images, in GB/s.
+/// Lower bound for the speed at which a machine fetches images, in GB/s.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 /// An attempt that is to be evicted.
@@ -43,23 +45,23 @@
         target.is_some_and(|t| t.drain.drained.is_some())
     }
 
-    /// Takes in the records of all drains, each with its version.
-    pub fn set_drains(&mut self, wanted: &HashMap<String, (Drain, u64)>) {
+    /// Applies the complete set of drain records, each with its version, by machine name.
+    pub fn set_drains(&mut self, records: &HashMap<String, (Drain, u64)>) {
         let ended: Vec<Name> = self
             .drains
             .keys()
-            .filter(|name| !wanted.contains_key(&***name))
+            .filter(|name| !records.contains_key(&***name))
             .cloned()
             .collect();
         for name in ended {
             self.uncordon(&name);
         }
-        let mut hosts: Vec<&String> = wanted.keys().collect();
+        let mut hosts: Vec<&String> = records.keys().collect();
         hosts.sort();
         for host in hosts {
-            let (drain, version) = &wanted[host];
-            let known = self.drains.get(host.as_str()).map(|t| t.version);
-            if known == Some(*version) {
+            let (drain, version) = &records[host];
+            let known_version = self.drains.get(host.as_str()).map(|t| t.version);
+            if known_version == Some(*version) {
                 continue;
             }
             let deadline_at = drain
@@ -75,7 +77,7 @@
         }
     }
 
-    /// The machine's drain has ended: it takes tasks again.
+    /// Ends the machine's drain: tasks may start on it again.
     fn uncordon(&mut self, name: &Name) {
         self.drains.swap_remove(name);
         if let Some(machine) = self.machines.get_mut(name) {
@@ -87,8 +89,9 @@
         self.placement_due = true;
     }
 
-    /// Nothing new on the machine from now on; what it was told to start but is
-    /// not seen to have is stopped, lest a repeated command starts it later.
+    /// Cordons the machine: no new task starts on it from now on. Attempts that it was told to
+    /// start but has not reported are stopped, because a repeated start command could
+    /// otherwise start them later.
     fn cordon(&mut self, host: &str) {
         let Some((name, _)) = self.machines.get_key_value(host) else {
             return;
@@ -99,22 +102,22 @@
         };
         machine.cordoned = true;
         machine.repeatable_tasks = None;
-        let unseen: Vec<AttemptId> = machine
+        let unreported: Vec<AttemptId> = machine
             .live_attempts()
             .filter(|(_, a)| a.phase.is_none())
             .map(|(key, _)| key.clone())
             .collect();
         tracing::info!(machine = %name, term = self.term, "cordoned");
         self.clear_queue(&name);
-        for key in &unseen {
+        for key in &unreported {
             self.stop_attempt(&name, key, 0.0);
         }
         self.remove_unstarted(&name);
         self.placement_due = true;
     }
 
-    /// What the decision on an attempt follows from; `None` for one whose job is
-    /// over, which is being stopped anyway.
+    /// The facts on which the decision about an attempt is based. `None` if the job has
+    /// finished: its attempts are being stopped anyway.
     fn attempt_outlook(
         &self,
         machine: &Machine,
@@ -128,10 +131,11 @@
         let ran_s = attempt.running_since.map_or(0.0, |t| now - t);
         let predicted_s = self.predict(job);
         let (lost_cpu_s, grace_s) = loss(spec, ran_s, false);
-        // Elsewhere it fetches its image, and does again what it did not save.
+        // On another machine the attempt fetches its image and repeats the work done since its
+        // last checkpoint.
         let remaining_s = (predicted_s - checkpointed_s(spec, ran_s)).max(0.0);
         Some(AttemptOutlook {
-            endless: spec.shape == Shape::Service,
+            runs_indefinitely: spec.shape == Shape::Service,
             ran_s,
             predicted_s,
             stop_cost: StopCost {
@@ -139,14 +143,14 @@
                 grace_s,
             },
             rerun_s: self.image_fetch_s(machine, spec) + grace_s + remaining_s,
-            due_s: self.next_due_times(job, now),
+            due_in_s: self.next_due_times(job, now),
             until_deadline_s: target.deadline_at.map(|d| d - now),
-            rest: target.drain.rest,
+            at_deadline: target.drain.rest,
             relocation: self.relocation(job),
         })
     }
 
-    /// How long fetching the job's image takes on a machine of this type.
+    /// How long fetching the job's image takes on a machine of the same type, in seconds.
     fn image_fetch_s(&self, machine: &Machine, spec: &JobSpec) -> f64 {
         let machine_type = self.types.get(&machine.info.kind);
         machine_type.map_or(0.0, |t| {
@@ -154,7 +158,7 @@
         })
     }
 
-    /// Whether a task of the job can run on a machine that is not cordoned.
+    /// Whether a task of the job can run on another machine that is not cordoned.
     fn relocation(&self, job: &Job) -> Relocation {
         let spec = &job.spec;
         let zones = self.zone_constraint(job);
@@ -174,7 +178,7 @@
         }
     }
 
-    /// What becomes of each attempt on the machine that is not being stopped.
+    /// The decision for each live attempt on the machine that is not being stopped already.
     fn drain_decisions(
         &self,
         machine: &Machine,
@@ -190,7 +194,7 @@
             .collect()
     }
 
-    /// Evicts what is due on draining machines.
+    /// Stops the attempts that are due for eviction on all draining machines.
     pub(crate) fn advance_drains(&mut self) {
         if self.drains.is_empty() || !self.fence.open {
             return;
@@ -198,26 +202,26 @@
         let names: Vec<Name> = self.drains.keys().cloned().collect();
         for name in names {
             for Eviction { attempt, cost } in self.due_evictions(&name) {
-                tracing::info!(task = %attempt.task.wire(), machine = %name, lost = cost.lost_cpu_s, "evicted from a draining machine");
+                tracing::info!(task = %attempt.task.wire(), machine = %name, lost_cpu_s = cost.lost_cpu_s, "evicted from a draining machine");
                 self.stop_attempt(&name, &attempt, cost.grace_s);
             }
         }
     }
 
-    /// The attempts to evict from the machine now, least loss first.
+    /// The attempts to evict from the machine now; those that lose the least work come first.
     fn due_evictions(&self, name: &Name) -> Vec<Eviction> {
         let (Some(machine), Some(target)) = (self.machines.get(name), self.drains.get(name)) else {
             return Vec::new();
         };
-        let accountable = machine.status == MachineStatus::Up && machine.fenced;
-        if !accountable || machine.attempts.is_empty() {
+        let reports_under_term = machine.status == MachineStatus::Up && machine.fenced;
+        if !reports_under_term || machine.attempts.is_empty() {
             return Vec::new();
         }
         let mut evictions: Vec<Eviction> = self
             .drain_decisions(machine, target)
             .into_iter()
             .filter_map(|(attempt, decision)| match decision {
-                DrainDecision::Moves(cost) => Some(Eviction { attempt, cost }),
+                DrainDecision::Evict(cost) => Some(Eviction { attempt, cost }),
                 _ => None,
             })
             .collect();
@@ -239,7 +243,7 @@
         evictions
     }
 
-    /// What proves the cordoned machine empty now, if anything does.
+    /// The proof that the machine is cordoned and empty; `None` if there is no proof yet.
     fn proof_of_emptiness(&self, machine: &Machine) -> Option<Proof> {
         if !machine.cordoned || !machine.attempts.is_empty() || machine.unknown_attempts > 0 {
             return None;
@@ -251,9 +255,9 @@
         }
     }
 
-    /// Drains whose machine is proven empty while their record does not say so
-    /// yet: the record to write, and the version that it replaces.
-    pub fn proven_drains(&self, now_ms: u64, most: usize) -> Vec<(Drain, u64)> {
+    /// Drains whose machine is proven empty although the record does not say so yet, at most
+    /// `max_drains`: the record to write and the version that it replaces.
+    pub fn proven_drains(&self, now_ms: u64, max_drains: usize) -> Vec<(Drain, u64)> {
         if !self.fence.open {
             return Vec::new();
         }
@@ -271,14 +275,14 @@
             let drain = target.drain.clone();
             Some((Drain { drained, ..drain }, target.version))
         });
-        // An unreadable record is not ours to overwrite.
+        // An empty order name marks a record that could not be read. It is not overwritten.
         proven
             .filter(|(drain, _)| !drain.order.is_empty())
-            .take(most)
+            .take(max_drains)
             .collect()
     }
 
-    /// All drains with their progress, by machine.
+    /// All drains with their progress, sorted by machine name.
     pub fn drain_rows(&self, now: f64) -> Vec<DrainRow> {
         let mut rows: Vec<DrainRow> = self
             .drains
@@ -293,10 +297,10 @@
         let machine = self.machines.get(name);
         let tasks = machine.map_or(0, |m| m.live_attempts().count() as u32);
         let decisions = machine.map_or(Vec::new(), |m| self.drain_decisions(m, target));
-        let stays = decisions
+        let keep_reason = decisions
             .into_iter()
             .find_map(|(key, decision)| match decision {
-                DrainDecision::Stays(why) => Some(format!("{}: {why}", key.task.wire())),
+                DrainDecision::Keep(why) => Some(format!("{}: {why}", key.task.wire())),
                 _ => None,
             });
         let overdue = target.deadline_at.is_some_and(|d| now > d);
@@ -310,12 +314,12 @@
             drain: target.drain.clone(),
             state,
             tasks,
-            stays: stays.unwrap_or_default(),
+            stays: keep_reason.unwrap_or_default(),
         }
     }
 
-    /// Until the job's next objectives are due, nearest first: two, since the nearest
-    /// is often lost already.
+    /// Seconds until the job's next two objectives are due, nearest first. The nearest one
+    /// alone is not enough, because it often cannot be met any more.
     fn next_due_times(&self, job: &Job, now: f64) -> [Option<f64>; 2] {
         let mut due_times: Vec<f64> = self.due_times(job, now).filter(|d| *d > 0.0).collect();
         due_times.sort_by(f64::total_cmp);
@@ -323,7 +327,7 @@
     }
 }
 
-/// How much of the run time is kept by the last checkpoint, in seconds.
+/// Run time that is saved by the last checkpoint, in seconds.
 fn checkpointed_s(spec: &JobSpec, ran_s: f64) -> f64 {
     if spec.checkpoint_s > 0.0 {
         ran_s - ran_s % spec.checkpoint_s
--- a/src/coordination/fleet/eviction.rs
+++ b/src/coordination/fleet/eviction.rs
@@ -1,19 +1,20 @@
-//! Eviction from a draining machine: what becomes of each attempt on it. Pure code.
+//! Decides for each attempt on a draining machine whether it is evicted. Pure functions.
 //!
-//! What ends by itself in time may finish; else it is moved, unless that would lose a
-//! service-level objective which staying keeps, or no other machine can run it.
+//! An attempt that ends by itself before the deadline may finish. Any other attempt is evicted,
+//! unless it would then miss a service-level objective that it meets by staying, or no other
+//! machine can run it.
 
 use crate::protocol::admin::Rest;
 
-/// What becomes of an attempt on a draining machine.
+/// What is done about an attempt on a draining machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DrainDecision {
-    /// It ends by itself in time.
-    Finishes,
-    /// It is stopped and runs elsewhere.
-    Moves(StopCost),
+    /// It may finish: it is expected to end by itself in time.
+    LetFinish,
+    /// It is stopped, and its task runs on another machine.
+    Evict(StopCost),
     /// It stays for now, for this reason.
-    Stays(&'static str),
+    Keep(&'static str),
 }
 
 /// What stopping an attempt costs.
@@ -21,7 +22,7 @@
 pub struct StopCost {
     /// Work that is lost, in CPU seconds.
     pub lost_cpu_s: f64,
-    /// Grace to save a checkpoint, in seconds.
+    /// Grace period for saving a checkpoint, in seconds.
     pub grace_s: f64,
 }
 
@@ -36,32 +37,32 @@
     Possible,
 }
 
-/// What the decision on an attempt follows from. Times are in seconds.
+/// The facts on which the decision about an attempt is based. Times are in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptOutlook {
-    /// A replica that never ends by itself.
-    pub endless: bool,
+    /// Whether it is a service replica, which never ends by itself.
+    pub runs_indefinitely: bool,
     /// How long it has run.
     pub ran_s: f64,
     /// How long it is predicted to run in all.
     pub predicted_s: f64,
-    /// What it loses when it is stopped.
+    /// Cost of stopping it now.
     pub stop_cost: StopCost,
-    /// How much longer it would run elsewhere.
+    /// How long its task would take on another machine, from the stop until its end.
     pub rerun_s: f64,
-    /// Until its objectives are due, nearest first.
-    pub due_s: [Option<f64>; 2],
-    /// Until the drain's deadline.
+    /// Time until its next objectives are due, nearest first.
+    pub due_in_s: [Option<f64>; 2],
+    /// Time until the drain's deadline; negative after it. `None` without a deadline.
     pub until_deadline_s: Option<f64>,
-    /// What is to become of it at the deadline.
-    pub rest: Rest,
-    /// Whether it can run elsewhere.
+    /// What is done about it at the deadline if it still runs.
+    pub at_deadline: Rest,
+    /// Whether it can run on another machine.
     pub relocation: Relocation,
 }
 
 impl AttemptOutlook {
-    /// How long the attempt still runs here. One that has outrun its prediction is
-    /// expected to take as long again as it has taken.
+    /// How long the attempt is expected to run on this machine from now on. An attempt that has
+    /// run longer than predicted is expected to take as long again as it has run.
     fn remaining_s(&self) -> f64 {
         if self.ran_s < self.predicted_s {
             self.predicted_s - self.ran_s
@@ -72,37 +73,38 @@
 
     fn must_stop_now(&self) -> bool {
         let past_deadline = self.until_deadline_s.is_some_and(|left| left <= 0.0);
-        past_deadline && self.rest == Rest::Stop
+        past_deadline && self.at_deadline == Rest::Stop
     }
 
     fn ends_in_time(&self) -> bool {
         let remaining_s = self.remaining_s();
-        !self.endless && self.until_deadline_s.is_none_or(|left| remaining_s <= left)
+        !self.runs_indefinitely && self.until_deadline_s.is_none_or(|left| remaining_s <= left)
     }
 
-    /// Whether an objective is met by staying, and missed by running elsewhere.
+    /// Whether the attempt meets an objective by staying and misses it on another machine.
     fn objective_needs_stay(&self) -> bool {
         let remaining_s = self.remaining_s();
-        let kept_by_staying =
-            |due: &f64| !self.endless && remaining_s <= *due && *due < self.rerun_s;
-        self.due_s.iter().flatten().any(kept_by_staying)
+        let met_only_by_staying = |due_in_s: &f64| {
+            !self.runs_indefinitely && remaining_s <= *due_in_s && *due_in_s < self.rerun_s
+        };
+        self.due_in_s.iter().flatten().any(met_only_by_staying)
     }
 }
 
-/// Decides what becomes of an attempt.
+/// Decides what is done about an attempt on a draining machine.
 pub fn decide(outlook: &AttemptOutlook) -> DrainDecision {
     if outlook.must_stop_now() {
-        return DrainDecision::Moves(outlook.stop_cost);
+        return DrainDecision::Evict(outlook.stop_cost);
     }
     if outlook.ends_in_time() {
-        return DrainDecision::Finishes;
+        return DrainDecision::LetFinish;
     }
     match outlook.relocation {
-        Relocation::NotAllowed => DrainDecision::Stays("no other machine may run it"),
-        Relocation::NoRoom => DrainDecision::Stays("waits for room elsewhere"),
+        Relocation::NotAllowed => DrainDecision::Keep("no other machine may run it"),
+        Relocation::NoRoom => DrainDecision::Keep("waits for room elsewhere"),
         Relocation::Possible if outlook.objective_needs_stay() => {
-            DrainDecision::Stays("would miss its deadline elsewhere")
+            DrainDecision::Keep("would miss its deadline elsewhere")
         }
-        Relocation::Possible => DrainDecision::Moves(outlook.stop_cost),
+        Relocation::Possible => DrainDecision::Evict(outlook.stop_cost),
     }
 }
--- a/src/coordination/fleet/machine_record_writer.rs
+++ b/src/coordination/fleet/machine_record_writer.rs
@@ -1,7 +1,8 @@
-//! Writes the shard's machine record: the durable list of machines that tasks may start on.
+//! Writes the shard's machine record: the durable list of machines on which tasks may start.
 //!
-//! Each write is conditional on the shard being ours and on each value being the one we
-//! know, so a write that was given up and is carried out late changes nothing.
+//! Each write succeeds only if this controller still owns the shard and each value that it
+//! replaces is the one last known here. So a write that this controller gave up, and that the
+//! state service carries out late, changes nothing.
 
 use crate::coordination::leadership::failover::reread_shard;
 use crate::coordination::node::Node;
@@ -12,54 +13,57 @@
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
-/// Share of a value that is filled; the rest stays free for framing.
+/// Fraction of the size limit of a value that is used; the rest is left for framing.
 const VALUE_FILL: f64 = 0.9;
-/// Bytes of changes in one transaction; a quarter stays free for framing.
+/// Most bytes of changes in one transaction; a quarter of its size is left for framing.
 const MAX_CHANGE_BYTES: usize = records::MAX_TXN_BYTES * 3 / 4;
 
-/// A write of a part of the record.
+/// One transaction that writes a part of the record.
 struct RecordWrite {
     txn: Txn,
-    /// Base term of the scheduler that wanted it.
+    /// Base term of the scheduler whose machines are written.
     base_term: u64,
     changes: Vec<Change>,
-    /// More is to be written afterwards.
+    /// Whether further changes remain to be written afterwards.
     more: bool,
 }
 
-/// Writes what changed of the machine list; true if there is more.
+/// Writes one transaction with changes of the machine record; returns true if further changes
+/// remain.
 pub async fn write_machine_record(node: &Rc<Node>) -> bool {
     let Some(write) = plan_write(node) else {
         return false;
     };
     if write.changes.is_empty() {
-        record_is_current(node);
+        confirm_current_record(node);
         return false;
     }
     match node.state.txn(&write.txn, Priority::Control).await {
-        Ok(version) => write_succeeded(node, write, version),
+        Ok(version) => apply_written_changes(node, write, version),
         Err(error) => {
-            write_failed(node, &write, error).await;
+            handle_write_error(node, &write, error).await;
             false
         }
     }
 }
 
-/// What is to be written next; `None` if nothing changed or the shard is not ours.
+/// The next transaction to write; `None` if nothing has changed or this controller does not own
+/// the shard.
 fn plan_write(node: &Node) -> Option<RecordWrite> {
     let limits = &node.settings.cluster.state;
     let value_bytes = (limits.value_kb * 1024.0 * VALUE_FILL) as usize;
     let mut scheduler = node.scheduler.borrow_mut();
     let scheduler = scheduler.as_mut().filter(|s| s.machine_record_dirty)?;
-    // By the record of another leader we would write into its list.
+    // With the shard version of another leader, the write would change the list of that leader.
     let shard_version = node.leadership.borrow().own_shard_version()?;
     let written = node.machine_record.borrow();
     let mut changes =
         machine_record::plan(&written, &scheduler.wanted_machine_record(), value_bytes);
-    let fitting = machine_record::changes_that_fit(&changes, limits.txn_ops, MAX_CHANGE_BYTES);
-    let more = changes.len() > fitting;
+    let fitting_count =
+        machine_record::changes_that_fit(&changes, limits.txn_ops, MAX_CHANGE_BYTES);
+    let more = changes.len() > fitting_count;
     scheduler.machine_record_dirty = more;
-    changes.truncate(fitting);
+    changes.truncate(fitting_count);
     Some(RecordWrite {
         txn: machine_record::txn(&written, &changes, shard_version),
         base_term: scheduler.fence.base_term,
@@ -68,17 +72,18 @@
     })
 }
 
-/// All that is wanted stands in the record already: a machine whose session ended and began
-/// again before that was written, say.
-fn record_is_current(node: &Node) {
+/// Tells the scheduler that the record already holds all machines that it should. This happens,
+/// for example, if a machine ends its session and begins a new one before the end was written.
+fn confirm_current_record(node: &Node) {
     let recorded: Vec<_> = node.machine_record.borrow().machines().cloned().collect();
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
         scheduler.machine_record_written(&recorded);
     }
 }
 
-/// Takes in what was written; true if there is more.
-fn write_succeeded(node: &Node, write: RecordWrite, version: u64) -> bool {
+/// Applies the written changes to the scheduler and to the known record; returns true if further
+/// changes remain.
+fn apply_written_changes(node: &Node, write: RecordWrite, version: u64) -> bool {
     let mut scheduler = node.scheduler.borrow_mut();
     let scheduler = scheduler.as_mut();
     let Some(scheduler) = scheduler.filter(|s| s.fence.base_term == write.base_term) else {
@@ -92,12 +97,13 @@
     write.more
 }
 
-/// Notes that the write is due again, and learns what the record holds if it is not what
-/// we know.
-async fn write_failed(node: &Rc<Node>, write: &RecordWrite, error: ServiceError) {
-    tracing::debug!(%error, "machine record not written");
-    let ours = |s: &&mut Scheduler| s.fence.base_term == write.base_term;
-    if let Some(scheduler) = node.scheduler.borrow_mut().as_mut().filter(ours) {
+/// Marks the record as still to be written. After a conflict, reads the shard record again, and
+/// also the machine record if that had changed. After any other error it is not known whether the
+/// write is carried out, so its chunks are marked as uncertain.
+async fn handle_write_error(node: &Rc<Node>, write: &RecordWrite, error: ServiceError) {
+    tracing::debug!(%error, "failed to write the machine record");
+    let same_term = |s: &&mut Scheduler| s.fence.base_term == write.base_term;
+    if let Some(scheduler) = node.scheduler.borrow_mut().as_mut().filter(same_term) {
         scheduler.machine_record_dirty = true;
     }
     let ServiceError::Conflict(keys) = error else {
@@ -108,14 +114,14 @@
         return;
     };
     reread_shard(node).await;
-    // A write that we gave up was carried out after all.
+    // A conflict on a chunk means that an earlier write was carried out although it had no answer.
     if keys.iter().any(|k| records::chunk_number(k).is_some()) {
         reread_record(node, write.base_term).await;
     }
 }
 
-/// Learns what the record holds now. Nothing but what it holds counts, so what
-/// an unanswered write of ours added is used only once it is seen to stand.
+/// Reads the machine record again. Only its contents count, so a machine that an unanswered write
+/// added is used only after it was read back from the record.
 async fn reread_record(node: &Rc<Node>, base_term: u64) {
     let Ok((listed, _)) = node
         .state
@@ -124,8 +130,8 @@
     else {
         return;
     };
-    let ours = |s: &Scheduler| s.fence.base_term == base_term;
-    if node.scheduler.borrow().as_ref().is_some_and(ours) {
+    let same_term = |s: &Scheduler| s.fence.base_term == base_term;
+    if node.scheduler.borrow().as_ref().is_some_and(same_term) {
         node.machine_record.borrow_mut().reload(&listed);
     }
 }
--- a/src/coordination/fleet/machine_types.rs
+++ b/src/coordination/fleet/machine_types.rs
@@ -1,5 +1,5 @@
-//! Keeps the cloud's machine types: in the view that all decisions use, and in the state
-//! service, where a controller that restarts in an outage of the cloud finds them.
+//! Keeps the cloud's machine types up to date in the cluster view, which all decisions use, and in
+//! the state service, from which a controller reads them if it restarts during a cloud outage.
 
 use crate::coordination::node::Node;
 use crate::protocol::cloud::{MachineType, TypeList};
@@ -9,11 +9,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two looks at the types once they are known, and until then.
+/// Pause between two refreshes once the types are known.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(30);
+/// Pause between two attempts until the types are known.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Whether the lists differ in what decides whether a job fits; prices change all the time.
+/// Whether the lists differ in a field that decides whether a job fits a machine type. Other
+/// fields, such as prices, change all the time.
 fn differ_in_fit(old: &[MachineType], new: &[MachineType]) -> bool {
     old.len() != new.len()
         || old.iter().zip(new).any(|(a, b)| {
@@ -25,7 +27,7 @@
         })
 }
 
-/// Keeps the machine types up to date, for ever.
+/// Refreshes the machine types forever.
 pub(super) async fn keep_machine_types(node: Rc<Node>) {
     loop {
         let known = node.leadership.borrow().view.types.is_some();
@@ -33,7 +35,7 @@
         if !known || leading {
             refresh(&node).await;
         }
-        hand_to_scheduler(&node);
+        initialize_scheduler_types(&node);
         let known = node.leadership.borrow().view.types.is_some();
         let pause = if known {
             REFRESH_INTERVAL
@@ -44,8 +46,8 @@
     }
 }
 
-/// Asks the cloud for the types, and writes them if they changed. Types that could not be
-/// written are dropped, so that the next round tries again.
+/// Asks the cloud for the types and writes them to the state service if they have changed. If that
+/// fails, the types are removed from the view, so that the next refresh tries again.
 async fn refresh(node: &Node) {
     let Ok(list) = node.cloud.types().await else {
         return;
@@ -65,8 +67,8 @@
     }
 }
 
-/// Gives the types to a scheduler that has none yet.
-fn hand_to_scheduler(node: &Node) {
+/// Sets the types of a scheduler that has none yet.
+fn initialize_scheduler_types(node: &Node) {
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
         if scheduler.types.is_empty() {
             if let Some(types) = &node.leadership.borrow().view.types {
--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -1,6 +1,6 @@
-//! The fleet manager: the leader's loop that scales out for what waits, and scales in what
-//! is broken, silent or idle. What to do is decided in `scale_out` and `scale_in`; here
-//! the decisions are carried out.
+//! The fleet manager: a loop of the leader. It rents machines for waiting tasks, and returns
+//! machines that are broken, silent or idle. `scale_out` and `scale_in` make the decisions; this
+//! module carries them out.
 
 use super::fleet_state::FleetState;
 use super::machine_types::keep_machine_types;
@@ -14,9 +14,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two rounds.
+/// Pause between two rounds.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
-/// Between two rounds while silent machines hold up all placement after a takeover.
+/// Pause between two rounds after a takeover, while no task is placed because some machines have
+/// not been accounted for yet.
 const TAKEOVER_ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The actor that runs the fleet manager.
@@ -34,7 +35,7 @@
     }
 }
 
-/// Runs rounds while this controller leads for certain, for ever.
+/// Runs rounds forever, but only while this controller is certain to lead.
 async fn manage_fleet(node: Rc<Node>) {
     let mut state = FleetState::default();
     let mut state_term = 0;
@@ -49,8 +50,8 @@
             TAKEOVER_ROUND_INTERVAL
         };
         actix_rt::time::sleep(pause).await;
-        // Only while nobody can have taken the shard: a deposed leader
-        // would see all machines go silent and return them.
+        // A deposed leader would see all machines go silent and return them to the cloud. So
+        // rounds run only while no other controller can have taken the shard.
         let term = scheduler_term(&node).filter(|_| node.is_certain_leader());
         let Some(term) = term else {
             continue;
@@ -63,7 +64,8 @@
     }
 }
 
-/// Whether tasks are placed, as all machines are accounted for; `None` without a scheduler.
+/// Whether tasks are being placed, which requires that all machines have been accounted for since
+/// the takeover. `None` without a scheduler.
 fn is_placing(node: &Node) -> Option<bool> {
     let scheduler = node.scheduler.borrow();
     scheduler.as_ref().map(|s| s.fence.open)
@@ -74,18 +76,20 @@
     let placing = is_placing(node).unwrap_or(false);
     if placing && state.list_is_older_than(list_lag_s / 2.0, node.now()) {
         if let Ok(list) = node.cloud.machines().await {
-            state.list_received(list, node.now());
+            state.record_list(list, node.now());
             compare_with_list(node, state);
         }
     }
     scale_in(node, state).await;
-    // Calls that rent take their time, and the shard waits for what is returned.
+    // Scaling in comes first, and scaling out waits until tasks are placed: calls that rent
+    // machines take long, and after a takeover the shard waits for the returns to be confirmed.
     if placing {
         scale_out(node, state).await;
     }
 }
 
-/// Compares the cloud's machine list with what we know.
+/// Compares the cloud's machine list with the scheduler's machines: requests the return of broken
+/// machines, notes machines that are booting, and removes machines that no longer exist.
 fn compare_with_list(node: &Node, state: &mut FleetState) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
@@ -101,7 +105,7 @@
     }
 }
 
-/// Takes machines out of use that are to be returned.
+/// Selects the machines to return to the cloud and takes them out of use.
 fn retire_machines(node: &Node, state: &mut FleetState) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
@@ -113,18 +117,18 @@
     }
     state.request_return(scheduler.machines_given_up(now));
     state.request_return(scale_in::retired_machines(scheduler, now));
-    for name in state.returning() {
+    for name in state.pending_returns() {
         scheduler.retire_machine(name);
     }
 }
 
-/// Returns machines; only the cloud's confirmation proves them gone.
+/// Returns machines to the cloud. Only the cloud's confirmation proves that they are gone.
 async fn scale_in(node: &Rc<Node>, state: &mut FleetState) {
     if node.scheduler.borrow().is_none() {
         return;
     }
     retire_machines(node, state);
-    let names = state.next_returns();
+    let names = state.next_return_batch();
     if names.is_empty() || node.cloud.scale_in(names.clone()).await.is_err() {
         return;
     }
@@ -134,11 +138,11 @@
             scheduler.confirm_machine_returned(name);
         }
     }
-    state.returns_confirmed(&names);
+    state.record_returned(&names);
     dispatcher::send_due_calls(node);
 }
 
-/// Rents what is wanted.
+/// Rents the machines that are missing to serve the demand.
 async fn scale_out(node: &Rc<Node>, state: &mut FleetState) {
     let now = node.now();
     for RentalPlan { offer, count } in plan_rentals(node, state, now) {
@@ -147,7 +151,7 @@
                 "{}-{:x}-{}",
                 node.settings.host_name,
                 node.leadership.borrow().incarnation(),
-                state.next_rental_request()
+                state.next_request_number()
             ),
             kind: offer.kind.clone(),
             zone: offer.zone.clone(),
@@ -157,9 +161,9 @@
         let rented = rent(node, &rental).await;
         if (rented.len() as u32) < count {
             let first_pause_s = node.settings.cluster.cloud.list_lag_s;
-            state.offer_sold_out(&offer, first_pause_s, now);
+            state.record_sold_out(&offer, first_pause_s, now);
         } else {
-            state.offer_fulfilled(&offer);
+            state.clear_sold_out(&offer);
         }
         if !rented.is_empty() {
             tracing::info!(kind = %offer.kind, zone = %offer.zone, spot = offer.spot, asked = count, got = rented.len(), "scaled out");
@@ -170,13 +174,13 @@
     }
 }
 
-/// What to rent now.
+/// Decides which machines to rent now.
 fn plan_rentals(node: &Node, state: &mut FleetState, now: f64) -> Vec<RentalPlan> {
     let scheduler = node.scheduler.borrow();
     let Some(scheduler) = scheduler.as_ref().filter(|s| !s.types.is_empty()) else {
         return Vec::new();
     };
-    state.drop_booted(scheduler, now);
+    state.prune_booting(scheduler, now);
     let partitioned_zones = scheduler.partitioned_zones(now);
     let demand = Demand::of(scheduler, state.booting(), &partitioned_zones, now);
     scale_out::plan(&demand, &scheduler.types, node.policy.headroom, |offer| {
@@ -184,14 +188,15 @@
     })
 }
 
-/// Rents machines; returns the names of those that the cloud gave.
+/// Rents machines; returns the names of those that the cloud provided.
 async fn rent(node: &Node, rental: &Rental) -> Vec<String> {
     match node.cloud.scale_out(rental).await {
-        Ok(names) => names.machines,
+        Ok(rented) => rented.machines,
         Err(ServiceError::Refused) => Vec::new(),
         Err(error) => {
-            // It may come true later: unexpected machines are adopted.
-            tracing::info!(%error, "rental request without an answer");
+            // The cloud may still carry out the request later. Machines that appear unexpectedly
+            // are adopted.
+            tracing::info!(%error, "no answer to a rental request");
             Vec::new()
         }
     }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! The fleet: machines scaled out and in, drained for operators, rolled over in turn, and
-//! the durable record of those that tasks may start on.
+//! Fleet management: scales out and in, drains machines for operators, carries out rollouts,
+//! and keeps the durable record of the machines on which tasks may start.
 
 pub mod drains;
 pub mod eviction;
--- a/src/coordination/fleet/rollout.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -1,10 +1,10 @@
-//! Rollouts: machines drained one after the other. What a rollout does next is decided
-//! here, in pure code.
+//! Rollouts: a list of machines is drained in order, a few in each zone at a time. Pure
+//! functions decide the next step of a rollout.
 //!
-//! A rollout is a record like the drains that it orders, so whoever leads the shard goes
-//! on with it. It takes the next machine while its zone can spare one, counting every
-//! machine that is out of use for whatever reason, and halts by itself as soon as what its
-//! plan promised is broken.
+//! A rollout is a record in the state service, like the drains that it orders, so every new
+//! leader of the shard continues it. It drains the next machine only if the zone of that machine
+//! stays within the rollout's limit; every machine that is out of use counts, for whatever
+//! reason. A rollout halts by itself as soon as it breaks a promise of its plan.
 
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
@@ -12,35 +12,35 @@
 use crate::protocol::roll::{AtMost, Roll, RollState};
 use std::collections::HashMap;
 
-/// The machines of a zone.
+/// Machine counts of one zone.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct ZoneCount {
-    /// All of them.
+pub struct ZoneMachineCounts {
+    /// All machines of the zone.
     pub machines: u32,
-    /// Those that are out of use, for whatever reason.
+    /// Machines on which no task may start, for whatever reason.
     pub out_of_use: u32,
 }
 
-/// What a step follows from.
+/// The state of the fleet on which the next step of a rollout depends.
 #[derive(Debug, Default)]
 pub struct FleetView {
     /// Time of day in milliseconds.
     pub now_ms: u64,
     /// Zone of each machine of the shard.
     pub zones: HashMap<String, String>,
-    /// Machines of each zone.
-    pub counts: HashMap<String, ZoneCount>,
-    /// Machines that were restarted since they were drained and are heard of.
+    /// Machine counts of each zone.
+    pub counts: HashMap<String, ZoneMachineCounts>,
+    /// Machines that have restarted since they were drained and send heartbeats again.
     pub restarted: Vec<String>,
-    /// Jobs whose objectives are out of reach now.
+    /// Number of unfinished jobs that cannot meet any of their objectives any more.
     pub late_jobs: u32,
-    /// All drains, each with its version.
+    /// All drains by machine name, each with the version of its record.
     pub drains: HashMap<String, (Drain, u64)>,
 }
 
 impl FleetView {
     /// The drains that this rollout ordered.
-    fn drains_of(&self, rollout: &Roll) -> Vec<&Drain> {
+    fn drains_ordered_by(&self, rollout: &Roll) -> Vec<&Drain> {
         self.drains
             .values()
             .map(|(drain, _)| drain)
@@ -53,7 +53,7 @@
     }
 }
 
-/// What is to be written: the rollout, and drains that begin and end.
+/// The records that a step writes: the rollout and the drains that begin and end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutStep {
     /// The rollout's new record.
@@ -64,7 +64,7 @@
     pub end: Vec<String>,
 }
 
-/// How many of a zone's machines may be out of use at once.
+/// How many machines of a zone with this many machines may be out of use at once.
 fn max_out_of_use(at_most: AtMost, machines: u32) -> u32 {
     match at_most {
         AtMost::Machines(n) => n,
@@ -72,9 +72,9 @@
     }
 }
 
-/// Why the rollout must halt, if it must: more jobs are late than its plan promised, or
-/// one of its machines takes longer than promised.
-fn halt_reason(rollout: &Roll, fleet: &FleetView, own: &[&Drain]) -> Option<String> {
+/// Why the rollout must halt: more jobs are late, or one of its machines takes longer, than its
+/// plan promised. `None` if all promises hold.
+fn halt_reason(rollout: &Roll, fleet: &FleetView, rollout_drains: &[&Drain]) -> Option<String> {
     let promise = &rollout.promise;
     let late_before = rollout.late_before.unwrap_or(fleet.late_jobs);
     if fleet.late_jobs > late_before + promise.late {
@@ -83,41 +83,47 @@
             fleet.late_jobs, promise.late
         ));
     }
-    own.iter()
+    rollout_drains
+        .iter()
         .find_map(|drain| overdue_reason(rollout, fleet, drain))
 }
 
-/// Why the machine of this drain takes longer than promised, if it does.
+/// Describes how the machine of this drain takes longer than promised; `None` if it does not.
 fn overdue_reason(rollout: &Roll, fleet: &FleetView, drain: &Drain) -> Option<String> {
     let promise = &rollout.promise;
     let host = &drain.host;
-    let (since_ms, limit_s, what) = match &drain.drained {
+    let (since_ms, limit_s, missing_state) = match &drain.drained {
         None => (drain.at_ms, promise.step_s, "not drained"),
         Some(_) if fleet.is_restarted(host) => return None,
         Some(drained) => (drained.at_ms, promise.back_s, "not back"),
     };
-    let took_s = fleet.now_ms.saturating_sub(since_ms) as f64 / 1000.0;
-    let limit_s = limit_s.filter(|limit_s| took_s > *limit_s)?;
-    Some(format!("{host} is {what} after {limit_s:.0} s"))
+    let elapsed_s = fleet.now_ms.saturating_sub(since_ms) as f64 / 1000.0;
+    let limit_s = limit_s.filter(|limit_s| elapsed_s > *limit_s)?;
+    Some(format!("{host} is {missing_state} after {limit_s:.0} s"))
 }
 
-/// The next step, at most `room` drains at once; `None` while there is nothing to do.
-pub fn next_step(rollout: &Roll, fleet: &FleetView, room: usize) -> Option<RolloutStep> {
-    let own = fleet.drains_of(rollout);
+/// The next step, which begins and ends at most `max_drain_changes` drains in total; `None` while
+/// there is nothing to do.
+pub fn next_step(
+    rollout: &Roll,
+    fleet: &FleetView,
+    max_drain_changes: usize,
+) -> Option<RolloutStep> {
+    let rollout_drains = fleet.drains_ordered_by(rollout);
     let step = match rollout.state {
         RollState::Halted | RollState::Done => return None,
-        RollState::Back => step_back(rollout, &own, room),
-        RollState::Running => match halt_reason(rollout, fleet, &own) {
-            Some(reason) => return Some(halt(rollout, fleet, reason)),
-            None => step_forward(rollout, fleet, &own, room),
+        RollState::Back => rollback_step(rollout, &rollout_drains, max_drain_changes),
+        RollState::Running => match halt_reason(rollout, fleet, &rollout_drains) {
+            Some(reason) => return Some(halt_step(rollout, fleet, reason)),
+            None => forward_step(rollout, fleet, &rollout_drains, max_drain_changes),
         },
     };
-    let idle = step.begin.is_empty() && step.end.is_empty() && step.rollout == *rollout;
-    (!idle).then_some(step)
+    let changes_nothing = step.begin.is_empty() && step.end.is_empty() && step.rollout == *rollout;
+    (!changes_nothing).then_some(step)
 }
 
-/// Halts the rollout.
-fn halt(rollout: &Roll, fleet: &FleetView, reason: String) -> RolloutStep {
+/// The step that halts the rollout and leaves its drains as they are.
+fn halt_step(rollout: &Roll, fleet: &FleetView, reason: String) -> RolloutStep {
     let mut next = rollout.clone();
     next.late_before.get_or_insert(fleet.late_jobs);
     next.state = RollState::Halted;
@@ -129,34 +135,51 @@
     }
 }
 
-/// Ends the drains of a rollout that is taken back; it is done when none is left.
-fn step_back(rollout: &Roll, own: &[&Drain], room: usize) -> RolloutStep {
+/// The next step of a rollout that is being rolled back: ends its drains. The rollout is done
+/// when none is left.
+fn rollback_step(
+    rollout: &Roll,
+    rollout_drains: &[&Drain],
+    max_drain_changes: usize,
+) -> RolloutStep {
     let mut next = rollout.clone();
-    if own.is_empty() {
+    if rollout_drains.is_empty() {
         next.state = RollState::Done;
     }
-    let end = own.iter().map(|drain| drain.host.clone()).collect();
+    let end = rollout_drains
+        .iter()
+        .map(|drain| drain.host.clone())
+        .collect();
     RolloutStep {
         rollout: next,
         begin: Vec::new(),
-        end: sorted_within(end, room),
+        end: sort_and_truncate(end, max_drain_changes),
     }
 }
 
-/// Ends the drains of machines that are back, and begins the next ones.
-fn step_forward(rollout: &Roll, fleet: &FleetView, own: &[&Drain], room: usize) -> RolloutStep {
+/// The next step of a running rollout: ends the drains of machines that have restarted and begins
+/// the next drains.
+fn forward_step(
+    rollout: &Roll,
+    fleet: &FleetView,
+    rollout_drains: &[&Drain],
+    max_drain_changes: usize,
+) -> RolloutStep {
     let mut next = rollout.clone();
     next.late_before.get_or_insert(fleet.late_jobs);
-    // Those that are back have had their turn, those that the cloud took are no concern
-    // any more.
-    let is_over =
+    // A machine is finished once it has restarted, or if the cloud has removed it.
+    let is_finished =
         |drain: &&&Drain| fleet.is_restarted(&drain.host) || !fleet.zones.contains_key(&drain.host);
-    let over = own.iter().filter(is_over);
-    let end: Vec<String> = over.map(|drain| drain.host.clone()).collect();
-    let begin = take_next_hosts(&mut next, fleet, room.saturating_sub(end.len()));
-    let end = sorted_within(end, room.saturating_sub(begin.len()));
+    let finished = rollout_drains.iter().filter(is_finished);
+    let end: Vec<String> = finished.map(|drain| drain.host.clone()).collect();
+    let begin = take_next_hosts(
+        &mut next,
+        fleet,
+        max_drain_changes.saturating_sub(end.len()),
+    );
+    let end = sort_and_truncate(end, max_drain_changes.saturating_sub(begin.len()));
     let all_begun = next.next >= rollout.hosts.len() && begin.is_empty();
-    if all_begun && own.len() == end.len() {
+    if all_begun && rollout_drains.len() == end.len() {
         next.state = RollState::Done;
     }
     RolloutStep {
@@ -166,11 +189,12 @@
     }
 }
 
-/// Takes the next machines of the rollout, at most so many, as long as their zones can
-/// spare them. Machines that are gone or that somebody else drained are passed over.
+/// Advances the rollout over its next machines and returns those whose drains begin, at most
+/// `max_hosts`. Stops at the first machine whose zone has reached its limit. Machines that no
+/// longer exist or are drained already are skipped.
 fn take_next_hosts(rollout: &mut Roll, fleet: &FleetView, max_hosts: usize) -> Vec<String> {
     let mut hosts = Vec::new();
-    let mut taken: HashMap<&str, u32> = HashMap::new();
+    let mut begun_by_zone: HashMap<&str, u32> = HashMap::new();
     while let Some(host) = rollout.hosts.get(rollout.next) {
         if hosts.len() >= max_hosts {
             break;
@@ -178,12 +202,12 @@
         let zone = fleet.zones.get(host);
         if let Some(zone) = zone.filter(|_| !fleet.drains.contains_key(host)) {
             let count = fleet.counts.get(zone).copied().unwrap_or_default();
-            let taken = taken.entry(zone).or_default();
+            let begun_in_zone = begun_by_zone.entry(zone).or_default();
             let limit = max_out_of_use(rollout.at_most, count.machines);
-            if count.out_of_use + *taken >= limit {
+            if count.out_of_use + *begun_in_zone >= limit {
                 break;
             }
-            *taken += 1;
+            *begun_in_zone += 1;
             hosts.push(host.clone());
         }
         rollout.next += 1;
@@ -191,15 +215,15 @@
     hosts
 }
 
-/// The hosts in order, at most so many but at least one.
-fn sorted_within(mut hosts: Vec<String>, max_hosts: usize) -> Vec<String> {
+/// Sorts the hosts and keeps the first `max_hosts`, but at least one.
+fn sort_and_truncate(mut hosts: Vec<String>, max_hosts: usize) -> Vec<String> {
     hosts.sort();
     hosts.truncate(max_hosts.max(1));
     hosts
 }
 
-/// Machines, given with their zones, in the order of a rollout: zone after zone in turn, so
-/// that one zone that can spare none does not hold up the others for long.
+/// Orders machines, given as pairs of name and zone, for a rollout. The zones alternate, so that
+/// a zone at its limit does not delay the others for long.
 pub fn round_robin_by_zone(machines: &[(String, String)]) -> Vec<String> {
     let mut zones: Vec<(&str, Vec<&str>)> = Vec::new();
     for (host, zone) in machines {
@@ -212,17 +236,17 @@
         hosts.sort();
     }
     zones.sort();
-    let longest = zones.iter().map(|(_, hosts)| hosts.len()).max();
-    let nth = |n: usize| zones.iter().filter_map(move |(_, hosts)| hosts.get(n));
-    (0..longest.unwrap_or(0))
-        .flat_map(nth)
+    let max_zone_len = zones.iter().map(|(_, hosts)| hosts.len()).max();
+    let nth_of_each_zone = |n: usize| zones.iter().filter_map(move |(_, hosts)| hosts.get(n));
+    (0..max_zone_len.unwrap_or(0))
+        .flat_map(nth_of_each_zone)
         .map(std::string::ToString::to_string)
         .collect()
 }
 
 impl Scheduler {
-    /// What rollouts look at; `None` while a takeover goes on: what is out of use then is
-    /// not known, so nothing is to be done.
+    /// The state of the fleet for the rollouts. `None` during a takeover: until all machines are
+    /// accounted for, it is not known which are out of use, so no rollout may take a step.
     pub fn fleet_view(
         &self,
         drains: &HashMap<String, (Drain, u64)>,
@@ -255,7 +279,7 @@
         Some(fleet)
     }
 
-    /// Whether the machine was restarted since it was drained, and is heard of.
+    /// Whether the machine has restarted since it was drained and sends heartbeats again.
     fn is_restarted_since(&self, machine: &Machine, drain: &Drain, now: f64) -> bool {
         let newer_session = drain
             .drained
--- a/src/coordination/fleet/rollout_writer.rs
+++ b/src/coordination/fleet/rollout_writer.rs
@@ -1,5 +1,6 @@
-//! Carries rollouts on: writes each step on condition that the shard is ours, and that
-//! rollout and drains are those it was worked out from.
+//! Carries out rollouts: writes each step in a transaction. The transaction fails if this
+//! controller no longer owns the shard, or if the rollout record or the drain records have
+//! changed since the step was computed.
 
 use super::rollout::{next_step, RolloutStep};
 use crate::coordination::leadership::failover::reread_shard;
@@ -11,36 +12,37 @@
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
-/// Conditions and changes of a step's transaction beside its drains: shard and rollout.
+/// Conditions and changes in a step's transaction that do not concern drains: those on the shard
+/// record and on the rollout record.
 const FIXED_TXN_OPS: usize = 2;
 
-/// A step that is due.
+/// The next step of a rollout, with the version that its transaction depends on.
 struct DueStep {
     step: RolloutStep,
-    /// Version of the rollout's record that it replaces.
+    /// Version of the rollout record that the step replaces.
     rollout_version: u64,
 }
 
-/// The first step that is due. One at a time: what the next one may do depends on what this
-/// one did.
+/// The first step that is due in any rollout. Only one step is taken at a time, because each step
+/// depends on the result of the one before it.
 fn due_step(node: &Node) -> Option<DueStep> {
     let leadership = node.leadership.borrow();
     let scheduler = node.scheduler.borrow();
     let rollouts = &leadership.view.rollouts;
-    let is_moving = |rollout: &Roll| matches!(rollout.state, RollState::Running | RollState::Back);
-    if !rollouts.values().any(|(rollout, _)| is_moving(rollout)) {
+    let is_active = |rollout: &Roll| matches!(rollout.state, RollState::Running | RollState::Back);
+    if !rollouts.values().any(|(rollout, _)| is_active(rollout)) {
         return None;
     }
     let fleet = scheduler
         .as_ref()?
         .fleet_view(&leadership.view.drains, node.now())?;
     let txn_ops = node.settings.cluster.state.txn_ops;
-    let room = txn_ops.saturating_sub(FIXED_TXN_OPS).max(1);
+    let max_drain_changes = txn_ops.saturating_sub(FIXED_TXN_OPS).max(1);
     let mut names: Vec<&String> = rollouts.keys().collect();
     names.sort();
     names.into_iter().find_map(|name| {
         let (rollout, version) = &rollouts[name];
-        let step = next_step(rollout, &fleet, room)?;
+        let step = next_step(rollout, &fleet, max_drain_changes)?;
         Some(DueStep {
             step,
             rollout_version: *version,
@@ -48,7 +50,7 @@
     })
 }
 
-/// The drain that the rollout orders for a machine.
+/// The drain record that the rollout writes for a machine.
 fn ordered_drain(rollout: &Roll, host: &str, now_ms: u64) -> Drain {
     Drain {
         host: host.into(),
@@ -63,7 +65,8 @@
     }
 }
 
-/// The transaction that writes the step if all that it was worked out from still holds.
+/// The transaction that writes the step, on condition that no record on which it is based has
+/// changed.
 fn step_txn(node: &Node, due: &DueStep, shard_version: u64) -> Txn {
     let DueStep {
         step,
@@ -91,10 +94,10 @@
     txn
 }
 
-/// Carries the rollouts one step on.
+/// Takes the next step of the rollouts, if one is due and this controller is certain to lead.
 pub async fn advance_rollouts(node: &Rc<Node>) {
-    let behind = node.leadership.borrow().view.revision < node.last_rollout_revision.get();
-    if behind || !node.is_certain_leader() {
+    let view_is_stale = node.leadership.borrow().view.revision < node.last_rollout_revision.get();
+    if view_is_stale || !node.is_certain_leader() {
         return;
     }
     let Some(shard_version) = node.leadership.borrow().own_shard_version() else {
@@ -112,8 +115,8 @@
                 end,
             } = &due.step;
             tracing::info!(roll = %rollout.name, state = ?rollout.state, reason = %rollout.reason, ?begin, ?end, "rollout step");
-            // Until the watch has shown it nothing more is worked out: what is
-            // known here does not count those machines as out of use yet.
+            // No further step is computed until the watch has delivered this one: before that,
+            // the machines that it drains do not count as out of use.
             node.last_rollout_revision.set(revision);
         }
         Err(ServiceError::Conflict(_)) => reread_shard(node).await,
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -1,6 +1,6 @@
-//! Scaling in: which machines to return to the cloud. Pure code.
+//! Scaling in: decides which machines to return to the cloud. Pure functions.
 //!
-//! Only the cloud's confirmation proves a returned machine gone. A machine that an
+//! Only the cloud's confirmation proves that a returned machine is gone. A machine that an
 //! operator cordoned is never returned for being silent or idle.
 
 use super::scale_out::boot_s;
@@ -10,16 +10,17 @@
 use crate::protocol::cloud::{Listed, ListedState};
 use crate::protocol::policy::Policy;
 
-/// A machine that boots for longer than so many times its usual boot time is returned. Up
-/// to 1.5 times is usual; some take several times as long.
-const MAX_BOOT_TIMES: f64 = 4.0;
-/// A retired machine may save its tasks for so long, in seconds.
+/// A machine that has been booting for longer than this many times the boot time of its type is
+/// returned. Up to 1.5 times is usual; some machines take several times as long.
+const BROKEN_AFTER_BOOT_TIMES: f64 = 4.0;
+/// Time that the tasks of a retired machine have to save their work, in seconds.
 const MAX_RETIREMENT_S: f64 = 60.0;
-/// An expired machine is forgotten when it is missing from the cloud's list and has been
-/// silent for so many times the list's lag.
-const VANISHED_LIST_LAGS: f64 = 4.0;
+/// An expired machine is removed when it is missing from the cloud's list and has been silent for
+/// this many times the lag of that list.
+const VANISHED_AFTER_LIST_LAGS: f64 = 4.0;
 
-/// Listed machines that failed, do not come up or were lost for good.
+/// Machines in the cloud's list that failed, took too long to boot, or have been unreachable for
+/// too long.
 pub(super) fn broken_machines(scheduler: &Scheduler, list: &[Listed], now: f64) -> Vec<String> {
     let partitioned_zones = scheduler.partitioned_zones(now);
     let is_broken = |listed: &&Listed| {
@@ -27,10 +28,12 @@
         let boot_s = boot_s(&scheduler.types, &listed.kind);
         match listed.state {
             ListedState::Failed => true,
-            ListedState::Booting => machine.is_none() && listed.age_s > MAX_BOOT_TIMES * boot_s,
+            ListedState::Booting => {
+                machine.is_none() && listed.age_s > BROKEN_AFTER_BOOT_TIMES * boot_s
+            }
             ListedState::Running => machine.is_some_and(|m| {
-                // Past its lease nothing is lost by waiting a while for a partition to
-                // end; after twice a boot a new one would be up.
+                // Once the machine's lease has expired, waiting a while for a partition to end
+                // loses nothing. When this time is over, a replacement would have booted.
                 let max_silence_s = 2.0 * scheduler.config.lease_s + boot_s;
                 is_lost(m, max_silence_s, now)
                     && !m.cordoned
@@ -42,14 +45,15 @@
     broken.map(|listed| listed.id.clone()).collect()
 }
 
-/// Whether the machine expired, or was out of reach of our answers, and has been so for
-/// longer than this: one that hears nobody is as good as silent.
+/// Whether the machine's lease has expired and the machine has been silent for longer than
+/// `max_silence_s`, or whether our replies have not reached it for that long. A machine that
+/// receives no replies is as unusable as a silent one.
 fn is_lost(machine: &Machine, max_silence_s: f64, now: f64) -> bool {
     let silent = machine.status == MachineStatus::Expired && now - machine.heard_at > max_silence_s;
     silent || machine.is_unreachable(now, max_silence_s)
 }
 
-/// Expired machines that the cloud does not list any more.
+/// Machines with an expired lease that the cloud no longer lists.
 pub(super) fn vanished_machines(
     scheduler: &Scheduler,
     list: &[Listed],
@@ -58,7 +62,7 @@
 ) -> Vec<Name> {
     let has_vanished = |name: &Name, machine: &Machine| {
         machine.status == MachineStatus::Expired
-            && now - machine.heard_at > VANISHED_LIST_LAGS * list_lag_s
+            && now - machine.heard_at > VANISHED_AFTER_LIST_LAGS * list_lag_s
             && !list.iter().any(|listed| listed.id == **name)
     };
     let machines = scheduler.machines.iter();
@@ -68,7 +72,7 @@
         .collect()
 }
 
-/// Retired machines that are empty, or had their time to save.
+/// Retired machines that are empty or whose time to save work is over.
 pub(super) fn retired_machines(scheduler: &Scheduler, now: f64) -> Vec<String> {
     let is_ready = |machine: &Machine| {
         let empty = machine.live_attempts().next().is_none();
@@ -82,19 +86,20 @@
         .collect()
 }
 
-/// One machine that has been idle for long while nothing waits and much is free.
+/// A machine that has been idle for longer than the policy allows. `None` if any task waits or if
+/// the free capacity is less than twice the headroom.
 pub(super) fn idle_machine(scheduler: &Scheduler, policy: &Policy, now: f64) -> Option<Name> {
     let in_use = |m: &Machine| m.status == MachineStatus::Up && !m.cordoned;
     let used_cpus: f64 = scheduler.usage().cpus();
-    let anything_waits = scheduler.jobs.values().any(|job| job.waiting_tasks() > 0);
-    let have_cpus: f64 = scheduler
+    let any_task_waits = scheduler.jobs.values().any(|job| job.waiting_tasks() > 0);
+    let provisioned_cpus: f64 = scheduler
         .machines
         .values()
         .filter(|m| in_use(m))
         .filter_map(|m| scheduler.types.get(&m.info.kind))
         .map(|t| t.cpus)
         .sum();
-    if anything_waits || used_cpus * (1.0 + 2.0 * policy.headroom) > have_cpus {
+    if any_task_waits || used_cpus * (1.0 + 2.0 * policy.headroom) > provisioned_cpus {
         return None;
     }
     let is_idle = |m: &Machine| {
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scaling out: what machines are wanted beyond those there are. Pure code.
+//! Scaling out: decides which machines to rent in addition to the present ones. Pure functions.
 
 use crate::coordination::scheduler::machine::MachineStatus;
 use crate::coordination::scheduler::state::{Scheduler, Types};
@@ -7,17 +7,18 @@
 use crate::storage::records::{fits_type, MachineInfo};
 use std::rc::Rc;
 
-/// Boot time of a machine whose type is not known, in seconds.
+/// Assumed boot time of a machine of an unknown type, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
-/// How much longer a spot machine may boot before an ordinary one is preferred: ordinary
-/// machines stay.
-const SPOT_PENALTY: f64 = 1.2;
-/// Machines of one offer asked for at once.
+/// Factor on the boot time of spot machines when offers are compared. An ordinary machine is
+/// preferred unless it boots longer by more than this factor, because the cloud does not take it
+/// away.
+const SPOT_BOOT_PENALTY: f64 = 1.2;
+/// Most machines of one offer that are requested at once.
 const MAX_MACHINES_PER_OFFER: f64 = 50.0;
-/// Fewest CPUs that a machine counts for.
+/// Lower bound for the CPUs of a machine, which guards against a division by zero.
 const MIN_MACHINE_CPUS: f64 = 0.1;
 
-/// What the cloud rents: machines of a type in a zone, spot or not.
+/// A kind of machine that the cloud rents: a machine type in a zone, spot or ordinary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Offer {
     /// The machine type's name.
@@ -28,40 +29,40 @@
     pub spot: bool,
 }
 
-/// A job with tasks that wait for room.
+/// A job with tasks that have not been placed.
 #[derive(Debug)]
 pub struct WaitingJob {
-    /// What each task needs.
+    /// The job's specification, with the resources that each task needs.
     pub spec: Rc<JobSpec>,
-    /// How many of its tasks wait.
+    /// Number of its tasks that have not been placed.
     pub tasks: u32,
 }
 
-/// What waits and what there is.
+/// The resources that jobs need, compared with those of the fleet.
 #[derive(Debug, Default)]
 pub struct Demand {
-    /// Jobs with tasks waiting.
+    /// Jobs with tasks that have not been placed.
     pub waiting: Vec<WaitingJob>,
-    /// CPUs of the machines up or on their way.
-    pub have_cpus: f64,
-    /// CPUs in use.
+    /// CPUs of all machines that are up or booting.
+    pub provisioned_cpus: f64,
+    /// CPUs in use by all teams.
     pub used_cpus: f64,
 }
 
-/// Machines to ask the cloud for.
+/// Machines of one offer to request from the cloud.
 #[derive(Debug, PartialEq)]
 pub struct RentalPlan {
-    /// What to ask for.
+    /// The offer to request.
     pub offer: Offer,
-    /// How many machines of it.
+    /// Number of machines to request.
     pub count: u32,
 }
 
 /// An offer that serves the demand.
 struct Candidate {
     offer: Offer,
-    /// Boot time with the penalty of spot machines, in seconds; lower is better.
-    cost_s: f64,
+    /// Boot time, including the penalty for spot machines, in seconds. Lower is better.
+    weighted_boot_s: f64,
     cpus: f64,
 }
 
@@ -71,17 +72,17 @@
 }
 
 impl Demand {
-    /// The demand of this scheduler's jobs, given machines that boot and zones that do not
-    /// count since they are cut off.
+    /// The demand of this scheduler's jobs. Machines in `booting` count as present, machines in
+    /// `partitioned_zones` do not, because they cannot be reached.
     pub fn of<'a>(
         scheduler: &'a Scheduler,
         booting: impl Iterator<Item = &'a MachineInfo>,
         partitioned_zones: &[String],
         now: f64,
     ) -> Demand {
-        let max_doubt_s = scheduler.config.silent_s();
+        let max_silence_s = scheduler.config.silent_s();
         let up = scheduler.machines.values().filter(|m| {
-            m.status == MachineStatus::Up && !m.cordoned && !m.is_unreachable(now, max_doubt_s)
+            m.status == MachineStatus::Up && !m.cordoned && !m.is_unreachable(now, max_silence_s)
         });
         let waiting = scheduler.jobs.values().filter_map(|job| {
             let tasks = job.unplaced_tasks();
@@ -92,7 +93,7 @@
         });
         Demand {
             waiting: waiting.collect(),
-            have_cpus: up
+            provisioned_cpus: up
                 .map(|m| &m.info)
                 .chain(booting)
                 .filter(|info| !partitioned_zones.contains(&info.zone))
@@ -103,18 +104,19 @@
         }
     }
 
-    /// CPUs that are lacking for what runs and waits, with this share of headroom.
-    fn lacking_cpus(&self, headroom: f64) -> f64 {
-        let waiting: f64 = self
+    /// CPUs that are missing to run all placed and waiting tasks, plus `headroom` as a fraction of
+    /// their CPUs.
+    fn missing_cpus(&self, headroom: f64) -> f64 {
+        let waiting_cpus: f64 = self
             .waiting
             .iter()
             .map(|job| job.spec.cpus * f64::from(job.tasks))
             .sum();
-        (self.used_cpus + waiting) * (1.0 + headroom) - self.have_cpus
+        (self.used_cpus + waiting_cpus) * (1.0 + headroom) - self.provisioned_cpus
     }
 
-    /// Whether a machine of the offer is of use to something that waits; with nothing
-    /// waiting the fleet only keeps its headroom, with any type.
+    /// Whether any waiting task could run on a machine of the offer. If no task waits, machines are
+    /// rented only for the headroom, and every type serves.
     fn can_use(&self, offer: &Offer, machine_type: &MachineType) -> bool {
         let fits = |spec: &JobSpec| {
             fits_type(spec, machine_type)
@@ -125,8 +127,8 @@
     }
 }
 
-/// The offers of all types that serve the demand and are `available`, best first: a
-/// shorter boot serves sooner.
+/// The offers of all types that serve the demand and are `available`, sorted by boot time (with
+/// the penalty for spot machines), shortest first.
 fn candidates(
     demand: &Demand,
     types: &Types,
@@ -144,7 +146,8 @@
                 if demand.can_use(&offer, machine_type) && available(&offer) {
                     candidates.push(Candidate {
                         offer,
-                        cost_s: machine_type.boot_s * if spot { SPOT_PENALTY } else { 1.0 },
+                        weighted_boot_s: machine_type.boot_s
+                            * if spot { SPOT_BOOT_PENALTY } else { 1.0 },
                         cpus: machine_type.cpus.max(MIN_MACHINE_CPUS),
                     });
                 }
@@ -152,30 +155,32 @@
         }
     }
     candidates.sort_by(|a, b| {
-        let by_cost = a.cost_s.total_cmp(&b.cost_s);
-        by_cost.then_with(|| a.offer.cmp(&b.offer))
+        let by_boot_time = a.weighted_boot_s.total_cmp(&b.weighted_boot_s);
+        by_boot_time.then_with(|| a.offer.cmp(&b.offer))
     });
     candidates
 }
 
-/// How many machines of which offers to ask for, best first.
+/// The machines to request from the cloud, best offer first, until the missing CPUs are covered.
 pub fn plan(
     demand: &Demand,
     types: &Types,
     headroom: f64,
     available: impl Fn(&Offer) -> bool,
 ) -> Vec<RentalPlan> {
-    let mut lacking = demand.lacking_cpus(headroom);
-    if lacking <= 0.0 {
+    let mut missing_cpus = demand.missing_cpus(headroom);
+    if missing_cpus <= 0.0 {
         return Vec::new();
     }
     let mut plan = Vec::new();
     for Candidate { offer, cpus, .. } in candidates(demand, types, available) {
-        if lacking <= 0.0 {
+        if missing_cpus <= 0.0 {
             break;
         }
-        let count = (lacking / cpus).ceil().clamp(1.0, MAX_MACHINES_PER_OFFER);
-        lacking -= count * cpus;
+        let count = (missing_cpus / cpus)
+            .ceil()
+            .clamp(1.0, MAX_MACHINES_PER_OFFER);
+        missing_cpus -= count * cpus;
         plan.push(RentalPlan {
             offer,
             count: count as u32,
--- a/tests/drain_testbed.rs
+++ b/tests/drain_testbed.rs
@@ -1,6 +1,6 @@
-//! Real controllers on loopback under load: machines drained one after the other by `foxctl`,
-//! while the leader is killed, the state service is unavailable and two operators drain the
-//! same machine.
+//! Tests drains with real controllers on loopback under load. `foxctl` drains machines one after
+//! the other, while the leader is killed, the state service is unavailable, and two operators try
+//! to drain the same machine.
 
 use clap::Parser;
 use foxctl::cli::Cli;
@@ -16,22 +16,24 @@
 
 const JOBS: u64 = 200;
 
-/// One command line of an operator, on a thread of its own: its code and output.
+/// Runs a `foxctl` command line against the controllers `at` on a thread of its own. Returns the
+/// exit code and the output.
 async fn foxctl(at: &str, line: &str) -> (u8, String) {
-    let all = format!("foxctl --at {at} {line}");
-    let ran = tokio::task::spawn_blocking(move || {
-        let cli = Cli::try_parse_from(all.split(' ')).unwrap();
+    let command_line = format!("foxctl --at {at} {line}");
+    let result = tokio::task::spawn_blocking(move || {
+        let cli = Cli::try_parse_from(command_line.split(' ')).unwrap();
         let mut out = Vec::new();
         match foxctl::run::run(&cli, &mut out) {
             Ok(code) => (code, String::from_utf8_lossy(&out).to_string()),
             Err(error) => (error.code(), error.to_string()),
         }
     });
-    ran.await.unwrap()
+    result.await.unwrap()
 }
 
-/// Retries a line until its code is 0: the faults in its way end.
-async fn retry(at: &str, line: &str) {
+/// Repeats a command line until its exit code is 0, because the faults that make it fail end after
+/// a while.
+async fn run_until_ok(at: &str, line: &str) {
     for _ in 0..60 {
         if foxctl(at, line).await.0 == 0 {
             return;
@@ -44,11 +46,11 @@
 fn machine_names(json: &str) -> Vec<String> {
     let value: serde_json::Value = serde_json::from_str(json).unwrap();
     let rows = value["data"].as_array().unwrap().iter();
-    rows.map(|r| r["id"].as_str().unwrap().to_string())
+    rows.map(|row| row["id"].as_str().unwrap().to_string())
         .collect()
 }
 
-/// What the operators do while the load runs.
+/// The commands of the operators while the load runs.
 async fn drain_one_by_one(testbed: &Testbed, at: &str) {
     actix_rt::time::sleep(Duration::from_secs(3)).await;
     assert_eq!(foxctl(at, "drain m-nowhere --why x").await.0, 1);
@@ -59,8 +61,8 @@
         }
         actix_rt::time::sleep(Duration::from_millis(500)).await;
     };
-    // Nothing is recorded while the state service is unavailable, and the answer says so.
-    // The outage lasts far longer than the request takes, also on a slow machine.
+    // While the state service is unavailable nothing is recorded, and the command fails. The outage
+    // lasts far longer than the request takes, even on a slow machine.
     let outage: Fault = "state:6@0".parse().unwrap();
     testbed.schedule(&[outage], 1.0);
     actix_rt::time::sleep(Duration::from_millis(700)).await;
@@ -68,13 +70,13 @@
     assert_eq!(code, 3, "{text}");
     actix_rt::time::sleep(Duration::from_secs(2)).await;
     for (n, host) in machines.iter().take(4).enumerate() {
-        retry(
+        run_until_ok(
             at,
             &format!("drain {host} --why kernel --by one --order o-{n}"),
         )
         .await;
-        // The same order again is one; another operator's is refused.
-        retry(
+        // Repeating the same order changes nothing. An order by another operator is refused.
+        run_until_ok(
             at,
             &format!("drain {host} --why kernel --by one --order o-{n}"),
         )
@@ -85,16 +87,19 @@
             "{code} {text}"
         );
         if n == 1 {
-            // The leader dies between the record and what follows from it.
+            // Kill all controllers, and so the leader, after the drain is recorded and before the
+            // leader has acted on it.
             testbed.schedule(&["kill-all@0".parse().unwrap()], 0.1);
         }
-        retry(at, "drains --check").await;
-        retry(at, &format!("undrain {host}")).await;
+        run_until_ok(at, "drains --check").await;
+        run_until_ok(at, &format!("undrain {host}")).await;
     }
     let (code, _) = foxctl(at, &format!("undrain {}", machines[0])).await;
     assert!(code == 1 || code == 3);
 }
 
+/// Guards against jobs that are lost or run twice, and against drains that never finish, when
+/// machines are drained during an outage of the state service and a restart of the controllers.
 #[test]
 fn machines_are_drained_one_after_the_other_under_load() {
     let mut site = Site::parse(DEFAULT).unwrap();
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -1,5 +1,5 @@
-//! Drains and rollouts: tables of cases for the pure decisions, and the leader's scheduler
-//! with cordoned machines.
+//! Tests of drains and rollouts: tables of cases for the functions that decide, and the leader's
+//! scheduler with cordoned machines.
 
 mod common;
 
@@ -12,7 +12,9 @@
 use foxspur::coordination::fleet::eviction::{
     decide, AttemptOutlook, DrainDecision, Relocation, StopCost,
 };
-use foxspur::coordination::fleet::rollout::{next_step, round_robin_by_zone, FleetView, ZoneCount};
+use foxspur::coordination::fleet::rollout::{
+    next_step, round_robin_by_zone, FleetView, ZoneMachineCounts,
+};
 use foxspur::coordination::leadership::cluster_view::ClusterView;
 use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::admin::{Drain, DrainOrder, DrainState, Drained, Proof, Rest};
@@ -25,7 +27,7 @@
 use foxspur::storage::records;
 use std::collections::HashMap;
 
-fn drain(host: &str, deadline_s: Option<f64>, rest: Rest) -> Drain {
+fn drain_record(host: &str, deadline_s: Option<f64>, rest: Rest) -> Drain {
     Drain {
         host: host.into(),
         order: "o".into(),
@@ -39,13 +41,13 @@
     }
 }
 
-fn wanted(drains: &[Drain]) -> HashMap<String, (Drain, u64)> {
-    let each = drains.iter().map(|d| (d.host.clone(), (d.clone(), 1)));
-    each.collect()
+fn records_by_host(drains: &[Drain]) -> HashMap<String, (Drain, u64)> {
+    let entries = drains.iter().map(|d| (d.host.clone(), (d.clone(), 1)));
+    entries.collect()
 }
 
-/// A scheduler whose machines have all reported under its term.
-fn ready(machines: &[&str]) -> Scheduler {
+/// A scheduler with these machines, all of which have reported under its term.
+fn scheduler_with_reported(machines: &[&str]) -> Scheduler {
     let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, machines);
     for id in machines {
         scheduler.handle_heartbeat(&report(id, 1, 1, 5, &[]), 0.1);
@@ -60,15 +62,19 @@
     }
 }
 
-/// Submits a standard job of the only team.
-fn submit(scheduler: &mut Scheduler, id: &str, tasks: u32, cpus: f64, at: f64) {
-    add(scheduler, spec(id, "t", Urgency::Standard, tasks, cpus), at);
+/// Submits a job of standard urgency for the only team.
+fn submit(scheduler: &mut Scheduler, id: &str, tasks: u32, cpus: f64, at_s: f64) {
+    add(
+        scheduler,
+        spec(id, "t", Urgency::Standard, tasks, cpus),
+        at_s,
+    );
 }
 
-/// Where the first task of `run-1` is placed, and the other one of two machines.
+/// The machine on which the first task of `run-1` is placed, and the other one of `m-0` and `m-1`.
 struct Placement {
     host: String,
-    other: &'static str,
+    other_host: &'static str,
     attempt: u64,
 }
 
@@ -77,18 +83,22 @@
         let (host, attempt) = scheduler.jobs["run-1"].placed[&0].clone();
         Placement {
             host: host.to_string(),
-            other: if &*host == "m-0" { "m-1" } else { "m-0" },
+            other_host: if &*host == "m-0" { "m-1" } else { "m-0" },
             attempt,
         }
     }
 
-    /// The task as a report shows it.
-    fn shown(&self, phase: Phase, cause: Option<Cause>) -> [(&str, u64, Phase, Option<Cause>); 1] {
+    /// The task list of a report that shows the attempt in this phase.
+    fn reported_tasks(
+        &self,
+        phase: Phase,
+        cause: Option<Cause>,
+    ) -> [(&str, u64, Phase, Option<Cause>); 1] {
         [("run-1/0", self.attempt, phase, cause)]
     }
 }
 
-/// Proof that a machine was seen empty in its first session.
+/// Proof that the machine reported itself empty in its first session.
 fn reported_empty(at_ms: u64) -> Drained {
     Drained {
         at_ms,
@@ -98,13 +108,13 @@
     }
 }
 
-/// Guards against work that is stopped for nothing, or kept although the
-/// operator said otherwise.
+/// Guards against attempts that are evicted without need, or that stay on a draining machine
+/// although the operator ordered them to be stopped.
 #[test]
 #[allow(clippy::too_many_lines, reason = "one table of cases")]
 fn drain_decisions() {
-    let plain = AttemptOutlook {
-        endless: false,
+    let base = AttemptOutlook {
+        runs_indefinitely: false,
         ran_s: 40.0,
         predicted_s: 100.0,
         stop_cost: StopCost {
@@ -112,111 +122,111 @@
             grace_s: 0.0,
         },
         rerun_s: 101.0,
-        due_s: [None, None],
+        due_in_s: [None, None],
         until_deadline_s: None,
-        rest: Rest::Leave,
+        at_deadline: Rest::Leave,
         relocation: Relocation::Possible,
     };
-    let short = Some(30.0);
-    let moves = DrainDecision::Moves(plain.stop_cost);
+    let before_predicted_end = Some(30.0);
+    let evicted = DrainDecision::Evict(base.stop_cost);
     let cases = [
-        ("no deadline", plain, DrainDecision::Finishes),
+        ("no deadline", base, DrainDecision::LetFinish),
         (
-            "in time",
+            "ends before the deadline",
             AttemptOutlook {
                 until_deadline_s: Some(60.0),
-                ..plain
+                ..base
             },
-            DrainDecision::Finishes,
+            DrainDecision::LetFinish,
         ),
         (
-            "not in time",
+            "ends after the deadline",
             AttemptOutlook {
-                until_deadline_s: short,
-                ..plain
+                until_deadline_s: before_predicted_end,
+                ..base
             },
-            moves,
+            evicted,
         ),
         (
-            "outran its prediction, so as long again",
+            "ran longer than predicted, so it is expected to take as long again",
             AttemptOutlook {
                 ran_s: 110.0,
                 until_deadline_s: Some(100.0),
-                ..plain
+                ..base
             },
-            moves,
+            evicted,
         ),
         (
-            "a replica",
+            "service replica",
             AttemptOutlook {
-                endless: true,
-                ..plain
+                runs_indefinitely: true,
+                ..base
             },
-            moves,
+            evicted,
         ),
         (
-            "would be late elsewhere",
+            "meets its objective only by staying",
             AttemptOutlook {
-                until_deadline_s: short,
-                due_s: [Some(90.0), None],
-                ..plain
+                until_deadline_s: before_predicted_end,
+                due_in_s: [Some(90.0), None],
+                ..base
             },
-            DrainDecision::Stays("would miss its deadline elsewhere"),
+            DrainDecision::Keep("would miss its deadline elsewhere"),
         ),
         (
-            "one objective is lost either way, the other only elsewhere",
+            "meets only its second objective, and only by staying",
             AttemptOutlook {
-                until_deadline_s: short,
-                due_s: [Some(50.0), Some(95.0)],
-                ..plain
+                until_deadline_s: before_predicted_end,
+                due_in_s: [Some(50.0), Some(95.0)],
+                ..base
             },
-            DrainDecision::Stays("would miss its deadline elsewhere"),
+            DrainDecision::Keep("would miss its deadline elsewhere"),
         ),
         (
-            "late anyway",
+            "misses its objective in any case",
             AttemptOutlook {
-                until_deadline_s: short,
-                due_s: [Some(50.0), None],
-                ..plain
+                until_deadline_s: before_predicted_end,
+                due_in_s: [Some(50.0), None],
+                ..base
             },
-            moves,
+            evicted,
         ),
         (
-            "nothing else may run it",
+            "may run on no other machine",
             AttemptOutlook {
-                until_deadline_s: short,
+                until_deadline_s: before_predicted_end,
                 relocation: Relocation::NotAllowed,
-                ..plain
+                ..base
             },
-            DrainDecision::Stays("no other machine may run it"),
+            DrainDecision::Keep("no other machine may run it"),
         ),
         (
-            "no room now",
+            "no other machine has room",
             AttemptOutlook {
-                until_deadline_s: short,
+                until_deadline_s: before_predicted_end,
                 relocation: Relocation::NoRoom,
-                ..plain
+                ..base
             },
-            DrainDecision::Stays("waits for room elsewhere"),
+            DrainDecision::Keep("waits for room elsewhere"),
         ),
         (
-            "over, and it may stay",
+            "deadline has passed, and the attempt may stay",
             AttemptOutlook {
                 until_deadline_s: Some(0.0),
                 relocation: Relocation::NotAllowed,
-                ..plain
+                ..base
             },
-            DrainDecision::Stays("no other machine may run it"),
+            DrainDecision::Keep("no other machine may run it"),
         ),
         (
-            "over, and it is to stop",
+            "deadline has passed, and the attempt must stop",
             AttemptOutlook {
                 until_deadline_s: Some(0.0),
-                rest: Rest::Stop,
+                at_deadline: Rest::Stop,
                 relocation: Relocation::NotAllowed,
-                ..plain
+                ..base
             },
-            moves,
+            evicted,
         ),
     ];
     for (name, outlook, expected) in cases {
@@ -224,112 +234,122 @@
     }
 }
 
-/// Guards against tasks that stay bound to the queue of a cordoned machine.
+/// Guards against tasks that stay in the queue of a cordoned machine and so start nowhere.
 #[test]
 fn cordoning_clears_the_machines_queue() {
-    let mut scheduler = ready(&["m-0"]);
+    let mut scheduler = scheduler_with_reported(&["m-0"]);
     submit(&mut scheduler, "run-1", 10, 1.0, 0.0);
     scheduler.place_all(0.2);
     assert_eq!(scheduler.jobs["run-1"].queued.len(), 2);
-    scheduler.set_drains(&wanted(&[drain("m-0", None, Rest::Leave)]));
+    scheduler.set_drains(&records_by_host(&[drain_record("m-0", None, Rest::Leave)]));
     assert!(
         scheduler.jobs["run-1"].queued.is_empty(),
-        "its queue is cleared"
+        "the queue of the cordoned machine is cleared"
     );
 }
 
-/// Guards against a machine that gets work after its drain, and against one that
-/// is called drained before it is proven: while a task runs, while its end is not
-/// recorded, while a start is under way.
+/// Guards against two faults: a cordoned machine gets new tasks, or it counts as drained before it
+/// is proven empty. The latter could happen while a task runs, while the end of a task is not
+/// recorded yet, or while a start command is on its way.
 #[test]
-fn drained_only_once_proven_empty() {
-    let mut scheduler = ready(&["m-0", "m-1"]);
+fn machine_is_drained_only_once_proven_empty() {
+    let mut scheduler = scheduler_with_reported(&["m-0", "m-1"]);
     submit(&mut scheduler, "run-1", 16, 1.0, 0.0);
     scheduler.place_all(0.2);
-    let run: Vec<String> = commands(scheduler.handle_heartbeat(&report("m-0", 1, 2, 5, &[]), 0.3))
-        .iter()
-        .filter_map(|c| match c {
-            Command::Start { task, .. } => Some(task.clone()),
-            _ => None,
-        })
-        .collect();
-    assert!(run.len() >= 2, "{run:?}");
-    let attempt = |scheduler: &Scheduler, task: &str| {
-        let active = &scheduler.machines["m-0"].attempts;
-        active
+    let commanded: Vec<String> =
+        commands(scheduler.handle_heartbeat(&report("m-0", 1, 2, 5, &[]), 0.3))
+            .iter()
+            .filter_map(|command| match command {
+                Command::Start { task, .. } => Some(task.clone()),
+                _ => None,
+            })
+            .collect();
+    assert!(commanded.len() >= 2, "{commanded:?}");
+    let attempt_number = |scheduler: &Scheduler, task: &str| {
+        let attempts = &scheduler.machines["m-0"].attempts;
+        attempts
             .keys()
             .find(|id| id.task.wire() == task)
             .unwrap()
             .number
     };
-    scheduler.set_drains(&wanted(&[drain("m-0", None, Rest::Leave)]));
+    scheduler.set_drains(&records_by_host(&[drain_record("m-0", None, Rest::Leave)]));
     assert!(
         scheduler.machines["m-0"].queue.is_empty(),
-        "its queue is cleared"
+        "the queue of the cordoned machine is cleared"
+    );
+    // The machine reports only the first of the tasks that it was told to start. The others must
+    // not start later.
+    let (task, number) = (
+        commanded[0].as_str(),
+        attempt_number(&scheduler, &commanded[0]),
     );
-    // One was started, the others never were: they must not come later.
-    let one = (run[0].as_str(), attempt(&scheduler, &run[0]));
-    let shown = |phase, cause| [(one.0, one.1, phase, cause)];
-    let running = shown(Phase::Running, None);
+    let reported_tasks = |phase, cause| [(task, number, phase, cause)];
+    let running = reported_tasks(Phase::Running, None);
     scheduler.handle_heartbeat(&report("m-0", 1, 3, 5, &running), 1.0);
     scheduler.place_all(1.1);
     assert_eq!(scheduler.machines["m-0"].live_attempts().count(), 1);
     assert!(scheduler.proven_drains(0, 9).is_empty(), "a task runs");
-    let done = shown(Phase::Exited, Some(Cause::Done));
+    let done = reported_tasks(Phase::Exited, Some(Cause::Done));
     scheduler.handle_heartbeat(&report("m-0", 1, 4, 5, &done), 2.0);
     assert!(
         scheduler.proven_drains(0, 9).is_empty(),
-        "its end is not recorded"
+        "the end of the task is not recorded"
     );
-    let marks = scheduler.jobs["run-1"].completed.clone();
-    scheduler.completions_written("run-1", &marks, 2);
-    let answer = commands(scheduler.handle_heartbeat(&report("m-0", 1, 5, 5, &done), 3.0));
-    assert!(matches!(answer[..], [Command::Forget { .. }]), "{answer:?}");
+    let completed = scheduler.jobs["run-1"].completed.clone();
+    scheduler.completions_written("run-1", &completed, 2);
+    let reply = commands(scheduler.handle_heartbeat(&report("m-0", 1, 5, 5, &done), 3.0));
+    assert!(matches!(reply[..], [Command::Forget { .. }]), "{reply:?}");
     scheduler.handle_heartbeat(&report("m-0", 1, 6, 5, &[]), 4.0);
     scheduler.place_all(4.1);
     let proven = scheduler.proven_drains(9000, 9);
     let proof = reported_empty(9000);
     assert_eq!(proven.len(), 1);
     assert_eq!(proven[0].0.drained, Some(proof));
-    let known = HashMap::from([("m-0".to_string(), (proven[0].0.clone(), 2))]);
-    scheduler.set_drains(&known);
+    let recorded = HashMap::from([("m-0".to_string(), (proven[0].0.clone(), 2))]);
+    scheduler.set_drains(&recorded);
     assert_eq!(scheduler.drain_rows(5.0)[0].state, DrainState::Drained);
-    // Back in use: it takes tasks again.
+    // The drain ends: tasks start on the machine again.
     scheduler.set_drains(&HashMap::new());
     scheduler.handle_heartbeat(&report("m-0", 1, 7, 5, &[]), 5.0);
     scheduler.place_all(5.1);
     assert!(scheduler.machines["m-0"].live_attempts().count() > 0);
 }
 
-/// A draining machine's job ends after it was started
-/// elsewhere. The fence decides: it starts elsewhere only when its machine is
-/// proven empty, and what that one says later changes nothing.
+/// Guards against a task that runs or completes twice. A draining machine hangs, its task is
+/// started on another machine, and then the first machine reports the task as done. The task may
+/// start elsewhere only after the first machine is proven empty, and the late report must change
+/// nothing.
 #[test]
 fn late_completion_after_a_restart_elsewhere_is_ignored() {
-    let mut scheduler = ready(&["m-0", "m-1"]);
+    let mut scheduler = scheduler_with_reported(&["m-0", "m-1"]);
     submit(&mut scheduler, "run-1", 1, 8.0, 0.0);
     scheduler.place_all(0.2);
     let placement = Placement::of(&scheduler);
-    let (host, other) = (placement.host.as_str(), placement.other);
-    let running = placement.shown(Phase::Running, None);
+    let (host, other_host) = (placement.host.as_str(), placement.other_host);
+    let running = placement.reported_tasks(Phase::Running, None);
     scheduler.handle_heartbeat(&report(host, 1, 2, 5, &running), 0.5);
-    scheduler.set_drains(&wanted(&[drain(host, Some(1.0), Rest::Stop)]));
-    // It hangs: the stop is sent, no answer comes.
+    scheduler.set_drains(&records_by_host(&[drain_record(
+        host,
+        Some(1.0),
+        Rest::Stop,
+    )]));
+    // The machine hangs: it does not answer the stop command.
     for n in 0..9 {
         let now = 1.5 + f64::from(n);
-        scheduler.handle_heartbeat(&report(other, 1, 2 + n as u64, 5, &[]), now);
+        scheduler.handle_heartbeat(&report(other_host, 1, 2 + n as u64, 5, &[]), now);
         scheduler.tick(now, now);
         scheduler.place_all(now);
         assert_eq!(
             *scheduler.jobs["run-1"].placed[&0].0, *host,
-            "not elsewhere at {now}"
+            "the task was started elsewhere at {now} s"
         );
         assert!(scheduler.proven_drains(0, 9).is_empty());
     }
-    scheduler.handle_heartbeat(&report(other, 1, 20, 5, &[]), 12.0);
+    scheduler.handle_heartbeat(&report(other_host, 1, 20, 5, &[]), 12.0);
     scheduler.tick(12.0, 12.0);
     scheduler.place_all(12.0);
-    assert_eq!(*scheduler.jobs["run-1"].placed[&0].0, *other);
+    assert_eq!(*scheduler.jobs["run-1"].placed[&0].0, *other_host);
     assert_eq!(
         scheduler.proven_drains(0, 9)[0]
             .0
@@ -339,22 +359,25 @@
             .proof,
         Proof::LeaseOver
     );
-    // It wakes with the same session and says that it is done.
-    let done = placement.shown(Phase::Exited, Some(Cause::Done));
-    let late = scheduler.handle_heartbeat(&report(host, 1, 3, 5, &done), 12.5);
-    assert!(matches!(late, HeartbeatReply::Refuse), "{late:?}");
+    // The machine resumes in the same session and reports the task as done.
+    let done = placement.reported_tasks(Phase::Exited, Some(Cause::Done));
+    let late_reply = scheduler.handle_heartbeat(&report(host, 1, 3, 5, &done), 12.5);
+    assert!(
+        matches!(late_reply, HeartbeatReply::Refuse),
+        "{late_reply:?}"
+    );
     assert!(scheduler.jobs["run-1"].completed.is_empty());
-    let second = Placement::of(&scheduler);
-    assert!(second.attempt > placement.attempt);
-    let done = second.shown(Phase::Exited, Some(Cause::Done));
-    scheduler.handle_heartbeat(&report(other, 1, 21, 5, &done), 13.0);
+    let second_placement = Placement::of(&scheduler);
+    assert!(second_placement.attempt > placement.attempt);
+    let done = second_placement.reported_tasks(Phase::Exited, Some(Cause::Done));
+    scheduler.handle_heartbeat(&report(other_host, 1, 21, 5, &done), 13.0);
     assert_eq!(scheduler.jobs["run-1"].completed.len(), 1);
 }
 
-/// Guards against a takeover that waits for a machine that was switched off after
-/// it was drained, and against one that does not wait for a drain under way.
+/// Guards against two faults of a takeover: it waits for a machine that was drained and then
+/// switched off, or it does not wait for a machine whose drain is not finished.
 #[test]
-fn takeover_reads_the_drains() {
+fn takeover_waits_only_for_machines_that_are_not_drained() {
     for (proven, opens) in [(true, true), (false, false)] {
         let mut scheduler = Scheduler::new(
             scheduler_config(vec![team("t", 0.0, 0.0)]),
@@ -363,9 +386,9 @@
             7,
         );
         scheduler.set_types(&types());
-        let mut cordoned = drain("m-1", None, Rest::Leave);
+        let mut cordoned = drain_record("m-1", None, Rest::Leave);
         cordoned.drained = proven.then_some(reported_empty(0));
-        scheduler.set_drains(&wanted(&[cordoned]));
+        scheduler.set_drains(&records_by_host(&[cordoned]));
         for id in ["m-0", "m-1"] {
             scheduler.add_recorded_machine(machine(id, "a", false), 0.0);
         }
@@ -373,7 +396,7 @@
         scheduler.handle_heartbeat(&report("m-0", 1, 1, 6, &[]), 0.5);
         scheduler.place_all(0.6);
         assert_eq!(scheduler.fence.open, opens, "proven: {proven}");
-        // Silent for long: not given back as long as its drain stands.
+        // The machine stays silent. It is returned to the cloud only if it was not drained.
         for n in 2..9 {
             scheduler.handle_heartbeat(&report("m-0", 1, n, 6, &[]), n as f64);
             scheduler.tick(n as f64, n as f64);
@@ -394,31 +417,32 @@
         assert!(scheduler.fence.open);
         assert!(
             scheduler.machines["m-1"].attempts.is_empty(),
-            "cordoned from the start"
+            "no task starts on the cordoned machine"
         );
     }
 }
 
-/// Guards against drains that stop what they should not: of all machines, of one
-/// with a replica, with a notice, while another one fails.
+/// Guards against drains that stop a service replica when they should not: while all machines are
+/// cordoned, when the cloud announces that it takes the machine back, or while another machine
+/// fails.
 #[test]
-fn drain_of_a_service_with_nowhere_to_go() {
-    let mut scheduler = ready(&["m-0", "m-1"]);
+fn service_replica_is_moved_only_when_another_machine_can_run_it() {
+    let mut scheduler = scheduler_with_reported(&["m-0", "m-1"]);
     let mut service = spec("run-1", "t", Urgency::Prod, 1, 2.0);
     service.shape = Shape::Service;
     service.estimate_s = 0.0;
     add(&mut scheduler, service, 0.0);
     scheduler.place_all(0.2);
     let placement = Placement::of(&scheduler);
-    let (host, other) = (placement.host.as_str(), placement.other);
-    let running = placement.shown(Phase::Running, None);
+    let (host, other_host) = (placement.host.as_str(), placement.other_host);
+    let running = placement.reported_tasks(Phase::Running, None);
     scheduler.handle_heartbeat(&report(host, 1, 2, 5, &running), 0.5);
-    // Everything is drained: the replica has nowhere to go and stays.
-    let all = wanted(&[
-        drain("m-0", None, Rest::Leave),
-        drain("m-1", None, Rest::Leave),
+    // Both machines are cordoned: no machine can take the replica, so it stays.
+    let both = records_by_host(&[
+        drain_record("m-0", None, Rest::Leave),
+        drain_record("m-1", None, Rest::Leave),
     ]);
-    scheduler.set_drains(&all);
+    scheduler.set_drains(&both);
     scheduler.tick(1.0, 1.0);
     let row = scheduler
         .drain_rows(1.0)
@@ -442,37 +466,36 @@
         .why
         .clone();
     assert_eq!(why, "every machine that it may use is drained");
-    // The other one is back: the replica moves, and starts there only after it is
-    // gone from here. A notice of the cloud meanwhile changes nothing.
-    scheduler.set_drains(&wanted(&[drain(host, None, Rest::Leave)]));
-    scheduler.handle_heartbeat(&report(other, 1, 2, 5, &[]), 1.5);
+    // The drain of the other machine ends: the replica is stopped here, and starts there only
+    // after it has stopped. A notice from the cloud in the meantime changes nothing.
+    scheduler.set_drains(&records_by_host(&[drain_record(host, None, Rest::Leave)]));
+    scheduler.handle_heartbeat(&report(other_host, 1, 2, 5, &[]), 1.5);
     scheduler.place_all(1.6);
     scheduler.tick(1.7, 1.7);
     let mut noticed = report(host, 1, 3, 5, &running);
     noticed.notice_s = Some(30.0);
-    let answer = commands(scheduler.handle_heartbeat(&noticed, 2.0));
-    assert!(matches!(answer[..], [Command::Stop { .. }]), "{answer:?}");
+    let reply = commands(scheduler.handle_heartbeat(&noticed, 2.0));
+    assert!(matches!(reply[..], [Command::Stop { .. }]), "{reply:?}");
     assert_eq!(*scheduler.jobs["run-1"].placed[&0].0, *host);
-    let stopped = placement.shown(Phase::Exited, Some(Cause::Stopped));
+    let stopped = placement.reported_tasks(Phase::Exited, Some(Cause::Stopped));
     scheduler.handle_heartbeat(&report(host, 1, 4, 5, &stopped), 2.5);
     scheduler.place_all(2.6);
-    assert_eq!(*scheduler.jobs["run-1"].placed[&0].0, *other);
-    // The cloud takes the drained machine away: its drain says so.
+    assert_eq!(*scheduler.jobs["run-1"].placed[&0].0, *other_host);
+    // The cloud removes the draining machine: the state of the drain is then "gone".
     scheduler.remove_machine(host);
     assert_eq!(scheduler.drain_rows(3.0)[0].state, DrainState::Gone);
-    // Undrained while something moves, then the second one fails: what it had is
-    // on until the lease is over, as ever.
+    // The drain ends, then the second machine fails. The task counts as placed there until the
+    // machine's lease has expired, as without a drain.
     scheduler.set_drains(&HashMap::new());
     scheduler.tick(13.0, 13.0);
     scheduler.place_all(13.1);
     assert!(scheduler.jobs["run-1"].placed.is_empty());
 }
 
-/// Guards against orders that are taken although they make no sense; the answer
-/// names the field.
+/// Guards against invalid drain orders being accepted. The error names the invalid field.
 #[test]
 fn drain_orders_are_validated() {
-    let plain = DrainOrder {
+    let valid = DrainOrder {
         order: "o-1".into(),
         hosts: vec!["m-0".into()],
         by: "someone".into(),
@@ -481,9 +504,9 @@
         rest: Rest::Leave,
         term: None,
     };
-    assert!(check(&plain).is_ok());
-    type Spoil = fn(&mut DrainOrder);
-    let cases: [(&str, Spoil); 8] = [
+    assert!(check(&valid).is_ok());
+    type Invalidate = fn(&mut DrainOrder);
+    let cases: [(&str, Invalidate); 8] = [
         ("order", |o| o.order = String::new()),
         ("by", |o| o.by = " ".into()),
         ("why", |o| o.why = String::new()),
@@ -493,9 +516,9 @@
         ("hosts", |o| o.hosts = vec!["a b".into()]),
         ("hosts", |o| o.hosts = vec!["../share/0".into()]),
     ];
-    for (field, spoil) in cases {
-        let mut order = plain.clone();
-        spoil(&mut order);
+    for (field, invalidate) in cases {
+        let mut order = valid.clone();
+        invalidate(&mut order);
         match check(&order) {
             Err(OrderError::InvalidField { field: named, .. }) => assert_eq!(named, field),
             other => panic!("{field}: {other:?}"),
@@ -503,10 +526,10 @@
     }
 }
 
-/// The same for rollouts.
+/// Guards against invalid rollout orders being accepted. The error names the invalid field.
 #[test]
 fn rollout_orders_are_validated() {
-    let rollout_order = RollOrder {
+    let valid = RollOrder {
         name: "kernel".into(),
         by: "someone".into(),
         why: "a new kernel".into(),
@@ -519,18 +542,18 @@
         deadline_s: None,
         promise: Promise::default(),
     };
-    assert!(rollouts::check(&rollout_order).is_ok());
-    type SpoilRollout = fn(&mut RollOrder);
-    let cases: [(&str, SpoilRollout); 5] = [
+    assert!(rollouts::check(&valid).is_ok());
+    type InvalidateRollout = fn(&mut RollOrder);
+    let cases: [(&str, InvalidateRollout); 5] = [
         ("name", |o| o.name = "a/b".into()),
         ("at_most", |o| o.at_most = AtMost::Machines(0)),
         ("at_most", |o| o.at_most = AtMost::Share(1.5)),
         ("promise.step_s", |o| o.promise.step_s = Some(-1.0)),
         ("among", |o| o.among = Among::default()),
     ];
-    for (field, spoil) in cases {
-        let mut order = rollout_order.clone();
-        spoil(&mut order);
+    for (field, invalidate) in cases {
+        let mut order = valid.clone();
+        invalidate(&mut order);
         match rollouts::check(&order) {
             Err(OrderError::InvalidField { field: named, .. }) => assert_eq!(named, field),
             other => panic!("{field}: {other:?}"),
@@ -538,57 +561,58 @@
     }
 }
 
-/// Guards against drains that come back for good or are forgotten: a list that was
-/// read before the watch told of an end, a version that comes late.
+/// Guards against drains that reappear after their end or are lost, because updates arrive out of
+/// order: a list is read before the watch reports the end of a drain, or an old version of a record
+/// arrives late.
 #[test]
-fn drain_updates_in_any_order() {
+fn drain_updates_apply_in_any_order() {
     let entry = |version: u64| Entry {
         key: records::drain_key("m-0"),
-        value: serde_json::value::to_raw_value(&drain("m-0", None, Rest::Leave)).unwrap(),
+        value: serde_json::value::to_raw_value(&drain_record("m-0", None, Rest::Leave)).unwrap(),
         version,
     };
     type Change = fn(&mut ClusterView, Entry, Entry);
     let cases: [(&str, Change, Option<u64>); 6] = [
-        ("told once", |v, old, _| v.apply_entry(&old), Some(3)),
+        ("one update", |view, old, _| view.apply_entry(&old), Some(3)),
         (
-            "an old version late",
-            |v, old, new| {
-                v.apply_entry(&new);
-                v.apply_entry(&old);
+            "an old version arrives late",
+            |view, old, new| {
+                view.apply_entry(&new);
+                view.apply_entry(&old);
             },
             Some(5),
         ),
         (
-            "ended",
-            |v, old, _| {
-                v.apply_entry(&old);
-                v.apply_deletion(&old.key, 6);
+            "the drain has ended",
+            |view, old, _| {
+                view.apply_entry(&old);
+                view.apply_deletion(&old.key, 6);
             },
             None,
         ),
         (
-            "an older one ended",
-            |v, _, new| {
-                v.apply_entry(&new);
-                v.apply_deletion(&new.key, 4);
+            "an older drain has ended",
+            |view, _, new| {
+                view.apply_entry(&new);
+                view.apply_deletion(&new.key, 4);
             },
             Some(5),
         ),
         (
-            "a list from before its end, read after it",
-            |v, old, _| {
-                v.apply_entry(&old);
-                v.apply_deletion(&old.key, 6);
-                v.advance_to(6);
-                v.apply_drain_listing(&[old], 4);
+            "a list from before the end of the drain is applied after it",
+            |view, old, _| {
+                view.apply_entry(&old);
+                view.apply_deletion(&old.key, 6);
+                view.advance_to(6);
+                view.apply_drain_listing(&[old], 4);
             },
             None,
         ),
         (
-            "a list without it",
-            |v, old, _| {
-                v.apply_entry(&old);
-                v.apply_drain_listing(&[], 9);
+            "a list without the drain",
+            |view, old, _| {
+                view.apply_entry(&old);
+                view.apply_drain_listing(&[], 9);
             },
             None,
         ),
@@ -598,13 +622,13 @@
         change(&mut view, entry(3), entry(5));
         assert_eq!(view.drains.get("m-0").map(|d| d.1), expected, "{name}");
     }
-    // A record that cannot be read cordons its machine, which is never called drained.
+    // A record that cannot be parsed cordons its machine, but never counts as drained.
     let mut view = ClusterView::default();
     view.apply_entry(&Entry {
         value: serde_json::value::to_raw_value(&7).unwrap(),
         ..entry(3)
     });
-    let mut scheduler = ready(&["m-0"]);
+    let mut scheduler = scheduler_with_reported(&["m-0"]);
     scheduler.handle_heartbeat(&report("m-0", 1, 2, 5, &[]), 0.5);
     scheduler.place_all(0.6);
     scheduler.set_drains(&view.drains);
@@ -633,7 +657,7 @@
     }
 }
 
-/// Six machines, three in each zone, of which so many are out of use.
+/// A fleet of six machines, three in each of two zones, with this many out of use in each zone.
 fn fleet_view(out_of_use: [u32; 2]) -> FleetView {
     let zone = |n: usize| if n < 3 { "a" } else { "b" };
     FleetView {
@@ -645,7 +669,7 @@
             .into_iter()
             .zip(out_of_use)
             .map(|(zone, out_of_use)| {
-                let count = ZoneCount {
+                let count = ZoneMachineCounts {
                     machines: 3,
                     out_of_use,
                 };
@@ -656,16 +680,19 @@
     }
 }
 
-/// What a step of a rollout of four machines, one of each zone at once, comes to.
+/// A case for the next step of a rollout that drains one machine of each zone at a time.
 struct RolloutCase<'a> {
     name: &'a str,
     /// Machines out of use in each zone.
     out_of_use: [u32; 2],
     drains: Vec<(String, (Drain, u64))>,
-    /// What else differs.
+    /// Further changes to the rollout and the fleet before the step.
     change: fn(&mut Roll, &mut FleetView),
+    /// Machines whose drains are expected to begin.
     begin: &'a [&'a str],
+    /// Machines whose drains are expected to end.
     end: &'a [&'a str],
+    /// Expected state of the rollout after the step.
     state: RollState,
 }
 
@@ -677,12 +704,12 @@
         fleet.drains = self.drains.into_iter().collect();
         (self.change)(&mut rollout, &mut fleet);
         match next_step(&rollout, &fleet, 20) {
-            Some(next) => {
-                let reason = &next.rollout.reason;
+            Some(step) => {
+                let reason = &step.rollout.reason;
                 let halted = self.state == RollState::Halted;
-                assert_eq!(next.begin, self.begin, "{name}");
-                assert_eq!(next.end, self.end, "{name}");
-                assert_eq!(next.rollout.state, self.state, "{name}: {reason}");
+                assert_eq!(step.begin, self.begin, "{name}");
+                assert_eq!(step.end, self.end, "{name}");
+                assert_eq!(step.rollout.state, self.state, "{name}: {reason}");
                 assert_eq!(reason.is_empty(), !halted, "{name}");
             }
             None => assert!(
@@ -693,26 +720,26 @@
     }
 }
 
-/// Guards against a rollout that takes more of a zone than it may, goes on although
-/// its promise is broken, or never ends.
+/// Guards against a rollout that drains more machines of a zone than its limit allows, continues
+/// although a promise of its plan is broken, or never ends.
 #[test]
 #[allow(clippy::too_many_lines, reason = "one table of cases")]
 fn rollout_steps() {
     let hosts = ["m-0", "m-3", "m-1", "m-4"];
-    let own = |host: &str, at_ms: u64, drained_ms: Option<u64>| {
-        let drained = drained_ms.map(reported_empty);
+    let rollout_drain = |host: &str, at_ms: u64, drained_at_ms: Option<u64>| {
+        let drained = drained_at_ms.map(reported_empty);
         let drain = Drain {
             at_ms,
             drained,
             roll: Some("kernel".into()),
-            ..drain(host, None, Rest::Leave)
+            ..drain_record(host, None, Rest::Leave)
         };
         (host.to_string(), (drain, 3))
     };
     use RollState::{Back, Done, Halted, Running};
     let cases: Vec<RolloutCase> = vec![
         RolloutCase {
-            name: "one of each zone",
+            name: "one machine of each zone",
             out_of_use: [0, 0],
             drains: vec![],
             change: |_, _| {},
@@ -721,7 +748,7 @@
             state: Running,
         },
         RolloutCase {
-            name: "a zone has one out already",
+            name: "one machine of a zone is out of use already",
             out_of_use: [1, 0],
             drains: vec![],
             change: |_, _| {},
@@ -730,19 +757,19 @@
             state: Running,
         },
         RolloutCase {
-            name: "two of each",
+            name: "two machines of each zone",
             out_of_use: [0, 0],
             drains: vec![],
-            change: |r, _| r.at_most = AtMost::Machines(2),
+            change: |rollout, _| rollout.at_most = AtMost::Machines(2),
             begin: &["m-0", "m-3", "m-1", "m-4"],
             end: &[],
             state: Running,
         },
         RolloutCase {
-            name: "two thirds of each",
+            name: "two thirds of each zone",
             out_of_use: [0, 0],
             drains: vec![],
-            change: |r, _| r.at_most = AtMost::Share(0.67),
+            change: |rollout, _| rollout.at_most = AtMost::Share(0.67),
             begin: &["m-0", "m-3", "m-1", "m-4"],
             end: &[],
             state: Running,
@@ -751,39 +778,39 @@
             name: "a fraction below one machine",
             out_of_use: [0, 0],
             drains: vec![],
-            change: |r, _| r.at_most = AtMost::Share(0.01),
+            change: |rollout, _| rollout.at_most = AtMost::Share(0.01),
             begin: &["m-0", "m-3"],
             end: &[],
             state: Running,
         },
         RolloutCase {
-            name: "drained, not back yet",
+            name: "drained but not restarted yet",
             out_of_use: [1, 1],
-            drains: vec![own("m-0", 90_000, Some(95_000))],
-            change: |r, _| r.next = 2,
+            drains: vec![rollout_drain("m-0", 90_000, Some(95_000))],
+            change: |rollout, _| rollout.next = 2,
             begin: &[],
             end: &[],
             state: Running,
         },
         RolloutCase {
-            name: "back",
+            name: "restarted",
             out_of_use: [1, 1],
-            drains: vec![own("m-0", 90_000, Some(95_000))],
-            change: |r, s| {
-                r.next = 2;
-                s.restarted = vec!["m-0".into()];
+            drains: vec![rollout_drain("m-0", 90_000, Some(95_000))],
+            change: |rollout, fleet| {
+                rollout.next = 2;
+                fleet.restarted = vec!["m-0".into()];
             },
             begin: &[],
             end: &["m-0"],
             state: Running,
         },
         RolloutCase {
-            name: "the cloud took it",
+            name: "removed by the cloud",
             out_of_use: [0, 1],
-            drains: vec![own("m-0", 90_000, None)],
-            change: |r, s| {
-                r.next = 2;
-                s.zones.remove("m-0");
+            drains: vec![rollout_drain("m-0", 90_000, None)],
+            change: |rollout, fleet| {
+                rollout.next = 2;
+                fleet.zones.remove("m-0");
             },
             begin: &["m-1"],
             end: &["m-0"],
@@ -792,74 +819,77 @@
         RolloutCase {
             name: "not drained in time",
             out_of_use: [1, 0],
-            drains: vec![own("m-0", 39_000, None)],
-            change: |r, _| r.next = 1,
+            drains: vec![rollout_drain("m-0", 39_000, None)],
+            change: |rollout, _| rollout.next = 1,
             begin: &[],
             end: &[],
             state: Halted,
         },
         RolloutCase {
-            name: "not back in time",
+            name: "not restarted in time",
             out_of_use: [1, 0],
-            drains: vec![own("m-0", 0, Some(0))],
-            change: |r, s| {
-                r.next = 1;
-                s.now_ms = 400_000;
+            drains: vec![rollout_drain("m-0", 0, Some(0))],
+            change: |rollout, fleet| {
+                rollout.next = 1;
+                fleet.now_ms = 400_000;
             },
             begin: &[],
             end: &[],
             state: Halted,
         },
         RolloutCase {
-            name: "more late than promised",
+            name: "more late jobs than promised",
             out_of_use: [0, 0],
             drains: vec![],
-            change: |r, s| {
-                r.late_before = Some(2);
-                s.late_jobs = 4;
+            change: |rollout, fleet| {
+                rollout.late_before = Some(2);
+                fleet.late_jobs = 4;
             },
             begin: &[],
             end: &[],
             state: Halted,
         },
         RolloutCase {
-            name: "as late as promised",
+            name: "as many late jobs as promised",
             out_of_use: [0, 0],
             drains: vec![],
-            change: |r, s| {
-                r.late_before = Some(2);
-                s.late_jobs = 3;
+            change: |rollout, fleet| {
+                rollout.late_before = Some(2);
+                fleet.late_jobs = 3;
             },
             begin: &["m-0", "m-3"],
             end: &[],
             state: Running,
         },
         RolloutCase {
-            name: "the last one is back",
+            name: "the last machine has restarted",
             out_of_use: [0, 1],
-            drains: vec![own("m-4", 90_000, Some(95_000))],
-            change: |r, s| {
-                r.next = 4;
-                s.restarted = vec!["m-4".into()];
+            drains: vec![rollout_drain("m-4", 90_000, Some(95_000))],
+            change: |rollout, fleet| {
+                rollout.next = 4;
+                fleet.restarted = vec!["m-4".into()];
             },
             begin: &[],
             end: &["m-4"],
             state: Done,
         },
         RolloutCase {
-            name: "taken back",
+            name: "rolled back",
             out_of_use: [1, 1],
-            drains: vec![own("m-0", 0, None), own("m-3", 0, Some(1))],
-            change: |r, _| r.state = Back,
+            drains: vec![
+                rollout_drain("m-0", 0, None),
+                rollout_drain("m-3", 0, Some(1)),
+            ],
+            change: |rollout, _| rollout.state = Back,
             begin: &[],
             end: &["m-0", "m-3"],
             state: Back,
         },
         RolloutCase {
-            name: "taken back, all ended",
+            name: "rolled back, all drains have ended",
             out_of_use: [0, 0],
             drains: vec![],
-            change: |r, _| r.state = Back,
+            change: |rollout, _| rollout.state = Back,
             begin: &[],
             end: &[],
             state: Done,
@@ -868,7 +898,7 @@
     for case in cases {
         case.check(&hosts);
     }
-    // Halted or done: nothing, whatever happens.
+    // A rollout that is halted or done takes no step.
     for state in [Halted, Done] {
         let rollout = Roll {
             state,
@@ -876,14 +906,15 @@
         };
         assert_eq!(next_step(&rollout, &fleet_view([0, 0]), 20), None);
     }
-    // Zone after zone in turn.
+    // The zones alternate in the order of a rollout.
     let machines = [("m-1", "a"), ("m-0", "a"), ("m-5", "b")].map(|(m, z)| (m.into(), z.into()));
     assert_eq!(round_robin_by_zone(&machines), ["m-0", "m-5", "m-1"]);
 }
 
-/// Guards against a rollout that an order leaves in a state that cannot be.
+/// Guards against an operator's order that brings a rollout into a state which it must not reach
+/// from its present state.
 #[test]
-fn orders_about_a_rollout() {
+fn rollout_orders_allow_only_valid_state_changes() {
     use RollState::{Back, Done, Halted, Running};
     let cases = [
         (Turn::Halt, Running, Some(Halted)),
