--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,12 +1,13 @@
-//! What travels between foxspur and other programs: the only place that knows wire
-//! names. Inside the program the field's own terms are used.
+//! The data that foxspur exchanges with other programs. Only these modules know the names on
+//! the wire; the rest of the program uses the usual terms of cluster scheduling.
 //!
-//! What others exchange with controllers is in `foxspur-wire`, for clients and
-//! stand-ins use the same definitions; what controllers alone read is here:
+//! The messages between controllers and other programs are defined in `foxspur-wire`, because
+//! clients, and programs that simulate the outside services, use the same definitions. The
+//! data that only controllers read is defined here:
 //!
 //! - [`mesh`]: messages between controllers.
-//! - [`settings`]: the platform's settings file.
-//! - [`policy`]: the operators' own settings.
+//! - [`settings`]: the settings file that the platform provides.
+//! - [`policy`]: the policy file that operators write.
 
 pub use foxspur_wire::{admin, cloud, job, roll, state, worker};
 
--- a/src/protocol/policy.rs
+++ b/src/protocol/policy.rs
@@ -1,50 +1,53 @@
-//! The operators' own settings, an optional file of S-expressions:
+//! The scheduling policy that operators set, in an optional file of S-expressions:
 //!
 //! ```text
 //! ((sample . 2) (queue-depth . 2) (age-reports . 1.0))
 //! ```
 //!
-//! Every field has a default; an unknown or impossible one is an error, since
-//! nobody but the operator writes this file.
+//! Every field has a default. An unknown field or an impossible value is an error: only operators
+//! write this file, so anything unknown in it must be a mistake.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Open points of the design, as settings.
+/// Parameters of scheduling and leadership that operators may change.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Policy {
-    /// Machines sampled for a task. Two: the step from one to two choices is
-    /// the large one (paper, section 1).
+    /// Number of machines sampled for a task. The default is two, because the step from one
+    /// choice to two brings most of the gain (paper, section 1).
     pub sample: usize,
-    /// Waiting tasks bound to a machine at most.
+    /// Most waiting tasks in the queue of a machine.
     pub queue_depth: usize,
-    /// Half the age of a bound task, in heartbeat intervals, at which it is unbound
-    /// and placed again.
+    /// Half the age, in heartbeat intervals, at which a task is taken from a machine's queue and
+    /// placed again.
     pub age_reports: f64,
-    /// Time to live of a controller's lease in the state service, in workers' leases.
+    /// Time to live of a controller's lease in the state service, as a multiple of the time to
+    /// live of a worker's lease.
     pub member_leases: f64,
-    /// For how many workers' leases a leader without contact to the state
-    /// service goes on answering its workers.
+    /// How long a leader without contact to the state service goes on answering its workers, as
+    /// a multiple of the time to live of a worker's lease.
     pub quiet_leases: f64,
-    /// Part of the fleet kept free by scaling out ahead of demand.
+    /// Fraction of the fleet that is kept free by scaling out ahead of demand.
     pub headroom: f64,
-    /// For how long a machine may idle before the fleet is scaled in, in boot times.
+    /// How long a machine may be idle before it is returned to the cloud, as a multiple of the
+    /// boot time of its type.
     pub idle_boots: f64,
-    /// Errors in a row after which a machine is cordoned.
+    /// Number of consecutive errors after which a machine is cordoned.
     pub cordon_errors: u32,
-    /// How often a task may be preempted, under one leader.
+    /// How often a task may be preempted under the same leader.
     pub max_stops: u32,
-    /// Room that comes free by itself is waited for, for this part of the time
-    /// that a job has left until it misses an objective; 0: others are preempted at once.
+    /// Fraction of the time left until a job misses an objective. Other tasks are preempted for
+    /// the job only if too little capacity is expected to become free by itself within this
+    /// fraction. 0: they are preempted at once.
     pub patience: f64,
-    /// Part of the fleet on which a class or team below its fair share goes
-    /// first; 0: none.
+    /// Fraction of the fleet on which classes and teams below their fair share come first; 0:
+    /// none.
     pub floor_share: f64,
-    /// Within this many seconds the first task of every job should start; half of it
-    /// before, the task goes ahead of others. 0: none does.
+    /// Time within which the first task of every job should start, in seconds. After half of it
+    /// the task gets precedence over all others. 0: first tasks get no such precedence.
     pub begin_s: f64,
-    /// Where the operators' API listens; without it there is none.
+    /// Address on which the operators' API listens. Without an address there is no such API.
     pub admin: Option<SocketAddr>,
 }
 
@@ -68,42 +71,42 @@
     }
 }
 
-/// Why the operators' file is not usable.
+/// Why the policy file is not usable.
 #[derive(thiserror::Error, Debug)]
 pub enum PolicyError {
-    /// The file cannot be read as settings.
+    /// The text cannot be parsed.
     #[error("operators' settings: {0}")]
     Malformed(String),
-    /// A field has an impossible value: its name, and what is wrong with it.
+    /// A field has an impossible value: the field's name, and what is wrong with the value.
     #[error("operators' settings: {0}: {1}")]
     Field(&'static str, &'static str),
 }
 
-/// Shortest time to live of a controller's lease, in seconds: five renewals, each with time
-/// for a slow answer.
+/// Shortest time to live of a controller's lease, in seconds. A lease is renewed five times
+/// within it, and each renewal needs time for a slow answer.
 const MIN_LEASE_TTL_S: f64 = 2.0;
 /// Longest time to live of a controller's lease, in seconds.
 const MAX_LEASE_TTL_S: f64 = 600.0;
 
 impl Policy {
-    /// Time to live of a controller's lease in the state service, in seconds, where that of
-    /// a worker's lease is `lease_s`.
-    pub fn lease_ttl_s(&self, lease_s: f64) -> f64 {
-        (self.member_leases * lease_s).clamp(MIN_LEASE_TTL_S, MAX_LEASE_TTL_S)
+    /// Time to live of a controller's lease in the state service, in seconds.
+    /// `worker_lease_s` is the time to live of a worker's lease.
+    pub fn lease_ttl_s(&self, worker_lease_s: f64) -> f64 {
+        (self.member_leases * worker_lease_s).clamp(MIN_LEASE_TTL_S, MAX_LEASE_TTL_S)
     }
 
-    /// Reads and checks the file's text.
+    /// Parses and checks the text of the policy file.
     ///
     /// # Errors
-    /// It is malformed, or a field is unknown or impossible.
+    /// The text is malformed, a field is unknown, or a value is impossible.
     pub fn parse(text: &str) -> Result<Policy, PolicyError> {
-        let policy: Policy =
-            serde_lexpr::from_str(text).map_err(|e| PolicyError::Malformed(e.to_string()))?;
+        let policy: Policy = serde_lexpr::from_str(text)
+            .map_err(|error| PolicyError::Malformed(error.to_string()))?;
         policy.check()?;
         Ok(policy)
     }
 
-    /// The order of the checks decides which of several errors is named.
+    /// Checks every value. The order of the checks decides which of several errors is reported.
     fn check(&self) -> Result<(), PolicyError> {
         require(self.sample > 0, "sample", "is 0")?;
         require(self.queue_depth <= 1000, "queue-depth", "is above 1000")?;
@@ -113,24 +116,32 @@
             ("quiet-leases", self.quiet_leases),
             ("idle-boots", self.idle_boots),
         ] {
-            require(value.is_finite() && value > 0.0, name, "is not above 0")?;
+            require(
+                value.is_finite() && value > 0.0,
+                name,
+                "is not above 0 or not finite",
+            )?;
         }
-        let headroom = (0.0..=10.0).contains(&self.headroom);
-        require(headroom, "headroom", "is not within 0 and 10")?;
-        // All of the fleet would turn the order of urgencies around.
-        let floor_share = (0.0..=0.5).contains(&self.floor_share);
-        require(floor_share, "floor-share", "is not within 0 and 0.5")?;
-        let patience = (0.0..=1.0).contains(&self.patience);
-        require(patience, "patience", "is not within 0 and 1")?;
-        let begin_s = self.begin_s.is_finite() && self.begin_s >= 0.0;
-        require(begin_s, "begin-s", "is below 0")?;
-        // Without a preemption urgent work could get room from nobody.
+        let headroom_possible = (0.0..=10.0).contains(&self.headroom);
+        require(headroom_possible, "headroom", "is not within 0 and 10")?;
+        // With the whole fleet, fair shares would override the order by urgency.
+        let floor_share_possible = (0.0..=0.5).contains(&self.floor_share);
+        require(
+            floor_share_possible,
+            "floor-share",
+            "is not within 0 and 0.5",
+        )?;
+        let patience_possible = (0.0..=1.0).contains(&self.patience);
+        require(patience_possible, "patience", "is not within 0 and 1")?;
+        let begin_s_possible = self.begin_s.is_finite() && self.begin_s >= 0.0;
+        require(begin_s_possible, "begin-s", "is below 0 or not finite")?;
+        // Without preemption, urgent jobs could not get capacity from other jobs.
         require(self.max_stops > 0, "max-stops", "is 0")?;
         require(self.cordon_errors > 0, "cordon-errors", "is 0")
     }
 }
 
-/// Fails with the field's name unless its value is possible.
+/// Fails with the field's name and problem unless its value is possible.
 fn require(possible: bool, field: &'static str, problem: &'static str) -> Result<(), PolicyError> {
     if possible {
         Ok(())
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -1,5 +1,5 @@
-//! The platform's settings file (TOML). Unknown fields are ignored; a missing,
-//! malformed or contradictory one is named in the error.
+//! The settings file that the platform provides (TOML). Unknown fields are ignored. A missing,
+//! malformed or contradictory field is an error that names the field.
 
 use super::policy::Policy;
 use serde::{Deserialize, Serialize};
@@ -15,11 +15,11 @@
     /// Its zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Where it takes messages of controllers.
+    /// Address on which it accepts messages from other controllers.
     pub addr: SocketAddr,
 }
 
-/// Outside services.
+/// Addresses of the outside services.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Services {
     /// Address of the cloud.
@@ -28,7 +28,8 @@
     pub state: SocketAddr,
 }
 
-/// A team's quota: what it is guaranteed and limited to; 0 means none.
+/// A team and its quota: the resources that it is guaranteed, and the most that it may use.
+/// 0 means no guarantee or no limit.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Team {
     /// Its name.
@@ -36,13 +37,13 @@
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs.
+    /// Most CPUs that it may use.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs.
+    /// Most GPUs that it may use.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -54,27 +55,27 @@
     /// `deadline` (until its end, by its own deadline), or `guarantee` (until its first
     /// start, for jobs within their team's guarantee).
     pub kind: String,
-    /// The class of jobs; no class is meant where it is left out.
+    /// The class of jobs. An objective without a class applies to no class.
     #[serde(default)]
     pub class: Option<String>,
-    /// Part of the jobs for which it must hold, from 0 to 1.
+    /// Fraction of the jobs for which the objective must hold, from 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Bound as a multiple of the job's deadline.
+    /// The bound, as a multiple of the job's deadline.
     #[serde(default)]
     pub times: Option<f64>,
-    /// Bound in seconds.
+    /// The bound, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// Workers' intervals.
+/// Time limits for workers.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Workers {
-    /// Time between two heartbeats, in seconds.
+    /// Interval between two heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// Time to live of a worker's lease, in seconds: without an answer for so long it stops
-    /// its tasks.
+    /// Time to live of a worker's lease, in seconds. A worker that gets no answer for this long
+    /// stops its tasks.
     pub lease_s: f64,
     /// Time within which the tasks of a cancelled job must be stopped, in seconds.
     pub cancel_s: f64,
@@ -83,26 +84,26 @@
 /// Limits of the state service.
 #[derive(Deserialize, Clone, Debug)]
 pub struct StateLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Written keys a second.
+    /// Written keys per second.
     pub write_rps: f64,
     /// Largest value, in KiB.
     pub value_kb: f64,
-    /// Most changes of a transaction.
+    /// Most changes in one transaction.
     pub txn_ops: usize,
 }
 
 /// Limits of the cloud.
 #[derive(Deserialize, Clone, Debug)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// How far the list of machines may be behind, in seconds.
+    /// How far the list of machines may lag behind the actual state, in seconds.
     pub list_lag_s: f64,
 }
 
-/// What a controller may use.
+/// The resources that one controller may use.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Quota {
     /// CPUs.
@@ -113,14 +114,14 @@
     pub max_sockets: usize,
 }
 
-/// The cluster.
+/// The part of the settings that is the same for all controllers.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Cluster {
     /// Number of controllers.
     pub nodes: usize,
     /// The zones.
     pub zones: Vec<String>,
-    /// Most by which two clocks may differ, in milliseconds.
+    /// Largest difference between two clocks, in milliseconds.
     pub time_bound_ms: f64,
     /// The teams and their quotas.
     #[serde(default)]
@@ -128,17 +129,17 @@
     /// The service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers' intervals.
+    /// Time limits for workers.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: StateLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// What a controller may use.
+    /// The resources that one controller may use.
     pub quota: Quota,
 }
 
-/// The whole file.
+/// The whole settings file.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Settings {
     /// Host name of this controller.
@@ -146,36 +147,36 @@
     /// Zone of this controller.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Where users, workers and health checks call.
+    /// Address that users, workers and health checks call.
     pub front: SocketAddr,
-    /// Where other controllers call.
+    /// Address that other controllers call.
     pub mesh_addr: SocketAddr,
     /// The other controllers.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// Outside services.
+    /// Addresses of the outside services.
     pub services: Services,
-    /// What is the same for all controllers.
+    /// The part of the settings that is the same for all controllers.
     pub cluster: Cluster,
 }
 
-/// Why settings are not usable.
+/// Why the settings are not usable.
 #[derive(thiserror::Error, Debug)]
 pub enum SettingsError {
-    /// The file cannot be read as settings.
+    /// The text cannot be parsed, or a field is missing.
     #[error("settings: {0}")]
     Malformed(String),
     /// A field has an impossible value.
     #[error("settings: {field}: {why}")]
     Field {
-        /// Its path in the file.
+        /// Path of the field in the file.
         field: String,
-        /// What is wrong with it.
+        /// What is wrong with its value.
         why: String,
     },
 }
 
-/// A field with an impossible value.
+/// The error for a field with an impossible value.
 fn invalid<T>(field: &str, why: &str) -> Result<T, SettingsError> {
     Err(SettingsError::Field {
         field: field.into(),
@@ -188,29 +189,30 @@
     if value.is_finite() && value > 0.0 {
         Ok(())
     } else {
-        invalid(field, "is not above 0")
+        invalid(field, "is not above 0 or not finite")
     }
 }
 
 impl Settings {
-    /// Reads and checks the file's text.
+    /// Parses and checks the text of the settings file.
     ///
     /// # Errors
     /// A field is missing, malformed or contradicts another one.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
-        let settings: Settings = toml::from_str(text)
-            .map_err(|e| SettingsError::Malformed(e.to_string().trim().replace('\n', " ")))?;
+        let settings: Settings = toml::from_str(text).map_err(|error| {
+            SettingsError::Malformed(error.to_string().trim().replace('\n', " "))
+        })?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// The order of the checks decides which of several errors is named.
+    /// Checks every value. The order of the checks decides which of several errors is reported.
     fn check(&self) -> Result<(), SettingsError> {
         self.check_numbers()?;
         self.check_intervals()?;
         self.check_limits()?;
         self.check_controllers()?;
-        self.check_places()?;
+        self.check_zones_and_addresses()?;
         self.check_objectives()?;
         self.check_teams()
     }
@@ -232,7 +234,7 @@
             check_positive(field, value)?;
         }
         if !cluster.time_bound_ms.is_finite() || cluster.time_bound_ms < 0.0 {
-            return invalid("cluster.time_bound_ms", "is negative");
+            return invalid("cluster.time_bound_ms", "is negative or not finite");
         }
         Ok(())
     }
@@ -242,13 +244,13 @@
         if workers.lease_s <= workers.report_s {
             return invalid("cluster.workers.lease_s", "is not above report_s");
         }
-        // A leader may answer workers on what it knows of cancellations for as long as
-        // `cancel_s` leaves beside a lease (`leadership::cancellation_horizon`): less than
-        // a heartbeat interval and nobody would be answered.
+        // A leader answers workers only while its knowledge of cancellations is recent enough:
+        // at most about `cancel_s` minus `lease_s` old (`leadership::cancellation_horizon`). If
+        // that were less than a heartbeat interval, no worker would get an answer.
         let min_cancel_s = 1.05 * (workers.lease_s + workers.report_s);
         if workers.cancel_s < min_cancel_s {
             let why =
-                format!("is below 1.05 times lease_s and report_s together, {min_cancel_s:.2}");
+                format!("is below {min_cancel_s:.2}, 1.05 times the sum of lease_s and report_s");
             return invalid("cluster.workers.cancel_s", &why);
         }
         Ok(())
@@ -266,37 +268,44 @@
 
     fn check_controllers(&self) -> Result<(), SettingsError> {
         if self.host_name.is_empty() || self.host_name.contains(char::is_whitespace) {
-            return invalid("host_name", "is empty or holds spaces");
+            return invalid("host_name", "is empty or contains whitespace");
         }
         if self.front == self.mesh_addr {
             return invalid("mesh_addr", "is the same as front");
         }
         if self.cluster.nodes != self.peers.len() + 1 {
-            return invalid("cluster.nodes", "does not match the number of peers");
+            return invalid("cluster.nodes", "is not the number of peers plus 1");
         }
         Ok(())
     }
 
-    /// Zones and addresses: each once, and none that nobody else knows of.
-    fn check_places(&self) -> Result<(), SettingsError> {
+    /// Checks that zones, host names and addresses are each listed once, and that every
+    /// controller is in a listed zone.
+    fn check_zones_and_addresses(&self) -> Result<(), SettingsError> {
         let zones: HashSet<&str> = self.cluster.zones.iter().map(String::as_str).collect();
         if zones.is_empty() || zones.len() < self.cluster.zones.len() {
-            return invalid("cluster.zones", "is empty or names a zone twice");
+            return invalid("cluster.zones", "is empty or lists a zone twice");
         }
         if !zones.contains(&*self.zone) {
-            return invalid("site", "is none of cluster.zones");
+            return invalid("site", "is not one of cluster.zones");
         }
         let mut names = HashSet::from([self.host_name.as_str()]);
         let mut addrs = HashSet::from([self.mesh_addr, self.front]);
         for peer in &self.peers {
             if !names.insert(&peer.name) {
-                return invalid("peers.host_name", "names a controller twice");
+                return invalid(
+                    "peers.host_name",
+                    "is the same as host_name or as that of another peer",
+                );
             }
             if !addrs.insert(peer.addr) {
-                return invalid("peers.addr", "is another controller's or our own");
+                return invalid(
+                    "peers.addr",
+                    "is the same as front, mesh_addr or the address of another peer",
+                );
             }
             if !zones.contains(&*peer.zone) {
-                return invalid("peers.site", "is none of cluster.zones");
+                return invalid("peers.site", "is not one of cluster.zones");
             }
         }
         Ok(())
@@ -304,7 +313,10 @@
 
     fn check_objectives(&self) -> Result<(), SettingsError> {
         for objective in &self.cluster.objectives {
-            if objective.share.is_some_and(|s| !(0.0..=1.0).contains(&s)) {
+            if objective
+                .share
+                .is_some_and(|share| !(0.0..=1.0).contains(&share))
+            {
                 return invalid("cluster.objectives.share", "is not within 0 and 1");
             }
             for (field, value) in [
@@ -323,16 +335,16 @@
         let mut names = HashSet::new();
         for team in &self.cluster.teams {
             if team.name.is_empty() || !names.insert(&team.name) {
-                return invalid("cluster.teams.name", "is empty or named twice");
+                return invalid("cluster.teams.name", "is empty or used by two teams");
             }
-            for (field, min, max) in [
+            for (field, guaranteed, limit) in [
                 ("cluster.teams.cpus", team.cpus, team.cpus_max),
                 ("cluster.teams.gpus", team.gpus, team.gpus_max),
             ] {
-                if min.is_nan() || max.is_nan() || min < 0.0 || max < 0.0 {
-                    return invalid(field, "is negative or no number");
+                if guaranteed.is_nan() || limit.is_nan() || guaranteed < 0.0 || limit < 0.0 {
+                    return invalid(field, "is negative or not a number, or the team's limit is");
                 }
-                if max > 0.0 && min > max {
+                if limit > 0.0 && guaranteed > limit {
                     return invalid(field, "is above the team's limit");
                 }
             }
@@ -340,37 +352,43 @@
         Ok(())
     }
 
-    /// Checks whether the operators' own settings fit these: what each allows alone may
-    /// be impossible together.
+    /// Checks that the policy fits these settings: values that are each possible alone may
+    /// contradict each other.
     ///
     /// # Errors
-    /// They do not: the field that must be changed, and why.
+    /// A value of the policy contradicts the settings. The error names the field that must be
+    /// changed, and says why.
     pub fn check_policy(&self, policy: &Policy) -> Result<(), SettingsError> {
         let in_use = |addr| addr == self.front || addr == self.mesh_addr;
         if policy.admin.is_some_and(in_use) {
-            return invalid("admin", "is the users' or the controllers' address");
+            return invalid("admin", "is the same as front or mesh_addr");
         }
         let worker_lease_s = self.cluster.workers.lease_s;
         let lease_ttl_s = policy.lease_ttl_s(worker_lease_s);
         if policy.quiet_leases * worker_lease_s < 1.5 * lease_ttl_s {
-            let why = "ends before an owner's own lease, with half of it to spare, does";
+            let why =
+                "multiplied by lease_s is below 1.5 times the time to live of a controller's lease";
             return invalid("quiet-leases", why);
         }
         if lease_ttl_s > worker_lease_s.max(2.0) {
-            let why = "lets a dead controller's share wait for longer than its workers live";
+            // Workers of a failed controller would stop their tasks before another controller
+            // could take over its shard.
+            let why = "makes a controller's lease longer than its workers' leases";
             return invalid("member-leases", why);
         }
-        // Each renews five times in its time to live; the state service has other work.
+        // Every controller renews its lease five times within its time to live. Half of the
+        // rate limit is left to other requests.
         let renewals_per_s = 5.0 * self.cluster.nodes as f64 / lease_ttl_s;
         if renewals_per_s > self.cluster.state.rps / 2.0 {
-            let why = "is half used up by the leases of that many controllers";
+            let why =
+                "is below twice the rate at which cluster.nodes controllers renew their leases";
             return invalid("cluster.state.rps", why);
         }
         Ok(())
     }
 
-    /// The team of this name.
+    /// The team with this name.
     pub fn team(&self, name: &str) -> Option<&Team> {
-        self.cluster.teams.iter().find(|t| t.name == name)
+        self.cluster.teams.iter().find(|team| team.name == name)
     }
 }
--- a/src/transport/clients/cloud.rs
+++ b/src/transport/clients/cloud.rs
@@ -1,5 +1,5 @@
-//! Client of the cloud: machine types, scale out and in, and the list of machines, within
-//! the published limit on requests.
+//! Client of the cloud: machine types, scaling out and in, and the list of machines, within
+//! the published rate limit.
 
 use super::service::{self, Request, Service};
 use super::{CallStatistics, Priority, ServiceError};
@@ -12,16 +12,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bound on the time to connect, in seconds.
+/// Longest time to connect, in seconds.
 const CONNECT_TIMEOUT_S: f64 = 1.0;
-/// Bound on a call, in seconds.
+/// Timeout of a call, in seconds.
 const CALL_TIMEOUT_S: f64 = 5.0;
-/// Connections kept open at most.
-const MAX_SOCKETS: usize = 4;
-/// Part of the published limit that a controller uses. The leader alone uses the cloud,
-/// others only for the types.
-const RATE_PART: f64 = 0.7;
-/// Longest wait for a request's turn, in seconds.
+/// Most connections.
+const MAX_CONNECTIONS: usize = 4;
+/// Fraction of the published rate limit that a controller may use. The rest is for the other
+/// controllers, which only read the machine types; the leader makes all other calls.
+const RATE_FRACTION: f64 = 0.7;
+/// Longest wait for the rate limit before a request, in seconds.
 const MAX_WAIT_S: f64 = 2.0;
 
 /// Client of the cloud.
@@ -35,16 +35,16 @@
     /// A client of the cloud that the settings name.
     pub fn new(settings: &Settings) -> CloudClient {
         let rps = settings.cluster.cloud.rps;
-        let http = Http::new(CONNECT_TIMEOUT_S, MAX_SOCKETS);
-        let requests = TokenBucket::new(rps * RATE_PART, rps, 0.0);
+        let http = Http::new(CONNECT_TIMEOUT_S, MAX_CONNECTIONS);
+        let requests = TokenBucket::new(rps * RATE_FRACTION, rps, 0.0);
         CloudClient {
             service: Service::new(http, settings.services.cloud),
             requests: Rc::new(RefCell::new(requests)),
         }
     }
 
-    /// Waits for a request's turn, once.
-    async fn wait_for_turn(&self) -> Result<(), ServiceError> {
+    /// Takes the token of one request. If there is none, waits for it once and tries again.
+    async fn wait_for_token(&self) -> Result<(), ServiceError> {
         let Err(wait_s) = self.take_token() else {
             return Ok(());
         };
@@ -52,6 +52,7 @@
         self.take_token().map_err(|_| ServiceError::Refused)
     }
 
+    /// Takes one token. The error is the time to wait for it, in seconds.
     fn take_token(&self) -> Result<(), f64> {
         let now = self.service.now();
         self.requests.borrow_mut().take(1.0, Priority::Control, now)
@@ -63,7 +64,7 @@
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<Response, ServiceError> {
-        self.wait_for_turn().await?;
+        self.wait_for_token().await?;
         let request = Request {
             method,
             path,
@@ -73,12 +74,12 @@
         self.service.call(request, only_ok).await
     }
 
-    /// How calls of the cloud went so far.
+    /// Statistics of the calls so far.
     pub fn statistics(&self) -> CallStatistics {
         self.service.statistics()
     }
 
-    /// The machine types.
+    /// Reads the machine types.
     ///
     /// # Errors
     /// The call failed.
@@ -86,7 +87,7 @@
         service::decode(&self.call(Method::GET, "/flavors", None).await?)
     }
 
-    /// Scales out: rents machines, and says their names.
+    /// Scales out: rents machines, and returns their names.
     ///
     /// # Errors
     /// The call failed.
@@ -95,7 +96,8 @@
         service::decode(&self.call(Method::POST, "/rentals", Some(body)).await?)
     }
 
-    /// Scales in: returns machines. On success they and all that was on them are gone.
+    /// Scales in: returns machines to the cloud. On success the machines no longer exist, nor
+    /// does anything that was on them.
     ///
     /// # Errors
     /// The call failed.
@@ -105,14 +107,14 @@
         returned.await.map(|_| ())
     }
 
-    /// The whole list of machines, page by page.
+    /// Reads the whole list of machines, page by page.
     ///
     /// # Errors
     /// A call failed.
     pub async fn machines(&self) -> Result<Vec<Listed>, ServiceError> {
         let mut all: Vec<Listed> = Vec::new();
         loop {
-            let since = all.last().map(|m| format!("&since={}", m.id));
+            let since = all.last().map(|machine| format!("&since={}", machine.id));
             let path = format!("/rentals?limit=500{}", since.unwrap_or_default());
             let page: Page = service::decode(&self.call(Method::GET, &path, None).await?)?;
             let more = page.more && !page.machines.is_empty();
@@ -124,7 +126,7 @@
     }
 }
 
-/// Fails on every status but 200.
+/// Fails on every status other than 200.
 fn only_ok(response: Response) -> Result<Response, ServiceError> {
     let response = service::not_overloaded(response)?;
     match response.status {
--- a/src/transport/clients/mod.rs
+++ b/src/transport/clients/mod.rs
@@ -16,26 +16,27 @@
 use super::http::CallError;
 use actix_rt::time::Instant;
 
-/// Why a call gave no result.
+/// Why a call has no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ServiceError {
-    /// The other side refused and did nothing (429, 503, never connected).
+    /// The request was not executed and will not be: the other side refused it (429, 503), no
+    /// connection was made, or the client's own rate limit left no room for it.
     #[error("refused")]
     Refused,
-    /// It may have been executed, or may be later.
+    /// The request may have been executed, or may be executed later.
     #[error("unknown outcome")]
     Unknown,
-    /// Conditions failed for these keys.
+    /// The conditions of a transaction failed for these keys.
     #[error("conflict: {0:?}")]
     Conflict(Vec<String>),
-    /// The lease is gone.
+    /// The lease has expired or was revoked.
     #[error("no such lease")]
     LeaseNotFound,
-    /// A watch fell too far behind: its revision is compacted.
+    /// A watch fell too far behind: the changes after its revision have been compacted.
     #[error("compacted")]
     Compacted,
-    /// The other side answered with this other status; 0: the request could not be
-    /// encoded and was not sent.
+    /// The other side answered with this status, which has no other meaning here. 0: the
+    /// request could not be encoded and was not sent.
     #[error("status {0}")]
     Status(u16),
 }
@@ -49,11 +50,12 @@
     }
 }
 
-/// A result, and when the request for it was sent: what it says is no older than that.
+/// A result, and the time at which its request was sent. The result reflects the state of the
+/// service at that time or later.
 #[derive(Debug)]
 pub struct TimedResult<T> {
     /// The result.
     pub result: Result<T, ServiceError>,
-    /// When the request was sent; it may have waited for its turn before.
+    /// When the request was sent, after any wait for the rate limit.
     pub sent_at: Instant,
 }
--- a/src/transport/clients/peers.rs
+++ b/src/transport/clients/peers.rs
@@ -1,16 +1,17 @@
-//! Client of the other controllers: messages over the mesh.
+//! Client of the other controllers: sends them the messages of [`crate::protocol::mesh`].
 
 use crate::protocol::mesh::{self, PeerRequest, PeerResponse};
 use crate::transport::http::Http;
 use awc::http::Method;
 use std::net::SocketAddr;
 
-/// Bound on the time to connect, in seconds.
+/// Longest time to connect, in seconds.
 const CONNECT_TIMEOUT_S: f64 = 0.2;
-/// Connections kept open at most.
-const MAX_SOCKETS: usize = 8;
-/// Timeout of hints, which are worth no long wait, in seconds.
-const HINT_TIMEOUT_S: f64 = 0.3;
+/// Most connections.
+const MAX_CONNECTIONS: usize = 8;
+/// Timeout of a request for which the caller sets none, in seconds. Most such requests ask for
+/// hints, which are not worth a long wait.
+const DEFAULT_TIMEOUT_S: f64 = 0.3;
 
 /// Client of the other controllers.
 #[derive(Clone)]
@@ -21,23 +22,24 @@
 impl Default for MeshClient {
     fn default() -> Self {
         MeshClient {
-            http: Http::new(CONNECT_TIMEOUT_S, MAX_SOCKETS),
+            http: Http::new(CONNECT_TIMEOUT_S, MAX_CONNECTIONS),
         }
     }
 }
 
 impl MeshClient {
-    /// A client with another carrier of its calls.
+    /// A client whose calls are made by `http`.
     pub fn over(http: Http) -> MeshClient {
         MeshClient { http }
     }
 
-    /// Asks a peer for a hint; `None` without an answer soon.
+    /// Sends a request to a peer; `None` if it does not answer within the default timeout of
+    /// 0.3 seconds.
     pub async fn ask(&self, addr: SocketAddr, request: &PeerRequest) -> Option<PeerResponse> {
-        self.ask_within(addr, request, HINT_TIMEOUT_S).await
+        self.ask_within(addr, request, DEFAULT_TIMEOUT_S).await
     }
 
-    /// Asks a peer; `None` without an answer within `timeout_s` seconds.
+    /// Sends a request to a peer; `None` if it does not answer within `timeout_s` seconds.
     pub async fn ask_within(
         &self,
         addr: SocketAddr,
--- a/src/transport/clients/service.rs
+++ b/src/transport/clients/service.rs
@@ -1,5 +1,5 @@
-//! What the clients of the outside services share: a call and its statistics, request
-//! bodies, responses.
+//! What the clients of the outside services share: calls and their statistics, encoding of
+//! request bodies, decoding of responses.
 
 use super::ServiceError;
 use crate::transport::http::{Http, Response};
@@ -11,22 +11,22 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A call of a service.
+/// A request to a service.
 pub(super) struct Request<'a> {
     pub(super) method: Method,
     pub(super) path: &'a str,
     pub(super) body: Option<Vec<u8>>,
-    /// Bound on the time from sending to the end of the response, in seconds.
+    /// Longest time from sending the request to the end of the response, in seconds.
     pub(super) timeout_s: f64,
 }
 
-/// One outside service: its address, and how calls of it went. Clones share the
+/// One outside service: its address, and statistics of the calls to it. Clones share the
 /// statistics.
 #[derive(Clone)]
 pub(super) struct Service {
     http: Http,
     addr: SocketAddr,
-    /// Origin of [`Service::now`].
+    /// Time 0 of [`Service::now`].
     start: Instant,
     statistics: Rc<RefCell<CallStatistics>>,
 }
@@ -41,12 +41,13 @@
         }
     }
 
-    /// The time that token buckets are passed, in seconds.
+    /// The current time for token buckets, in seconds.
     pub(super) fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Makes a call and counts how it went; `check` says which responses are failures.
+    /// Makes a call and counts it as answered or failed. `check` turns a response that is a
+    /// failure into an error.
     pub(super) async fn call(
         &self,
         request: Request<'_>,
@@ -57,7 +58,7 @@
         result
     }
 
-    /// Makes a call over a carrier of its own, without counting it.
+    /// Makes a call through the given client, without counting it.
     pub(super) async fn send(
         &self,
         http: &Http,
@@ -73,13 +74,14 @@
         response.map_err(ServiceError::from)
     }
 
-    /// How calls went so far.
+    /// Statistics of the calls so far.
     pub(super) fn statistics(&self) -> CallStatistics {
         *self.statistics.borrow()
     }
 }
 
-/// Fails on refusals because of overload (429, 503): nothing was done.
+/// Fails if the service refused the request because of overload (429, 503). It has not
+/// executed the request then.
 pub(super) fn not_overloaded(response: Response) -> Result<Response, ServiceError> {
     match response.status {
         429 | 503 => Err(ServiceError::Refused),
@@ -87,17 +89,18 @@
     }
 }
 
-/// The body of a request. Our requests are plain structs, which always serialise.
+/// Encodes the body of a request as JSON. The requests are plain structs, which always
+/// serialise.
 pub(super) fn encode<T: Serialize>(body: &T) -> Result<Vec<u8>, ServiceError> {
     serde_json::to_vec(body).map_err(|_| ServiceError::Status(0))
 }
 
-/// Reads the body of a response.
+/// Decodes the JSON body of a response.
 pub(super) fn decode<T: DeserializeOwned>(response: &Response) -> Result<T, ServiceError> {
     serde_json::from_slice(&response.body).map_err(|_| ServiceError::Unknown)
 }
 
-/// How calls of a service went: counts, and when the last ones were.
+/// Statistics of the calls to a service: counts, and the times of the last ones.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct CallStatistics {
     /// Calls that were answered.
@@ -111,6 +114,7 @@
 }
 
 impl CallStatistics {
+    /// Counts a call that ends now.
     fn record<T>(&mut self, result: &Result<T, ServiceError>) {
         let now = Some(Instant::now());
         if result.is_ok() {
--- a/src/transport/clients/state.rs
+++ b/src/transport/clients/state.rs
@@ -13,67 +13,74 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bound on the time to connect, in seconds.
+/// Longest time to connect, in seconds.
 const CONNECT_TIMEOUT_S: f64 = 0.5;
-/// Bound on a call, in seconds: half of what a user waits for a poll (2 s), less the way
-/// back.
+/// Timeout of a call, in seconds. A user waits 2 s for the answer to a poll; half of that
+/// leaves time for the answer to reach the user.
 const CALL_TIMEOUT_S: f64 = 1.0;
-/// Connections kept open for watches at most.
-const MAX_WATCH_SOCKETS: usize = 4;
-/// What a watch may take beyond the wait that it asks for, in seconds.
+/// Most connections for watches.
+const MAX_WATCH_CONNECTIONS: usize = 4;
+/// How much longer than the wait that it asks for a watch may take, in seconds.
 const WATCH_SLACK_S: f64 = 2.0;
-/// Part of the limits that is kept for control traffic.
-const RESERVED_PART: f64 = 0.2;
-/// Attempts to get a request's turn.
-const MAX_TURN_ATTEMPTS: usize = 8;
-/// Shortest and longest wait between two of them, in seconds.
+/// Fraction of the rate limits that is reserved for control traffic.
+const RESERVED_FRACTION: f64 = 0.2;
+/// Most attempts to take the tokens of a request.
+const MAX_TOKEN_ATTEMPTS: usize = 8;
+/// Shortest wait between two of these attempts, in seconds.
 const MIN_WAIT_S: f64 = 0.005;
+/// Longest wait between two of these attempts, in seconds.
 const MAX_WAIT_S: f64 = 0.5;
-/// Entries on a page of a listing.
+/// Most entries on a page of a listing.
 const PAGE_ENTRIES: usize = 200;
-/// How the service says that a lease has expired, in the body of a 400.
+/// Text in the body of a 400 by which the service reports that a lease has expired.
 const NO_SUCH_LEASE: &[u8] = b"no such lease";
 
 /// Client of the state service.
 #[derive(Clone)]
 pub struct StateClient {
     service: Service,
-    /// Carries watches, which are under way for long.
-    watch: Http,
+    /// Makes the watches: they are long calls, and have a pool of their own.
+    watch_http: Http,
     requests: Rc<RefCell<TokenBucket>>,
     writes: Rc<RefCell<TokenBucket>>,
 }
 
 impl StateClient {
-    /// A client for the state service that the settings name.
+    /// A client of the state service that the settings name.
     pub fn new(settings: &Settings) -> StateClient {
-        let sockets = (settings.cluster.quota.max_sockets / 16).clamp(4, 48);
-        let http = Http::new(CONNECT_TIMEOUT_S, sockets);
-        let watch = Http::new(CONNECT_TIMEOUT_S, MAX_WATCH_SOCKETS);
-        StateClient::over(settings, http, watch)
+        let max_connections = (settings.cluster.quota.max_sockets / 16).clamp(4, 48);
+        let http = Http::new(CONNECT_TIMEOUT_S, max_connections);
+        let watch_http = Http::new(CONNECT_TIMEOUT_S, MAX_WATCH_CONNECTIONS);
+        StateClient::over(settings, http, watch_http)
     }
 
-    /// The same with other carriers of its calls and of its watches.
-    pub fn over(settings: &Settings, http: Http, watch: Http) -> StateClient {
+    /// A client of the state service that the settings name. `http` makes its calls, and
+    /// `watch_http` its watches.
+    pub fn over(settings: &Settings, http: Http, watch_http: Http) -> StateClient {
         let limits = &settings.cluster.state;
-        let part = rate_part(settings.cluster.nodes);
+        let fraction = rate_fraction(settings.cluster.nodes);
         let bucket = |limit: f64| {
-            let rate = limit * part;
-            let bucket = TokenBucket::new(rate, rate, rate * RESERVED_PART);
+            let rate = limit * fraction;
+            let bucket = TokenBucket::new(rate, rate, rate * RESERVED_FRACTION);
             Rc::new(RefCell::new(bucket))
         };
         StateClient {
             service: Service::new(http, settings.services.state),
-            watch,
+            watch_http,
             requests: bucket(limits.rps),
             writes: bucket(limits.write_rps),
         }
     }
 
-    /// Waits for the turn of a request that writes so many keys.
-    async fn wait_for_turn(&self, writes: usize, priority: Priority) -> Result<(), ServiceError> {
-        for _ in 0..MAX_TURN_ATTEMPTS {
-            let Err(wait_s) = self.take_tokens(writes, priority) else {
+    /// Waits until the rate limits admit a request that writes `written_keys` keys, and takes
+    /// its tokens. Fails when all attempts to take them failed.
+    async fn wait_for_tokens(
+        &self,
+        written_keys: usize,
+        priority: Priority,
+    ) -> Result<(), ServiceError> {
+        for _ in 0..MAX_TOKEN_ATTEMPTS {
+            let Err(wait_s) = self.take_tokens(written_keys, priority) else {
                 return Ok(());
             };
             let wait_s = wait_s.clamp(MIN_WAIT_S, MAX_WAIT_S);
@@ -82,14 +89,16 @@
         Err(ServiceError::Refused)
     }
 
-    /// Takes the tokens of one request, or says how long to wait for them.
-    fn take_tokens(&self, writes: usize, priority: Priority) -> Result<(), f64> {
+    /// Takes the tokens of one request. The error is the time to wait for them, in seconds.
+    fn take_tokens(&self, written_keys: usize, priority: Priority) -> Result<(), f64> {
         let now = self.service.now();
         self.requests.borrow_mut().take(1.0, priority, now)?;
-        if writes == 0 {
+        if written_keys == 0 {
             return Ok(());
         }
-        self.writes.borrow_mut().take(writes as f64, priority, now)
+        self.writes
+            .borrow_mut()
+            .take(written_keys as f64, priority, now)
     }
 
     async fn call(
@@ -123,7 +132,7 @@
         self.service.call(request, check).await
     }
 
-    /// How calls of the state service went so far; watches are not counted.
+    /// Statistics of the calls so far; watches are not counted.
     pub fn statistics(&self) -> CallStatistics {
         self.service.statistics()
     }
@@ -136,11 +145,11 @@
         self.timed_get(key, priority).await.result
     }
 
-    /// Reads a key, and says when the request was sent.
+    /// Reads a key, and returns the time at which the request was sent as well.
     pub async fn timed_get(&self, key: &str, priority: Priority) -> TimedResult<Option<Entry>> {
-        let turn = self.wait_for_turn(0, priority).await;
+        let admitted = self.wait_for_tokens(0, priority).await;
         let sent_at = Instant::now();
-        let result = match turn {
+        let result = match admitted {
             Ok(()) => self.send_get(key).await,
             Err(failure) => Err(failure),
         };
@@ -157,8 +166,8 @@
         }
     }
 
-    /// Reads all keys under a prefix; the revision is that of the first page,
-    /// so that a watch from there misses nothing.
+    /// Reads all entries under a prefix. The revision returned is that of the first page, so
+    /// that a watch from this revision misses no change.
     ///
     /// # Errors
     /// A call failed.
@@ -170,7 +179,7 @@
         let mut all: Vec<Entry> = Vec::new();
         let mut revision = None;
         loop {
-            self.wait_for_turn(0, priority).await?;
+            self.wait_for_tokens(0, priority).await?;
             let page = self.page(prefix, all.last()).await?;
             revision.get_or_insert(page.revision);
             let more = page.more && !page.items.is_empty();
@@ -193,20 +202,19 @@
         }
     }
 
-    /// Runs a transaction, and says its revision.
+    /// Runs a transaction, and returns its revision.
     ///
     /// # Errors
-    /// The call failed, or a condition of the transaction did.
+    /// The call or a condition of the transaction failed.
     pub async fn txn(&self, txn: &Txn, priority: Priority) -> Result<u64, ServiceError> {
         self.timed_txn(txn, priority).await.result
     }
 
-    /// Runs a transaction, and says when it was sent: it may have waited for its turn
-    /// before.
+    /// Runs a transaction, and returns the time at which the request was sent as well.
     pub async fn timed_txn(&self, txn: &Txn, priority: Priority) -> TimedResult<u64> {
-        let turn = self.wait_for_turn(txn.changes.len(), priority).await;
+        let admitted = self.wait_for_tokens(txn.changes.len(), priority).await;
         let sent_at = Instant::now();
-        let result = match turn {
+        let result = match admitted {
             Ok(()) => self.send_txn(txn).await,
             Err(failure) => Err(failure),
         };
@@ -217,40 +225,41 @@
         let body = service::encode(txn)?;
         let response = self.call(Method::POST, "/multi", Some(body)).await?;
         match response.status {
-            200 => service::decode::<Revision>(&response).map(|r| r.revision),
+            200 => service::decode::<Revision>(&response).map(|done| done.revision),
             409 => Err(ServiceError::Conflict(
                 service::decode::<Conflict>(&response)?.failed,
             )),
-            400 if names_no_lease(&response.body) => Err(ServiceError::LeaseNotFound),
+            400 if reports_no_such_lease(&response.body) => Err(ServiceError::LeaseNotFound),
             status => Err(ServiceError::Status(status)),
         }
     }
 
-    /// Asks for a lease with this time to live, in seconds.
+    /// Requests a lease with a time to live of `ttl_s` seconds, and returns its id.
     ///
     /// # Errors
     /// The call failed.
     pub async fn grant(&self, ttl_s: f64) -> Result<u64, ServiceError> {
-        self.wait_for_turn(0, Priority::Control).await?;
+        self.wait_for_tokens(0, Priority::Control).await?;
         let body = service::encode(&LeaseRequest {
             ttl_ms: (ttl_s * 1000.0) as u64,
         })?;
         let response = self.call(Method::POST, "/leases", Some(body)).await?;
         match response.status {
-            200 => service::decode::<Lease>(&response).map(|l| l.lease),
+            200 => service::decode::<Lease>(&response).map(|granted| granted.lease),
             status => Err(ServiceError::Status(status)),
         }
     }
 
-    /// Renews a lease. The answer counts however late it comes, so a busy
-    /// controller should not give it up early: that it asked is what kept the
-    /// lease, and what it knows of it is from then. `timeout_s` is raised to that of
-    /// other calls.
+    /// Renews a lease. The timeout is `timeout_s`, but at least that of other calls.
+    ///
+    /// A late answer counts as well: the request is what renews the lease, and the caller
+    /// reckons the renewal from the time of the request. So a busy controller should not give
+    /// up early.
     ///
     /// # Errors
     /// The call failed, or the lease has expired.
     pub async fn renew(&self, lease: u64, timeout_s: f64) -> Result<(), ServiceError> {
-        self.wait_for_turn(0, Priority::Control).await?;
+        self.wait_for_tokens(0, Priority::Control).await?;
         let path = format!("/leases/{lease}/extend");
         let body = Some(b"{}".to_vec());
         let timeout_s = timeout_s.max(CALL_TIMEOUT_S);
@@ -262,23 +271,24 @@
         }
     }
 
-    /// Revokes a lease: ends it at once.
+    /// Revokes a lease, which ends it at once.
     ///
     /// # Errors
     /// The call failed.
     pub async fn revoke_lease(&self, lease: u64) -> Result<(), ServiceError> {
-        self.wait_for_turn(0, Priority::Control).await?;
+        self.wait_for_tokens(0, Priority::Control).await?;
         let path = format!("/leases/{lease}");
         self.call(Method::DELETE, &path, None).await.map(|_| ())
     }
 
-    /// Waits for changes under a prefix after the revision `since`, for `wait_s` seconds
-    /// at most.
+    /// Waits for changes under a prefix after the revision `since`, for at most `wait_s`
+    /// seconds.
     ///
     /// # Errors
-    /// The call failed, or the revision is compacted ([`ServiceError::Compacted`]).
+    /// The call failed, or the changes after `since` have been compacted
+    /// ([`ServiceError::Compacted`]).
     pub async fn watch(&self, prefix: &str, since: u64, wait_s: f64) -> Result<News, ServiceError> {
-        self.wait_for_turn(0, Priority::Control).await?;
+        self.wait_for_tokens(0, Priority::Control).await?;
         let wait_ms = (wait_s * 1000.0) as u64;
         let request = Request {
             method: Method::GET,
@@ -286,7 +296,7 @@
             body: None,
             timeout_s: wait_s + WATCH_SLACK_S,
         };
-        let response = self.service.send(&self.watch, request).await?;
+        let response = self.service.send(&self.watch_http, request).await?;
         let response = service::not_overloaded(response)?;
         match response.status {
             200 => service::decode(&response),
@@ -296,10 +306,10 @@
     }
 }
 
-/// Part of the published limits that a controller uses. Most traffic comes from one
-/// leader, so each controller gets more than its even part; the sum of what all really
-/// use stays far below.
-fn rate_part(controllers: usize) -> f64 {
+/// Fraction of the published rate limits that each controller may use. Most traffic comes from
+/// the one leader, so each controller may use more than an equal share. What all controllers
+/// actually use together stays far below the limits.
+fn rate_fraction(controllers: usize) -> f64 {
     if controllers > 1 {
         0.6
     } else {
@@ -307,7 +317,7 @@
     }
 }
 
-fn names_no_lease(body: &[u8]) -> bool {
+fn reports_no_such_lease(body: &[u8]) -> bool {
     body.windows(NO_SUCH_LEASE.len())
         .any(|window| window == NO_SUCH_LEASE)
 }
--- a/src/transport/clients/workers.rs
+++ b/src/transport/clients/workers.rs
@@ -1,4 +1,5 @@
-//! Client of the workers: direct commands, over a bounded number of kept connections.
+//! Client of the workers: sends direct commands, and bounds the number of connections that it
+//! keeps open.
 
 use crate::protocol::settings::Settings;
 use crate::protocol::worker::{Direct, Report};
@@ -12,16 +13,17 @@
 
 /// Client of the workers.
 ///
-/// A connection to a worker is kept for later calls, and the pool closes none before the
-/// next call to the same address: machines that are gone leave theirs behind, and with
-/// as many machines as sockets the process had none left (for its own lease, say). So
-/// the addresses that the pool may hold are counted, and where they are as many as there
-/// are sockets to spare, all are closed and the pool begins anew.
+/// The pool keeps a connection to a worker open for later calls, and closes it only at the next
+/// call to the same address. So connections to machines that no longer exist stay open. After
+/// calls to as many machines as there are sockets, the process would have no socket left, not
+/// even to renew its own lease. Therefore the client counts the addresses to which the pool
+/// may hold a connection. When this number reaches the limit ([`Sockets::to_workers`]), the
+/// client replaces the pool, which closes all of the old pool's connections.
 #[derive(Clone)]
 pub struct WorkerClient {
     pool: Rc<RefCell<Pool>>,
     process_sockets: Sockets,
-    /// Calls that can be under way at once.
+    /// Most calls that can be under way at once.
     pub sockets: usize,
     timeout_s: f64,
 }
@@ -29,34 +31,36 @@
 /// The connection pool.
 struct Pool {
     http: Http,
-    /// Addresses to which it may hold a connection.
+    /// Addresses to which the pool may hold a connection.
     addresses: HashSet<SocketAddr>,
 }
 
-/// Outcome of direct commands.
+/// Outcome of sending direct commands.
 #[derive(Debug)]
 pub enum DirectOutcome {
-    /// Executed; the heartbeat is from after them.
+    /// The worker executed them; its heartbeat was made after that.
     Executed(Report),
-    /// Not executed, now or ever; the heartbeat says why.
+    /// The worker refused them and will never execute them; its heartbeat says why.
     Rejected(Report),
-    /// Never sent.
+    /// They are never executed: they were not sent, or the worker answered with a 400.
     NotSent,
-    /// May be executed at any time while token and session match.
+    /// The worker may execute them at any time, as long as their token and session match its
+    /// own.
     Unknown,
 }
 
 impl WorkerClient {
-    /// A client with the sockets and the timeout that the settings allow.
+    /// A client with the sockets and the timeout that follow from the settings.
     pub fn new(settings: &Settings) -> WorkerClient {
         let timeout_s = settings.cluster.workers.report_s.clamp(1.0, 4.0);
         WorkerClient::with_sockets(settings.cluster.quota.max_sockets, timeout_s)
     }
 
-    /// A client in a process of so many sockets; a call may take `timeout_s` seconds.
-    pub fn with_sockets(all: usize, timeout_s: f64) -> WorkerClient {
-        let process_sockets = Sockets::new(all);
-        let sockets = (process_sockets.all / 4).clamp(8, 128);
+    /// A client in a process that may have `max_sockets` open. A call may take `timeout_s`
+    /// seconds.
+    pub fn with_sockets(max_sockets: usize, timeout_s: f64) -> WorkerClient {
+        let process_sockets = Sockets::new(max_sockets);
+        let sockets = (process_sockets.limit / 4).clamp(8, 128);
         let pool = Pool {
             http: Http::new(timeout_s / 2.0, sockets),
             addresses: HashSet::new(),
@@ -69,24 +73,24 @@
         }
     }
 
-    /// How many addresses a connection may be kept to.
+    /// Number of addresses to which a connection may be kept open.
     pub fn kept_connections(&self) -> usize {
         self.pool.borrow().addresses.len()
     }
 
-    /// The process's sockets.
+    /// The sockets of the process.
     pub fn process_sockets(&self) -> &Sockets {
         &self.process_sockets
     }
 
-    /// The pool for a call to this address.
+    /// The pool for a call to this address. Replaces the pool if it holds too many connections.
     fn pool(&self, addr: SocketAddr) -> Http {
         let mut pool = self.pool.borrow_mut();
-        // There may be fewer to spare than when the others were kept.
-        let others = pool.addresses.len() - usize::from(pool.addresses.contains(&addr));
-        if others >= self.process_sockets.to_workers() {
+        // The limit may be lower now than when the other connections were opened: hence `>=`.
+        let other_addresses = pool.addresses.len() - usize::from(pool.addresses.contains(&addr));
+        if other_addresses >= self.process_sockets.to_workers() {
             pool.addresses.clear();
-            // The old one goes with its last call.
+            // The old pool is dropped when its last call has ended.
             pool.http = Http::new(self.timeout_s / 2.0, self.sockets);
         }
         pool.addresses.insert(addr);
@@ -108,14 +112,14 @@
     }
 }
 
-/// What a worker's response says of the commands.
+/// The outcome of the commands, according to the worker's response.
 fn outcome(response: &Response) -> DirectOutcome {
-    let of_report = |outcome: fn(Report) -> DirectOutcome| {
+    let with_report = |outcome: fn(Report) -> DirectOutcome| {
         serde_json::from_slice(&response.body).map_or(DirectOutcome::Unknown, outcome)
     };
     match response.status {
-        200 => of_report(DirectOutcome::Executed),
-        409 => of_report(DirectOutcome::Rejected),
+        200 => with_report(DirectOutcome::Executed),
+        409 => with_report(DirectOutcome::Rejected),
         400 => DirectOutcome::NotSent,
         _ => DirectOutcome::Unknown,
     }
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,4 +1,5 @@
-//! One HTTP call with a timeout, and what is known about it when it failed.
+//! One HTTP call with a timeout. When a call fails, the error says whether the request may
+//! have been executed.
 
 use bytes::Bytes;
 use futures_util::future::LocalBoxFuture;
@@ -6,91 +7,93 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest response taken, in bytes: a snapshot of 6,000 machines, or the 10,000 changes
-/// that a watch of the state service may tell at once. Listings come in pages.
-const MAX_BODY: usize = 16 << 20;
+/// Largest response body accepted, in bytes. The largest are a snapshot of 6,000 machines, and
+/// the 10,000 changes that one response to a watch of the state service may hold. Listings are
+/// paged.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// A response.
+/// An HTTP response.
 #[derive(Debug)]
 pub struct Response {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
     /// The whole body.
     pub body: Bytes,
 }
 
-/// For how long a connection is kept for later calls: longer than the time
-/// between two calls to any machine in use.
+/// How long an idle connection is kept open for later calls: longer than the time between
+/// two calls to any machine in use.
 const KEEP_ALIVE: Duration = Duration::from_secs(600);
 
-/// Why there is no response.
+/// Why a call has no response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The connection was never made: the other side did and will do nothing.
+    /// No connection was made: the other side has not executed the request and never will.
     #[error("not sent")]
     NotSent,
-    /// Sent, perhaps: it may have been executed, or may be at any later time.
+    /// The request may have been sent: the other side may have executed it already, or may
+    /// execute it at any later time.
     #[error("unknown outcome")]
     Unknown,
 }
 
-/// One call, as it is handed to an [`Exchange`].
+/// One call, as it is passed to an [`Exchange`].
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Whom to call.
+    /// Address to call.
     pub addr: SocketAddr,
-    /// Method.
+    /// HTTP method.
     pub method: awc::http::Method,
-    /// Path and query.
+    /// Path and query string.
     pub path: String,
-    /// Body; empty if there is none.
+    /// Request body; empty if there is none.
     pub body: Vec<u8>,
-    /// Bound on the time until the response.
+    /// Longest time to wait for the response.
     pub timeout: Duration,
 }
 
-/// Carries calls without sockets: a simulated network in tests.
+/// Answers calls without sockets: a simulated network in tests.
 pub trait Exchange {
-    /// Answers the call within its timeout, or says why there is no answer.
+    /// Returns the response, or the reason why there is none, within the call's timeout.
     fn call(&self, call: Call) -> LocalBoxFuture<'static, Result<Response, CallError>>;
 }
 
-/// What carries the calls of a client.
+/// How a client's calls reach the other side.
 #[derive(Clone)]
-enum Carrier {
-    /// Sockets.
+enum Transport {
+    /// Over the sockets of a connection pool.
     Pool(Pool),
-    /// A simulated network.
+    /// Through a simulated network.
     Simulated(Rc<dyn Exchange>),
 }
 
-/// A connection pool, and the time that connecting may take.
+/// A connection pool, and the longest time to wait for a new connection.
 #[derive(Clone)]
 struct Pool {
     client: awc::Client,
     connect_timeout: Duration,
 }
 
-/// A client with its own connection pool.
+/// An HTTP client, by default with its own connection pool.
 #[derive(Clone)]
-pub struct Http(Carrier);
+pub struct Http(Transport);
 
 impl Http {
     /// A client whose calls go to a simulated network.
     pub fn simulated(exchange: Rc<dyn Exchange>) -> Http {
-        Http(Carrier::Simulated(exchange))
+        Http(Transport::Simulated(exchange))
     }
 
-    /// A client over sockets: `connect_s` bounds the time to connect, in seconds,
-    /// `sockets` the connections of the pool.
-    pub fn new(connect_s: f64, sockets: usize) -> Http {
-        let connect_timeout = Duration::from_secs_f64(connect_s);
+    /// A client over sockets. A new connection may take `connect_timeout_s` seconds, and the
+    /// pool holds at most `max_connections`.
+    pub fn new(connect_timeout_s: f64, max_connections: usize) -> Http {
+        let connect_timeout = Duration::from_secs_f64(connect_timeout_s);
         let connector = awc::Connector::new()
             .timeout(connect_timeout)
-            .limit(sockets)
-            // The other side closes a connection when it wants to, and a new
-            // one costs a dozen system calls and packets. (Idle ones are not
-            // closed before the next call to the same address anyway.)
+            .limit(max_connections)
+            // Connections are kept for long: a new one costs a dozen system calls and
+            // packets, and the other side can close one at any time. (In any case the pool
+            // closes an expired connection only at the next call to the same address.)
             .conn_keep_alive(KEEP_ALIVE)
             .conn_lifetime(KEEP_ALIVE);
         let client = awc::Client::builder()
@@ -99,17 +102,17 @@
             .disable_timeout()
             .no_default_headers()
             .finish();
-        Http(Carrier::Pool(Pool {
+        Http(Transport::Pool(Pool {
             client,
             connect_timeout,
         }))
     }
 
-    /// Calls `method path` at `addr` and reads the whole response, within `timeout_s`
-    /// seconds.
+    /// Sends a request to `addr` and reads the whole response. `timeout_s` bounds the call, in
+    /// seconds; over sockets the time to connect is added to it.
     ///
     /// # Errors
-    /// There is no response: what is known of the request.
+    /// There is no response. The error says whether the request may have been executed.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -120,8 +123,8 @@
     ) -> Result<Response, CallError> {
         let timeout = Duration::from_secs_f64(timeout_s);
         match &self.0 {
-            Carrier::Pool(pool) => pool.call(addr, method, path, body, timeout).await,
-            Carrier::Simulated(exchange) => {
+            Transport::Pool(pool) => pool.call(addr, method, path, body, timeout).await,
+            Transport::Simulated(exchange) => {
                 let call = Call {
                     addr,
                     method,
@@ -148,17 +151,18 @@
             .client
             .request(method, format!("http://{addr}{path}"))
             .insert_header(("content-type", "application/json"));
-        // One bound for all: waiting for the pool, sending, the body. It leaves
-        // the connector time to say that it never connected.
-        let bound = timeout + self.connect_timeout;
-        actix_rt::time::timeout(bound, exchange(request, body))
+        // One timeout covers the wait for a free connection, sending the request, and reading
+        // the response. The time to connect is added so that a failure to connect is reported
+        // as `NotSent` before this timeout makes the outcome unknown.
+        let total_timeout = timeout + self.connect_timeout;
+        actix_rt::time::timeout(total_timeout, send_and_read(request, body))
             .await
             .unwrap_or(Err(CallError::Unknown))
     }
 }
 
 /// Sends a request and reads the whole response.
-async fn exchange(
+async fn send_and_read(
     request: awc::ClientRequest,
     body: Option<Vec<u8>>,
 ) -> Result<Response, CallError> {
@@ -168,12 +172,12 @@
     };
     let mut response = sent.map_err(call_error)?;
     let status = response.status().as_u16();
-    let body = response.body().limit(MAX_BODY).await;
+    let body = response.body().limit(MAX_RESPONSE_BYTES).await;
     let body = body.map_err(|_| CallError::Unknown)?;
     Ok(Response { status, body })
 }
 
-/// What is known of a request that could not be sent, or had no response.
+/// Tells whether a request that failed may have been sent.
 fn call_error(error: awc::error::SendRequestError) -> CallError {
     use awc::error::SendRequestError::{Connect, Url};
     match error {
--- a/src/transport/listen.rs
+++ b/src/transport/listen.rs
@@ -1,6 +1,7 @@
-//! Accepts connections and serves them on this thread. `actix-web`'s own
-//! server would start a thread for accepting and one for serving; on a tenth of
-//! a processor each hand-over costs, so its HTTP service is fed by one loop here.
+//! Accepts connections and serves them on the current thread. The server of `actix-web` would
+//! start one thread that accepts connections and another that serves them. A controller may
+//! have only a tenth of a processor, where each hand-over between threads is costly. So one
+//! loop here accepts connections and passes them to the HTTP service of `actix-web`.
 
 use actix_http::{HttpService, KeepAlive};
 use actix_rt::net::{TcpListener, TcpStream};
@@ -13,23 +14,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// For how long a connection that is used now and then is kept.
+/// Idle timeout of connections that are used only now and then.
 pub const IDLE: Duration = Duration::from_secs(120);
-/// Bound on the time until the head of a request has come.
+/// Longest time to wait for the head of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bound on the time until a connection is closed.
+/// Longest time that closing a connection may take.
 const DISCONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a connection could not be accepted.
+/// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// A listener that does not block.
+/// Binds a non-blocking listener.
 fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
     let listener = std::net::TcpListener::bind(addr)?;
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
 }
 
-/// The next connection.
+/// Waits for the next connection. A failure to accept is logged and retried.
 async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         match listener.accept().await {
@@ -42,10 +43,11 @@
     }
 }
 
-/// Serves `app` at `addr` until the process ends. Connections beyond
-/// `max_connections` are closed at once, so that the sockets left over keep the
-/// controller's own calls going; `open` counts those that are open. One on which nothing
-/// came for `idle` is closed: the other side is gone.
+/// Starts to serve `app` at `addr`; it is served until the process ends.
+///
+/// `open` counts the open connections. While `max_connections` are open, a new one is closed
+/// at once, so that enough sockets remain for the controller's own calls. A connection without
+/// traffic for `idle` is closed, because the other side is assumed to be gone.
 ///
 /// # Errors
 /// The address cannot be bound, or the HTTP service did not start.
@@ -74,7 +76,7 @@
         .client_request_timeout(REQUEST_TIMEOUT)
         .client_disconnect_timeout(DISCONNECT_TIMEOUT)
         .h1(map_config(
-            app.into_factory().map_err(|e: Error| e),
+            app.into_factory().map_err(|error: Error| error),
             move |_| config.clone(),
         ))
         .tcp();
@@ -88,7 +90,7 @@
     Ok(())
 }
 
-/// Accepts connections for ever, and serves each in a task of its own.
+/// Accepts connections forever, and serves each in its own task.
 async fn serve_connections<S>(
     listener: TcpListener,
     service: Rc<S>,
@@ -100,7 +102,7 @@
     loop {
         let stream = accept(&listener).await;
         if open.get() >= max_connections {
-            // Dropped, which closes it.
+            // Dropping the stream closes the connection.
             continue;
         }
         open.set(open.get() + 1);
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,11 +1,12 @@
-//! Moves bytes: an HTTP client with timeouts and request limits, the clients of the
-//! outside services built on it, and the listener that feeds the servers.
+//! Network communication: an HTTP client with timeouts, rate limits, the clients of the
+//! outside services, and the listener that accepts connections for the HTTP servers.
 //!
 //! - [`http`]: one HTTP call with a timeout.
-//! - [`token_bucket`]: limits on requests.
-//! - [`clients`]: the state service, the cloud, the workers, the other controllers.
-//! - [`sockets`]: how a process's sockets are divided.
-//! - [`listen`]: accepts connections.
+//! - [`token_bucket`]: rate limits on requests.
+//! - [`clients`]: clients of the state service, the cloud, the workers and the other
+//!   controllers.
+//! - [`sockets`]: how the sockets of a process are divided among their uses.
+//! - [`listen`]: accepts connections and serves them.
 
 pub mod clients;
 pub mod http;
--- a/src/transport/sockets.rs
+++ b/src/transport/sockets.rs
@@ -1,45 +1,48 @@
-//! Who may have how many of a process's sockets. Past the limit a new connection fails,
-//! whatever it is for; so the parts are bounded, and what is left over keeps the calls
-//! to the state service, the cloud and the peers going.
+//! Divides the sockets of a process among their uses. Once the process has as many open as it
+//! may, every new connection fails, whatever it is for. So the number of connections to and
+//! from workers, users and other controllers is bounded, and enough sockets remain for calls
+//! to the state service, the cloud and the peers.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The sockets of a process.
+/// The sockets of a process, and how many each use may take.
 #[derive(Clone)]
 pub struct Sockets {
-    /// How many the process may have open.
-    pub all: usize,
-    /// Connections of workers and users that are open.
+    /// Most sockets that the process may have open.
+    pub limit: usize,
+    /// Number of open connections from workers and users.
     pub incoming: Rc<Cell<usize>>,
 }
 
 impl Sockets {
-    /// The sockets of a process that may have so many.
-    pub fn new(all: usize) -> Sockets {
+    /// The sockets of a process that may have `limit` of them open.
+    pub fn new(limit: usize) -> Sockets {
         Sockets {
-            all,
+            limit,
             incoming: Rc::default(),
         }
     }
 
-    /// Most connections of workers and users: every worker holds one to the leader, and
-    /// users hold fewer. What comes beyond is closed at once.
+    /// Most connections from workers and users. Every worker holds one to the leader, and users
+    /// hold fewer. Connections above this number are closed at once.
     pub fn front(&self) -> usize {
-        self.all * 11 / 16
+        self.limit * 11 / 16
     }
 
-    /// Most connections of other controllers: eight each of up to a dozen where there are thousands of sockets.
+    /// Most connections from other controllers. With thousands of sockets this is enough for a
+    /// dozen controllers with eight connections each.
     pub fn mesh(&self) -> usize {
-        self.all / 16
+        self.limit / 16
     }
 
-    /// Most connections kept to workers: an eighth, and what workers and users leave of theirs, less
-    /// three sixteenths that stay free for our other calls, for who comes next, and for
-    /// those that are just being closed.
+    /// Most connections kept open to workers. These are the sockets that workers and users do
+    /// not use, less three sixteenths of the limit. That reserve is for this process's other
+    /// calls, for new incoming connections, and for connections that are being closed. The
+    /// result is at least an eighth of the limit, and at least 8.
     pub fn to_workers(&self) -> usize {
-        let free = self.all * 3 / 16;
-        let left = self.all.saturating_sub(self.incoming.get() + free);
-        left.max(self.all / 8).max(8)
+        let reserve = self.limit * 3 / 16;
+        let unused = self.limit.saturating_sub(self.incoming.get() + reserve);
+        unused.max(self.limit / 8).max(8)
     }
 }
--- a/src/transport/token_bucket.rs
+++ b/src/transport/token_bucket.rs
@@ -1,36 +1,36 @@
-//! Token buckets, which keep a controller's requests below a published limit. Control
-//! traffic may use a reserve that other traffic may not.
+//! Token buckets, which keep a controller's request rate below the published limit of a
+//! service. A reserve of tokens is left to control traffic.
 
 /// How urgent a request is.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Priority {
-    /// Leases and records that leadership rests on: may use the reserve.
+    /// Leases, and records that leadership depends on: may use the reserve.
     Control,
-    /// Everything else.
+    /// Everything else: may not use the reserve.
     Data,
 }
 
-/// Slack for the rounding of sums of tokens.
+/// Tolerance for rounding errors in sums of tokens.
 const ROUNDING: f64 = 1e-9;
 
-/// A token bucket in passed-in time.
+/// A token bucket. The caller passes in the time.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
-    /// Tokens that come in, per second.
+    /// Tokens added per second.
     rate: f64,
     /// Most tokens that the bucket holds.
     burst: f64,
     /// Tokens kept for control traffic.
     reserve: f64,
-    /// Tokens in the bucket; negative after a request larger than what was there.
+    /// Tokens in the bucket; negative after a request for more tokens than it held.
     tokens: f64,
-    /// When `tokens` was brought up to date, in seconds.
+    /// Time of the last update of `tokens`, in seconds.
     updated_at: f64,
 }
 
 impl TokenBucket {
-    /// A full bucket: `rate` tokens a second, at most `burst` at once, the last `reserve`
-    /// of them (half of the burst at most) for control traffic.
+    /// A full bucket that gains `rate` tokens a second and holds at most `burst`. The last
+    /// `reserve` tokens, at most half of `burst`, are kept for control traffic.
     pub fn new(rate: f64, burst: f64, reserve: f64) -> TokenBucket {
         TokenBucket {
             rate,
@@ -44,23 +44,24 @@
     /// Takes `count` tokens at the time `now`, in seconds.
     ///
     /// # Errors
-    /// There are too few: how long to wait for them, in seconds.
+    /// There are too few tokens. The error is the time until there are enough, in seconds.
     pub fn take(&mut self, count: f64, priority: Priority, now: f64) -> Result<(), f64> {
         self.refill(now);
         let floor = match priority {
             Priority::Control => 0.0,
             Priority::Data => self.reserve,
         };
-        // A request larger than the bucket is let through once it is full.
-        let need = count.min(self.burst - floor);
-        if self.tokens - need >= floor - ROUNDING {
+        // A request for more tokens than the bucket can hold is granted when the bucket is full.
+        let needed = count.min(self.burst - floor);
+        if self.tokens - needed >= floor - ROUNDING {
             self.tokens -= count;
             Ok(())
         } else {
-            Err((need + floor - self.tokens) / self.rate)
+            Err((needed + floor - self.tokens) / self.rate)
         }
     }
 
+    /// Adds the tokens gained since the last update.
     fn refill(&mut self, now: f64) {
         if now > self.updated_at {
             self.tokens = (self.tokens + (now - self.updated_at) * self.rate).min(self.burst);
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Empties the bucket: after a 429 the other side knows better.
+    /// Empties the bucket. For use after a 429, when the service has counted more requests than
+    /// this bucket has.
     pub fn drain(&mut self) {
         self.tokens = self.tokens.min(0.0);
     }
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -1,4 +1,6 @@
-//! Tables on what comes in from outside: submissions, settings, reports.
+//! Guards the parsing of data from outside against accepting malformed values and rejecting
+//! good ones: submissions, settings, policy, workers' reports, stored texts, and messages
+//! between controllers. One test checks the token bucket.
 
 mod common;
 
@@ -12,7 +14,8 @@
 use foxspur::transport::token_bucket::{Priority, TokenBucket};
 use serde_json::{json, Value};
 
-fn job() -> Value {
+/// A valid submission.
+fn valid_submission() -> Value {
     json!({"name_id":"run-000412","queue":"train","owner":"vision","shape":"sweep","urgency":"high",
         "shards":16,"cpus":8.0,"cards":1.0,"memory_gb":64.0,"bundle":"img-07","image_gb":6.2,
         "flavors":["g8"],"site":null,"together":true,"scatter":false,"standby":true,
@@ -20,8 +23,9 @@
 }
 
 #[test]
-fn submissions() {
-    // What is changed in a good submission, and whether it is still taken.
+fn only_valid_submissions_are_accepted() {
+    // The field that is changed in a valid submission, its new value, and whether the result is
+    // valid.
     let cases: Vec<(&str, Value, bool)> = vec![
         ("site", json!("a"), true),
         ("flavors", Value::Null, true),
@@ -48,11 +52,11 @@
         ("flavors", json!("g8"), false),
         ("unknown_field", json!({"a": 1}), true),
     ];
-    for (field, value, good) in cases {
-        let mut body = job();
+    for (field, value, valid) in cases {
+        let mut body = valid_submission();
         body[field] = value.clone();
         let parsed = parse_submission(body.to_string().as_bytes());
-        assert_eq!(parsed.is_ok(), good, "{field} = {value}: {parsed:?}");
+        assert_eq!(parsed.is_ok(), valid, "{field} = {value}: {parsed:?}");
     }
     for field in [
         "name_id",
@@ -63,7 +67,7 @@
         "standby",
         "expected_s",
     ] {
-        let mut body = job();
+        let mut body = valid_submission();
         body.as_object_mut().unwrap().remove(field);
         let parsed = parse_submission(body.to_string().as_bytes());
         assert!(parsed.is_err(), "without {field}");
@@ -71,8 +75,9 @@
     for body in ["", "nonsense", "[]", "3", "null", "\"run-000412\""] {
         assert!(parse_submission(body.as_bytes()).is_err(), "{body}");
     }
-    // A job that is known is found in a repetition that is otherwise wrong.
-    let mut body = job();
+    // The id can be read from a submission that is otherwise malformed, so that a repeated
+    // submission of a known job is recognised.
+    let mut body = valid_submission();
     body["cpus"] = json!("many");
     assert_eq!(
         peek_id(body.to_string().as_bytes()).as_deref(),
@@ -82,7 +87,7 @@
 }
 
 #[test]
-fn settings_name_the_field_that_is_wrong() {
+fn settings_errors_name_the_wrong_field() {
     assert!(Settings::parse(SETTINGS).is_ok());
     let cases = [
         ("host_name = \"berth-0\"\n", "", "host_name"),
@@ -134,7 +139,7 @@
 }
 
 #[test]
-fn operators_settings() {
+fn policy_errors_name_the_wrong_field() {
     let policy = Policy::parse("((sample . 3) (headroom . 0.5))").unwrap();
     assert_eq!((policy.sample, policy.headroom), (3, 0.5));
     assert_eq!(policy.queue_depth, Policy::default().queue_depth);
@@ -151,10 +156,10 @@
     }
 }
 
-/// What is fine alone and impossible together ends the start as well, also at
-/// the size of a fleet.
+/// Guards against a controller that starts with settings and a policy that are each valid but
+/// contradict each other. The last case is a low request rate that is still enough.
 #[test]
-fn settings_and_policy_that_contradict_each_other() {
+fn contradictions_of_settings_and_policy_name_the_field() {
     for (from, to, policy, field) in [
         ("", "", "()", None),
         ("", "", "((quiet-leases . 0.3))", Some("quiet-leases")),
@@ -169,18 +174,21 @@
     ] {
         let settings = Settings::parse(&SETTINGS.replacen(from, to, 1)).unwrap();
         let policy = Policy::parse(policy).unwrap();
-        let found = settings.check_policy(&policy).err().map(|e| e.to_string());
-        let named = match (&found, field) {
+        let found = settings
+            .check_policy(&policy)
+            .err()
+            .map(|error| error.to_string());
+        let as_expected = match (&found, field) {
             (None, None) => true,
             (Some(error), Some(field)) => error.contains(field),
             _ => false,
         };
-        assert!(named, "{to} {policy:?}: {found:?}");
+        assert!(as_expected, "{to} {policy:?}: {found:?}");
     }
 }
 
 #[test]
-fn reports_and_commands() {
+fn reports_and_commands_use_the_wire_names() {
     let report: Report = serde_json::from_str(
         r#"{"host":"m-1","endpoint":"10.1.0.1:9000","flavor":"g8","site":"a","standby":true,
         "tenure":1,"serial":88,"epoch":41,"warning_s":null,"new":[1],
@@ -205,7 +213,7 @@
 }
 
 #[test]
-fn completed_tasks_survive_their_text() {
+fn completed_tasks_are_restored_from_their_text() {
     let cases: [(&[u32], &str); 4] = [
         (&[], ""),
         (&[4], "4"),
@@ -214,13 +222,14 @@
     ];
     for (tasks, text) in cases {
         let mut completed = CompletedTasks::default();
-        for t in tasks {
-            completed.insert(*t);
+        for task in tasks {
+            completed.insert(*task);
         }
         assert_eq!(completed.to_text(), text);
         assert_eq!(CompletedTasks::from_text(text, 10), completed);
     }
-    // A damaged record must not lose tasks, nor invent ones beyond the job.
+    // A damaged record must not lose its readable tasks, nor add tasks that the job does not
+    // have.
     assert_eq!(
         CompletedTasks::from_text("x,2-,5-3,1,8-4000000000", 10).to_text(),
         "1,8-9"
@@ -231,7 +240,7 @@
 }
 
 #[test]
-fn mesh_messages_survive_their_encoding() {
+fn mesh_messages_are_restored_from_their_encoding() {
     let request = PeerRequest::Progress("run-000412".into());
     assert_eq!(decode::<PeerRequest>(&encode(&request)), Some(request));
     assert_eq!(decode::<PeerRequest>(&[250, 1, 2]), None);
@@ -243,13 +252,13 @@
     let taken = (0..20)
         .filter(|_| bucket.take(1.0, Priority::Data, 0.0).is_ok())
         .count();
-    assert_eq!(taken, 8, "data leaves the reserve");
+    assert_eq!(taken, 8, "data traffic must leave the reserve");
     assert!(
         bucket.take(1.0, Priority::Control, 0.0).is_ok(),
-        "control may use it"
+        "control traffic may use the reserve"
     );
     assert!(
         bucket.take(1.0, Priority::Data, 1.0).is_ok(),
-        "it fills again"
+        "the bucket must refill"
     );
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,5 +1,6 @@
-//! A fleet that changes must not use up a process's sockets: connections kept to workers
-//! that are gone are given back.
+//! Guards against a process that runs out of sockets while machines of the fleet come and go.
+//! The connection pool keeps connections to workers open for later calls, also to workers that
+//! no longer exist, so the client must close them.
 
 use foxspur::protocol::worker::Direct;
 use foxspur::transport::clients::WorkerClient;
@@ -7,21 +8,26 @@
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Answers every request on every connection, and counts the open ones.
-async fn worker(open: Rc<Cell<usize>>) -> std::net::SocketAddr {
+/// Starts a worker that answers every request with a 400, and counts its open connections in
+/// `open`.
+async fn start_worker(open: Rc<Cell<usize>>) -> std::net::SocketAddr {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
-        .expect("a port");
-    let addr = listener.local_addr().expect("bound");
+        .expect("a free port");
+    let addr = listener.local_addr().expect("a bound listener");
     actix_rt::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let open = open.clone();
             open.set(open.get() + 1);
             actix_rt::spawn(async move {
                 let mut buffer = [0; 4096];
-                while stream.read(&mut buffer).await.is_ok_and(|n| n > 0) {
-                    let answer = b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n";
-                    if stream.write_all(answer).await.is_err() {
+                while stream
+                    .read(&mut buffer)
+                    .await
+                    .is_ok_and(|length| length > 0)
+                {
+                    let response = b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n";
+                    if stream.write_all(response).await.is_err() {
                         break;
                     }
                 }
@@ -33,31 +39,32 @@
 }
 
 #[test]
-fn connections_to_workers_that_are_gone_are_given_back() {
-    actix_rt::System::new().block_on(changing_fleet());
+fn connections_to_former_workers_are_closed() {
+    actix_rt::System::new().block_on(call_workers_of_a_changing_fleet());
 }
 
-async fn changing_fleet() {
+/// Calls each of 200 new workers once, and checks the largest number of open connections.
+async fn call_workers_of_a_changing_fleet() {
     let client = WorkerClient::with_sockets(64, 1.0);
-    let call = Direct {
+    let commands = Direct {
         token: 1,
         session: 1,
         commands: Vec::new(),
     };
     let open = Rc::new(Cell::new(0));
-    let mut most = 0;
+    let mut most_open = 0;
     for _ in 0..200 {
-        let addr = worker(open.clone()).await;
-        client.send(addr, &call).await;
-        // Let closed ones be seen.
+        let addr = start_worker(open.clone()).await;
+        client.send(addr, &commands).await;
+        // Lets the workers notice closed connections.
         for _ in 0..20 {
             tokio::task::yield_now().await;
         }
-        most = most.max(open.get());
+        most_open = most_open.max(open.get());
     }
-    let spare = client.process_sockets().to_workers();
+    let limit = client.process_sockets().to_workers();
     assert!(
-        most > spare / 2 && most <= 2 * spare,
-        "{most} open, {spare} to spare"
+        most_open > limit / 2 && most_open <= 2 * limit,
+        "{most_open} connections open, limit {limit}"
     );
 }
