--- a/src/admin/error.rs
+++ b/src/admin/error.rs
@@ -1,4 +1,4 @@
-//! Why an operator's order was not carried out, and how that is answered.
+//! Errors of operators' orders, and the responses for them.
 
 use super::reply::problem;
 use actix_web::HttpResponse;
@@ -14,30 +14,30 @@
         /// What is wrong with it.
         reason: String,
     },
-    /// Something that is named does not exist.
+    /// A machine or a rollout that the order names does not exist.
     #[error("{0}")]
     NotFound(String),
-    /// It conflicts with what is recorded.
+    /// The order conflicts with the recorded state.
     #[error("{0}")]
     Conflict(String),
-    /// It cannot be carried out, or is not known to be, now.
+    /// The order cannot be carried out now, or its outcome is unknown.
     #[error("{0}")]
     Unavailable(&'static str),
 }
 
-/// The state service did not answer a read, so nothing was ordered.
+/// The state service did not answer a read that precedes the writes of the order.
 pub(super) const STATE_UNAVAILABLE: OrderError =
     OrderError::Unavailable("the state service does not answer now: nothing was ordered");
-/// The state service did not answer a write: it may have been carried out all the same.
+/// The state service did not answer a write, which may nevertheless have been carried out.
 pub(super) const OUTCOME_UNKNOWN: OrderError = OrderError::Unavailable(
     "no answer from the state service: give the same order again to be sure",
 );
-/// Every attempt to write conflicted with changes by others.
+/// Every attempt to write conflicted with concurrent changes.
 pub(super) const TOO_MANY_CONFLICTS: OrderError =
     OrderError::Unavailable("others change the same: try again");
 
 impl OrderError {
-    /// A wrong field.
+    /// The error for an invalid field.
     pub(super) fn invalid(field: &'static str, reason: impl Into<String>) -> OrderError {
         OrderError::InvalidField {
             field,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The answer to the operator.
+    /// The response to the operator.
     pub(super) fn response(&self) -> HttpResponse {
         let (status, field) = match self {
             OrderError::InvalidField { field, .. } => (400, Some(*field)),
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -1,13 +1,13 @@
-//! Metrics in Prometheus' text format, of this controller and, if it leads, of the shard.
-//! Made anew for each request; nothing is kept between.
+//! Metrics in Prometheus' text format: of this controller and, if it leads, of the shard. Every
+//! request computes them anew; no state is kept between requests.
 
 use super::views::service_rows;
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::state::Scheduler;
 use prometheus::{GaugeVec, Opts, Registry, TextEncoder};
 
-/// A set of gauges with these labels, registered.
-fn gauges(
+/// Registers gauges with these labels.
+fn register_gauges(
     registry: &Registry,
     name: &str,
     help: &str,
@@ -18,16 +18,21 @@
     Ok(gauges)
 }
 
-/// Registers a gauge without labels.
-fn gauge(registry: &Registry, name: &str, help: &str, value: f64) -> prometheus::Result<()> {
-    let gauges = gauges(registry, name, help, &[])?;
+/// Registers a gauge without labels, and sets its value.
+fn register_gauge(
+    registry: &Registry,
+    name: &str,
+    help: &str,
+    value: f64,
+) -> prometheus::Result<()> {
+    let gauges = register_gauges(registry, name, help, &[])?;
     gauges.with_label_values::<&str>(&[]).set(value);
     Ok(())
 }
 
 fn job_metrics(registry: &Registry, scheduler: &Scheduler, now: f64) -> prometheus::Result<()> {
     let jobs = scheduler.job_rows(now, 0);
-    let gauges = gauges(
+    let gauges = register_gauges(
         registry,
         "foxspur_jobs",
         "Live jobs by how they stand",
@@ -46,7 +51,7 @@
 }
 
 fn machine_metrics(registry: &Registry, scheduler: &Scheduler, now: f64) -> prometheus::Result<()> {
-    let gauges = gauges(
+    let gauges = register_gauges(
         registry,
         "foxspur_machines",
         "Machines by state",
@@ -60,7 +65,7 @@
 }
 
 fn team_metrics(registry: &Registry, scheduler: &Scheduler) -> prometheus::Result<()> {
-    let gauges = gauges(
+    let gauges = register_gauges(
         registry,
         "foxspur_team_cpus",
         "CPUs of a team",
@@ -80,7 +85,7 @@
 }
 
 fn wait_metrics(registry: &Registry, scheduler: &Scheduler) -> prometheus::Result<()> {
-    let gauges = gauges(
+    let gauges = register_gauges(
         registry,
         "foxspur_first_start_seconds",
         "From acceptance to the first task that runs",
@@ -104,7 +109,7 @@
     machine_metrics(registry, scheduler, now)?;
     team_metrics(registry, scheduler)?;
     wait_metrics(registry, scheduler)?;
-    gauge(
+    register_gauge(
         registry,
         "foxspur_unaccounted_machines",
         "Machines that hold up placing after a takeover",
@@ -113,7 +118,7 @@
 }
 
 fn leadership_metrics(registry: &Registry, node: &Node) -> prometheus::Result<()> {
-    gauge(
+    register_gauge(
         registry,
         "foxspur_owner",
         "1 where this controller owns the share",
@@ -121,7 +126,7 @@
     )?;
     let leadership = node.leadership.borrow();
     let shard = leadership.view.shard.as_ref();
-    gauge(
+    register_gauge(
         registry,
         "foxspur_term",
         "Term of the share as known here",
@@ -130,7 +135,7 @@
 }
 
 fn service_metrics(registry: &Registry, node: &Node) -> prometheus::Result<()> {
-    let gauges = gauges(
+    let gauges = register_gauges(
         registry,
         "foxspur_service_calls",
         "Calls to an outside service since the start",
@@ -146,7 +151,7 @@
     Ok(())
 }
 
-/// The metrics page.
+/// The body of the answer to `GET /metrics`.
 pub(super) fn text(node: &Node) -> prometheus::Result<String> {
     let registry = Registry::new();
     leadership_metrics(&registry, node)?;
--- a/src/admin/orders.rs
+++ b/src/admin/orders.rs
@@ -1,12 +1,12 @@
-//! Operators' orders about drains: begun and ended.
+//! Operators' orders that begin and end drains.
 //!
-//! An order is carried out by its record in the state service alone; whoever leads the
-//! shard reads it there. The write is a compare-and-swap on the shard's record, so it
-//! belongs to one term, and on the drain's own, so that of two operators at once one is
-//! told of the conflict. An order that is given again has no further effect.
+//! An order only writes or deletes the drain's record in the state service; the shard's leader
+//! reads it from there. The write is a compare-and-swap on two records. The shard's record ties
+//! the order to one term. The drain's own record makes one of two concurrent orders conflict, so
+//! that its operator is told. An order that is repeated has no further effect.
 
 use super::error::{OrderError, OUTCOME_UNKNOWN, STATE_UNAVAILABLE, TOO_MANY_CONFLICTS};
-use super::{Shared, MAX_BODY};
+use super::{SharedNode, MAX_BODY};
 use crate::coordination::node::Node;
 use crate::protocol::admin::{Drain, DrainOrder, UndrainOrder};
 use crate::protocol::state::Txn;
@@ -19,20 +19,21 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::rc::Rc;
 
-/// Drains at most, a fleet and a half of 6,000 machines and more: all controllers keep them
-/// in memory, and read them at a start.
+/// Most drains at once: more than one and a half times a fleet of 6,000 machines. Every
+/// controller keeps all drains in memory and reads them when it starts.
 const MAX_DRAINS: usize = 10_000;
-/// Longest text of an order, in bytes.
-const MAX_TEXT: usize = 500;
-/// Longest name, in bytes.
-const MAX_NAME: usize = 150;
-/// Longest time to a deadline, in seconds: a month.
+/// Longest reason (`why`) of an order, in bytes.
+const MAX_REASON_BYTES: usize = 500;
+/// Longest name in an order, in bytes.
+const MAX_NAME_BYTES: usize = 150;
+/// Longest time from an order to its deadline, in seconds: a month of 31 days.
 const MAX_DEADLINE_S: f64 = 31.0 * 86_400.0;
-/// Attempts to write against changes by others: the leader changes, drains end.
+/// Attempts to write an order while others change the same records: the leader may change, and
+/// drains may end.
 pub(super) const MAX_ATTEMPTS: usize = 4;
 
-/// Parses an order.
-pub(super) fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, OrderError> {
+/// Parses an order. The error names the path of the wrong field.
+pub(super) fn parse_order<T: DeserializeOwned>(body: &[u8]) -> Result<T, OrderError> {
     let mut json = serde_json::Deserializer::from_slice(body);
     serde_path_to_error::deserialize(&mut json).map_err(|error| {
         let path = error.path().to_string();
@@ -45,36 +46,37 @@
     })
 }
 
-/// Checks a field that names something.
+/// Checks a field that holds a name.
 pub(super) fn check_name(field: &'static str, text: &str) -> Result<(), OrderError> {
-    if text.trim().is_empty() || text.len() > MAX_NAME || text.chars().any(char::is_control) {
+    if text.trim().is_empty() || text.len() > MAX_NAME_BYTES || text.chars().any(char::is_control) {
         return Err(OrderError::invalid(field, "is empty or too long"));
     }
     Ok(())
 }
 
-/// The machines named, each once.
-fn check_hosts(named: &[String]) -> Result<BTreeSet<String>, OrderError> {
+/// Checks the names of the machines, and returns each name once.
+fn check_hosts(names: &[String]) -> Result<BTreeSet<String>, OrderError> {
     let invalid = |reason: String| Err(OrderError::invalid("hosts", reason));
-    if named.is_empty() || named.len() > MAX_DRAINS {
+    if names.is_empty() || names.len() > MAX_DRAINS {
         return invalid(format!("names none or more than {MAX_DRAINS} machines"));
     }
-    let is_odd =
-        |host: &&String| host.is_empty() || host.len() > MAX_NAME || host.contains([' ', '/']);
-    if let Some(host) = named.iter().find(is_odd) {
+    let is_malformed = |host: &&String| {
+        host.is_empty() || host.len() > MAX_NAME_BYTES || host.contains([' ', '/'])
+    };
+    if let Some(host) = names.iter().find(is_malformed) {
         return invalid(format!("{host:?} is no machine's name"));
     }
-    Ok(named.iter().cloned().collect())
+    Ok(names.iter().cloned().collect())
 }
 
-/// Checks what can be told from the order alone; returns its machines.
+/// Checks what can be checked without the recorded state, and returns the order's machines.
 ///
 /// # Errors
 /// The first field that is wrong.
 pub fn check(order: &DrainOrder) -> Result<BTreeSet<String>, OrderError> {
     check_name("order", &order.order)?;
     check_name("by", &order.by)?;
-    if order.why.trim().is_empty() || order.why.len() > MAX_TEXT {
+    if order.why.trim().is_empty() || order.why.len() > MAX_REASON_BYTES {
         return Err(OrderError::invalid("why", "is empty or too long"));
     }
     let in_range = |s: f64| s.is_finite() && s > 0.0 && s <= MAX_DEADLINE_S;
@@ -87,12 +89,12 @@
 
 /// A drain's record.
 struct RecordedDrain {
-    /// `None` if this version cannot read it.
+    /// `None` if this version of the program cannot read the record.
     drain: Option<Drain>,
     version: u64,
 }
 
-/// All recorded drains, by machine.
+/// Reads all recorded drains, by machine.
 async fn recorded_drains(node: &Node) -> Result<BTreeMap<String, RecordedDrain>, OrderError> {
     let listed = node
         .state
@@ -110,13 +112,13 @@
     Ok(drains.collect())
 }
 
-/// Version and term of the shard's record.
+/// The version and the term of the shard's record.
 pub(super) struct ShardVersion {
     pub(super) version: u64,
     pub(super) term: u64,
 }
 
-/// The shard's record as it stands, for a compare-and-swap.
+/// Reads the current version and term of the shard's record, for a compare-and-swap.
 pub(super) async fn shard_version(node: &Node) -> Result<ShardVersion, OrderError> {
     let entry = node.state.get(records::SHARD_KEY, Priority::Data).await;
     let entry = entry.map_err(|_| STATE_UNAVAILABLE)?;
@@ -128,7 +130,7 @@
     })
 }
 
-/// The shard's recorded machines.
+/// Reads the shard's recorded machines.
 pub(super) async fn recorded_machines(node: &Node) -> Result<MachineRecord, OrderError> {
     let listed = node
         .state
@@ -138,17 +140,17 @@
     Ok(MachineRecord::read(&listed))
 }
 
-/// How far the writes of an order came.
+/// The result of writing an order in batches.
 enum WriteProgress {
     Complete,
-    /// A transaction conflicted; this many machines before it are written.
+    /// A transaction conflicted. The changes of the first `written` machines are committed.
     Conflict {
         written: usize,
     },
 }
 
-/// Writes a change for each machine, in transactions as large as the state service takes,
-/// each on condition that the shard's record is unchanged.
+/// Writes a change for each machine, in transactions of the largest size that the state service
+/// allows. Each transaction is conditional on the version of the shard's record.
 async fn write_in_batches(
     node: &Node,
     shard_version: u64,
@@ -168,7 +170,7 @@
     Ok(WriteProgress::Complete)
 }
 
-/// Checks that the order was planned under the term that holds now.
+/// Checks that the plan of the order, if it has one, was made under the current term.
 fn check_term(order: &DrainOrder, term: u64) -> Result<(), OrderError> {
     match order.term {
         Some(planned) if planned != term => Err(OrderError::Conflict(format!(
@@ -178,7 +180,7 @@
     }
 }
 
-/// Checks that all machines are recorded.
+/// Checks that the machines are recorded.
 async fn check_machines_known(node: &Node, hosts: &BTreeSet<String>) -> Result<(), OrderError> {
     let record = recorded_machines(node).await?;
     let known: HashSet<&str> = record.machines().map(|m| m.id.as_str()).collect();
@@ -188,8 +190,11 @@
     }
 }
 
-/// The machines whose drains are still to be written. The same order may have been written
-/// in part before.
+/// The machines whose drains are not recorded yet. An earlier attempt at the same order may have
+/// recorded some of them.
+///
+/// # Errors
+/// A machine is drained by another order, or there would be more than [`MAX_DRAINS`] drains.
 fn hosts_to_drain<'a>(
     order: &DrainOrder,
     wanted: &'a BTreeSet<String>,
@@ -214,6 +219,7 @@
     Ok(hosts)
 }
 
+/// The drain of one machine that an order asks for.
 fn ordered_drain(order: &DrainOrder, host: &str, now_ms: u64) -> Drain {
     Drain {
         host: host.to_string(),
@@ -228,7 +234,7 @@
     }
 }
 
-/// Records the drains that an order wants.
+/// Records the drains that an order asks for.
 async fn begin_drains(node: &Rc<Node>, order: &DrainOrder) -> Result<Vec<String>, OrderError> {
     let wanted = check(order)?;
     for _ in 0..MAX_ATTEMPTS {
@@ -245,14 +251,14 @@
         };
         let progress = write_in_batches(node, shard.version, &hosts, add_drain).await?;
         if matches!(progress, WriteProgress::Complete) {
-            tracing::info!(order = %order.order, by = %order.by, machines = ?wanted, "drain ordered");
+            tracing::info!(order = %order.order, by = %order.by, machines = ?wanted, "drains recorded");
             return Ok(wanted.into_iter().collect());
         }
     }
     Err(TOO_MANY_CONFLICTS)
 }
 
-/// Deletes the records of drains.
+/// Deletes the records of the drains that an order ends.
 async fn end_drains(node: &Rc<Node>, order: &UndrainOrder) -> Result<Vec<String>, OrderError> {
     check_name("by", &order.by)?;
     let wanted = check_hosts(&order.hosts)?;
@@ -274,7 +280,7 @@
         };
         match write_in_batches(node, shard.version, &hosts, delete_drain).await? {
             WriteProgress::Complete => {
-                tracing::info!(by = %order.by, machines = ?wanted, "drain ended");
+                tracing::info!(by = %order.by, machines = ?wanted, "drains ended");
                 return Ok(wanted.into_iter().collect());
             }
             WriteProgress::Conflict { written } => {
@@ -293,17 +299,17 @@
 }
 
 /// `POST /admin/v1/drains`: begins drains.
-pub(super) async fn drain(node: Shared, body: Bytes) -> HttpResponse {
+pub(super) async fn drain(node: SharedNode, body: Bytes) -> HttpResponse {
     debug_assert!(body.len() <= MAX_BODY);
-    match read::<DrainOrder>(&body) {
+    match parse_order::<DrainOrder>(&body) {
         Ok(order) => respond(begin_drains(&node, &order).await),
         Err(error) => error.response(),
     }
 }
 
 /// `POST /admin/v1/undrain`: ends drains.
-pub(super) async fn undrain(node: Shared, body: Bytes) -> HttpResponse {
-    match read::<UndrainOrder>(&body) {
+pub(super) async fn undrain(node: SharedNode, body: Bytes) -> HttpResponse {
+    match parse_order::<UndrainOrder>(&body) {
         Ok(order) => respond(end_drains(&node, &order).await),
         Err(error) => error.response(),
     }
--- a/src/admin/reply.rs
+++ b/src/admin/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of the operators' API.
+//! Responses of the operators' API.
 
 use crate::coordination::node::Node;
 use crate::protocol::admin::{Answer, Problem};
@@ -6,7 +6,8 @@
 use actix_web::HttpResponse;
 use serde::Serialize;
 
-/// An error for an operator: which field is wrong, if one is, and why.
+/// An error response: the wrong field, if the error concerns one, and the reason. A status that
+/// is not valid is sent as 503.
 pub(super) fn problem(status: u16, field: Option<&str>, error: &str) -> HttpResponse {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut response = HttpResponse::build(status);
@@ -19,17 +20,17 @@
     })
 }
 
-/// The leader was asked and did not answer, and nothing is kept of what it said before.
+/// The response if the leader does not answer and no earlier answer of it is cached.
 pub(super) fn leader_unavailable() -> HttpResponse {
     problem(503, None, "the owner of the share does not answer now")
 }
 
-/// The leader's answer does not parse.
+/// The response if the leader's answer cannot be parsed.
 pub(super) fn leader_unreadable() -> HttpResponse {
     problem(503, None, "the owner's answer cannot be read")
 }
 
-/// The shard's leader, as far as it is known here.
+/// The name of the shard's leader, if this controller knows it.
 fn leader(node: &Node) -> Option<String> {
     if node.scheduler.borrow().is_some() {
         return Some(node.settings.host_name.clone());
@@ -37,7 +38,8 @@
     node.other_leader()
 }
 
-/// Data with where it comes from: the term under which it was made and its age in seconds.
+/// A response with data and their origin: this controller, the leader, the term under which the
+/// data were made, and their age in seconds.
 pub(super) fn answer<T: Serialize>(node: &Node, term: u64, age_s: f64, data: T) -> HttpResponse {
     HttpResponse::Ok().json(Answer {
         from: node.settings.host_name.clone(),
--- a/src/admin/rollouts.rs
+++ b/src/admin/rollouts.rs
@@ -1,10 +1,12 @@
-//! Operators' orders about rollouts: begun, halted, resumed, taken back. As with drains the
-//! record is all that is written here; whoever leads the shard carries it on.
+//! Operators' orders that begin, halt, resume, cancel (`back`) and forget rollouts.
+//!
+//! A rollout drains its machines step by step. As with drains, an order only writes the record;
+//! the shard's leader carries the rollout out.
 
 use super::error::{OrderError, OUTCOME_UNKNOWN, STATE_UNAVAILABLE, TOO_MANY_CONFLICTS};
-use super::orders::{check_name, read, recorded_machines, shard_version, MAX_ATTEMPTS};
+use super::orders::{check_name, parse_order, recorded_machines, shard_version, MAX_ATTEMPTS};
 use super::reply::answer;
-use super::Shared;
+use super::SharedNode;
 use crate::coordination::fleet::rollout::round_robin_by_zone;
 use crate::coordination::node::Node;
 use crate::protocol::roll::{Among, AtMost, Roll, RollOrder, RollState, Turn, TurnOrder};
@@ -15,17 +17,17 @@
 use actix_web::HttpResponse;
 use std::rc::Rc;
 
-/// Rollouts at most.
+/// Most rollouts at once.
 const MAX_ROLLOUTS: usize = 100;
-/// Share of a value that a new record may fill; the rest stays free for what is added to
-/// it on the way.
-const VALUE_FILL: f64 = 0.9;
+/// Fraction of the state service's largest value that a new rollout's record may fill. The rest
+/// is left for what is added to the record while the rollout proceeds.
+const MAX_VALUE_FILL: f64 = 0.9;
 
 fn invalid<T>(field: &'static str, reason: &str) -> Result<T, OrderError> {
     Err(OrderError::invalid(field, reason))
 }
 
-/// Checks what can be told from the order alone.
+/// Checks what can be checked without the recorded state.
 ///
 /// # Errors
 /// The first field that is wrong.
@@ -59,7 +61,7 @@
     Ok(())
 }
 
-/// The machines that the order is for, in the order in which they are drained.
+/// The machines that match the order, in the sequence in which they are drained.
 fn selected_hosts(among: &Among, machines: &[&MachineInfo]) -> Result<Vec<String>, OrderError> {
     let is_known = |host: &&String| machines.iter().any(|m| m.id == **host);
     if let Some(host) = among.hosts.iter().find(|host| !is_known(host)) {
@@ -88,7 +90,7 @@
     version: u64,
 }
 
-/// The record of the rollout of this name, if there is one.
+/// Reads the record of the rollout with this name, if there is one.
 async fn recorded_rollout(node: &Node, name: &str) -> Result<Option<RecordedRollout>, OrderError> {
     let key = records::rollout_key(name);
     let entry = node.state.get(&key, Priority::Data).await;
@@ -102,7 +104,7 @@
     }))
 }
 
-/// The rollout that the order describes, on the machines that are recorded now.
+/// The rollout that the order describes, of the currently recorded machines.
 async fn new_rollout(node: &Node, order: &RollOrder) -> Result<Roll, OrderError> {
     let record = recorded_machines(node).await?;
     let machines: Vec<&MachineInfo> = record.machines().collect();
@@ -122,14 +124,14 @@
         late_before: None,
     };
     let bytes = serde_json::to_vec(&rollout).map_or(usize::MAX, |json| json.len());
-    if bytes as f64 > node.settings.cluster.state.value_kb * 1024.0 * VALUE_FILL {
+    if bytes as f64 > node.settings.cluster.state.value_kb * 1024.0 * MAX_VALUE_FILL {
         let reason = "too many machines for one record: roll zone by zone";
         return invalid("among", reason);
     }
     Ok(rollout)
 }
 
-/// How a write ended that may be tried again.
+/// The result of a write that may be retried.
 enum WriteOutcome {
     Written,
     Conflict,
@@ -148,7 +150,7 @@
     for _ in 0..MAX_ATTEMPTS {
         let shard = shard_version(node).await?;
         if let Some(RecordedRollout { rollout, .. }) = recorded_rollout(node, &order.name).await? {
-            // The same order again: its answer was lost.
+            // The same order was repeated, because its answer was lost.
             if rollout.by == order.by && rollout.why == order.why {
                 return Ok(rollout);
             }
@@ -172,10 +174,11 @@
     Err(TOO_MANY_CONFLICTS)
 }
 
-/// What becomes of a rollout by an order; `None` if its record is deleted.
+/// The rollout after an order to halt, resume, cancel (`back`) or forget it; `None` if its record
+/// is to be deleted.
 ///
 /// # Errors
-/// A rollout in this state cannot be turned like that.
+/// The order is not possible in the rollout's state.
 pub fn turned(rollout: &Roll, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
     let mut next = rollout.clone();
     match (order.turn, rollout.state) {
@@ -186,7 +189,8 @@
         (Turn::Resume, RollState::Halted) => {
             next.state = RollState::Running;
             next.reason = String::new();
-            // What was lost until now is known to whoever resumes it.
+            // The operator who resumes the rollout accepts the jobs that are late by now. The
+            // leader counts them anew.
             next.late_before = None;
         }
         (Turn::Back, RollState::Running | RollState::Halted) => {
@@ -202,7 +206,7 @@
     Ok(Some(next))
 }
 
-async fn turn(node: &Rc<Node>, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
+async fn change_rollout(node: &Rc<Node>, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
     check_name("name", &order.name)?;
     check_name("by", &order.by)?;
     for _ in 0..MAX_ATTEMPTS {
@@ -234,8 +238,8 @@
     }
 }
 
-/// `GET /admin/v1/rolls`: all rollouts, by name.
-pub(super) async fn list(node: Shared) -> HttpResponse {
+/// `GET /admin/v1/rolls`: lists all rollouts, sorted by name.
+pub(super) async fn list(node: SharedNode) -> HttpResponse {
     let (rollouts, term) = {
         let leadership = node.leadership.borrow();
         let view = &leadership.view;
@@ -247,17 +251,17 @@
 }
 
 /// `POST /admin/v1/rolls`: begins a rollout.
-pub(super) async fn start(node: Shared, body: Bytes) -> HttpResponse {
-    match read::<RollOrder>(&body) {
+pub(super) async fn begin(node: SharedNode, body: Bytes) -> HttpResponse {
+    match parse_order::<RollOrder>(&body) {
         Ok(order) => respond(begin_rollout(&node, &order).await),
         Err(error) => error.response(),
     }
 }
 
-/// `POST /admin/v1/rolls/turn`: halts, resumes, takes back or forgets a rollout.
-pub(super) async fn change(node: Shared, body: Bytes) -> HttpResponse {
-    match read::<TurnOrder>(&body) {
-        Ok(order) => respond(turn(&node, &order).await),
+/// `POST /admin/v1/rolls/turn`: halts, resumes, cancels (`back`) or forgets a rollout.
+pub(super) async fn change(node: SharedNode, body: Bytes) -> HttpResponse {
+    match parse_order::<TurnOrder>(&body) {
+        Ok(order) => respond(change_rollout(&node, &order).await),
         Err(error) => error.response(),
     }
 }
--- a/src/admin/views.rs
+++ b/src/admin/views.rs
@@ -1,8 +1,8 @@
-//! What operators see of the shard: views made by the leader's scheduler, and of this
+//! The views for operators: of the shard, made by the leader's scheduler, and of the answering
 //! controller itself.
 
 use super::reply::{answer, leader_unavailable, leader_unreadable, problem};
-use super::Shared;
+use super::SharedNode;
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::coordination::scheduler::views::spread;
@@ -14,19 +14,19 @@
 use serde_json::value::RawValue;
 use std::rc::Rc;
 
-/// Jobs listed when nobody says how many.
-const DEFAULT_JOBS: u32 = 200;
-/// Jobs listed at most.
-const MAX_JOBS: u32 = 5000;
-/// Timeout of a question to the leader, in seconds: a view of all machines takes a busy
-/// one a few hundred milliseconds.
+/// Number of jobs listed if the query has no `limit`.
+const DEFAULT_JOB_LIMIT: u32 = 200;
+/// Largest `limit` of a query for jobs.
+const MAX_JOB_LIMIT: u32 = 5000;
+/// Timeout of a request to the leader, in seconds. A busy leader takes a few hundred
+/// milliseconds for a view of all machines.
 const LEADER_TIMEOUT_S: f64 = 2.0;
 
 /// A view of the shard.
 struct View {
-    /// The term under which it was made.
+    /// The term of the leader that made the view.
     term: u64,
-    /// How old it is, in seconds.
+    /// The age of the view, in seconds.
     age_s: f64,
     json: String,
 }
@@ -35,10 +35,10 @@
     serde_json::to_string(data).ok()
 }
 
-/// What operators see of the shard that this scheduler holds, as JSON.
+/// The view of this scheduler's shard for a topic, as JSON.
 pub fn view_json(scheduler: &Scheduler, topic: Topic, now: f64) -> Option<String> {
     match topic {
-        Topic::Jobs(most) => to_json(&scheduler.job_rows(now, most.min(MAX_JOBS) as usize)),
+        Topic::Jobs(limit) => to_json(&scheduler.job_rows(now, limit.min(MAX_JOB_LIMIT) as usize)),
         Topic::Teams => to_json(&scheduler.team_rows()),
         Topic::Machines => to_json(&scheduler.machine_rows(now)),
         Topic::Fleet => to_json(&scheduler.machine_counts(now)),
@@ -48,8 +48,8 @@
     }
 }
 
-/// A view of the shard: made here if we lead, else asked of the leader, and while that one
-/// does not answer what it said last.
+/// A view of the shard. It is made here if this controller leads, and requested from the leader
+/// otherwise. While the leader does not answer, its last answer on this topic is used.
 async fn fetch_view(node: &Rc<Node>, topic: Topic) -> Option<View> {
     let now = node.now();
     if let Some(scheduler) = node.scheduler.borrow().as_ref() {
@@ -62,16 +62,16 @@
     if let Some(view) = ask_leader(node, topic).await {
         return Some(view);
     }
-    let last_views = node.cached_views.borrow();
-    let (at, term, json) = last_views.get(&topic)?;
+    let cached_views = node.cached_views.borrow();
+    let (received_at, term, json) = cached_views.get(&topic)?;
     Some(View {
         term: *term,
-        age_s: now - at,
+        age_s: now - received_at,
         json: json.clone(),
     })
 }
 
-/// The leader's answer, which is kept for when it is away.
+/// Requests a view from the leader, and caches it for the time when the leader does not answer.
 async fn ask_leader(node: &Rc<Node>, topic: Topic) -> Option<View> {
     let leader = node.other_leader()?;
     let addr = node.peer_address(&leader)?;
@@ -80,10 +80,10 @@
     let Some(PeerResponse::View(term, json)) = response else {
         return None;
     };
-    // A plan must not be made from a state that is over.
+    // Snapshots are not cached: a plan must not be made from an outdated state.
     if topic != Topic::Snapshot {
-        let kept = (node.now(), term, json.clone());
-        node.cached_views.borrow_mut().insert(topic, kept);
+        let cached = (node.now(), term, json.clone());
+        node.cached_views.borrow_mut().insert(topic, cached);
     }
     Some(View {
         term,
@@ -92,8 +92,8 @@
     })
 }
 
-/// Answers with a view as it is.
-pub(super) async fn view(node: &Shared, topic: Topic) -> HttpResponse {
+/// Answers with the unchanged view of a topic.
+pub(super) async fn view(node: &SharedNode, topic: Topic) -> HttpResponse {
     let Some(view) = fetch_view(node, topic).await else {
         return leader_unavailable();
     };
@@ -103,25 +103,29 @@
     }
 }
 
-/// Query of the list of jobs.
+/// Query parameters of the list of jobs.
 #[derive(Deserialize)]
 pub(super) struct JobsQuery {
     limit: Option<u32>,
 }
 
-/// Lists live jobs, the worst first.
-pub(super) async fn jobs(node: Shared, query: web::Query<JobsQuery>) -> HttpResponse {
-    let limit = query.limit.unwrap_or(DEFAULT_JOBS);
-    if limit > MAX_JOBS {
-        return problem(400, Some("limit"), &format!("limit is above {MAX_JOBS}"));
+/// `GET /admin/v1/jobs`: lists live jobs, those that most need attention first.
+pub(super) async fn jobs(node: SharedNode, query: web::Query<JobsQuery>) -> HttpResponse {
+    let limit = query.limit.unwrap_or(DEFAULT_JOB_LIMIT);
+    if limit > MAX_JOB_LIMIT {
+        return problem(
+            400,
+            Some("limit"),
+            &format!("limit is above {MAX_JOB_LIMIT}"),
+        );
     }
-    // Few different ones, so that what is kept for a leader's absence is bounded.
-    let fetched = if limit <= DEFAULT_JOBS {
-        DEFAULT_JOBS
+    // Only two different limits are requested from the leader, which bounds the cached views.
+    let leader_limit = if limit <= DEFAULT_JOB_LIMIT {
+        DEFAULT_JOB_LIMIT
     } else {
-        MAX_JOBS
+        MAX_JOB_LIMIT
     };
-    let Some(view) = fetch_view(&node, Topic::Jobs(fetched)).await else {
+    let Some(view) = fetch_view(&node, Topic::Jobs(leader_limit)).await else {
         return leader_unavailable();
     };
     let Ok(mut jobs) = serde_json::from_str::<Jobs>(&view.json) else {
@@ -131,8 +135,8 @@
     answer(&node, view.term, view.age_s, jobs)
 }
 
-/// The shard's leadership, as this controller sees it.
-pub(super) async fn shards(node: Shared) -> HttpResponse {
+/// `GET /admin/v1/shares`: the leadership of the shard, as this controller knows it.
+pub(super) async fn shards(node: SharedNode) -> HttpResponse {
     let row = shard_row(&node);
     answer(&node, row.term, 0.0, vec![row])
 }
@@ -144,13 +148,13 @@
     let shard = leadership.view.shard.as_ref().map(|(shard, _)| shard);
     let mut alive: Vec<String> = leadership.view.alive.keys().cloned().collect();
     alive.sort();
-    let former = shard.map(|s| s.former_leaders.iter().map(|l| l.host.clone()).collect());
+    let former_leaders = shard.map(|s| s.former_leaders.iter().map(|l| l.host.clone()).collect());
     ShareRow {
         share: 0,
         owner: shard.map(|s| s.leader.clone()),
         term: shard.map_or(0, |s| s.term),
         alive,
-        former: former.unwrap_or_default(),
+        former: former_leaders.unwrap_or_default(),
         ours: scheduler.is_some() && leadership.may_answer_workers(now),
         confirmed_s: scheduler.as_ref().map(|_| now - leadership.confirmed_at()),
         missing: scheduler
@@ -159,18 +163,18 @@
     }
 }
 
-fn service_row(name: &str, met: CallStatistics) -> ServiceRow {
-    let seconds_ago = |at: Option<actix_rt::time::Instant>| at.map(|t| t.elapsed().as_secs_f64());
+fn service_row(name: &str, statistics: CallStatistics) -> ServiceRow {
+    let seconds_ago = |at: Option<actix_rt::time::Instant>| at.map(|at| at.elapsed().as_secs_f64());
     ServiceRow {
         name: name.into(),
-        answered: met.answered,
-        failed: met.failed,
-        answered_s: seconds_ago(met.answered_at),
-        failed_s: seconds_ago(met.failed_at),
+        answered: statistics.answered,
+        failed: statistics.failed,
+        answered_s: seconds_ago(statistics.answered_at),
+        failed_s: seconds_ago(statistics.failed_at),
     }
 }
 
-/// The outside services, as the calls of this controller found them.
+/// The external services: this controller's answered and failed calls to each.
 pub(super) fn service_rows(node: &Node) -> [ServiceRow; 2] {
     [
         service_row("state", node.state.statistics()),
@@ -178,13 +182,14 @@
     ]
 }
 
-/// Answers with the outside services.
-pub(super) async fn health(node: Shared) -> HttpResponse {
+/// `GET /admin/v1/health`: the external services, as this controller reaches them.
+pub(super) async fn health(node: SharedNode) -> HttpResponse {
     answer(&node, 0, 0.0, service_rows(&node))
 }
 
-/// Waiting times: the leader's, and how long acceptance took at this controller.
-pub(super) async fn waits(node: Shared) -> HttpResponse {
+/// `GET /admin/v1/waits`: waiting times from the leader, and the time that acceptance took on
+/// this controller.
+pub(super) async fn waits(node: SharedNode) -> HttpResponse {
     let Some(view) = fetch_view(&node, Topic::Waits).await else {
         return leader_unavailable();
     };
