--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -16,7 +16,7 @@
     #[error("unknown owner {0}")]
     UnknownTeam(String),
     /// The tasks that must run at the same time exceed the team's limit.
-    #[error("the tasks that must run at once exceed the owner's limit")]
+    #[error("more than the owner's limit")]
     AboveTeamLimit,
     /// No machine type that the job allows is large enough for one of its tasks.
     #[error("a task fits no allowed machine type")]
--- a/src/coordination/scheduler/views.rs
+++ b/src/coordination/scheduler/views.rs
@@ -48,12 +48,12 @@
     /// Why no more tasks of the job start at present.
     fn reason(&self, job: &Job, usage: &TeamUsage, now: f64) -> String {
         if !self.fence.open {
-            return "waits after a takeover until all machines are fenced or proven empty".into();
+            return "waits until all machines are accounted for after a takeover".into();
         }
         if job.is_suspect() {
             let (failures, machines) = (job.failures, job.failed_on.len());
             return format!(
-                "fails on every machine it was tried on ({failures} failures on {machines} machines): check the job"
+                "fails on every machine it was tried on ({failures} failures on {machines} machines): look at the job"
             );
         }
         if job.unplaced_tasks() == 0 {
@@ -78,7 +78,7 @@
             .capacity_index
             .pools_for(&job.spec, &self.types, |_| true);
         if !pools.is_empty() {
-            return "waits for free capacity";
+            return "waits for room";
         }
         let mut machines = self.machines.values();
         if machines.any(|machine| machine.cordoned && self.may_use(&job.spec, machine)) {
@@ -202,11 +202,11 @@
         match machine.status {
             MachineStatus::Draining => {
                 let failures = machine.recent_failures.len();
-                let why = format!("taken out of use; {failures} consecutive failures");
+                let why = format!("taken out of use; {failures} failures in a row");
                 (MachineState::Returning, why)
             }
             MachineStatus::Expired => {
-                let why = "its lease expired and cannot have been renewed";
+                let why = "silent for a lease that nobody can have renewed";
                 (MachineState::Expired, why.into())
             }
             MachineStatus::Up => self.up_state(machine, now),
@@ -216,7 +216,7 @@
     /// The state of a machine with the status `Up`, and the reason for it.
     fn up_state(&self, machine: &Machine, now: f64) -> (MachineState, String) {
         if !machine.recorded {
-            let why = "not yet in the written machine record";
+            let why = "not in our written record yet";
             return (MachineState::Unproven, why.into());
         }
         if !machine.fenced {
@@ -225,12 +225,12 @@
         }
         if machine.unknown_attempts > 0 {
             let attempts = machine.unknown_attempts;
-            let why = format!("runs {attempts} tasks of unknown jobs");
+            let why = format!("runs {attempts} tasks of jobs that we do not know");
             return (MachineState::Unproven, why);
         }
         if let Some(notice_at) = machine.notice_at {
             let left_s = notice_at - now;
-            let why = format!("the cloud takes the machine back in {left_s:.0} s");
+            let why = format!("the cloud takes it in {left_s:.0} s");
             return (MachineState::Noticed, why);
         }
         let silent_s = self.silent_for(machine.heard_at, now);
