--- a/src/admin/rollouts.rs
+++ b/src/admin/rollouts.rs
@@ -190,7 +190,7 @@
             next.state = RollState::Running;
             next.reason = String::new();
             // The operator who resumes the rollout accepts the jobs that are late by now. The
-            // leader counts them anew.
+            // leader counts them again.
             next.late_before = None;
         }
         (Turn::Back, RollState::Running | RollState::Halted) => {
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -63,7 +63,7 @@
         if !attempt.call_in_flight {
             attempt.unsent = false;
         }
-        // A task that is saving was already told to stop.
+        // A task that is saving has already received the stop command.
         let stoppable = !matches!(attempt.phase, None | Some(Phase::Saving | Phase::Exited));
         attempt.end_command_sent = stoppable && attempt.stop_grace_s.is_some();
     }
--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Detects that a machine has restarted its session numbers: its answer has a lower number
+/// Detects that a machine has restarted its session numbering: its answer has a lower number
 /// than the newest message known when the call was made. That message was then from an
 /// earlier incarnation of the machine. If both are of the same session, this answer is the
 /// valid one. (Guards against a heartbeat of an earlier incarnation, delayed by a partition,
@@ -98,7 +98,7 @@
         };
         machine.call_in_flight = false;
         // The worker executed the call, but its answer is older than the newest known message.
-        // The machine has restarted its session numbers, and it is not known whether the
+        // The machine has restarted its session numbering, and it is not known whether the
         // started tasks run.
         let outdated_answer = matches!(
             &result,
--- a/src/coordination/agents/failure_detector.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -43,8 +43,8 @@
     }
 
     /// Whether the machine must not be answered any more, because our answers do not reach
-    /// it: it was told our term several times, for a quarter of a lease, and still reports
-    /// under an older one. Each answer might renew its lease, and with it the tasks that a
+    /// it: our term was sent to it several times, for a quarter of a lease, and it still
+    /// reports under an older one. Each answer might renew its lease, and with it the tasks that a
     /// former leader started there, while placement in the whole shard waits for this
     /// machine. Without answers its lease ends.
     pub(crate) fn must_stop_answering(&self, name: &str, now: f64) -> bool {
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -35,7 +35,7 @@
     /// A newer message overtook it. It is answered, but changes nothing.
     Overtaken,
     /// A late copy, or a heartbeat of a machine that lost its counters and restarted its
-    /// session numbers. Its session may be of another incarnation than the one we know.
+    /// session numbering. Its session may be of another incarnation than the one we know.
     OtherIncarnation,
     /// From a session whose lease was declared expired.
     ExpiredSession,
@@ -63,9 +63,9 @@
             !expired && machine.is_early_session(report.session, timing.lease_s, timing.now);
         // A machine keeps the highest token it has seen. A heartbeat that looks newer but
         // has a lower token is from another incarnation of a machine that restarted its
-        // session numbers.
+        // session numbering.
         let lower_token = !stale && report.token < machine.seen_token;
-        // If a machine is known to restart its session numbers, a heartbeat of the known
+        // If a machine is known to restart its session numbering, a heartbeat of the known
         // session may be from the present or the previous incarnation. A heartbeat of the
         // next session is unambiguous.
         let ambiguous = machine.session_numbering_restarted && same_or_older_session;
--- a/src/coordination/agents/task_reconciliation.rs
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -35,7 +35,7 @@
 }
 
 /// Records the attempt's state as the message shows it. Returns the evidence on whether an
-/// answer that told the machine to stop or forget the attempt was delivered.
+/// answer with the command to stop or forget the attempt was delivered.
 fn record_shown(
     attempt: &mut Attempt,
     shown: &ShownTask,
--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -89,8 +89,8 @@
         self.placement_due = true;
     }
 
-    /// Cordons the machine: no new task starts on it from now on. Attempts that it was told to
-    /// start but has not reported are stopped, because a repeated start command could
+    /// Cordons the machine: no new task starts on it from now on. Attempts whose start was sent
+    /// to it but that it has not reported are stopped, because a repeated start command could
     /// otherwise start them later.
     fn cordon(&mut self, host: &str) {
         let Some((name, _)) = self.machines.get_key_value(host) else {
--- a/src/coordination/scheduler/attempt.rs
+++ b/src/coordination/scheduler/attempt.rs
@@ -32,7 +32,7 @@
     pub unresolved_call: Option<(u64, f64)>,
     /// A start or stop of the attempt has not been sent yet.
     pub unsent: bool,
-    /// A reply told the machine to stop or forget the attempt, and no later message has
+    /// A reply commanded the machine to stop or forget the attempt, and no later message has
     /// shown that it did.
     pub end_command_sent: bool,
     /// Grace period, in seconds, of the requested stop; `None` if no stop was requested.
--- a/src/coordination/scheduler/completions.rs
+++ b/src/coordination/scheduler/completions.rs
@@ -1,6 +1,6 @@
 //! Saving completed tasks: which job records are due to be written, and what was written.
 //!
-//! A worker is told to forget a completed task only after its completion is saved.
+//! A worker is sent the command to forget a completed task only after its completion is saved.
 
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::state::Scheduler;
--- a/src/coordination/scheduler/fair_share.rs
+++ b/src/coordination/scheduler/fair_share.rs
@@ -5,8 +5,8 @@
 //! the load lasts. For each class and team, the fraction of recent jobs that met their first
 //! finishing objective is therefore tracked as a moving average. A group whose fraction falls
 //! below a threshold is underserved until it recovers, and gets a floor: a share of the fleet's
-//! CPUs for its smallest jobs. On the floor they start before all jobs except `prod` and `high`,
-//! and borrowed work may not preempt them.
+//! CPUs for its smallest jobs. Within the floor they start before all jobs except `prod` and
+//! `high`, and borrowed work may not preempt them.
 
 use std::collections::HashMap;
 
--- a/src/coordination/scheduler/precedence.rs
+++ b/src/coordination/scheduler/precedence.rs
@@ -15,7 +15,7 @@
 /// Rank of jobs that can no longer meet any of their objectives, behind all other ranks.
 pub(crate) const LATE_RANK: u8 = 5;
 
-/// Rank to which jobs on a fair-share floor are raised, directly behind `prod` and `high`.
+/// Rank to which jobs within a fair-share floor are raised, directly behind `prod` and `high`.
 pub(crate) const FLOOR_RANK: u8 = 2;
 
 /// Offset of the keys of jobs without a reachable objective. It is larger than any predicted
--- a/tests/delivery.rs
+++ b/tests/delivery.rs
@@ -394,7 +394,7 @@
     let old_tasks = [("run-1/0", 9, Phase::Running, None)];
     scheduler.handle_heartbeat(&report("m1", 1, 4, 3, &old_tasks), 1.0);
     assert!(!scheduler.fencing_complete());
-    // The machine reports no task any more, and is told to start the task again.
+    // The machine reports no task any more, and the start of the task is sent again.
     let HeartbeatReply::Commands(reply) =
         scheduler.handle_heartbeat(&report("m1", 1, 9, 5, &[]), 2.0)
     else {
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -278,7 +278,7 @@
         scheduler.machines["m-0"].queue.is_empty(),
         "the queue of the cordoned machine is cleared"
     );
-    // The machine reports only the first of the tasks that it was told to start. The others must
+    // The machine reports only the first of the tasks whose start was sent to it. The others must
     // not start later.
     let (task, number) = (
         commanded[0].as_str(),
--- a/tests/leader_reachability.rs
+++ b/tests/leader_reachability.rs
@@ -69,7 +69,7 @@
 struct Assessment {
     silent: usize,
     partitioned_zones: usize,
-    given_up: usize,
+    presumed_dead: usize,
 }
 
 impl Assessment {
@@ -78,7 +78,7 @@
         Assessment {
             silent,
             partitioned_zones: scheduler.partitioned_zones(now).len(),
-            given_up: scheduler.machines_presumed_dead(now).len(),
+            presumed_dead: scheduler.machines_presumed_dead(now).len(),
         }
     }
 }
@@ -108,7 +108,7 @@
     let one_silent = Assessment {
         silent: 1,
         partitioned_zones: 0,
-        given_up: 1,
+        presumed_dead: 1,
     };
     assert_eq!(Assessment::at(&scheduler, 13.5), one_silent);
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -175,7 +175,7 @@
         (head(1, 2, 5, "null", tasks), false, false),
         (head(1, 3, 6, "null", tasks), false, false),
         (head(1, 3, 5, "20.0", tasks), false, false),
-        // The worker must be told to stop the task.
+        // A stop command for the task must be sent to the worker.
         (head(1, 3, 5, "null", tasks), true, false),
     ] {
         let mut scheduler = unlimited_scheduler(&["m1"]);
@@ -208,7 +208,7 @@
     let running = [("run-1/0", 7, Phase::Running, None)];
     scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &running), 0.1);
     add(&mut scheduler, standard_job("run-1", 1, 1.0), 0.2);
-    // The task still runs, although it was told to stop.
+    // The task still runs, although a stop command was sent.
     scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &running), 0.3);
     scheduler.place_all(0.4);
     assert!(scheduler.fencing_complete());
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -344,8 +344,8 @@
     heartbeat(&mut scheduler, &report("m1", 2, 10, 5, &malformed), 3.0);
 }
 
-/// Guards against losing a completion: a worker is told to forget a completed task only after the
-/// completion is saved in the state service.
+/// Guards against losing a completion: the command to forget a completed task is sent only after
+/// the completion is saved in the state service.
 #[test]
 fn completions_are_saved_before_they_are_forgotten() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
@@ -592,14 +592,14 @@
 /// whole lease, and a network partition that makes the scheduler replace the whole fleet.
 #[test]
 fn few_silent_machines_are_given_up_but_not_many() {
-    for (silent, given_up) in [(1, 1), (2, 2), (3, 0), (16, 0)] {
+    for (silent, presumed_dead) in [(1, 1), (2, 2), (3, 0), (16, 0)] {
         let names: Vec<String> = (0..16).map(|i| format!("m{i}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let mut scheduler = scheduler(unlimited_team(), 5, &names);
         for name in &names[silent..] {
             heartbeat(&mut scheduler, &report(name, 1, 1, 5, &[]), 0.5);
         }
-        // A missing heartbeat is not enough to give up a machine; unanswered calls are.
+        // A missing heartbeat is not enough to presume a machine dead; unanswered calls are.
         scheduler.tick(2.0, 0.0);
         assert!(scheduler.machines_presumed_dead(2.4).is_empty());
         probe_unanswered(&mut scheduler, &names[..silent], 2.5);
@@ -608,7 +608,7 @@
         probe_unanswered(&mut scheduler, &names[..silent], 3.7);
         assert_eq!(
             scheduler.machines_presumed_dead(3.8).len(),
-            given_up,
+            presumed_dead,
             "{silent} silent"
         );
     }
@@ -620,7 +620,7 @@
 #[test]
 fn while_placement_is_blocked_a_silent_quarter_is_given_up_later() {
     // Silent machines of 16, how many of them are in zone b, which has five machines, and how
-    // many are given up after a tenth of a lease and after a quarter of a lease.
+    // many are presumed dead after a tenth of a lease and after a quarter of a lease.
     for (silent, zone_b, early, late) in [
         (2, 0, 2, 2),
         (4, 0, 0, 4),
@@ -646,10 +646,13 @@
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         probe_unanswered(&mut scheduler, &names, 1.2);
         probe_unanswered(&mut scheduler, &names, 1.3);
-        for (now, given_up) in [(2.3, early), (3.0, early), (3.8, late)] {
+        for (now, presumed_dead) in [(2.3, early), (3.0, early), (3.8, late)] {
             scheduler.tick(now, 0.0);
             let found = scheduler.machines_presumed_dead(now).len();
-            assert_eq!(found, given_up, "{silent} silent, {zone_b} in b, at {now}");
+            assert_eq!(
+                found, presumed_dead,
+                "{silent} silent, {zone_b} in b, at {now}"
+            );
         }
         // Once placement has begun, the scheduler waits for silent machines.
         scheduler.fence.open = true;
