--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -1,92 +1,96 @@
-//! The operators' API, version 1: what controllers answer under `/admin/v1`, and
-//! what operators order there. Times are seconds unless a name says otherwise; ages and "how long
-//! ago" count from the answer.
+//! The operators' API, version 1: the requests under `/admin/v1` and their answers. Durations are
+//! in seconds unless the field's name has another unit. Ages and times since an event are counted
+//! back from the moment of the answer.
 
 use serde::{Deserialize, Serialize};
 
-/// Around every answer: who gives it, for whom, and how old it is.
+/// The envelope of every answer: which controller answers, whose state it shows, and how old that
+/// state is.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Answer<T> {
-    /// The controller that was asked.
+    /// The controller that received the request.
     pub from: String,
-    /// The leader of the shard whose state this is, as far as it is known.
+    /// The leader of the shard whose state this is, if it is known.
     pub owner: Option<String>,
-    /// The leader's term under which the answer was made; 0 if it is of no shard.
+    /// The leader's term under which the answer was made; 0 if the answer is not about a shard.
     pub term: u64,
-    /// How old the data is; above 0 where the leader could not be asked now.
+    /// Age of the data in seconds; above 0 if the leader could not be asked for this answer.
     pub age_s: f64,
-    /// What was asked for.
+    /// The requested data.
     pub data: T,
 }
 
-/// A refused request: which field, what is wrong with it, when to come back.
+/// The body of a refused request.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Problem {
-    /// What is wrong, and when to come back; a sentence for a person.
+    /// What is wrong and when to try again: a sentence for a person.
     pub error: String,
-    /// The field that is wrong, if it is one.
+    /// The field that is wrong, if a single field is.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
 }
 
-/// What to do with work that is left when a drain's deadline comes, or that no
-/// other machine can take in time.
+/// What happens to tasks that are still on a machine at its drain's deadline, or that no other
+/// machine can take in time.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rest {
-    /// It stays; the drain is overdue and says so.
+    /// They keep running, and the drain is reported as overdue.
     #[default]
     Leave,
-    /// It is stopped at the deadline, whatever that costs.
+    /// They are stopped at the deadline, even if their progress is lost.
     Stop,
 }
 
-/// A drain, as it stands in the state service.
+/// A drain, as stored in the state service.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Drain {
     /// The machine's name.
     pub host: String,
-    /// Name of the order it came with: the same order given twice is one.
+    /// Name of the order that it belongs to. An order repeated with the same name has no further
+    /// effect.
     pub order: String,
-    /// Who ordered it.
+    /// The operator who ordered it.
     pub by: String,
-    /// Why it was ordered.
+    /// The reason for the order.
     pub why: String,
-    /// When it was ordered, in milliseconds of the time of day.
+    /// When it was ordered, in milliseconds of Unix time.
     pub at_ms: u64,
-    /// When it should be over, in milliseconds of the time of day.
+    /// When it should be complete, in milliseconds of Unix time.
     #[serde(default)]
     pub deadline_ms: Option<u64>,
-    /// What happens to work that is left then.
+    /// What happens to tasks that are left at the deadline.
     pub rest: Rest,
-    /// The proof that it is over.
+    /// The proof that the machine is drained; `None` until there is one.
     #[serde(default)]
     pub drained: Option<Drained>,
-    /// The rollout that it is a step of.
+    /// Name of the rollout that it is a step of, if any.
     #[serde(default)]
     pub roll: Option<String>,
 }
 
-/// The proof that nothing is on a machine, nor can come to it.
+/// The proof that a machine has no tasks and that none can start on it.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Drained {
-    /// When it was proven, in milliseconds of the time of day.
+    /// When it was proven, in milliseconds of Unix time.
     pub at_ms: u64,
     /// The leader's term when it was proven.
     pub term: u64,
-    /// What proves it.
+    /// What the proof rests on.
     pub proof: Proof,
-    /// The worker's session then; a later one has started anew since.
+    /// The worker's session at that time. A worker with a later session has restarted since.
     pub session: u64,
 }
 
-/// What proves a machine empty.
+/// What proves that a machine has no tasks.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Proof {
-    /// Its heartbeat under the leader's term shows nothing, and nothing is under way.
+    /// Its heartbeat under the leader's term lists no tasks, and no command to start one is under
+    /// way.
     Reported,
-    /// Its lease expired after the last moment at which anyone could have renewed it.
+    /// Its lease expired, counted from the last moment at which any controller could have renewed
+    /// it.
     LeaseOver,
 }
 
@@ -94,21 +98,22 @@
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct DrainOrder {
-    /// A fresh name for this order; repeated with the same name it is one.
+    /// An idempotency key: an order repeated with the same name has no further effect.
     pub order: String,
     /// The machines' names.
     pub hosts: Vec<String>,
-    /// Who orders it.
+    /// The operator who orders it.
     pub by: String,
-    /// Why.
+    /// The reason.
     pub why: String,
-    /// Seconds until it should be over.
+    /// Seconds until the drains should be complete.
     #[serde(default)]
     pub deadline_s: Option<f64>,
-    /// What happens to work that is left then.
+    /// What happens to tasks that are left at the deadline.
     #[serde(default)]
     pub rest: Rest,
-    /// The term of the plan that is carried out; another one refuses it.
+    /// The leader's term at which the drain was planned. A leader with another term refuses the
+    /// order.
     #[serde(default)]
     pub term: Option<u64>,
 }
@@ -119,46 +124,46 @@
 pub struct UndrainOrder {
     /// The machines' names.
     pub hosts: Vec<String>,
-    /// Who orders it.
+    /// The operator who orders it.
     pub by: String,
 }
 
-/// How far a drain is.
+/// State of a drain.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainState {
-    /// Work is still there, or it is not proven yet that none is.
+    /// The machine still has tasks, or it is not yet proven that it has none.
     Draining,
-    /// As before, and the deadline is over.
+    /// Like `Draining`, and the deadline has passed.
     Overdue,
-    /// Proven, and the proof is recorded.
+    /// The machine is proven empty, and the proof is recorded.
     Drained,
-    /// The cloud has taken the machine away.
+    /// The machine no longer exists in the cloud.
     Gone,
 }
 
 /// A drain with its progress.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct DrainRow {
-    /// Its record.
+    /// The drain's record.
     pub drain: Drain,
-    /// How far it is.
+    /// State of the drain.
     pub state: DrainState,
-    /// Attempts still there.
+    /// Attempts that are still on the machine.
     pub tasks: u32,
-    /// Why the first of them that stays does so; empty if all go.
+    /// Why the first attempt that cannot be moved stays; empty if all are being moved.
     pub stays: String,
 }
 
-/// How a job stands, worst first.
+/// Health of a job, worst first.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Standing {
-    /// Nothing of it has run for several leases.
+    /// None of its tasks has run for several lease durations.
     Stuck,
-    /// It fails on every machine that it was tried on.
+    /// Its tasks have failed on every machine that they were tried on.
     Failing,
-    /// All its objectives are out of reach.
+    /// It can no longer meet any of its objectives.
     Late,
     /// None of these.
     Ok,
@@ -175,13 +180,13 @@
     pub team: String,
     /// Its priority.
     pub urgency: crate::job::Urgency,
-    /// How it stands.
+    /// Its health.
     pub standing: Standing,
-    /// Why it stands so.
+    /// The reason for its health.
     pub why: String,
     /// Seconds since it was accepted.
     pub age_s: f64,
-    /// Seconds until the first objective that it can still meet is lost.
+    /// Seconds until it misses the first of the objectives that it can still meet.
     pub slack_s: Option<f64>,
     /// How many tasks it has.
     pub tasks: u32,
@@ -193,43 +198,43 @@
     pub waiting: u32,
 }
 
-/// Live jobs, worst first and oldest first among those alike.
+/// Live jobs, worst health first; jobs of the same health are sorted oldest first.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Default)]
 pub struct Jobs {
-    /// Live jobs.
+    /// Number of live jobs.
     pub live: usize,
-    /// Of these, jobs of which nothing has run for several leases.
+    /// Number of live jobs that are [`Standing::Stuck`].
     pub stuck: usize,
-    /// Jobs that fail on every machine.
+    /// Number of live jobs that are [`Standing::Failing`].
     pub failing: usize,
-    /// Jobs whose objectives are out of reach.
+    /// Number of live jobs that are [`Standing::Late`].
     pub late: usize,
-    /// As many as were asked for.
+    /// The first jobs of the list, up to the requested number.
     pub rows: Vec<JobRow>,
 }
 
-/// A team against its quota; a guarantee or limit of 0 means none.
+/// A team's usage and quota. A guarantee or limit of 0 means that there is none.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct TeamRow {
     /// Its name.
     pub name: String,
-    /// CPUs that it uses.
+    /// CPUs in use.
     pub cpus: f64,
-    /// CPUs that it is guaranteed.
+    /// Guaranteed CPUs.
     pub cpus_guaranteed: f64,
-    /// The most CPUs that it may use.
+    /// Limit of CPUs.
     pub cpus_max: f64,
-    /// GPUs that it uses.
+    /// GPUs in use.
     pub gpus: f64,
-    /// GPUs that it is guaranteed.
+    /// Guaranteed GPUs.
     pub gpus_guaranteed: f64,
-    /// The most GPUs that it may use.
+    /// Limit of GPUs.
     pub gpus_max: f64,
-    /// Live jobs.
+    /// Number of live jobs.
     pub jobs: u32,
-    /// Waiting tasks.
+    /// Number of waiting tasks.
     pub waiting_tasks: u32,
-    /// CPUs that these ask for.
+    /// CPUs that the waiting tasks request.
     pub waiting_cpus: f64,
 }
 
@@ -244,64 +249,68 @@
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// What it is good for now.
+    /// Whether it can take tasks.
     pub state: MachineState,
-    /// What that rests on.
+    /// The reason for its state.
     pub why: String,
     /// Seconds since its last heartbeat.
     pub silent_s: f64,
-    /// Attempts on it.
+    /// Number of attempts on it.
     pub tasks: u32,
-    /// Tasks that are queued for it: they start there as soon as there is room.
+    /// Number of tasks that are queued for it. They start there as soon as it has enough free
+    /// resources.
     pub bound: u32,
-    /// CPUs that nothing uses.
+    /// CPUs that are not in use.
     pub free_cpus: f64,
 }
 
-/// What a machine is good for now.
+/// Whether a machine can take tasks, and if not, why.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum MachineState {
-    /// Tasks may start there.
+    /// Tasks may start on it.
     Usable,
-    /// Not in the leader's written record, or without a heartbeat under its term yet.
+    /// It is not yet in the leader's stored record, has not yet sent a heartbeat under the leader's
+    /// term, or runs tasks of jobs that the leader does not know.
     Unproven,
-    /// It sends no heartbeats.
+    /// It has stopped sending heartbeats, and its lease has not expired yet.
     Silent,
-    /// Proven empty after silence.
+    /// It has sent no heartbeat for so long that its lease has expired, which proves it empty.
     Expired,
-    /// Set aside by an operator.
+    /// An operator is draining it.
     Draining,
-    /// Set aside and proven empty.
+    /// An operator has drained it, and it is proven empty.
     Drained,
-    /// On its way back to the cloud.
+    /// It is taken out of use and will be returned to the cloud.
     Returning,
-    /// The cloud is about to take it.
+    /// The cloud has announced that it will reclaim it.
     Noticed,
 }
 
-/// A shard as the asked controller sees it.
+/// A shard as seen by the controller that answers.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ShareRow {
     /// Number of the shard.
     pub share: u32,
-    /// The leader, as far as it is known.
+    /// The leader, if it is known.
     pub owner: Option<String>,
     /// The leader's term.
     pub term: u64,
-    /// Controllers whose lease is alive.
+    /// Controllers whose lease has not expired.
     pub alive: Vec<String>,
     /// Former leaders that may still answer workers.
     pub former: Vec<String>,
-    /// Whether the asked controller is the leader, and may answer workers.
+    /// Whether the controller that answers is the leader and may answer workers.
     pub ours: bool,
-    /// How long ago the leader last confirmed it, if that is the asked controller.
+    /// Seconds since the controller that answers last confirmed its leadership; `None` if it is not
+    /// the leader.
     pub confirmed_s: Option<f64>,
-    /// Machines that hold up placement after a failover; `None` while it goes on.
+    /// Number of machines that a new leader must hear from before it resumes placement after a
+    /// failover; `None` if placement is not suspended.
     pub missing: Option<usize>,
 }
 
-/// One outside service, as the asked controller met it.
+/// Calls from the controller that answers to one external service.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ServiceRow {
     /// Its name.
@@ -310,35 +319,34 @@
     pub answered: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Seconds since it last answered.
+    /// Seconds since the service last answered a request.
     pub answered_s: Option<f64>,
-    /// Seconds since it last failed to.
+    /// Seconds since a request to it last failed.
     pub failed_s: Option<f64>,
 }
 
 /// Quantiles of a distribution, in seconds.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Spread {
-    /// What it is of.
+    /// What was measured.
     pub name: String,
-    /// How many values it has.
+    /// Number of values.
     pub count: u64,
-    /// The median.
+    /// The 50th percentile (median).
     pub p50_s: f64,
-    /// Nine in ten are at most this.
+    /// The 90th percentile.
     pub p90_s: f64,
-    /// 99 in a hundred are at most this.
+    /// The 99th percentile.
     pub p99_s: f64,
-    /// The largest.
+    /// The maximum.
     pub max_s: f64,
 }
 
-/// Waits by class from acceptance to the first task that runs, and how long the
-/// asked controller took to accept.
+/// Waiting times of jobs.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Default)]
 pub struct Waits {
-    /// By class, from acceptance to the first task that runs.
+    /// For each class, the times from a job's acceptance until its first task runs.
     pub first_start: Vec<Spread>,
-    /// How long the asked controller took to accept.
+    /// How long the controller that answers took to accept jobs.
     pub acceptance: Option<Spread>,
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -7,35 +7,35 @@
 pub struct MachineType {
     /// Its name.
     pub name: String,
-    /// CPUs.
+    /// CPUs per machine.
     pub cpus: f64,
-    /// GPUs.
+    /// GPUs per machine.
     #[serde(rename = "cards", default)]
     pub gpus: f64,
-    /// Memory in gigabytes.
+    /// Memory per machine, in gigabytes.
     pub memory_gb: f64,
-    /// Local disk for images, in gigabytes.
+    /// Local disk space for the image cache, in gigabytes.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// How fast images are fetched, in gigabytes a second.
+    /// Rate at which a machine fetches images, in gigabytes per second.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price of a machine on demand; all prices are in one unit.
+    /// Price of an on-demand machine. All prices have the same unit.
     #[serde(rename = "rate", default)]
     pub price: f64,
     /// Price of a spot machine.
     #[serde(rename = "low_price", default)]
     pub spot_price: f64,
-    /// Seconds from the launch until the worker runs.
+    /// Seconds from launch until the worker runs.
     #[serde(default)]
     pub boot_s: f64,
-    /// Zones in which there are such machines.
+    /// Zones that offer this type.
     #[serde(rename = "sites")]
     pub zones: Vec<String>,
 }
 
-/// The list of machine types; also kept in the state service, so that a
-/// controller restarted in a cloud outage can still judge jobs.
+/// The list of machine types. Controllers also store it in the state service, so that a controller
+/// that restarts during a cloud outage can still check jobs against it.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct TypeList {
     /// All types.
@@ -46,7 +46,7 @@
 /// A request to launch machines.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Rental {
-    /// A fresh name for the request: repeated with the same name it is one.
+    /// An idempotency key: a request repeated with the same key launches nothing more.
     #[serde(rename = "booking")]
     pub request: String,
     /// Name of the machine type.
@@ -63,7 +63,7 @@
     pub count: u32,
 }
 
-/// Machines by name: what a launch gave, or what is to be terminated.
+/// Names of machines: those that a launch created, or those to terminate.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Names {
     /// The machines' names.
@@ -71,21 +71,21 @@
     pub machines: Vec<String>,
 }
 
-/// State of a machine in the list.
+/// State of a machine in the cloud's list.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// Its worker does not run yet.
+    /// It is booting; its worker does not run yet.
     #[serde(rename = "starting")]
     Booting,
-    /// It runs.
+    /// Its worker runs.
     #[serde(rename = "running")]
     Running,
-    /// It is dead.
+    /// It has failed and does not come back.
     #[serde(rename = "failed")]
     Failed,
 }
 
-/// A machine in the list.
+/// A machine in the cloud's list.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Listed {
     /// The machine's name.
@@ -100,7 +100,7 @@
     /// Whether it is a spot machine.
     #[serde(rename = "standby")]
     pub spot: bool,
-    /// How it is.
+    /// Its state.
     #[serde(rename = "status")]
     pub state: ListedState,
     /// Seconds since its launch.
@@ -108,13 +108,13 @@
     pub age_s: f64,
 }
 
-/// A page of the list.
+/// A page of the cloud's list of machines.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Page {
-    /// Machines in the order of their names.
+    /// Machines, sorted by name.
     #[serde(rename = "hosts")]
     pub machines: Vec<Listed>,
-    /// Whether there are more after these.
+    /// Whether more machines follow.
     #[serde(default)]
     pub more: bool,
 }
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -5,13 +5,15 @@
 
 /// The most tasks that a job may have.
 pub const MAX_TASKS: u64 = 100_000;
-/// The longest name of an image, class or team, in bytes; they end up in state keys and records.
-const MAX_NAME: usize = 150;
+/// The longest name of an image, class or team. These names become part of keys and records in the
+/// state service.
+const MAX_NAME_BYTES: usize = 150;
 
-/// How a job's tasks relate. The wire's third shape, `group`, is not served.
+/// How a job's tasks relate. The protocol has a third shape, `group`, which foxspur does not
+/// support.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     #[serde(rename = "sweep")]
     Sweep,
     /// Replicas that run until the job is cancelled.
@@ -19,19 +21,19 @@
     Service,
 }
 
-/// Priority, lowest first, so that the derived order is the order of precedence.
+/// Priority, lowest first: the derived order is the order of precedence.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Urgency {
-    /// Runs on what is left over.
+    /// Runs only on capacity that no higher priority uses.
     #[serde(rename = "idle")]
     Idle,
     /// The usual priority.
     #[serde(rename = "standard")]
     Standard,
-    /// Before the usual.
+    /// Takes precedence over `Standard`.
     #[serde(rename = "high")]
     High,
-    /// Before all others.
+    /// Takes precedence over all others.
     #[serde(rename = "prod")]
     Prod,
 }
@@ -39,13 +41,13 @@
 /// A job's description.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct JobSpec {
-    /// The id: `run-` and digits.
+    /// The id: `run-` followed by 1 to 20 digits.
     #[serde(rename = "name_id")]
     pub id: String,
-    /// Class of jobs, for objectives and predictions.
+    /// The job's class. Objectives and run time predictions are kept per class.
     #[serde(rename = "queue")]
     pub class: String,
-    /// The team whose quota it uses.
+    /// The team whose quota the job counts against.
     #[serde(rename = "owner")]
     pub team: String,
     /// How its tasks relate.
@@ -55,62 +57,63 @@
     /// How many tasks it has.
     #[serde(rename = "shards")]
     pub tasks: u32,
-    /// CPUs of a task.
+    /// CPUs per task.
     pub cpus: f64,
-    /// GPUs of a task.
+    /// GPUs per task.
     #[serde(rename = "cards")]
     pub gpus: f64,
-    /// Memory of a task, in gigabytes.
+    /// Memory per task, in gigabytes.
     pub memory_gb: f64,
-    /// Name of the image that tasks run.
+    /// Name of the image that the tasks run.
     #[serde(rename = "bundle")]
     pub image: String,
     /// The image's size in gigabytes.
     pub image_gb: f64,
-    /// Machine types that it may run on; any if there is no list.
+    /// Machine types that the job may run on; `None` allows any.
     #[serde(rename = "flavors", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The zone that it must run in; any if there is none.
+    /// The zone that the job must run in; `None` allows any.
     #[serde(rename = "site", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Whether all tasks must run in one zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// Whether at most half of its tasks may be in one zone.
+    /// Whether at most half of the tasks may run in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// Whether it may run on spot machines.
+    /// Whether the job may run on spot machines.
     #[serde(rename = "standby")]
     pub spot: bool,
     /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "expected_s")]
     pub estimate_s: f64,
-    /// Seconds between two checkpoints of a task; 0 if it has none.
+    /// Seconds between two checkpoints of a task; 0 if it writes none.
     #[serde(rename = "save_every_s")]
     pub checkpoint_s: f64,
     /// Seconds that a checkpoint takes.
     #[serde(rename = "save_cost_s")]
     pub save_s: f64,
-    /// Seconds from submission until it should be done.
+    /// Seconds from submission within which the job should be completed.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
 }
 
-/// Whether `id` has the form every job id has: `run-` and digits.
+/// Whether `id` has the form of a job id: `run-` followed by 1 to 20 digits.
 pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix("run-")
-        .is_some_and(|n| !n.is_empty() && n.len() <= 20 && n.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix("run-").is_some_and(|digits| {
+        !digits.is_empty() && digits.len() <= 20 && digits.bytes().all(|b| b.is_ascii_digit())
+    })
 }
 
-/// Finds a well-formed id in a body that may otherwise be wrong: a job that is
-/// known already is answered as known whatever else its repetition holds.
+/// Finds a well-formed id in a body that may be invalid otherwise. A repeated submission of a
+/// known job is answered with the job's state, even if the rest of the repetition is invalid.
 pub fn peek_id(body: &[u8]) -> Option<String> {
-    let v: serde_json::Value = serde_json::from_slice(body).ok()?;
-    let id = v.get("name_id")?.as_str()?;
+    let value: serde_json::Value = serde_json::from_slice(body).ok()?;
+    let id = value.get("name_id")?.as_str()?;
     valid_id(id).then(|| id.to_string())
 }
 
-/// Reads a submission.
+/// Parses and checks a submission.
 ///
 /// # Errors
 ///
@@ -126,7 +129,8 @@
     Ok(spec)
 }
 
-/// What every controller asks of a submission before it looks at teams and machine types.
+/// The checks of a submission that do not depend on teams or machine types. Every controller makes
+/// them first.
 ///
 /// # Errors
 ///
@@ -158,7 +162,7 @@
         ("owner", &spec.team),
         ("bundle", &spec.image),
     ] {
-        if text.is_empty() || text.len() > MAX_NAME {
+        if text.is_empty() || text.len() > MAX_NAME_BYTES {
             return Err(format!("{name} is empty or too long"));
         }
     }
@@ -168,16 +172,16 @@
 /// What a user is told about a job's progress.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobState {
-    /// Accepted, and no task of it runs.
+    /// Accepted, and none of its tasks is running.
     #[serde(rename = "pending")]
     Pending,
-    /// A task of it runs.
+    /// At least one of its tasks is running.
     #[serde(rename = "running")]
     Running,
-    /// All tasks are completed.
+    /// All of its tasks are completed.
     #[serde(rename = "done")]
     Done,
-    /// It is cancelled.
+    /// It was cancelled.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
@@ -188,18 +192,18 @@
     /// The job's id.
     #[serde(rename = "name_id", borrow)]
     pub id: Cow<'a, str>,
-    /// How it stands.
+    /// Its state.
     #[serde(rename = "status")]
     pub state: JobState,
 }
 
-/// The answer to a query.
+/// The answer to a query of a job's state.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Progress<'a> {
     /// The job's id.
     #[serde(rename = "name_id", borrow)]
     pub id: Cow<'a, str>,
-    /// How it stands.
+    /// Its state.
     #[serde(rename = "status")]
     pub state: JobState,
     /// Completed tasks, for display.
@@ -208,10 +212,10 @@
     pub running: u32,
 }
 
-/// Why something was refused, for a person to read.
+/// The body of a refused request.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Refusal<'a> {
-    /// A sentence that names the field.
+    /// Why it was refused: a sentence for a person, which names the field that is wrong.
     #[serde(borrow)]
     pub error: Cow<'a, str>,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,9 @@
-//! The types that users, operators and controllers of foxspur exchange, and those
-//! of the interfaces that controllers use, one definition each. No I/O, and no
-//! default that hides a missing field: where the protocol lets a field be null
-//! it may be missing too, and is an `Option` here.
+//! The message types of foxspur: those that users, workers, operators and controllers exchange,
+//! and those of the state service and the cloud, which controllers call. Each type is defined
+//! once, here.
+//!
+//! The crate does no I/O. A default never hides that a required field is missing. A field that
+//! the protocol allows to be null may also be missing; here it is an `Option`.
 
 pub mod admin;
 pub mod cloud;
--- a/crates/wire/src/roll.rs
+++ b/crates/wire/src/roll.rs
@@ -1,5 +1,5 @@
-//! Rollouts (rolls on the wire): machines drained one after the other, at most so many of each
-//! zone at once, as operators order and see them.
+//! Rollouts (rolls on the wire), as operators order and see them. A rollout drains machines one
+//! after the other and limits how many machines of a zone are out of use at once.
 
 use crate::admin::Rest;
 use serde::{Deserialize, Serialize};
@@ -8,87 +8,89 @@
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum AtMost {
-    /// So many.
+    /// This number of machines.
     Machines(u32),
-    /// This proportion of the zone (0 to 1), but at least one.
+    /// This proportion of the zone's machines (0 to 1), but at least one machine.
     Share(f64),
 }
 
-/// How far a rollout is.
+/// State of a rollout.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum RollState {
-    /// Machines are drained.
+    /// It is draining machines.
     Running,
-    /// By an operator or by itself: nothing new is drained until it is resumed.
+    /// An operator or the rollout itself has halted it. It drains no further machines until it is
+    /// resumed.
     Halted,
-    /// Its drains are being ended.
+    /// It is being undone: its drains are being ended.
     Back,
-    /// All machines have had their turn.
+    /// It has finished with all of its machines.
     Done,
 }
 
-/// What a rollout's plan said; it halts by itself where that turns out wrong.
+/// What the plan of a rollout predicted. The rollout halts itself if a prediction is exceeded.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Default)]
 #[serde(deny_unknown_fields)]
 pub struct Promise {
-    /// Jobs that miss their objectives, beyond those that did when it began.
+    /// How many more jobs miss their objectives than did when the rollout began.
     #[serde(default)]
     pub late: u32,
     /// Seconds until each machine is drained.
     #[serde(default)]
     pub step_s: Option<f64>,
-    /// Seconds until a drained machine is back, restarted.
+    /// Seconds until a drained machine has restarted and is back in use.
     #[serde(default)]
     pub back_s: Option<f64>,
 }
 
-/// A rollout, as its record stands in the state service.
+/// A rollout, as stored in the state service.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Roll {
     /// Its name.
     pub name: String,
-    /// Who ordered it.
+    /// The operator who ordered it.
     pub by: String,
-    /// Why it was ordered.
+    /// The reason for the order.
     pub why: String,
-    /// When it was ordered, in milliseconds of the time of day.
+    /// When it was ordered, in milliseconds of Unix time.
     pub at_ms: u64,
-    /// In the order in which they are drained.
+    /// Names of the machines, in the order in which they are drained.
     pub hosts: Vec<String>,
     /// How many machines of a zone may be out of use at once.
     pub at_most: AtMost,
-    /// What happens to work that is left at a drain's deadline.
+    /// What happens to tasks that are left at a drain's deadline.
     pub rest: Rest,
     /// Seconds from a drain's start until its deadline.
     #[serde(default)]
     pub deadline_s: Option<f64>,
-    /// What its plan said.
+    /// What its plan predicted.
     pub promise: Promise,
-    /// How far it is.
+    /// State of the rollout.
     pub state: RollState,
     /// Why it is halted.
     #[serde(default)]
     pub reason: String,
-    /// How many of the machines have had their turn.
+    /// Index in `hosts` of the next machine to drain. The machines before it have been drained, are
+    /// being drained, or were skipped.
     pub next: usize,
-    /// Jobs that missed their objectives already when it began or was resumed; `None` until the
-    /// leader has counted them.
+    /// Number of jobs that already missed their objectives when the rollout began or was resumed;
+    /// `None` until the leader has counted them.
     #[serde(default)]
     pub late_before: Option<u32>,
 }
 
-/// Which machines a rollout is for: all that match every part that is given.
+/// Selects the machines of a rollout: all that match every criterion that is given.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Default)]
 #[serde(deny_unknown_fields)]
 pub struct Among {
-    /// Names of machines; empty for any.
+    /// Names of machines; an empty list selects any.
     #[serde(default)]
     pub hosts: Vec<String>,
     /// Name of a machine type.
     #[serde(default)]
     pub kind: Option<String>,
-    /// A zone.
+    /// Name of a zone.
     #[serde(default)]
     pub zone: Option<String>,
 }
@@ -97,38 +99,38 @@
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RollOrder {
-    /// A name for it: the same order repeated is one.
+    /// Name of the rollout. An order repeated with the same name has no further effect.
     pub name: String,
-    /// Who orders it.
+    /// The operator who orders it.
     pub by: String,
-    /// Why.
+    /// The reason.
     pub why: String,
     /// Which machines are drained.
     pub among: Among,
     /// How many machines of a zone may be out of use at once.
     pub at_most: AtMost,
-    /// What happens to work that is left at a drain's deadline.
+    /// What happens to tasks that are left at a drain's deadline.
     #[serde(default)]
     pub rest: Rest,
     /// Seconds from a drain's start until its deadline.
     #[serde(default)]
     pub deadline_s: Option<f64>,
-    /// What its plan says; it halts where that turns out wrong.
+    /// What its plan predicts. The rollout halts itself if a prediction is exceeded.
     #[serde(default)]
     pub promise: Promise,
 }
 
-/// What is to become of a rollout.
+/// What to do with an existing rollout.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Turn {
-    /// Drain nothing new until it is resumed.
+    /// Drain no further machines until it is resumed.
     Halt,
-    /// Go on.
+    /// Continue a halted rollout.
     Resume,
-    /// End all its drains, drain nothing more.
+    /// Undo it: end all of its drains and drain no further machines.
     Back,
-    /// Forget one that is done.
+    /// Delete the record of a rollout that is done.
     Forget,
 }
 
@@ -138,8 +140,8 @@
 pub struct TurnOrder {
     /// Name of the rollout.
     pub name: String,
-    /// Who orders it.
+    /// The operator who orders it.
     pub by: String,
-    /// What is to become of it.
+    /// What to do with it.
     pub turn: Turn,
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -4,26 +4,26 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::{to_raw_value, RawValue};
 
-/// A key with its value and version.
+/// A key with its value and the version of that value.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Entry {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Its value, as unread JSON.
+    /// Its value, as unparsed JSON.
     #[serde(rename = "v")]
     pub value: Box<RawValue>,
-    /// Revision of its last change.
+    /// Revision of the store at which the key was last changed.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
 impl Entry {
-    /// Reads the value.
+    /// Parses the value.
     ///
     /// # Errors
     ///
-    /// If it is not of this type.
+    /// If the value is not of this type.
     pub fn read<T: DeserializeOwned>(&self) -> serde_json::Result<T> {
         serde_json::from_str(self.value.get())
     }
@@ -32,10 +32,10 @@
 /// A page of a listing.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Listing {
-    /// Entries in the order of their keys.
+    /// Entries, sorted by key.
     #[serde(rename = "entries")]
     pub items: Vec<Entry>,
-    /// Whether there are more after these.
+    /// Whether more entries follow.
     #[serde(default)]
     pub more: bool,
     /// Revision of the store.
@@ -43,7 +43,8 @@
     pub revision: u64,
 }
 
-/// A condition: the key has this version (0: it does not exist).
+/// A condition of a transaction: the key has this version. Version 0 means that the key does not
+/// exist.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Cond {
     /// The key.
@@ -54,7 +55,7 @@
     pub version: u64,
 }
 
-/// A change.
+/// A change that a transaction makes.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 #[serde(untagged, try_from = "AnyChange")]
 pub enum Change {
@@ -66,7 +67,7 @@
         /// The new value.
         #[serde(rename = "v")]
         value: Box<RawValue>,
-        /// The lease with which the key ends, if any.
+        /// The lease that the key is bound to, if any: the key is deleted when the lease ends.
         #[serde(rename = "tenancy", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -78,8 +79,9 @@
     },
 }
 
-/// A change with the fields of both kinds: an unread value cannot be told from
-/// others by trying, as an untagged enum would.
+/// A change with the fields of both kinds. A derived `Deserialize` for the untagged enum would
+/// buffer the input to try one variant after the other, and a `RawValue` cannot be read from that
+/// buffer.
 #[derive(Deserialize)]
 struct AnyChange {
     #[serde(default)]
@@ -110,10 +112,10 @@
 /// A transaction.
 #[derive(Serialize, Deserialize, Clone, Debug, Default)]
 pub struct Txn {
-    /// Conditions; all must hold (compare-and-swap).
+    /// Conditions, all of which must hold (compare-and-swap).
     #[serde(rename = "when", default)]
     pub conds: Vec<Cond>,
-    /// Changes, made all or none.
+    /// Changes. Either all of them are made or none.
     #[serde(rename = "apply", default, skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<Change>,
 }
@@ -133,9 +135,9 @@
         self.put_leased(key, value, None)
     }
 
-    /// Adds a put that lives as long as `lease`.
+    /// Adds a put; the key is deleted when `lease` ends.
     pub fn put_leased<T: Serialize>(mut self, key: &str, value: &T, lease: Option<u64>) -> Self {
-        // Our records are plain structs, which always serialise.
+        // Records are plain structs, whose serialization does not fail.
         let value = to_raw_value(value).unwrap_or_else(|_| RawValue::NULL.to_owned());
         self.changes.push(Change::Put {
             key: key.into(),
@@ -152,7 +154,7 @@
     }
 }
 
-/// Answer to a transaction that was applied, or a missing key.
+/// The answer to a transaction that was applied, or to a read of a key that does not exist.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Revision {
     /// Revision of the store.
@@ -160,10 +162,10 @@
     pub revision: u64,
 }
 
-/// Answer to a transaction whose conditions failed.
+/// The answer to a transaction whose conditions did not hold.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Conflict {
-    /// Keys whose conditions failed.
+    /// Keys whose conditions did not hold.
     #[serde(default)]
     pub failed: Vec<String>,
 }
@@ -171,7 +173,7 @@
 /// A request for a lease.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct LeaseRequest {
-    /// How long it lasts without an extension, in milliseconds.
+    /// How long the lease lasts unless it is extended, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
@@ -184,7 +186,7 @@
     pub lease: u64,
 }
 
-/// One change seen by a watch.
+/// One change that a watch reports.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Event {
     #[serde(rename = "set", default, skip_serializing_if = "Option::is_none")]
@@ -197,7 +199,7 @@
     version: u64,
 }
 
-/// What a change did.
+/// What a watched change did.
 #[derive(Debug)]
 pub enum Seen {
     /// A key was written.
@@ -206,13 +208,14 @@
     Deleted {
         /// The key.
         key: String,
-        /// Revision of the deletion.
+        /// Revision of the store at which it was deleted.
         version: u64,
     },
 }
 
 impl Event {
-    /// A change of the key at this version: its value, or none if it was deleted.
+    /// A change of `key` at this version. `value` is the new value; `None` means that the key was
+    /// deleted.
     pub fn new(key: String, value: Option<Box<RawValue>>, version: u64) -> Event {
         let (set, delete) = match value {
             Some(_) => (Some(key), None),
@@ -226,7 +229,7 @@
         }
     }
 
-    /// What it did, if it is either of the two.
+    /// What the change did; `None` if the event is neither a put nor a deletion.
     pub fn seen(self) -> Option<Seen> {
         let version = self.version;
         match (self.set, self.value, self.delete) {
@@ -244,10 +247,10 @@
 /// The answer to a watch.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct News {
-    /// Revision up to which the events are complete.
+    /// Revision of the store up to which the events are complete.
     #[serde(rename = "revno")]
     pub revision: u64,
-    /// Changes in their order.
+    /// Changes, oldest first.
     #[serde(rename = "news")]
     pub events: Vec<Event>,
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,5 +1,6 @@
-//! Workers' heartbeats (called reports on the wire) and the commands given to them. Field names on
-//! the wire are the protocol's; those in the code are the field's usual terms.
+//! Workers' heartbeats (reports in the protocol) and the commands that controllers send to
+//! workers. The protocol sets the field names on the wire; the Rust names are the usual terms of
+//! cluster scheduling.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -8,19 +9,19 @@
 /// Phase of an attempt on a machine.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It fetches its image.
+    /// The worker is fetching its image.
     #[serde(rename = "pulling")]
     Fetching,
-    /// It waits to run.
+    /// It is waiting to run.
     #[serde(rename = "waiting")]
     Waiting,
-    /// It runs.
+    /// It is running.
     #[serde(rename = "running")]
     Running,
-    /// It writes a last checkpoint.
+    /// It was stopped and is writing a last checkpoint.
     #[serde(rename = "saving")]
     Saving,
-    /// It has ended; the worker keeps it until it is told to forget it.
+    /// It has ended. The worker keeps listing it until a command tells it to forget it.
     #[serde(rename = "exited")]
     Exited,
 }
@@ -28,22 +29,22 @@
 /// Why an attempt ended.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// It is completed.
+    /// The task is completed.
     #[serde(rename = "done")]
     Done,
-    /// It was stopped by a command.
+    /// A command stopped it.
     #[serde(rename = "stopped")]
     Stopped,
     /// It failed.
     #[serde(rename = "error")]
     Error,
-    /// The machine had no room for it.
+    /// The machine did not have enough free resources for it.
     #[serde(rename = "full")]
     NoRoom,
-    /// Another attempt of the task is on the machine.
+    /// Another attempt of the same task is on the machine.
     #[serde(rename = "busy")]
     Busy,
-    /// The worker found no description of its job.
+    /// The worker found no description of the job.
     #[serde(rename = "unknown")]
     Unknown,
     /// A cause that this version does not know.
@@ -60,13 +61,13 @@
     /// The attempt's number.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// How far it is.
+    /// Its phase.
     #[serde(rename = "status")]
     pub phase: Phase,
-    /// Why it ended, once it has.
+    /// Why it ended; `None` before it has ended.
     #[serde(rename = "cause", default)]
     pub cause: Option<Cause>,
-    /// Whether a last checkpoint was written, once it was stopped.
+    /// Whether a last checkpoint was written; `None` unless the attempt was stopped.
     #[serde(rename = "stored", default)]
     pub saved: Option<bool>,
 }
@@ -77,7 +78,7 @@
     /// The machine's name.
     #[serde(rename = "host")]
     pub machine: String,
-    /// Where the worker answers direct calls.
+    /// Address at which the worker accepts direct calls.
     #[serde(rename = "endpoint")]
     pub addr: String,
     /// Name of the machine's type.
@@ -86,19 +87,19 @@
     /// The machine's zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Whether it is a spot machine, which the cloud may take back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     #[serde(rename = "standby")]
     pub spot: bool,
-    /// The worker's session (incarnation): it grows whenever the worker starts anew with no tasks.
+    /// The worker's session (incarnation). It grows each time the worker restarts without tasks.
     #[serde(rename = "tenure")]
     pub session: u64,
-    /// Number of the heartbeat within the session.
+    /// Sequence number of the heartbeat within the session.
     #[serde(rename = "serial")]
     pub seq: u64,
-    /// The newest fencing token that the worker has seen.
+    /// The highest fencing token that the worker has seen.
     #[serde(rename = "epoch")]
     pub token: u64,
-    /// In how many seconds the cloud takes the machine back, if it is about to.
+    /// Seconds until the cloud reclaims the machine; `None` if it has not announced that.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
     /// All attempts on the machine.
@@ -106,14 +107,14 @@
     pub tasks: Vec<Shown>,
 }
 
-/// A worker's heartbeat whose task list is not read yet: most heartbeats repeat the list of the
-/// one before.
+/// A worker's heartbeat with its task list left unparsed. Most heartbeats repeat the task list of
+/// the previous one, which then need not be parsed again.
 #[derive(Deserialize, Clone, Debug)]
 pub struct ReportHead<'a> {
     /// The machine's name.
     #[serde(rename = "host", borrow)]
     pub machine: Cow<'a, str>,
-    /// Where the worker answers direct calls.
+    /// Address at which the worker accepts direct calls.
     #[serde(rename = "endpoint", borrow)]
     pub addr: Cow<'a, str>,
     /// Name of the machine's type.
@@ -122,28 +123,28 @@
     /// The machine's zone.
     #[serde(rename = "site", borrow)]
     pub zone: Cow<'a, str>,
-    /// Whether it is a spot machine, which the cloud may take back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     #[serde(rename = "standby")]
     pub spot: bool,
-    /// The worker's session (incarnation): it grows whenever the worker starts anew with no tasks.
+    /// The worker's session (incarnation). It grows each time the worker restarts without tasks.
     #[serde(rename = "tenure")]
     pub session: u64,
-    /// Number of the heartbeat within the session.
+    /// Sequence number of the heartbeat within the session.
     #[serde(rename = "serial")]
     pub seq: u64,
-    /// The newest fencing token that the worker has seen.
+    /// The highest fencing token that the worker has seen.
     #[serde(rename = "epoch")]
     pub token: u64,
-    /// In how many seconds the cloud takes the machine back, if it is about to.
+    /// Seconds until the cloud reclaims the machine; `None` if it has not announced that.
     #[serde(rename = "warning_s", default)]
     pub notice_s: Option<f64>,
-    /// All attempts on the machine, as unread JSON.
+    /// All attempts on the machine, as unparsed JSON.
     #[serde(rename = "shards", borrow)]
     pub tasks: &'a RawValue,
 }
 
 impl ReportHead<'_> {
-    /// Reads the task list too; nothing if it is malformed.
+    /// Parses the task list as well; `None` if it is malformed.
     pub fn read(self) -> Option<Report> {
         Some(Report {
             tasks: serde_json::from_str(self.tasks.get()).ok()?,
@@ -164,7 +165,7 @@
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(tag = "verb")]
 pub enum Command {
-    /// Starts an attempt; does nothing if it is there.
+    /// Starts an attempt. Does nothing if the attempt is already on the machine.
     #[serde(rename = "run")]
     Start {
         /// Id of the task.
@@ -183,11 +184,11 @@
         /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds for a last checkpoint before it is killed.
+        /// Seconds that the attempt has for a last checkpoint before it is killed.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Forgets an attempt that has ended.
+    /// Tells the worker to forget an attempt that has ended.
     #[serde(rename = "reap")]
     Forget {
         /// Id of the task.
@@ -205,7 +206,7 @@
     /// Fencing token of the leader that answers.
     #[serde(rename = "epoch")]
     pub token: u64,
-    /// To be carried out in their order.
+    /// Commands, carried out in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
@@ -213,18 +214,20 @@
 /// A direct call: commands sent straight to a worker.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct Direct {
-    /// Fencing token of the leader that calls; an older one than the worker has seen is refused.
+    /// Fencing token of the leader that calls. The worker refuses the call if it has seen a higher
+    /// token.
     #[serde(rename = "epoch")]
     pub token: u64,
-    /// The worker's session that the commands are for; in another one they are refused.
+    /// The worker's session that the commands are for. In any other session the worker refuses
+    /// them.
     #[serde(rename = "tenure")]
     pub session: u64,
-    /// To be carried out in their order.
+    /// Commands, carried out in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Sends a worker to the leader.
+/// Redirects a worker to the leader.
 #[derive(Serialize, Deserialize, Debug)]
 pub struct Redirect<'a> {
     /// The leader's host name, if it is known.
