--- a/crates/client/src/agenda.rs
+++ b/crates/client/src/agenda.rs
@@ -1,11 +1,11 @@
-//! The schedule of the next step of each job: submissions, cancellations and polls. Pure; times
-//! are seconds that are passed in.
+//! Schedules the next step of each job: a submission, a cancellation or a poll. It does no I/O and
+//! reads no clock: callers pass times in seconds.
 
 use crate::job::JobId;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Next step of a job.
+/// The next request to make for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Step {
     /// Submit it.
@@ -16,42 +16,44 @@
     Poll,
 }
 
-/// Times in the heap are whole microseconds, which have a total order.
-fn micros(s: f64) -> u64 {
-    (s.max(0.0) * 1e6) as u64
+/// Converts seconds to whole microseconds, which have a total order as the heap needs it.
+fn to_micros(seconds: f64) -> u64 {
+    (seconds.max(0.0) * 1e6) as u64
 }
 
-/// A priority queue of steps by time. A job is in it once: a new entry replaces the one before.
+/// A priority queue of steps, ordered by due time. Each job has at most one entry; a new entry
+/// replaces the previous one.
 #[derive(Debug, Default)]
 pub struct Agenda {
+    /// Due times in microseconds. An entry is stale unless `entries` has the same time for the job.
     heap: BinaryHeap<Reverse<(u64, JobId)>>,
     entries: HashMap<JobId, (u64, Step)>,
 }
 
 impl Agenda {
-    /// The job's next step is due at `at`.
+    /// Schedules the job's next step at `at`, in place of any step scheduled before.
     pub fn put(&mut self, job: JobId, step: Step, at: f64) {
-        let at = micros(at);
+        let at = to_micros(at);
         self.entries.insert(job, (at, step));
         self.heap.push(Reverse((at, job)));
     }
 
-    /// Nothing more is to be done about the job.
+    /// Removes the job from the schedule.
     pub fn remove(&mut self, job: JobId) {
         self.entries.remove(&job);
     }
 
-    /// When the next one is due.
+    /// The time at which the earliest step is due.
     pub fn next_at(&mut self) -> Option<f64> {
         self.drop_stale();
         self.heap.peek().map(|Reverse((at, _))| *at as f64 / 1e6)
     }
 
-    /// Takes the next one if it is due.
+    /// Removes and returns the earliest step if it is due.
     pub fn take(&mut self, now: f64) -> Option<(JobId, Step)> {
         self.drop_stale();
         let Reverse((at, job)) = *self.heap.peek()?;
-        if at > micros(now) {
+        if at > to_micros(now) {
             return None;
         }
         self.heap.pop();
@@ -61,14 +63,18 @@
 
     fn drop_stale(&mut self) {
         while let Some(Reverse((at, job))) = self.heap.peek() {
-            if self.entries.get(job).is_some_and(|(known, _)| known == at) {
+            if self
+                .entries
+                .get(job)
+                .is_some_and(|(current, _)| current == at)
+            {
                 return;
             }
             self.heap.pop();
         }
     }
 
-    /// How many jobs are scheduled.
+    /// The number of scheduled jobs.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -79,22 +85,24 @@
     }
 }
 
-/// In how many seconds to ask about an accepted job again. `expected_s` is how
-/// long it should take from its acceptance, `age_s` how long ago that was: soon
-/// when it should end, rarely when not. A quarter of the time left, and a
-/// sixteenth of the whole at least, asks some ten times; a job that is overdue
-/// is asked about ever more rarely, since its estimate was wrong.
+/// The time in seconds until the next poll of an accepted job. `expected_s` is its expected
+/// duration from acceptance and `age_s` is the time since acceptance.
+///
+/// The interval is a quarter of the remaining time and at least a sixteenth of the expected
+/// duration, so that polls become denser towards the expected end. This makes some ten polls per
+/// job. Once a job is overdue its estimate has proven wrong, and the interval grows with the delay.
 pub fn poll_in(expected_s: f64, age_s: f64) -> f64 {
-    let left_s = expected_s - age_s;
-    let wait_s = if left_s > 0.0 {
-        (left_s / 4.0).max(expected_s / 16.0)
+    let remaining_s = expected_s - age_s;
+    let wait_s = if remaining_s > 0.0 {
+        (remaining_s / 4.0).max(expected_s / 16.0)
     } else {
-        -left_s / 8.0
+        -remaining_s / 8.0
     };
     wait_s.clamp(MIN_POLL_INTERVAL_S, MAX_POLL_INTERVAL_S)
 }
 
-/// The status of a job may lag by 3 s; asking more often tells nothing.
+/// The shortest time between two polls of a job. A job's reported status may lag by 3 s, so that
+/// shorter intervals bring nothing new.
 const MIN_POLL_INTERVAL_S: f64 = 3.0;
 /// The longest time between two polls of a job.
 const MAX_POLL_INTERVAL_S: f64 = 60.0;
--- a/crates/client/src/blocking.rs
+++ b/crates/client/src/blocking.rs
@@ -1,4 +1,4 @@
-//! The same without `async`: a client with a small runtime of its own.
+//! The blocking client. It runs the asynchronous client on a tokio runtime of its own.
 
 use crate::client::{AskError, StartError};
 use crate::job::{Cancelled, JobId, Key, Submitted, Told, Work};
@@ -8,20 +8,20 @@
 use std::time::Duration;
 use tokio::runtime::Runtime;
 
-/// A client for callers that block. Not for use inside an async runtime.
+/// A client for synchronous callers. Must not be used within an asynchronous runtime.
 pub struct Client {
-    // First, so that it is gone before the runtime that drives it.
+    // Fields are dropped in order: the client must be dropped before the runtime that drives it.
     client: crate::Client,
     runtime: Runtime,
 }
 
 impl Client {
-    /// Opens the outbox at `path` and goes on with it.
+    /// Opens the outbox at `path` and continues with its unfinished jobs.
     pub fn open(settings: Settings, path: &Path) -> Result<Client, StartError> {
         Client::with_outbox(settings, Outbox::open(path, true)?)
     }
 
-    /// A client with this outbox.
+    /// Creates a client with this outbox.
     pub fn with_outbox(settings: Settings, outbox: Outbox) -> Result<Client, StartError> {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(1)
@@ -29,7 +29,7 @@
             .build()
             .map_err(|e| StartError::Http(e.to_string()))?;
         let client = {
-            let _inside = runtime.enter();
+            let _entered = runtime.enter();
             crate::Client::with_outbox(settings, outbox)?
         };
         Ok(Client { client, runtime })
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,6 +1,6 @@
-//! The client: submit, outcome, cancel.
+//! The asynchronous client: submits jobs, reports their outcome, and cancels them.
 
-use crate::engine::{wall_ms, Engine, News};
+use crate::engine::{unix_time_ms, Engine, JobUpdate};
 use crate::job::{Cancelled, JobId, Key, Submitted, Told, Work};
 use crate::outbox::{NotQueued, Outbox, OutboxError, Queued};
 use crate::record::{Phase, Record};
@@ -21,15 +21,15 @@
     /// The outbox cannot be opened.
     #[error(transparent)]
     Outbox(#[from] OutboxError),
-    /// The HTTP client or its runtime cannot be made.
+    /// The HTTP client or the runtime that drives it cannot be created.
     #[error("http: {0}")]
     Http(String),
 }
 
-/// Why there is no answer about a job.
+/// Why a request about a job failed.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum AskError {
-    /// The outbox has no job of this id.
+    /// The outbox has no job with this id.
     #[error("no such job in this outbox")]
     NoSuchJob,
     /// The outbox failed.
@@ -37,8 +37,8 @@
     Outbox(#[from] OutboxError),
 }
 
-/// A client with its outbox. It goes on with what is in there from the moment it
-/// is opened, whoever waits; clones share one.
+/// A client with its outbox. As soon as it is opened it continues with the unfinished jobs in the
+/// outbox, whether or not a caller waits for them. Clones share the same outbox.
 #[derive(Clone)]
 pub struct Client {
     shared: Arc<Shared>,
@@ -55,29 +55,30 @@
 }
 
 impl Client {
-    /// Opens the outbox at `path` and goes on with it. Needs a tokio runtime.
+    /// Opens the outbox at `path` and continues with its unfinished jobs. Must be called within a
+    /// tokio runtime.
     pub fn open(settings: Settings, path: &Path) -> Result<Client, StartError> {
         settings.check()?;
         let outbox = Outbox::open(path, true)?;
         Client::with_outbox(settings, outbox)
     }
 
-    /// A client whose outbox ends with the process.
+    /// Creates a client whose outbox is in memory and is lost when the process ends.
     pub fn in_memory(settings: Settings) -> Result<Client, StartError> {
         settings.check()?;
         Client::with_outbox(settings, Outbox::in_memory()?)
     }
 
-    /// A client with this outbox.
+    /// Creates a client with this outbox.
     pub fn with_outbox(settings: Settings, outbox: Outbox) -> Result<Client, StartError> {
         settings.check()?;
-        let connect = Duration::from_secs_f64(settings.poll_s / 2.0);
-        let http =
-            Http::new(&settings.fronts, connect).map_err(|e| StartError::Http(e.to_string()))?;
+        let connect_timeout = Duration::from_secs_f64(settings.poll_s / 2.0);
+        let http = Http::new(&settings.fronts, connect_timeout)
+            .map_err(|e| StartError::Http(e.to_string()))?;
         Client::with_transport(settings, outbox, Box::new(http), rand::random())
     }
 
-    /// A client with this outbox and transport; `seed` decides its draws.
+    /// Creates a client with this outbox and transport. `seed` seeds its random number generator.
     pub fn with_transport(
         settings: Settings,
         outbox: Outbox,
@@ -91,91 +92,99 @@
         })
     }
 
-    /// Submits a batch and tells of each job what is known `within` that time. All
-    /// of it is in the outbox before the first byte leaves, and goes on from
-    /// there if this future is dropped or the process ends: calling again with
-    /// the same keys asks again, and makes nothing twice.
+    /// Submits a batch of jobs, waits at most `within`, and reports what is known of each job by
+    /// then.
     ///
-    /// An error of the outbox means that nothing of the batch was sent.
+    /// The whole batch is written to the outbox before the first request is sent. The jobs are
+    /// submitted from there even if this future is dropped or the process ends and starts again.
+    /// Calling again with the same keys reports on the same jobs and creates no duplicates.
+    ///
+    /// # Errors
+    ///
+    /// If the outbox failed; then no job of the batch was sent.
     pub async fn submit(
         &self,
         batch: Vec<Work>,
         within: Duration,
     ) -> Result<Vec<Result<Submitted, NotQueued>>, OutboxError> {
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + within;
         let engine = self.shared.engine.clone();
-        // In a task of its own: who drops this future half-way would leave jobs
-        // in the outbox that nobody sends before the next start.
+        // Runs in a task of its own. Otherwise a caller that drops this future half-way would leave
+        // jobs in the outbox that are not sent before the next start.
         let queued = tokio::spawn(async move {
-            let queued = engine.writer.enqueue(batch, wall_ms()).await?;
-            let mut waits = Vec::with_capacity(queued.len());
-            for one in queued {
-                waits.push(one.map(|queued| {
+            let queued = engine.writer.enqueue(batch, unix_time_ms()).await?;
+            let mut watched = Vec::with_capacity(queued.len());
+            for result in queued {
+                watched.push(result.map(|queued| {
                     let record = queued.record().clone();
                     engine.add(record.clone());
-                    let watch = engine.watch(record.id);
-                    let waits =
-                        |w: &watch::Receiver<News>| w.borrow().record.phase == Phase::Waiting;
-                    // Known, and not just on its way from an earlier call.
-                    let known =
-                        matches!(queued, Queued::Known(_)) && !watch.as_ref().is_some_and(waits);
-                    (watch, record, known)
+                    let updates = engine.watch(record.id);
+                    let is_waiting = |updates: &watch::Receiver<JobUpdate>| {
+                        updates.borrow().record.phase == Phase::Waiting
+                    };
+                    // A job that an earlier call queued and whose submission is still unanswered
+                    // does not count as known.
+                    let known = matches!(queued, Queued::Known(_))
+                        && !updates.as_ref().is_some_and(is_waiting);
+                    (updates, record, known)
                 }));
             }
-            Ok::<_, OutboxError>(waits)
+            Ok::<_, OutboxError>(watched)
         });
-        let waits = queued.await.map_err(|_| OutboxError::Closed)??;
-        let mut told = Vec::with_capacity(waits.len());
-        for one in waits {
-            let (watch, record, known) = match one {
+        let watched = queued.await.map_err(|_| OutboxError::Closed)??;
+        let mut submitted = Vec::with_capacity(watched.len());
+        for result in watched {
+            let (updates, record, known) = match result {
                 Ok(found) => found,
-                Err(why) => {
-                    told.push(Err(why));
+                Err(not_queued) => {
+                    submitted.push(Err(not_queued));
                     continue;
                 }
             };
-            let news = match watch {
-                None => News {
-                    // It was over before, or is by now.
+            let update = match updates {
+                None => JobUpdate {
+                    // The job was closed before this call or has been closed since.
                     record: self.find(record.id)?.unwrap_or(record),
                     fresh: false,
                 },
-                Some(watch) => {
-                    let news = wait(watch, until, |r| r.phase != Phase::Waiting).await;
-                    News {
-                        fresh: news.fresh && !known,
-                        ..news
+                Some(updates) => {
+                    let is_answered = |record: &Record| record.phase != Phase::Waiting;
+                    let update = wait_for_update(updates, deadline, is_answered).await;
+                    JobUpdate {
+                        fresh: update.fresh && !known,
+                        ..update
                     }
                 }
             };
-            told.push(Ok(news.record.submitted(news.fresh)));
+            submitted.push(Ok(update.record.submitted(update.fresh)));
         }
-        Ok(told)
+        Ok(submitted)
     }
 
-    /// The job's one final answer, or what is known of it `within` that time.
+    /// Waits at most `within` for the job's final status, and reports what is known by then.
     pub async fn outcome(&self, id: JobId, within: Duration) -> Result<Told, AskError> {
-        let record = self.until(id, within, Record::closed).await?;
+        let record = self.wait_until(id, within, Record::closed).await?;
         Ok(record.told())
     }
 
-    /// Cancels a job and tells what is known `within` that time. The wish is in
-    /// the outbox when this waits: it is asked for until it is answered.
+    /// Cancels a job, waits at most `within`, and reports what is known by then. The cancellation
+    /// is written to the outbox before this function waits, and is requested again until a
+    /// controller answers.
     pub async fn cancel(&self, id: JobId, within: Duration) -> Result<Cancelled, AskError> {
         let engine = self.shared.engine.clone();
-        let wanted = tokio::spawn(async move { engine.want_cancelled(id).await });
-        wanted.await.map_err(|_| OutboxError::Closed)??;
-        let record = self.until(id, within, Record::closed).await?;
+        let recorded = tokio::spawn(async move { engine.request_cancellation(id).await });
+        recorded.await.map_err(|_| OutboxError::Closed)??;
+        let record = self.wait_until(id, within, Record::closed).await?;
         Ok(record.cancelled())
     }
 
-    /// The job of this key, if there is one.
+    /// The id of the job with this key, if there is one.
     pub fn id_of(&self, key: &Key) -> Result<Option<JobId>, OutboxError> {
         let found = self.shared.engine.outbox.find_key(key)?;
         Ok(found.map(|record| record.id))
     }
 
-    /// How many jobs the outbox has, and how many of them have an answer open.
+    /// The number of jobs in the outbox, and how many of them are open (have no final status yet).
     pub fn len(&self) -> Result<(u64, u64), OutboxError> {
         self.shared.engine.outbox.len()
     }
@@ -184,27 +193,30 @@
         self.shared.engine.outbox.find(id)
     }
 
-    async fn until(
+    async fn wait_until(
         &self,
         id: JobId,
         within: Duration,
-        enough: impl Fn(&Record) -> bool,
+        is_reached: impl Fn(&Record) -> bool,
     ) -> Result<Record, AskError> {
-        let until = Instant::now() + within;
-        if let Some(watch) = self.shared.engine.watch(id) {
-            return Ok(wait(watch, until, enough).await.record);
+        let deadline = Instant::now() + within;
+        if let Some(updates) = self.shared.engine.watch(id) {
+            let update = wait_for_update(updates, deadline, is_reached).await;
+            return Ok(update.record);
         }
         self.find(id)?.ok_or(AskError::NoSuchJob)
     }
 }
 
-/// Waits for enough to be known; at the end of its time gives what is.
-async fn wait(
-    mut watch: watch::Receiver<News>,
-    until: Instant,
-    enough: impl Fn(&Record) -> bool,
-) -> News {
-    let heard = timeout_at(until, watch.wait_for(|n| enough(&n.record))).await;
-    let heard = heard.ok().and_then(Result::ok).map(|news| news.clone());
-    heard.unwrap_or_else(|| watch.borrow().clone())
+/// Waits until the job's record satisfies `is_reached`, and returns that update. Returns the
+/// current one if the deadline passes first.
+async fn wait_for_update(
+    mut updates: watch::Receiver<JobUpdate>,
+    deadline: Instant,
+    is_reached: impl Fn(&Record) -> bool,
+) -> JobUpdate {
+    let waited = updates.wait_for(|update| is_reached(&update.record));
+    let reached = timeout_at(deadline, waited).await;
+    let reached = reached.ok().and_then(Result::ok).map(|u| u.clone());
+    reached.unwrap_or_else(|| updates.borrow().clone())
 }
--- a/crates/client/src/engine/attempt.rs
+++ b/crates/client/src/engine/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: the request of a step, a hedge if a poll is slow, and how it ended.
+//! One attempt: sends the request of a step, hedges a poll that is slow, and reports the end of the
+//! attempt to flow control.
 
 use super::state::Attempt;
 use super::Engine;
@@ -10,15 +11,15 @@
 use crate::verdict::{judge, Verdict};
 use std::time::Duration;
 
-/// A poll is hedged when it takes this many times longer than nearly all, and
-/// `HEDGE_MARGIN_S` more.
+/// A poll is hedged once it has taken longer than the 95th percentile of recent latencies times
+/// this factor, plus the margin.
 const HEDGE_FACTOR: f64 = 1.5;
 const HEDGE_MARGIN_S: f64 = 0.05;
 
-/// What an attempt does first.
+/// The first action of an attempt.
 enum Prepared {
     Send(Request),
-    /// What was learnt before is not on the disk yet: that comes first.
+    /// An earlier result could not be written to disk. It has to be written before any request.
     Write(Pending),
 }
 
@@ -29,32 +30,34 @@
 }
 
 impl Engine {
-    /// Makes one attempt, and takes in what it told.
+    /// Makes one attempt and processes its result.
     pub(super) async fn run_attempt(&self, attempt: Attempt) {
         let request = match self.prepare(attempt) {
             Some(Prepared::Send(request)) => request,
             Some(Prepared::Write(pending)) => {
                 let written = pending.wait().await;
-                self.lock().give_up(attempt);
-                self.settle(attempt.id, written);
+                self.lock().release(attempt);
+                self.finish_write(attempt.id, written);
                 return;
             }
             None => {
-                self.lock().give_up(attempt);
+                self.lock().release(attempt);
                 return;
             }
         };
-        let result = self.ask(attempt, request).await;
+        let result = self.send(attempt, request).await;
         let verdict = judge(attempt.step, attempt.id, &result);
         match &verdict {
-            Verdict::Heard(heard) => tracing::debug!(?heard),
-            Verdict::Again { retry_after, why } => tracing::debug!(retry_after, why, "again"),
+            Verdict::Heard(answer) => tracing::debug!(?answer, "attempt answered"),
+            Verdict::Again { retry_after, why } => {
+                tracing::debug!(retry_after, why, "attempt inconclusive; will retry");
+            }
         }
-        self.learn(attempt.id, attempt.step, verdict).await;
+        self.process_result(attempt.id, attempt.step, verdict).await;
     }
 
-    /// The request of the step, or the write that must come before it; nothing if the job is
-    /// not open any more.
+    /// The request of the step, or the write that must come before it. `None` if the job is no
+    /// longer open.
     fn prepare(&self, attempt: Attempt) -> Option<Prepared> {
         let mut state = self.lock();
         let open = state.open.get_mut(&attempt.id)?;
@@ -81,36 +84,37 @@
         Some(Prepared::Send(request))
     }
 
-    /// Sends the request, and to a second front too if a poll takes longer than nearly all.
-    async fn ask(&self, attempt: Attempt, request: Request) -> Result<Answer, NoAnswer> {
+    /// Sends the request. A poll that takes longer than nearly all others is also sent to a second
+    /// front.
+    async fn send(&self, attempt: Attempt, request: Request) -> Result<Answer, NoAnswer> {
         let Attempt { step, front, .. } = attempt;
         let timeout_s = match step {
             Step::Poll => self.settings.poll_s,
             Step::Submit | Step::Cancel => self.settings.submit_s,
         };
         let timeout = Duration::from_secs_f64(timeout_s);
-        let began = self.now();
-        let hedge_after = self.hedge_after(step);
+        let began_at = self.now();
+        let hedge_delay = self.hedge_delay(step);
         let first = self.transport.call(front, request.clone(), timeout);
-        let result = match hedge_after {
+        let result = match hedge_delay {
             None => first.await,
             Some(delay) => self.hedge(first, delay, front, request, timeout).await,
         };
         let now = self.now();
-        let ended = ended(&result, now - began);
+        let ended = classify_end(&result, now - began_at);
         let mut state = self.lock();
         state.in_flight.end(ended, now);
         state.fronts.end(front, ended, now);
         drop(state);
         let answered = matches!(ended, Ended::Answered(_));
-        measure::attempt(step, answered, now - began);
+        measure::record_attempt(step, answered, now - began_at);
         self.wake.notify_one();
         result
     }
 
-    /// After which time a request is hedged, if it is at all: polls only, and once enough
-    /// latencies are known.
-    fn hedge_after(&self, step: Step) -> Option<Duration> {
+    /// The time after which a request is hedged. `None` for steps other than polls, if hedging is
+    /// disabled, and while too few latencies are known.
+    fn hedge_delay(&self, step: Step) -> Option<Duration> {
         if step != Step::Poll || !self.settings.hedge {
             return None;
         }
@@ -119,8 +123,9 @@
         Some(Duration::from_secs_f64(delay_s))
     }
 
-    /// Waits for the first request, and after a delay for a second one too: the first answer
-    /// counts; if one fails, what the other says.
+    /// Waits for the first request, and after `delay` sends a second one and waits for both. The
+    /// first answer is the result. If the request that ends first has no answer, the result is that
+    /// of the other one.
     async fn hedge(
         &self,
         mut first: Call<'_>,
@@ -129,16 +134,16 @@
         request: Request,
         timeout: Duration,
     ) -> Result<Answer, NoAnswer> {
-        let began = self.now();
+        let began_at = self.now();
         tokio::select! {
             result = &mut first => return result,
             () = tokio::time::sleep(delay) => {}
         }
-        let Some(other) = self.second_front(front) else {
+        let Some(second_front) = self.choose_second_front(front) else {
             return first.await;
         };
-        tracing::debug!(other, "hedged");
-        let mut second = self.transport.call(other, request, timeout);
+        tracing::debug!(second_front, "slow poll sent to a second front");
+        let mut second = self.transport.call(second_front, request, timeout);
         let (result, ended_first) = tokio::select! {
             result = &mut first => (result, EndedFirst::First),
             result = &mut second => (result, EndedFirst::Second),
@@ -149,25 +154,25 @@
             (Err(_), EndedFirst::Second) => first.await,
         };
         let now = self.now();
-        let ended = ended(&result, now - began);
-        self.lock().fronts.end(other, ended, now);
+        let ended = classify_end(&result, now - began_at);
+        self.lock().fronts.end(second_front, ended, now);
         result
     }
 
-    /// Another front for a hedge, if the retry budget allows one.
-    fn second_front(&self, but: usize) -> Option<usize> {
+    /// Chooses a front other than `first_front` for a hedge, if the retry budget allows one.
+    fn choose_second_front(&self, first_front: usize) -> Option<usize> {
         let now = self.now();
         let mut guard = self.lock();
         let state = &mut *guard;
         if self.settings.fronts.len() < 2 || state.retries.retry(now).is_err() {
             return None;
         }
-        state.fronts.choose(Some(but), now, &mut state.rng)
+        state.fronts.choose(Some(first_front), now, &mut state.rng)
     }
 }
 
-/// How an attempt ended, for flow control.
-fn ended(result: &Result<Answer, NoAnswer>, took_s: f64) -> Ended {
+/// Classifies the result of a request for flow control.
+fn classify_end(result: &Result<Answer, NoAnswer>, took_s: f64) -> Ended {
     match result {
         Ok(answer) if !matches!(answer.status, 429 | 500..) => Ended::Answered(took_s),
         Ok(_) | Err(NoAnswer::TimedOut) => Ended::Overloaded,
--- a/crates/client/src/engine/learn.rs
+++ b/crates/client/src/engine/learn.rs
@@ -1,8 +1,8 @@
-//! What an attempt told: on the disk first, then to whoever waits, and what to do next about
-//! the job.
+//! Processes the result of an attempt: writes it to disk, then notifies the callers that wait for
+//! the job, and schedules the job's next step.
 
 use super::state::{OpenJob, State};
-use super::{wall_ms, Engine};
+use super::{unix_time_ms, Engine};
 use crate::agenda::Step;
 use crate::job::JobId;
 use crate::outbox::writer::Pending;
@@ -12,70 +12,72 @@
 use crate::verdict::Verdict;
 
 /// What follows from an answer.
-enum Learnt {
-    /// The job is not open any more.
-    Nothing,
-    /// Nothing that is worth a write: the next step is scheduled.
+enum Effect {
+    /// The job is no longer open.
+    NotOpen,
+    /// There is nothing to write, and the next step is scheduled.
     Scheduled,
-    /// This is to be written before anything else.
+    /// The record must be written before the next step.
     Write(Record),
 }
 
 impl Engine {
-    /// Takes in what an attempt told.
-    pub(super) async fn learn(&self, id: JobId, step: Step, verdict: Verdict) {
+    /// Processes the result of an attempt, and waits until it is written.
+    pub(super) async fn process_result(&self, id: JobId, step: Step, verdict: Verdict) {
         let pending = match verdict {
-            Verdict::Heard(heard) => self.hear(id, &heard),
+            Verdict::Heard(answer) => self.apply_answer(id, &answer),
             Verdict::Again { retry_after, .. } => {
-                self.try_again(id, step, retry_after);
+                self.retry_later(id, step, retry_after);
                 None
             }
         };
         if let Some(pending) = pending {
             let written = pending.wait().await;
-            self.settle(id, written);
+            self.finish_write(id, written);
         }
     }
 
-    /// Takes in an answer; what is being written of it.
-    fn hear(&self, id: JobId, heard: &Heard) -> Option<Pending> {
+    /// Applies a conclusive answer. Returns the write that it requires, if any.
+    fn apply_answer(&self, id: JobId, answer: &Heard) -> Option<Pending> {
         let now = self.now();
         let mut state = self.lock();
-        match state.hear(id, heard, now) {
-            Learnt::Nothing => None,
-            Learnt::Scheduled => {
+        match state.apply_answer(id, answer, now) {
+            Effect::NotOpen => None,
+            Effect::Scheduled => {
                 drop(state);
                 self.wake.notify_one();
                 None
             }
-            // Sent while the lock is held: the disk sees it in the order of learning.
-            Learnt::Write(record) => Some(self.writer.begin_update(record)),
+            // Sent while the lock is held, so that a job's updates are written in the order in
+            // which they were made.
+            Effect::Write(record) => Some(self.writer.begin_update(record)),
         }
     }
 
-    /// Nothing is known: the step is made again later.
-    fn try_again(&self, id: JobId, step: Step, retry_after: Option<f64>) {
+    /// Schedules the step again after an inconclusive result.
+    fn retry_later(&self, id: JobId, step: Step, retry_after: Option<f64>) {
         let now = self.now();
         let mut state = self.lock();
         let Some(open) = state.open.get_mut(&id) else {
             return;
         };
         open.busy = false;
-        // A cancellation asked for meanwhile comes first.
+        // A cancellation that was requested during a poll comes first.
         let step = match open.record.cancel {
             true if step == Step::Poll => Step::Cancel,
             _ => step,
         };
         state.schedule_retry(id, step, retry_after, now);
         drop(state);
-        // The driver may have looked between the end of the request and this, on another
-        // thread, and found nothing to wait for.
+        // Between the end of the request and this point the driver may have checked the schedule on
+        // another thread, found no step to wait for, and gone to sleep.
         self.wake.notify_one();
     }
 
-    /// What was learnt is on the disk, or could not be written: then it is not told, and
-    /// written before anything else is asked.
-    pub(super) fn settle(&self, id: JobId, written: Result<(), OutboxError>) {
+    /// Processes the result of writing a job's record. If it was written, notifies the callers that
+    /// wait and schedules the next step. If it could not be written, callers are not notified, and
+    /// the write is repeated before the next request for the job.
+    pub(super) fn finish_write(&self, id: JobId, written: Result<(), OutboxError>) {
         let now = self.now();
         let mut state = self.lock();
         let Some(open) = state.open.get_mut(&id) else {
@@ -86,7 +88,7 @@
         let step = open.next_step();
         match written {
             Err(error) => {
-                tracing::error!(job = %id, %error, "not written");
+                tracing::error!(job = %id, %error, "writing job to outbox failed; will retry");
                 state.schedule_retry(id, step, None, now);
             }
             Ok(()) => {
@@ -106,50 +108,58 @@
 }
 
 impl State {
-    fn hear(&mut self, id: JobId, heard: &Heard, now: f64) -> Learnt {
+    /// Applies an answer to the job's record, and schedules the next step unless a write must come
+    /// first.
+    fn apply_answer(&mut self, id: JobId, answer: &Heard, now: f64) -> Effect {
         let Some(open) = self.open.get_mut(&id) else {
-            return Learnt::Nothing;
+            return Effect::NotOpen;
         };
         if open.failures > 0 {
             self.retries.answered();
         }
         open.failures = 0;
         open.tries = 0;
-        if open.hear(heard, now) {
-            return Learnt::Write(open.record.clone());
+        if open.apply_answer(answer, now) {
+            return Effect::Write(open.record.clone());
         }
         open.publish();
         open.busy = false;
         let mut step = open.next_step();
         let mut wait_s = open.wait_for(step, now);
-        if *heard == Heard::NotFound {
-            // Not there yet: what was sent may still come. A cancelled one is submitted, so
-            // that it can be cancelled for good.
+        if *answer == Heard::NotFound {
+            // The job does not exist yet, but an earlier submission may still arrive and create it.
+            // A job to be cancelled is therefore submitted, so that it exists and can be cancelled
+            // permanently.
             if open.record.phase == Phase::Waiting {
                 step = Step::Submit;
             }
             wait_s = backoff(1, None, &mut self.rng);
         }
         self.agenda.put(id, step, now + wait_s);
-        Learnt::Scheduled
+        Effect::Scheduled
     }
 }
 
 impl OpenJob {
-    /// Takes in an answer; whether the record is to be written.
-    fn hear(&mut self, heard: &Heard, now: f64) -> bool {
+    /// Applies an answer to the record. Returns whether the record must be written.
+    fn apply_answer(&mut self, answer: &Heard, now: f64) -> bool {
         let before = self.record.phase.clone();
-        let meaning = self.record.hear(heard, wall_ms());
-        if let Meaning::Contradiction(what) = meaning {
+        let meaning = self.record.hear(answer, unix_time_ms());
+        if let Meaning::Contradiction(contradiction) = meaning {
             let job = self.record.id;
-            tracing::error!(%job, ?heard, what, "contradiction: what was told stays");
+            tracing::error!(
+                %job,
+                ?answer,
+                contradiction,
+                "answer contradicts the job's known state and is ignored"
+            );
         }
         if before == Phase::Waiting && self.record.phase != Phase::Waiting {
-            self.fresh = *heard == Heard::Created;
+            self.fresh = *answer == Heard::Created;
             self.accepted_at = now;
         }
-        // Whether it is pending or runs is for display, and not written.
-        let kept = |phase: &Phase| !matches!(phase, Phase::Accepted(_));
-        meaning == Meaning::News && (kept(&before) || kept(&self.record.phase))
+        // A change between pending and running is for display only, and is not written.
+        let is_accepted = |phase: &Phase| matches!(phase, Phase::Accepted(_));
+        meaning == Meaning::News && !(is_accepted(&before) && is_accepted(&self.record.phase))
     }
 }
--- a/crates/client/src/engine/mod.rs
+++ b/crates/client/src/engine/mod.rs
@@ -1,14 +1,14 @@
-//! The driver of the schedule: it takes the steps that are due, makes attempts, writes what
-//! was learnt, and only then tells whoever waits.
+//! The engine drives the schedule: it takes the steps that are due, sends their requests, writes
+//! the results to the outbox, and only then notifies the callers that wait.
 //!
-//! `state` is what is decided under one lock, `attempt` makes one request, `learn` takes its
-//! result in.
+//! `state` makes the decisions under one lock, `attempt` sends the request of one step, and `learn`
+//! processes its result.
 
 mod attempt;
 mod learn;
 mod state;
 
-pub(crate) use state::News;
+pub(crate) use state::JobUpdate;
 
 use crate::agenda::Step;
 use crate::job::JobId;
@@ -35,19 +35,21 @@
     pub outbox: Arc<Outbox>,
     pub writer: Writer,
     state: Mutex<State>,
-    /// Something is due sooner, or an attempt may begin again.
+    /// Wakes the driver: a step may be due earlier, or another attempt may be allowed.
     wake: Notify,
     start: Instant,
 }
 
-/// Time of day in milliseconds, for stamps alone: a clock that jumps changes no wait.
-pub(crate) fn wall_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |d| d.as_millis() as u64)
+/// Milliseconds of Unix time. They are used for time stamps only, so that a jump of the system
+/// clock changes no wait.
+pub(crate) fn unix_time_ms() -> u64 {
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+    since_epoch.map_or(0, |d| d.as_millis() as u64)
 }
 
 impl Engine {
-    /// Goes on with the open jobs of the outbox. `seed` decides all random draws.
+    /// Starts the engine with the open jobs of the outbox. `seed` seeds its random number
+    /// generator.
     pub fn start(
         settings: Settings,
         transport: Box<dyn Transport>,
@@ -70,11 +72,11 @@
         for record in records {
             engine.add(record);
         }
-        tokio::spawn(drive(engine.clone()));
+        tokio::spawn(run_schedule(engine.clone()));
         Ok(engine)
     }
 
-    /// Seconds since the start.
+    /// Seconds since the engine's start.
     fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
@@ -85,13 +87,13 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Ends the driver; attempts under way are given up, the outbox keeps their jobs.
+    /// Stops the driver, so that no further attempts begin. The outbox keeps the open jobs.
     pub fn close(&self) {
         self.lock().closed = true;
         self.wake.notify_one();
     }
 
-    /// Adds a job of the outbox to the schedule, unless it is closed or there already.
+    /// Adds a job of the outbox to the schedule, unless it is closed or already scheduled.
     pub fn add(&self, record: Record) {
         let now = self.now();
         let mut state = self.lock();
@@ -107,13 +109,14 @@
         self.wake.notify_one();
     }
 
-    /// News of a job with an answer open.
-    pub fn watch(&self, id: JobId) -> Option<watch::Receiver<News>> {
+    /// Subscribes to the updates of a job; `None` if the job is not open.
+    pub fn watch(&self, id: JobId) -> Option<watch::Receiver<JobUpdate>> {
         Some(self.lock().open.get(&id)?.subscribe())
     }
 
-    /// Records that a job is to be cancelled; it is on the disk when this returns.
-    pub async fn want_cancelled(&self, id: JobId) -> Result<(), OutboxError> {
+    /// Records that a job is to be cancelled, and schedules the cancellation. The record is on disk
+    /// when this returns.
+    pub async fn request_cancellation(&self, id: JobId) -> Result<(), OutboxError> {
         let now = self.now();
         let written = {
             let mut state = self.lock();
@@ -126,26 +129,26 @@
             open.record.cancel = true;
             open.tries = 0;
             let busy = open.busy;
-            // Sent while the lock is held, so that the disk sees what is learnt of a job in
-            // the order in which it was learnt.
+            // Sent while the lock is held, so that a job's updates are written in the order in
+            // which they were made.
             let written = self.writer.begin_update(open.record.clone());
             if !busy {
                 state.agenda.put(id, Step::Cancel, now);
             }
             written
         };
-        let done = written.wait().await;
-        if done.is_err() {
+        let result = written.wait().await;
+        if result.is_err() {
             if let Some(open) = self.lock().open.get_mut(&id) {
                 open.record.cancel = false;
             }
         }
         self.wake.notify_one();
-        done
+        result
     }
 
-    /// Begins the attempts that are due and admitted; when the next one is due, if that is
-    /// known.
+    /// Begins the attempts that are due and admitted. Returns when the next step is due. Returns
+    /// `None` if no step is scheduled or none may begin before a running attempt ends.
     fn begin_due(self: &Arc<Self>) -> Option<f64> {
         let now = self.now();
         let due = self.lock().take_due(now);
@@ -160,7 +163,7 @@
 }
 
 /// Begins attempts as they become due, until the engine is closed.
-async fn drive(engine: Arc<Engine>) {
+async fn run_schedule(engine: Arc<Engine>) {
     loop {
         let next_at = engine.begin_due();
         if engine.lock().closed {
--- a/crates/client/src/engine/state.rs
+++ b/crates/client/src/engine/state.rs
@@ -1,5 +1,6 @@
-//! The schedule with everything that bounds it, under one lock: which attempts begin now, and
-//! what is done next about each job. Times are seconds since the engine's start.
+//! The engine's state under one lock: the open jobs, their schedule, and the limits on requests. It
+//! decides which attempts begin now and what the next step of each job is. Times are seconds since
+//! the engine's start.
 
 use crate::agenda::{poll_in, Agenda, Step};
 use crate::fronts::Fronts;
@@ -14,50 +15,51 @@
 use std::collections::HashMap;
 use tokio::sync::watch;
 
-/// Bounds of the wait before a withheld retry asks for its turn again, in seconds.
+/// Bounds of the wait in seconds before a retry that the budget did not admit is tried again.
 const MIN_WITHHELD_S: f64 = 0.01;
 const MAX_WITHHELD_S: f64 = 5.0;
 
-/// What those who wait for a job see: only what is on the disk.
+/// A job's state as published to callers that wait for it. It contains only what is on disk.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct News {
+pub(crate) struct JobUpdate {
     pub record: Record,
-    /// An attempt of this process was the one that was accepted.
+    /// Whether an attempt of this process was the one that was accepted.
     pub fresh: bool,
 }
 
-/// A job with an answer open.
+/// A job that is neither refused nor at a terminal status.
 pub(super) struct OpenJob {
-    /// With all that was learnt, also what is still being written.
+    /// The job's record, including changes that are still being written.
     pub record: Record,
     pub fresh: bool,
-    news: watch::Sender<News>,
-    /// Attempts of the present step.
+    updates: watch::Sender<JobUpdate>,
+    /// Attempts since the last conclusive answer or request to cancel.
     pub tries: u32,
     /// Failed attempts in a row.
     pub failures: u32,
+    /// When this process learned that the job was accepted, or the time of adding it here.
     pub accepted_at: f64,
-    /// How long a task of it should run.
+    /// The user's estimate of a task's run time.
     expected_s: f64,
-    /// It has the slot for its next poll, which it waited for.
+    /// Whether the job has waited for a slot of the poll rate limiter, which its next poll uses.
     has_poll_slot: bool,
-    /// What was learnt could not be written yet.
+    /// Whether the last write of the record failed, so that it must be repeated.
     pub unwritten: bool,
-    /// An attempt is under way: its end decides the next step.
+    /// Whether an attempt is under way. Its end schedules the next step.
     pub busy: bool,
 }
 
 impl OpenJob {
     pub fn new(record: Record, now: f64) -> OpenJob {
         let spec = serde_json::from_str::<JobSpec>(&record.body);
-        let news = News {
+        let update = JobUpdate {
             record: record.clone(),
             fresh: false,
         };
         OpenJob {
             record,
             fresh: false,
-            news: watch::Sender::new(news),
+            updates: watch::Sender::new(update),
             tries: 0,
             failures: 0,
             accepted_at: now,
@@ -68,34 +70,35 @@
         }
     }
 
-    pub fn subscribe(&self) -> watch::Receiver<News> {
-        self.news.subscribe()
+    pub fn subscribe(&self) -> watch::Receiver<JobUpdate> {
+        self.updates.subscribe()
     }
 
-    /// Tells those who wait what is known, if they do not know it yet.
+    /// Publishes the job's state to the callers that wait, if it has changed.
     pub fn publish(&self) {
-        let news = News {
+        let update = JobUpdate {
             record: self.record.clone(),
             fresh: self.fresh,
         };
-        self.news.send_if_modified(|known| {
-            let changed = *known != news;
-            *known = news;
+        self.updates.send_if_modified(|published| {
+            let changed = *published != update;
+            *published = update;
             changed
         });
     }
 
-    /// What to do next about the job.
+    /// The next step of the job.
     pub fn next_step(&self) -> Step {
         match (&self.record.phase, self.record.cancel) {
-            // A lost answer may hide that it was accepted: cancelling is soonest.
+            // Also while it is not known whether the job was accepted: the answer may have been
+            // lost, and cancelling directly is the fastest way.
             (_, true) => Step::Cancel,
             (Phase::Waiting, false) => Step::Submit,
             _ => Step::Poll,
         }
     }
 
-    /// In how many seconds to do it.
+    /// The wait in seconds until this step is due.
     pub fn wait_for(&self, step: Step, now: f64) -> f64 {
         match step {
             Step::Submit | Step::Cancel => 0.0,
@@ -112,14 +115,15 @@
     pub front: usize,
 }
 
-/// What is due.
+/// The attempts that begin now, and when to check the schedule again.
 pub(super) struct Due {
     pub attempts: Vec<Attempt>,
-    /// When the next step is due; `None` if only the end of an attempt can let one begin.
+    /// When the next step is due. `None` if no step is scheduled or none may begin before a running
+    /// attempt ends.
     pub next_at: Option<f64>,
 }
 
-/// All open jobs, their schedule, and what bounds it.
+/// All open jobs, their schedule, and the limits on requests.
 pub(super) struct State {
     pub open: HashMap<JobId, OpenJob>,
     pub agenda: Agenda,
@@ -149,12 +153,12 @@
         }
     }
 
-    /// Takes the steps that are due and admitted; the others are scheduled anew.
+    /// Takes the steps that are due and admitted. Due steps that are not admitted are rescheduled.
     pub fn take_due(&mut self, now: f64) -> Due {
         let mut attempts = Vec::new();
         while self.agenda.next_at().is_some_and(|at| at <= now) {
             if !self.in_flight.begin() {
-                // An attempt that ends wakes the driver.
+                // The driver is woken when an attempt ends.
                 let next_at = None;
                 return Due { attempts, next_at };
             }
@@ -168,7 +172,7 @@
             }
             match self.admit(id, step, now) {
                 Ok(front) => {
-                    // From here on a wish to cancel waits for the attempt's end.
+                    // From here on, a request to cancel the job waits for the attempt's end.
                     if let Some(open) = self.open.get_mut(&id) {
                         open.busy = true;
                     }
@@ -176,19 +180,19 @@
                 }
                 Err(wait_s) => {
                     self.in_flight.cancel();
-                    measure::withheld(step);
+                    measure::record_withheld(step);
                     self.agenda.put(id, step, now + wait_s);
                 }
             }
         }
-        let (open, limit) = (self.open.len(), self.in_flight.limit());
-        measure::load(open, limit, self.fronts.out(now));
+        let (open_jobs, limit) = (self.open.len(), self.in_flight.limit());
+        measure::record_load(open_jobs, limit, self.fronts.out(now));
         let next_at = self.agenda.next_at();
         Due { attempts, next_at }
     }
 
-    /// Whether the step may be made now, and at which front; else in how many seconds the
-    /// budget that it needs may allow it.
+    /// Decides whether the step may be made now. Returns the front to use, or the wait in seconds
+    /// after which the rate limit or the retry budget may allow the step.
     fn admit(&mut self, id: JobId, step: Step, now: f64) -> Result<usize, f64> {
         let Some(open) = self.open.get_mut(&id) else {
             return Err(MAX_WITHHELD_S);
@@ -202,7 +206,7 @@
         }
         if open.tries > 0 || open.failures > 0 {
             if let Err(wait_s) = self.retries.retry(now) {
-                // An estimate, for others want the same one.
+                // The wait is an estimate, since other jobs compete for the same token.
                 let wait_s = wait_s.clamp(MIN_WITHHELD_S, MAX_WITHHELD_S);
                 return Err(wait_s * self.rng.random_range(1.0..1.5));
             }
@@ -213,13 +217,13 @@
         front.ok_or(MAX_WITHHELD_S)
     }
 
-    /// An attempt that was admitted is not made after all.
-    pub fn give_up(&mut self, attempt: Attempt) {
+    /// Releases the limits that an admitted attempt holds if it sends no request.
+    pub fn release(&mut self, attempt: Attempt) {
         self.in_flight.cancel();
         self.fronts.cancel(attempt.front);
     }
 
-    /// Schedules the step again after a failure, later with each failure in a row.
+    /// Schedules the step again after a failure. The wait grows with each failure in a row.
     pub fn schedule_retry(&mut self, id: JobId, step: Step, retry_after: Option<f64>, now: f64) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
--- a/crates/client/src/fronts.rs
+++ b/crates/client/src/fronts.rs
@@ -1,27 +1,33 @@
-//! Which front to ask: passive health checks, ejection with backoff, and a slow start after it.
-//! Pure; times are seconds that are passed in.
+//! Chooses the front for each request. Health is judged passively, from the results of requests: a
+//! front that fails repeatedly is ejected for a time that doubles with each ejection, and gets its
+//! load back gradually.
+//!
+//! A front is an address at which controllers accept requests. The module does no I/O and reads no
+//! clock: callers pass times in seconds.
 
 use crate::pace::Ended;
 use rand::Rng;
 
 #[derive(Debug, Clone)]
 struct Front {
-    /// In a row.
+    /// Failures in a row.
     failures: u32,
-    /// Since it was healthy for long.
+    /// Ejections since it was last healthy for `MAX_EJECTION_S`.
     ejections: u32,
     ejected_until: f64,
+    /// When its last ejection ended or will end.
     back_at: f64,
     in_flight: usize,
 }
 
-/// Failures in a row after which a front is ejected.
+/// The number of failures in a row at which a front is ejected.
 const MAX_FAILURES: u32 = 3;
-/// The first ejection, doubled with each further one: as long as a load balancer leaves out a
-/// controller that fails its health checks.
+/// Duration of the first ejection, doubled with each further one. It equals the time for which a
+/// load balancer takes a controller out of service when its health checks fail.
 const MIN_EJECTION_S: f64 = 3.0;
 const MAX_EJECTION_S: f64 = 60.0;
-/// A front that is back gets its full load over this time, and at least `MIN_LOAD` of it.
+/// After an ejection, the proportion of the full load that a front gets grows from `MIN_LOAD` to 1
+/// over this time.
 const SLOW_START_S: f64 = 10.0;
 const MIN_LOAD: f64 = 0.05;
 
@@ -32,7 +38,7 @@
 }
 
 impl Fronts {
-    /// So many fronts, all healthy.
+    /// Creates `count` fronts, all healthy.
     pub fn new(count: usize) -> Fronts {
         let front = Front {
             failures: 0,
@@ -46,47 +52,56 @@
         }
     }
 
-    /// Power of two choices: of two healthy fronts drawn at random the one with fewer requests
-    /// in flight; if all are ejected, the one whose ejection ends first, for somebody has to
-    /// find out. `but` is avoided where there is another.
-    pub fn choose(&mut self, but: Option<usize>, now: f64, rng: &mut impl Rng) -> Option<usize> {
-        let mut open: Vec<usize> = Vec::new();
+    /// Chooses the front for a request, and counts the request as in flight there.
+    ///
+    /// Of two healthy fronts drawn at random it takes the one with fewer requests in flight (power
+    /// of two choices). If all are ejected it takes the one whose ejection ends first, so that a
+    /// request finds out whether that front has recovered. It avoids `excluded` unless there is no
+    /// other front.
+    pub fn choose(
+        &mut self,
+        excluded: Option<usize>,
+        now: f64,
+        rng: &mut impl Rng,
+    ) -> Option<usize> {
+        let mut candidates: Vec<usize> = Vec::new();
         for (n, front) in self.all.iter().enumerate() {
-            if now < front.ejected_until || Some(n) == but {
+            if now < front.ejected_until || Some(n) == excluded {
                 continue;
             }
             let load = (now - front.back_at) / SLOW_START_S;
             if load >= 1.0 || rng.random_bool(load.clamp(MIN_LOAD, 1.0)) {
-                open.push(n);
+                candidates.push(n);
             }
         }
-        let chosen = match open.len() {
+        let chosen = match candidates.len() {
             0 => (0..self.all.len())
-                .filter(|n| Some(*n) != but)
+                .filter(|n| Some(*n) != excluded)
                 .min_by(|a, b| {
                     self.all[*a]
                         .ejected_until
                         .total_cmp(&self.all[*b].ejected_until)
                 })
-                .or(but),
-            n => {
-                let (a, b) = (rng.random_range(0..n), rng.random_range(0..n));
-                let fewer = self.all[open[b]].in_flight < self.all[open[a]].in_flight;
-                Some(if fewer { open[b] } else { open[a] })
+                .or(excluded),
+            count => {
+                let first = candidates[rng.random_range(0..count)];
+                let second = candidates[rng.random_range(0..count)];
+                let second_has_fewer = self.all[second].in_flight < self.all[first].in_flight;
+                Some(if second_has_fewer { second } else { first })
             }
         }?;
         self.all.get_mut(chosen)?.in_flight += 1;
         Some(chosen)
     }
 
-    /// A request to this front was not sent after all.
+    /// Records that a request for which this front was chosen was not sent.
     pub fn cancel(&mut self, front: usize) {
         if let Some(front) = self.all.get_mut(front) {
             front.in_flight = front.in_flight.saturating_sub(1);
         }
     }
 
-    /// A request to this front ended.
+    /// Records the end of a request to this front.
     pub fn end(&mut self, front: usize, ended: Ended, now: f64) {
         let Some(front) = self.all.get_mut(front) else {
             return;
@@ -95,7 +110,8 @@
         match ended {
             Ended::Answered(_) => {
                 front.failures = 0;
-                // Healthy for as long as the longest ejection: earlier ones do not count.
+                // A front that has been healthy for as long as the longest ejection starts again
+                // with the shortest one.
                 if now - front.back_at > MAX_EJECTION_S {
                     front.ejections = 0;
                 }
@@ -107,14 +123,14 @@
                     front.ejected_until = now + ejection_s.min(MAX_EJECTION_S);
                     front.back_at = front.ejected_until;
                     front.ejections += 1;
-                    // One failure after its return is enough to go again.
+                    // After its return a single failure ejects it again.
                     front.failures = MAX_FAILURES - 1;
                 }
             }
         }
     }
 
-    /// How many are ejected now.
+    /// The number of fronts that are ejected now.
     pub fn out(&self, now: f64) -> usize {
         self.all.iter().filter(|f| now < f.ejected_until).count()
     }
--- a/crates/client/src/job.rs
+++ b/crates/client/src/job.rs
@@ -1,11 +1,12 @@
-//! Names and answers: what a caller says and is told. Each enum names every case
-//! there is, so that no answer can be read for another.
+//! The types of the client's interface: a caller's keys and jobs, and the results that the client
+//! reports. Each result enum has a variant for every case, so that no case can be mistaken for
+//! another.
 
 use foxspur_wire::job::{JobSpec, JobState};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A job's id in the protocol's form, allocated by the outbox: `run-` and digits.
+/// A job's id, allocated by the outbox. Its text form is the protocol's: `run-` followed by digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobId(pub(crate) u64);
 
@@ -15,26 +16,26 @@
     }
 }
 
-/// The caller's own name for a job, such as `evening-batch-2026-12-01/clinic-7`:
-/// one key is one job for ever.
+/// The caller's own name for a job, such as `evening-batch-2026-12-01/clinic-7`. A key identifies
+/// the same job permanently.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Key(String);
 
-/// A text that is no key.
+/// Why a text is not a valid key.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("key: {0}")]
 pub struct BadKey(&'static str);
 
 impl Key {
-    /// Longest key, in bytes.
+    /// Maximum length of a key, in bytes.
     pub const MOST: usize = 512;
 
-    /// A key of 1 to 512 bytes without control characters.
+    /// Creates a key of 1 to 512 bytes without control characters.
     ///
     /// # Errors
     ///
-    /// If the text is no such key.
+    /// If the text is empty, too long, or contains a control character.
     pub fn new(text: impl Into<String>) -> Result<Key, BadKey> {
         let text = text.into();
         if text.is_empty() {
@@ -44,7 +45,7 @@
             return Err(BadKey("is longer than 512 bytes"));
         }
         if text.chars().any(char::is_control) {
-            return Err(BadKey("holds a control character"));
+            return Err(BadKey("contains a control character"));
         }
         Ok(Key(text))
     }
@@ -74,7 +75,7 @@
     }
 }
 
-/// One job to submit. The id in `spec` does not count: the outbox gives it one.
+/// One job to submit. The id in `spec` is ignored: the outbox allocates one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Work {
     /// The caller's key.
@@ -83,19 +84,19 @@
     pub spec: JobSpec,
 }
 
-/// Why a job was refused for good: nothing of it exists or ever will.
+/// A permanent refusal: the job does not exist and no attempt to submit it will be made again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
     /// 400 (malformed) or 422 (can never run).
     pub status: u16,
-    /// In the controller's words, meant for a person.
+    /// The controller's explanation, for a person.
     pub reason: String,
 }
 
-/// The one final answer of a job that was accepted.
+/// The terminal status of a job that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// All of its tasks are done.
+    /// All of its tasks are completed.
     Done,
     /// It was cancelled.
     Withdrawn,
@@ -104,14 +105,14 @@
 /// What is known of a submission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Submitted {
-    /// A controller accepted it just now: it will run.
+    /// A controller accepted it as a new job.
     Accepted(JobId),
-    /// It was accepted before, by an earlier attempt or call with this key.
+    /// It had been accepted before, by an earlier attempt or an earlier call with this key.
     KnownAlready(JobId),
-    /// It was refused, and does not exist.
+    /// It was refused and does not exist.
     Refused(JobId, Refused),
-    /// It may have been accepted or not. It stays in the outbox, is tried again
-    /// under the same id, and `outcome` tells later.
+    /// It may or may not have been accepted. It stays in the outbox and is submitted again under
+    /// the same id. `Client::outcome` reports the result later.
     NotKnownYet(JobId),
 }
 
@@ -127,28 +128,29 @@
     }
 }
 
-/// What is known of a job's end.
+/// What is known of a job's outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// Its one final answer.
+    /// Its terminal status.
     Final(Outcome),
     /// It never existed: its submission was refused.
     Refused(Refused),
-    /// Accepted and not over; as last seen, for display.
+    /// Accepted and not closed yet, with the state that was last reported, for display.
     Open(JobState),
-    /// Not even known whether it was accepted.
+    /// It is not known whether it was accepted.
     NotKnownYet,
 }
 
 /// What is known of a cancellation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cancelled {
-    /// The job is cancelled: nothing of it will start any more.
+    /// The job is cancelled: none of its tasks will start any more.
     Withdrawn,
-    /// It was done before.
+    /// All of its tasks were completed before the cancellation.
     DoneAlready,
     /// It never existed: its submission was refused.
     NeverWas(Refused),
-    /// Asked for and recorded; it is asked for again until it is answered.
+    /// The cancellation is recorded in the outbox but not answered yet. It is requested again until
+    /// a controller answers.
     NotKnownYet,
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,13 +1,15 @@
-//! One plain answer for every job submitted to foxspur, whatever the connection
-//! does: a durable outbox, retries within a budget, polls on one schedule.
+//! A client library that submits jobs to foxspur reliably over an unreliable connection. Jobs are
+//! kept in a durable outbox, failed requests are retried within a budget, and all jobs are polled
+//! on one schedule.
 //!
-//! - [`Client::submit`] tells of each job whether it was *accepted*, *known
-//!   already*, *refused*, or is *not known yet*; it never guesses.
-//! - [`Client::outcome`] tells, later, its one final answer: done or withdrawn.
-//! - [`Client::cancel`] likewise.
+//! - [`Client::submit`] reports for each job whether it was *accepted*, was *known already*, was
+//!   *refused*, or is *not known yet*. It reports only what a controller has answered.
+//! - [`Client::outcome`] reports a job's final status later: done or withdrawn. A job has exactly
+//!   one final status.
+//! - [`Client::cancel`] cancels a job and reports the result.
 //!
-//! The caller's own key names a job for ever: after a crash at any point the same
-//! call with the same key goes on with the same id and the same body.
+//! The caller gives each job a key, which identifies the job permanently. After a crash at any
+//! point, the same call with the same key continues with the same job id and the same body.
 //!
 //! ```
 //! use foxspur_client::{Client, Key, Outbox, Settings, Submitted, Work};
@@ -15,7 +17,7 @@
 //!
 //! # #[tokio::main(flavor = "current_thread")]
 //! # async fn main() -> Result<(), Box<dyn std::error::Error>> {
-//! // Nobody listens there: the answer is that there is none yet.
+//! // Nothing listens on this port, so the job's state is not known yet.
 //! let settings = Settings::new(["http://127.0.0.1:9"]);
 //! let client = Client::with_outbox(settings, Outbox::in_memory()?)?;
 //! let spec = serde_json::from_str(r#"{
@@ -25,10 +27,10 @@
 //!     "scatter": false, "standby": true, "expected_s": 50.0, "save_every_s": 0.0,
 //!     "save_cost_s": 0.0}"#)?;
 //! let key = Key::new("evening-batch-2026-12-01/clinic-7")?;
-//! let told = client
+//! let submitted = client
 //!     .submit(vec![Work { key, spec }], Duration::from_millis(50))
 //!     .await?;
-//! assert!(matches!(told[0], Ok(Submitted::NotKnownYet(_))));
+//! assert!(matches!(submitted[0], Ok(Submitted::NotKnownYet(_))));
 //! # Ok(())
 //! # }
 //! ```
--- a/crates/client/src/measure.rs
+++ b/crates/client/src/measure.rs
@@ -1,10 +1,10 @@
-//! What is counted, for whatever recorder the program installs (the `metrics`
-//! facade, behind the feature of that name).
+//! The client's metrics. They are recorded through the `metrics` facade to the recorder that the
+//! program installs, if the `metrics` feature is enabled.
 
 use crate::agenda::Step;
 
 #[cfg(feature = "metrics")]
-fn name(step: Step) -> &'static str {
+fn step_label(step: Step) -> &'static str {
     match step {
         Step::Submit => "submit",
         Step::Cancel => "cancel",
@@ -12,35 +12,38 @@
     }
 }
 
-/// An attempt ended after `s` seconds, with an answer that says something or not.
-pub(crate) fn attempt(step: Step, told: bool, s: f64) {
+/// Records that an attempt ended after `took_s` seconds. `answered` is whether it got an answer
+/// other than 429 or 5xx.
+pub(crate) fn record_attempt(step: Step, answered: bool, took_s: f64) {
     #[cfg(feature = "metrics")]
     {
-        let told = if told { "yes" } else { "no" };
-        metrics::counter!("foxspur_client_attempts_total", "step" => name(step), "told" => told)
+        let answered = if answered { "yes" } else { "no" };
+        let step = step_label(step);
+        metrics::counter!("foxspur_client_attempts_total", "step" => step, "told" => answered)
             .increment(1);
-        metrics::histogram!("foxspur_client_attempt_seconds", "step" => name(step)).record(s);
+        metrics::histogram!("foxspur_client_attempt_seconds", "step" => step).record(took_s);
     }
     #[cfg(not(feature = "metrics"))]
-    let _ = (step, told, s);
+    let _ = (step, answered, took_s);
 }
 
-/// Jobs with an answer open, requests allowed at once, fronts left alone.
-pub(crate) fn load(open: usize, in_flight: usize, out: usize) {
+/// Records the number of open jobs, the limit of requests in flight, and the number of ejected
+/// fronts.
+pub(crate) fn record_load(open_jobs: usize, in_flight_limit: usize, ejected_fronts: usize) {
     #[cfg(feature = "metrics")]
     {
-        metrics::gauge!("foxspur_client_open_jobs").set(open as f64);
-        metrics::gauge!("foxspur_client_in_flight_limit").set(in_flight as f64);
-        metrics::gauge!("foxspur_client_fronts_out").set(out as f64);
+        metrics::gauge!("foxspur_client_open_jobs").set(open_jobs as f64);
+        metrics::gauge!("foxspur_client_in_flight_limit").set(in_flight_limit as f64);
+        metrics::gauge!("foxspur_client_fronts_out").set(ejected_fronts as f64);
     }
     #[cfg(not(feature = "metrics"))]
-    let _ = (open, in_flight, out);
+    let _ = (open_jobs, in_flight_limit, ejected_fronts);
 }
 
-/// A retry had to wait for the budget.
-pub(crate) fn withheld(step: Step) {
+/// Records that a due step was not admitted and has to wait for the retry budget or a poll slot.
+pub(crate) fn record_withheld(step: Step) {
     #[cfg(feature = "metrics")]
-    metrics::counter!("foxspur_client_withheld_total", "step" => name(step)).increment(1);
+    metrics::counter!("foxspur_client_withheld_total", "step" => step_label(step)).increment(1);
     #[cfg(not(feature = "metrics"))]
     let _ = step;
 }
--- a/crates/client/src/outbox/backend.rs
+++ b/crates/client/src/outbox/backend.rs
@@ -1,29 +1,31 @@
-//! The storage backend of the outbox's database. While a file is being opened and checked,
-//! writes are buffered in memory: a foreign or damaged file is refused and stays as it was, and
-//! the error names the offset that was read last.
+//! The storage backend of the outbox's database. While a file is being opened and checked, writes
+//! are buffered in memory. A file that is not an outbox or is damaged can thus be refused without
+//! having been changed. The backend also records the offset of the last read, for error messages.
 
 use redb::StorageBackend;
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind};
 use std::sync::{Arc, Mutex};
 
-/// Size of the pieces in which changes are held back.
-const PIECE: u64 = 4096;
+/// Size of the blocks in which writes are buffered.
+const BLOCK_BYTES: u64 = 4096;
 
 #[derive(Debug, Default)]
-struct Held {
-    /// Changed pieces by number; `None` once all is written through.
-    pieces: Option<BTreeMap<u64, Vec<u8>>>,
+struct Buffer {
+    /// Changed blocks by number; `None` once writes are no longer buffered.
+    blocks: Option<BTreeMap<u64, Vec<u8>>>,
+    /// Length of the storage including the buffered changes.
     len: u64,
+    /// Offset of the last read.
     last_read: u64,
 }
 
-/// Where was last read, for messages.
+/// Gives the offset of a backend's last read, for error messages.
 #[derive(Debug)]
-pub struct Place(Arc<Mutex<Held>>);
+pub struct Place(Arc<Mutex<Buffer>>);
 
 impl Place {
-    /// The offset in bytes.
+    /// The offset of the last read, in bytes.
     pub fn get(&self) -> u64 {
         self.0
             .lock()
@@ -32,168 +34,169 @@
     }
 }
 
-/// A backend that holds changes back until they are let through.
+/// A backend that buffers changes to another one until [`Guarded::let_through`] is called.
 #[derive(Debug)]
 pub struct Guarded<B> {
     inner: Arc<B>,
-    held: Arc<Mutex<Held>>,
+    buffer: Arc<Mutex<Buffer>>,
 }
 
 impl<B> Clone for Guarded<B> {
     fn clone(&self) -> Self {
         Guarded {
             inner: self.inner.clone(),
-            held: self.held.clone(),
+            buffer: self.buffer.clone(),
         }
     }
 }
 
 impl<B: StorageBackend> Guarded<B> {
-    /// Holds back changes to `inner` from now on.
+    /// Wraps `inner`, and buffers all changes to it from now on.
     pub fn new(inner: B) -> Result<Guarded<B>, Error> {
-        let held = Held {
-            pieces: Some(BTreeMap::new()),
+        let buffer = Buffer {
+            blocks: Some(BTreeMap::new()),
             len: inner.len()?,
             last_read: 0,
         };
         Ok(Guarded {
             inner: Arc::new(inner),
-            held: Arc::new(Mutex::new(held)),
+            buffer: Arc::new(Mutex::new(buffer)),
         })
     }
 
-    /// Where was last read.
+    /// Gives access to the offset of the last read.
     pub fn place(&self) -> Place {
-        Place(self.held.clone())
+        Place(self.buffer.clone())
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Held> {
-        self.held
+    fn lock(&self) -> std::sync::MutexGuard<'_, Buffer> {
+        self.buffer
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Writes what was held back, and holds back no more.
+    /// Writes the buffered changes to the inner backend, and stops buffering.
     pub fn let_through(&self) -> Result<(), Error> {
-        let mut held = self.lock();
-        let Some(pieces) = held.pieces.take() else {
+        let mut buffer = self.lock();
+        let Some(blocks) = buffer.blocks.take() else {
             return Ok(());
         };
-        if self.inner.len()? != held.len {
-            self.inner.set_len(held.len)?;
+        if self.inner.len()? != buffer.len {
+            self.inner.set_len(buffer.len)?;
         }
-        for (number, piece) in pieces {
-            let at = number * PIECE;
-            let most = held.len.saturating_sub(at).min(PIECE) as usize;
-            self.inner.write(at, &piece[..most])?;
+        for (number, block) in blocks {
+            let start = number * BLOCK_BYTES;
+            let size = buffer.len.saturating_sub(start).min(BLOCK_BYTES) as usize;
+            self.inner.write(start, &block[..size])?;
         }
         self.inner.sync_data()
     }
 
-    /// The piece as it would be, with changes.
-    fn piece(&self, held: &Held, number: u64) -> Result<Vec<u8>, Error> {
-        if let Some(piece) = held.pieces.as_ref().and_then(|p| p.get(&number)) {
-            return Ok(piece.clone());
+    /// The content of a block, including buffered changes.
+    fn block(&self, buffer: &Buffer, number: u64) -> Result<Vec<u8>, Error> {
+        if let Some(block) = buffer.blocks.as_ref().and_then(|b| b.get(&number)) {
+            return Ok(block.clone());
         }
-        let mut piece = vec![0; PIECE as usize];
-        let at = number * PIECE;
-        let there = self.inner.len()?.saturating_sub(at).min(PIECE) as usize;
-        self.inner.read(at, &mut piece[..there])?;
-        Ok(piece)
+        let mut block = vec![0; BLOCK_BYTES as usize];
+        let start = number * BLOCK_BYTES;
+        let size = self.inner.len()?.saturating_sub(start).min(BLOCK_BYTES) as usize;
+        self.inner.read(start, &mut block[..size])?;
+        Ok(block)
     }
 }
 
 impl<B: StorageBackend> StorageBackend for Guarded<B> {
     fn len(&self) -> Result<u64, Error> {
-        let held = self.lock();
-        match held.pieces {
-            Some(_) => Ok(held.len),
+        let buffer = self.lock();
+        match buffer.blocks {
+            Some(_) => Ok(buffer.len),
             None => self.inner.len(),
         }
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), Error> {
-        let mut held = self.lock();
-        held.last_read = offset;
-        if held.pieces.is_none() {
-            drop(held);
+        let mut buffer = self.lock();
+        buffer.last_read = offset;
+        if buffer.blocks.is_none() {
+            drop(buffer);
             return self.inner.read(offset, out);
         }
-        if offset + out.len() as u64 > held.len {
+        if offset + out.len() as u64 > buffer.len {
             return Err(Error::from(ErrorKind::UnexpectedEof));
         }
         let mut done = 0;
         while done < out.len() {
             let at = offset + done as u64;
-            let piece = self.piece(&held, at / PIECE)?;
-            let from = (at % PIECE) as usize;
-            let n = (PIECE as usize - from).min(out.len() - done);
-            out[done..done + n].copy_from_slice(&piece[from..from + n]);
-            done += n;
+            let block = self.block(&buffer, at / BLOCK_BYTES)?;
+            let from = (at % BLOCK_BYTES) as usize;
+            let count = (BLOCK_BYTES as usize - from).min(out.len() - done);
+            out[done..done + count].copy_from_slice(&block[from..from + count]);
+            done += count;
         }
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> Result<(), Error> {
-        let mut held = self.lock();
-        if held.pieces.is_none() {
-            drop(held);
+        let mut buffer = self.lock();
+        if buffer.blocks.is_none() {
+            drop(buffer);
             return self.inner.set_len(len);
         }
-        held.len = len;
+        buffer.len = len;
         Ok(())
     }
 
     fn sync_data(&self) -> Result<(), Error> {
-        let holding = self.lock().pieces.is_some();
-        match holding {
+        let is_buffering = self.lock().blocks.is_some();
+        match is_buffering {
             true => Ok(()),
             false => self.inner.sync_data(),
         }
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), Error> {
-        let mut held = self.lock();
-        if held.pieces.is_none() {
-            drop(held);
+        let mut buffer = self.lock();
+        if buffer.blocks.is_none() {
+            drop(buffer);
             return self.inner.write(offset, data);
         }
         let mut done = 0;
         while done < data.len() {
             let at = offset + done as u64;
-            let mut piece = self.piece(&held, at / PIECE)?;
-            let from = (at % PIECE) as usize;
-            let n = (PIECE as usize - from).min(data.len() - done);
-            piece[from..from + n].copy_from_slice(&data[done..done + n]);
-            if let Some(pieces) = held.pieces.as_mut() {
-                pieces.insert(at / PIECE, piece);
+            let mut block = self.block(&buffer, at / BLOCK_BYTES)?;
+            let from = (at % BLOCK_BYTES) as usize;
+            let count = (BLOCK_BYTES as usize - from).min(data.len() - done);
+            block[from..from + count].copy_from_slice(&data[done..done + count]);
+            if let Some(blocks) = buffer.blocks.as_mut() {
+                blocks.insert(at / BLOCK_BYTES, block);
             }
-            done += n;
+            done += count;
         }
-        held.len = held.len.max(offset + data.len() as u64);
+        buffer.len = buffer.len.max(offset + data.len() as u64);
         Ok(())
     }
 
     fn close(&self) -> Result<(), Error> {
-        let holding = self.lock().pieces.is_some();
-        match holding {
+        let is_buffering = self.lock().blocks.is_some();
+        match is_buffering {
             true => Ok(()),
             false => self.inner.close(),
         }
     }
 }
 
-/// First bytes of every outbox file, by redb's published format.
+/// The first bytes of every outbox file, as defined by redb's published file format.
 pub const MAGIC: [u8; 9] = *b"redb\x1A\x0A\xA9\x0D\x0A";
 
-/// Where the beginning of a file that is not empty differs from an outbox's.
+/// The first offset at which the content differs from the first bytes of an outbox file. `None` if
+/// it does not differ, or if the storage is empty.
 pub fn foreign_at<B: StorageBackend>(backend: &B) -> Result<Option<u64>, Error> {
     let len = backend.len()?;
     if len == 0 {
         return Ok(None);
     }
-    let mut found = vec![0; MAGIC.len().min(len as usize)];
-    backend.read(0, &mut found)?;
-    let same = found.iter().zip(MAGIC).take_while(|(a, b)| *a == b).count();
+    let mut start = vec![0; MAGIC.len().min(len as usize)];
+    backend.read(0, &mut start)?;
+    let same = start.iter().zip(MAGIC).take_while(|(a, b)| *a == b).count();
     Ok((same < MAGIC.len()).then_some(same as u64))
 }
--- a/crates/client/src/outbox/errors.rs
+++ b/crates/client/src/outbox/errors.rs
@@ -1,77 +1,78 @@
-//! What the outbox answers to a batch, and its errors.
+//! The outbox's errors, and its results for the jobs of a batch.
 
 use super::LAYOUT;
 use crate::job::{JobId, Key};
 use crate::record::Record;
 
-/// Why the outbox failed. Nothing was written then.
+/// Why an operation of the outbox failed. The operation has written nothing.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum OutboxError {
-    #[error("outbox: another process has it open")]
     /// Another process has the file open.
+    #[error("outbox: file is open in another process")]
     Taken,
-    /// The file is no outbox.
-    #[error("outbox: not an outbox's file: differs at byte {offset}")]
+    /// The file is not an outbox.
+    #[error("outbox: not an outbox file: differs at byte {offset}")]
     Foreign {
-        /// Where it differs first.
+        /// Offset of the first byte that differs.
         offset: u64,
     },
-    /// The file cannot be trusted.
+    /// The file is damaged.
     #[error("outbox: damaged near byte {offset}: {what}")]
     Damaged {
-        /// Where the last read began.
+        /// Offset of the last read.
         offset: u64,
         /// What is wrong.
         what: String,
     },
     /// Another version of the library wrote the file.
-    #[error("outbox: of layout {found}, this library knows {LAYOUT}")]
+    #[error("outbox: file has layout version {found}, this library supports {LAYOUT}")]
     Layout {
-        /// The layout of the file.
+        /// The version of the file's layout.
         found: u64,
     },
-    /// The disk or a quota is full.
+    /// The disk is full or a quota is exhausted.
     #[error("outbox: no space left")]
     Full,
-    /// Reading or writing failed otherwise.
+    /// Reading or writing failed for another reason.
     #[error("outbox: {0}")]
     Io(String),
     /// The client is closed.
-    #[error("outbox: closed")]
+    #[error("outbox: client is closed")]
     Closed,
 }
 
-/// The same key with another body: one key is one job.
+/// The key was already used with another body. A key identifies a single job.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("key {key} is job {id} already, submitted as {known}; now it came with {other}")]
+#[error("key {key} already belongs to job {id} with body {known}; it was now used with {other}")]
 pub struct KeyTaken {
     /// The key.
     pub key: Key,
-    /// The job that it names.
+    /// The job that the key identifies.
     pub id: JobId,
     /// The body of that job.
     pub known: String,
-    /// The body that came with it now.
+    /// The body that the key was used with now.
     pub other: String,
 }
 
 /// Why one job of a batch was not queued.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum NotQueued {
-    /// Its key names another job.
+    /// Its key identifies a job with another body.
     #[error(transparent)]
     KeyTaken(#[from] Box<KeyTaken>),
-    /// No controller would take it; the field is named.
+    /// Its description is invalid, so that every controller would refuse it. The text names the
+    /// field.
     #[error("job: {0}")]
     Malformed(String),
 }
 
-/// One job of a batch, as it is in the outbox now.
+/// One job of a batch that is in the outbox.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Queued {
-    /// It is new.
+    /// It was added by this call.
     New(Record),
-    /// It was there before.
+    /// It was in the outbox before.
     Known(Record),
 }
 
--- a/crates/client/src/outbox/mod.rs
+++ b/crates/client/src/outbox/mod.rs
@@ -1,10 +1,10 @@
-//! The durable outbox (a transactional outbox): a submission is written whole, under an id of
-//! its own, before its first byte is sent. After a crash at any point the same ids go on with
-//! the same bodies, and a caller's key is one job for ever (or until a compaction forgets a
-//! closed one of a settable age).
+//! The durable outbox (a transactional outbox). A submission is written completely, under an id of
+//! its own, before its first byte is sent. After a crash at any point the jobs keep their ids and
+//! bodies. A caller's key identifies the same job permanently, or until a compaction deletes the
+//! closed job; the caller chooses the age at which it does.
 //!
-//! A database of the `redb` crate holds it, in a file or in memory. Every value
-//! carries a checksum of its own.
+//! The outbox is a database of the `redb` crate, in a file or in memory. Every record has a
+//! checksum of its own.
 
 pub mod backend;
 mod errors;
@@ -23,40 +23,40 @@
 use std::fs::{File, OpenOptions, TryLockError};
 use std::path::Path;
 
-/// Memory for pages of the database, in bytes.
+/// Size of the database's page cache.
 const CACHE_BYTES: usize = 16 << 20;
 
 /// Job ids by key.
 const KEYS: TableDefinition<&str, u64> = TableDefinition::new("keys");
-/// Sealed records by job id.
+/// Records with their checksums, by job id.
 const JOBS: TableDefinition<u64, &[u8]> = TableDefinition::new("jobs");
-/// Ids of jobs with an answer open, so that a start need not read the closed ones.
+/// Ids of open jobs, so that closed ones need not be read at the start.
 const OPEN: TableDefinition<u64, ()> = TableDefinition::new("open");
-/// The layout's version.
+/// The version of the layout, under the key `layout`.
 const ABOUT: TableDefinition<&str, u64> = TableDefinition::new("about");
-/// Version of what is in the tables.
+/// The version of the layout that this library reads and writes.
 pub(crate) const LAYOUT: u64 = 1;
 
 /// The outbox.
 #[derive(Debug)]
 pub struct Outbox {
     db: Database,
-    /// Where the last read began, for messages.
+    /// Offset of the last read, for error messages.
     last_read: Place,
-    /// Holds the file against other processes.
+    /// The locked file, which keeps other processes from opening the outbox.
     _lock: Option<File>,
 }
 
-/// A value with its checksum in front.
-fn seal(record: &Record) -> Vec<u8> {
-    let text = serde_json::to_vec(record).unwrap_or_default();
-    let mut value = crc32fast::hash(&text).to_le_bytes().to_vec();
-    value.extend(text);
+/// Serializes a record, with its checksum in front.
+fn encode_record(record: &Record) -> Vec<u8> {
+    let json = serde_json::to_vec(record).unwrap_or_default();
+    let mut value = crc32fast::hash(&json).to_le_bytes().to_vec();
+    value.extend(json);
     value
 }
 
-/// The submission as it goes over the wire under this id.
-fn body(spec: &JobSpec, id: JobId) -> Result<String, NotQueued> {
+/// The body of the submission under this id.
+fn submission_body(spec: &JobSpec, id: JobId) -> Result<String, NotQueued> {
     let spec = JobSpec {
         id: id.to_string(),
         ..spec.clone()
@@ -66,64 +66,68 @@
 }
 
 impl Outbox {
-    /// Opens or makes the outbox at `path`. With `verify` every page is checked
-    /// first, which takes time in proportion to the file.
+    /// Opens the outbox at `path`, or creates it. With `verify` every page is checked first, which
+    /// takes time in proportion to the size of the file.
     pub fn open(path: &Path, verify: bool) -> Result<Outbox, OutboxError> {
-        let io = |e: std::io::Error| Outbox::io(&e);
+        let io_error = |e: std::io::Error| storage_error(&e);
         let file = OpenOptions::new()
             .read(true)
             .write(true)
             .create(true)
             .truncate(false)
             .open(path)
-            .map_err(io)?;
-        let lock = file.try_clone().map_err(io)?;
+            .map_err(io_error)?;
+        let lock = file.try_clone().map_err(io_error)?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Err(OutboxError::Taken),
-            Err(TryLockError::Error(e)) => return Err(io(e)),
+            Err(TryLockError::Error(e)) => return Err(io_error(e)),
         }
-        let inner = FileBackend::new(file).map_err(|e| OutboxError::Io(e.to_string()))?;
-        let mut outbox = Outbox::with_backend(inner, verify)?;
+        let file_backend = FileBackend::new(file).map_err(|e| OutboxError::Io(e.to_string()))?;
+        let mut outbox = Outbox::with_backend(file_backend, verify)?;
         outbox._lock = Some(lock);
         Ok(outbox)
     }
 
-    /// An outbox that lasts as long as the process.
+    /// Creates an outbox in memory, which is lost when the process ends.
     pub fn in_memory() -> Result<Outbox, OutboxError> {
         Outbox::with_backend(InMemoryBackend::new(), false)
     }
 
-    /// An outbox on any storage. Nothing is written to it unless it is sound.
-    pub fn with_backend<B: StorageBackend>(inner: B, verify: bool) -> Result<Outbox, OutboxError> {
-        let io = |e: std::io::Error| Outbox::io(&e);
-        let fresh = inner.len().map_err(io)? == 0;
-        if let Some(offset) = foreign_at(&inner).map_err(io)? {
+    /// Opens an outbox on any storage backend, or creates it if the storage is empty. Nothing is
+    /// written to the storage before its content has been checked.
+    pub fn with_backend<B: StorageBackend>(
+        backend: B,
+        verify: bool,
+    ) -> Result<Outbox, OutboxError> {
+        let io_error = |e: std::io::Error| storage_error(&e);
+        let is_new = backend.len().map_err(io_error)? == 0;
+        if let Some(offset) = foreign_at(&backend).map_err(io_error)? {
             return Err(OutboxError::Foreign { offset });
         }
-        let guarded = Guarded::new(inner).map_err(io)?;
-        if fresh {
-            // Nothing to protect, and nothing to hold back.
-            guarded.let_through().map_err(io)?;
+        let guarded = Guarded::new(backend).map_err(io_error)?;
+        if is_new {
+            // There is no content to protect, so writes need no buffering.
+            guarded.let_through().map_err(io_error)?;
         }
         let outbox = Outbox {
-            db: open_database(guarded.clone(), verify && !fresh)?,
+            db: open_database(guarded.clone(), verify && !is_new)?,
             last_read: guarded.place(),
             _lock: None,
         };
-        if !fresh {
+        if !is_new {
             outbox.check_content()?;
         }
-        guarded.let_through().map_err(io)?;
-        if fresh {
+        guarded.let_through().map_err(io_error)?;
+        if is_new {
             outbox.create_tables()?;
         }
         Ok(outbox)
     }
 
-    /// Checks that the layout is known and all open records can be read.
+    /// Checks that the version of the layout is known and that all open records can be read.
     fn check_content(&self) -> Result<(), OutboxError> {
-        match self.layout()? {
+        match self.layout_version()? {
             LAYOUT => {}
             found => return Err(OutboxError::Layout { found }),
         }
@@ -141,24 +145,20 @@
         })
     }
 
-    fn io(e: &std::io::Error) -> OutboxError {
-        use std::io::ErrorKind::{FileTooLarge, QuotaExceeded, StorageFull};
-        match e.kind() {
-            StorageFull | QuotaExceeded | FileTooLarge => OutboxError::Full,
-            _ => OutboxError::Io(e.to_string()),
-        }
-    }
-
-    fn failed(&self, e: redb::Error) -> OutboxError {
+    /// Converts an error of the database.
+    fn database_error(&self, e: redb::Error) -> OutboxError {
         match e {
-            redb::Error::Io(e) => Outbox::io(&e),
+            redb::Error::Io(e) => storage_error(&e),
             redb::Error::Corrupted(what) => self.damaged(what),
-            // After a failed write redb wants to be opened anew.
-            redb::Error::PreviousIo => OutboxError::Io("an earlier write failed".into()),
+            // After a failed write redb accepts no more writes until it is opened again.
+            redb::Error::PreviousIo => {
+                OutboxError::Io("an earlier write failed; the outbox must be opened again".into())
+            }
             other => OutboxError::Io(other.to_string()),
         }
     }
 
+    /// The error for damaged content, with the offset of the last read.
     fn damaged(&self, what: String) -> OutboxError {
         OutboxError::Damaged {
             offset: self.last_read.get(),
@@ -166,53 +166,55 @@
         }
     }
 
-    fn layout(&self) -> Result<u64, OutboxError> {
+    /// The version of the layout; 0 if none is stored.
+    fn layout_version(&self) -> Result<u64, OutboxError> {
         let read = || -> Result<u64, redb::Error> {
             let txn = self.db.begin_read()?;
             let table = txn.open_table(ABOUT)?;
-            let found = table.get("layout")?.map(|v| v.value());
-            Ok(found.unwrap_or(0))
+            let version = table.get("layout")?.map(|v| v.value());
+            Ok(version.unwrap_or(0))
         };
         match read() {
             Err(redb::Error::TableDoesNotExist(_)) => Ok(0),
-            other => other.map_err(|e| self.failed(e)),
+            other => other.map_err(|e| self.database_error(e)),
         }
     }
 
-    /// Runs one transaction: all of it is on the disk, or nothing.
+    /// Runs one transaction, whose changes are written to disk either completely or not at all.
     fn write<T>(
         &self,
-        work: impl FnOnce(&redb::WriteTransaction) -> Result<T, redb::Error>,
+        change: impl FnOnce(&redb::WriteTransaction) -> Result<T, redb::Error>,
     ) -> Result<T, OutboxError> {
         let run = || -> Result<T, redb::Error> {
             let txn = self.db.begin_write()?;
-            let result = work(&txn)?;
+            let result = change(&txn)?;
             txn.commit()?;
             Ok(result)
         };
-        run().map_err(|e| self.failed(e))
+        run().map_err(|e| self.database_error(e))
     }
 
-    fn unseal(&self, id: u64, value: &[u8]) -> Result<Record, OutboxError> {
-        let bad = |what: &str| self.damaged(format!("job {id}: {what}"));
-        let (sum, text) = value
+    /// Parses the stored value of a job, after checking its checksum.
+    fn decode_record(&self, id: u64, value: &[u8]) -> Result<Record, OutboxError> {
+        let damaged = |what: &str| self.damaged(format!("job {id}: {what}"));
+        let (checksum, json) = value
             .split_first_chunk::<4>()
-            .ok_or_else(|| bad("too short"))?;
-        if crc32fast::hash(text) != u32::from_le_bytes(*sum) {
-            return Err(bad("does not match its checksum"));
+            .ok_or_else(|| damaged("record is too short"))?;
+        if crc32fast::hash(json) != u32::from_le_bytes(*checksum) {
+            return Err(damaged("record does not match its checksum"));
         }
-        serde_json::from_slice(text).map_err(|e| bad(&e.to_string()))
+        serde_json::from_slice(json).map_err(|e| damaged(&e.to_string()))
     }
 
-    /// Queues a batch: what is new gets an id and is on the disk when this
-    /// returns; what is known is given back as it is.
+    /// Queues a batch. A job with a new key gets an id and is on disk when this returns. For a
+    /// known key, the stored record is returned unchanged.
     pub fn enqueue(
         &self,
         batch: &[Work],
         now_ms: u64,
     ) -> Result<Vec<Result<Queued, NotQueued>>, OutboxError> {
         let mut queued: Vec<Result<Queued, NotQueued>> = Vec::with_capacity(batch.len());
-        let mut fault = None;
+        let mut error = None;
         self.write(|txn| {
             let mut keys = txn.open_table(KEYS)?;
             let mut jobs = txn.open_table(JOBS)?;
@@ -221,52 +223,52 @@
                 let known = keys.get(work.key.as_str())?.map(|v| v.value());
                 if let Some(id) = known {
                     let found = jobs.get(id)?;
-                    let record = match found.as_ref().map(|v| self.unseal(id, v.value())) {
+                    let record = match found.as_ref().map(|v| self.decode_record(id, v.value())) {
                         Some(Ok(record)) => record,
                         Some(Err(e)) => {
-                            fault = Some(e);
+                            error = Some(e);
                             break;
                         }
                         None => {
-                            fault = Some(self.damaged(format!("job {id} is missing")));
+                            error = Some(self.damaged(format!("job {id} is missing")));
                             break;
                         }
                     };
-                    queued.push(same(work, record));
+                    queued.push(match_known(work, record));
                     continue;
                 }
-                // 64 random bits: ids come from many callers that know nothing
-                // of each other, and the protocol leaves 20 digits.
+                // 64 random bits keep the ids of independent clients distinct without
+                // coordination, and fit into the 20 digits that the protocol allows.
                 let mut id = rand::rng().random::<u64>();
                 while jobs.get(id)?.is_some() {
                     id = rand::rng().random();
                 }
-                let made = body(&work.spec, JobId(id)).map(|body| {
+                let new = submission_body(&work.spec, JobId(id)).map(|body| {
                     let record = Record::new(JobId(id), work.key.clone(), body, now_ms);
                     Queued::New(record)
                 });
-                if let Ok(Queued::New(record)) = &made {
+                if let Ok(Queued::New(record)) = &new {
                     keys.insert(work.key.as_str(), id)?;
-                    jobs.insert(id, seal(record).as_slice())?;
+                    jobs.insert(id, encode_record(record).as_slice())?;
                     open.insert(id, ())?;
                 }
-                queued.push(made);
+                queued.push(new);
             }
             Ok(())
         })?;
-        match fault {
-            Some(fault) => Err(fault),
+        match error {
+            Some(error) => Err(error),
             None => Ok(queued),
         }
     }
 
-    /// Writes what became of these jobs.
+    /// Writes the changed records of these jobs.
     pub fn update(&self, records: &[Record]) -> Result<(), OutboxError> {
         self.write(|txn| {
             let mut jobs = txn.open_table(JOBS)?;
             let mut open = txn.open_table(OPEN)?;
             for record in records {
-                jobs.insert(record.id.0, seal(record).as_slice())?;
+                jobs.insert(record.id.0, encode_record(record).as_slice())?;
                 if record.closed() {
                     open.remove(record.id.0)?;
                 }
@@ -275,7 +277,7 @@
         })
     }
 
-    /// The job of this id.
+    /// The record of the job with this id.
     pub fn find(&self, id: JobId) -> Result<Option<Record>, OutboxError> {
         let read = || -> Result<Option<Vec<u8>>, redb::Error> {
             let txn = self.db.begin_read()?;
@@ -283,11 +285,11 @@
             let found = jobs.get(id.0)?.map(|v| v.value().to_vec());
             Ok(found)
         };
-        let found = read().map_err(|e| self.failed(e))?;
-        found.map(|v| self.unseal(id.0, &v)).transpose()
+        let found = read().map_err(|e| self.database_error(e))?;
+        found.map(|v| self.decode_record(id.0, &v)).transpose()
     }
 
-    /// The job of this key.
+    /// The record of the job with this key.
     pub fn find_key(&self, key: &Key) -> Result<Option<Record>, OutboxError> {
         let read = || -> Result<Option<u64>, redb::Error> {
             let txn = self.db.begin_read()?;
@@ -295,16 +297,16 @@
             let found = keys.get(key.as_str())?.map(|v| v.value());
             Ok(found)
         };
-        match read().map_err(|e| self.failed(e))? {
+        match read().map_err(|e| self.database_error(e))? {
             Some(id) => self.find(JobId(id)),
             None => Ok(None),
         }
     }
 
-    /// All jobs with an answer open.
+    /// The records of all open jobs.
     pub fn open_records(&self) -> Result<Vec<Record>, OutboxError> {
-        type Found = Vec<(u64, Option<Vec<u8>>)>;
-        let read = || -> Result<Found, redb::Error> {
+        type Values = Vec<(u64, Option<Vec<u8>>)>;
+        let read = || -> Result<Values, redb::Error> {
             let txn = self.db.begin_read()?;
             let open = txn.open_table(OPEN)?;
             let jobs = txn.open_table(JOBS)?;
@@ -315,57 +317,57 @@
             }
             Ok(found)
         };
-        let found = read().map_err(|e| self.failed(e))?;
+        let found = read().map_err(|e| self.database_error(e))?;
         let mut records = Vec::with_capacity(found.len());
         for (id, value) in found {
             let value = value.ok_or_else(|| self.damaged(format!("job {id} is missing")))?;
-            records.push(self.unseal(id, &value)?);
+            records.push(self.decode_record(id, &value)?);
         }
         Ok(records)
     }
 
-    /// How many jobs there are, and how many of them have an answer open.
+    /// The number of jobs, and how many of them are open.
     pub fn len(&self) -> Result<(u64, u64), OutboxError> {
         let read = || -> Result<(u64, u64), redb::Error> {
             let txn = self.db.begin_read()?;
             Ok((txn.open_table(JOBS)?.len()?, txn.open_table(OPEN)?.len()?))
         };
-        read().map_err(|e| self.failed(e))
+        read().map_err(|e| self.database_error(e))
     }
 
-    /// Forgets jobs that were over before `before_ms`, with their keys, and gives
-    /// the space back. Open ones stay, however old. Returns how many went.
+    /// Deletes the jobs that were closed before `before_ms` (Unix time) and their keys, and frees
+    /// the space. Open jobs are kept, whatever their age. Returns the number of deleted jobs.
     pub fn compact(&mut self, before_ms: u64) -> Result<u64, OutboxError> {
-        let mut fault = None;
-        let gone = self.write(|txn| {
+        let mut error = None;
+        let deleted = self.write(|txn| {
             let mut keys = txn.open_table(KEYS)?;
             let mut jobs = txn.open_table(JOBS)?;
-            let mut gone = Vec::new();
+            let mut expired = Vec::new();
             for entry in jobs.iter()? {
                 let (id, value) = entry?;
-                match self.unseal(id.value(), value.value()) {
+                match self.decode_record(id.value(), value.value()) {
                     Ok(record) if record.closed_ms.is_some_and(|at| at < before_ms) => {
-                        gone.push((id.value(), record.key));
+                        expired.push((id.value(), record.key));
                     }
                     Ok(_) => {}
                     Err(e) => {
-                        fault = Some(e);
+                        error = Some(e);
                         return Ok(0);
                     }
                 }
             }
-            for (id, key) in &gone {
+            for (id, key) in &expired {
                 jobs.remove(id)?;
                 keys.remove(key.as_str())?;
             }
-            Ok(gone.len() as u64)
+            Ok(expired.len() as u64)
         })?;
-        if let Some(fault) = fault {
-            return Err(fault);
+        if let Some(error) = error {
+            return Err(error);
         }
-        let shrunk = self.db.compact();
-        shrunk.map_err(|e| OutboxError::Io(e.to_string()))?;
-        Ok(gone)
+        let compacted = self.db.compact();
+        compacted.map_err(|e| OutboxError::Io(e.to_string()))?;
+        Ok(deleted)
     }
 }
 
@@ -379,29 +381,38 @@
         offset: last_read.get(),
         what,
     };
-    let failed = |e: DatabaseError| match &e {
+    let open_error = |e: DatabaseError| match &e {
         DatabaseError::DatabaseAlreadyOpen => OutboxError::Taken,
-        DatabaseError::Storage(redb::StorageError::Io(io)) if !is_damage(io) => Outbox::io(io),
+        DatabaseError::Storage(redb::StorageError::Io(io)) if !is_damage(io) => storage_error(io),
         _ => damaged(e.to_string()),
     };
     let mut builder = Database::builder();
     builder.set_cache_size(CACHE_BYTES);
-    let mut db = builder.create_with_backend(backend).map_err(failed)?;
-    if verify && !db.check_integrity().map_err(failed)? {
+    let mut db = builder.create_with_backend(backend).map_err(open_error)?;
+    if verify && !db.check_integrity().map_err(open_error)? {
         return Err(damaged("pages do not match their checksums".into()));
     }
     Ok(db)
 }
 
-/// Whether an error of reading means that the content is wrong.
+/// Converts an I/O error, and tells apart that the storage is full.
+fn storage_error(e: &std::io::Error) -> OutboxError {
+    use std::io::ErrorKind::{FileTooLarge, QuotaExceeded, StorageFull};
+    match e.kind() {
+        StorageFull | QuotaExceeded | FileTooLarge => OutboxError::Full,
+        _ => OutboxError::Io(e.to_string()),
+    }
+}
+
+/// Whether a read error means that the content is damaged.
 fn is_damage(error: &std::io::Error) -> bool {
     use std::io::ErrorKind::{InvalidData, UnexpectedEof};
     matches!(error.kind(), InvalidData | UnexpectedEof)
 }
 
-/// The same key again: the same job, if the body is the same.
-fn same(work: &Work, record: Record) -> Result<Queued, NotQueued> {
-    let other = body(&work.spec, record.id)?;
+/// The result for a known key: the known job if the body is the same, otherwise an error.
+fn match_known(work: &Work, record: Record) -> Result<Queued, NotQueued> {
+    let other = submission_body(&work.spec, record.id)?;
     if other == record.body {
         return Ok(Queued::Known(record));
     }
--- a/crates/client/src/outbox/writer.rs
+++ b/crates/client/src/outbox/writer.rs
@@ -1,5 +1,6 @@
-//! Group commit: writes to the outbox are made one after the other, all that wait in one
-//! transaction. A commit costs a sync of the disk, whether it holds one job or a thousand.
+//! Group commit: one task makes all writes to the outbox, and combines those that are waiting into
+//! one transaction per kind of write. A commit costs one disk sync, whether it contains one job or
+//! a thousand.
 
 use super::{NotQueued, Outbox, OutboxError, Queued};
 use crate::job::Work;
@@ -7,23 +8,30 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// What became of each job of a batch.
-type Batch = Vec<Result<Queued, NotQueued>>;
+/// The result for each job of a batch.
+type BatchResult = Vec<Result<Queued, NotQueued>>;
 
-enum Order {
-    Enqueue(Vec<Work>, u64, oneshot::Sender<Result<Batch, OutboxError>>),
+/// A write that the task is to make, with the channel for its result.
+enum WriteRequest {
+    /// Jobs to queue, and the time stamp in milliseconds of Unix time.
+    Enqueue(
+        Vec<Work>,
+        u64,
+        oneshot::Sender<Result<BatchResult, OutboxError>>,
+    ),
+    /// The changed record of a job.
     Update(Record, oneshot::Sender<Result<(), OutboxError>>),
 }
 
-/// The most orders written in one transaction.
-const MAX_BATCH: usize = 1024;
+/// The maximum number of requests that are combined.
+const MAX_REQUESTS: usize = 1024;
 
-/// Hands writes to the task that makes them.
+/// Sends write requests to the task that makes them.
 #[derive(Clone, Debug)]
 pub struct Writer {
-    // Not bounded by itself: each request under way and each caller waits for
-    // the one order that it gave, and those are bounded.
-    orders: mpsc::UnboundedSender<Order>,
+    // The channel needs no bound of its own: each attempt and each caller waits for the one write
+    // that it requested, and their number is bounded.
+    requests: mpsc::UnboundedSender<WriteRequest>,
 }
 
 /// A write under way.
@@ -31,7 +39,7 @@
 pub struct Pending(oneshot::Receiver<Result<(), OutboxError>>);
 
 impl Pending {
-    /// Waits until it is on the disk.
+    /// Waits until the change is on disk.
     pub async fn wait(self) -> Result<(), OutboxError> {
         self.0.await.map_err(|_| OutboxError::Closed)?
     }
@@ -40,73 +48,77 @@
 impl Writer {
     /// Starts the task; it ends when the last `Writer` is dropped.
     pub fn start(outbox: Arc<Outbox>) -> Writer {
-        let (orders, mut taken) = mpsc::unbounded_channel();
+        let (sender, mut receiver) = mpsc::unbounded_channel();
         tokio::spawn(async move {
-            let mut batch = Vec::new();
-            while taken.recv_many(&mut batch, MAX_BATCH).await > 0 {
-                let (outbox, orders) = (outbox.clone(), std::mem::take(&mut batch));
-                // A sync of the disk may take long: not on the runtime's threads.
-                let written = tokio::task::spawn_blocking(move || write(&outbox, orders));
+            let mut requests = Vec::new();
+            while receiver.recv_many(&mut requests, MAX_REQUESTS).await > 0 {
+                let (outbox, requests) = (outbox.clone(), std::mem::take(&mut requests));
+                // A disk sync may take long and must not block the runtime's threads.
+                let written = tokio::task::spawn_blocking(move || write(&outbox, requests));
                 if written.await.is_err() {
                     return;
                 }
             }
         });
-        Writer { orders }
+        Writer { requests: sender }
     }
 
-    /// Queues a batch; it is on the disk when this returns.
-    pub async fn enqueue(&self, batch: Vec<Work>, now_ms: u64) -> Result<Batch, OutboxError> {
+    /// Queues a batch, which is on disk when this returns.
+    pub async fn enqueue(&self, batch: Vec<Work>, now_ms: u64) -> Result<BatchResult, OutboxError> {
         let (reply, answer) = oneshot::channel();
-        let order = Order::Enqueue(batch, now_ms, reply);
-        self.orders.send(order).map_err(|_| OutboxError::Closed)?;
+        let request = WriteRequest::Enqueue(batch, now_ms, reply);
+        self.requests
+            .send(request)
+            .map_err(|_| OutboxError::Closed)?;
         answer.await.map_err(|_| OutboxError::Closed)?
     }
 
-    /// Hands over what became of a job; writes are made in the order of these
-    /// calls.
+    /// Requests the write of a job's changed record, without waiting for it. Such writes are made
+    /// in the order of the calls.
     pub fn begin_update(&self, record: Record) -> Pending {
         let (reply, answer) = oneshot::channel();
-        // A task that is gone drops the reply, which says so.
-        let _ = self.orders.send(Order::Update(record, reply));
+        // If the task has ended, the reply channel is dropped and `Pending::wait` reports it.
+        let _ = self.requests.send(WriteRequest::Update(record, reply));
         Pending(answer)
     }
 }
 
-fn write(outbox: &Outbox, orders: Vec<Order>) {
-    let (mut records, mut told) = (Vec::new(), Vec::new());
-    let (mut all, mut parts, mut now_ms) = (Vec::new(), Vec::new(), 0);
-    for order in orders {
-        match order {
-            Order::Update(record, reply) => {
+/// Makes the requested writes, all updates in one transaction and all batches in another, and sends
+/// the results.
+fn write(outbox: &Outbox, requests: Vec<WriteRequest>) {
+    let (mut records, mut update_replies) = (Vec::new(), Vec::new());
+    let (mut jobs, mut batch_replies, mut now_ms) = (Vec::new(), Vec::new(), 0);
+    for request in requests {
+        match request {
+            WriteRequest::Update(record, reply) => {
                 records.push(record);
-                told.push(reply);
+                update_replies.push(reply);
             }
-            Order::Enqueue(batch, at_ms, reply) => {
-                parts.push((batch.len(), reply));
-                all.extend(batch);
+            WriteRequest::Enqueue(batch, at_ms, reply) => {
+                batch_replies.push((batch.len(), reply));
+                jobs.extend(batch);
                 now_ms = now_ms.max(at_ms);
             }
         }
     }
     if !records.is_empty() {
-        let done = outbox.update(&records);
-        for reply in told {
-            let _ = reply.send(done.clone());
+        let result = outbox.update(&records);
+        for reply in update_replies {
+            let _ = reply.send(result.clone());
         }
     }
-    if parts.is_empty() {
+    if batch_replies.is_empty() {
         return;
     }
-    match outbox.enqueue(&all, now_ms) {
+    match outbox.enqueue(&jobs, now_ms) {
         Ok(queued) => {
             let mut queued = queued.into_iter();
-            for (size, reply) in parts {
+            for (size, reply) in batch_replies {
                 let _ = reply.send(Ok(queued.by_ref().take(size).collect()));
             }
         }
         Err(error) => {
-            for (_, reply) in parts {
+            for (_, reply) in batch_replies {
                 let _ = reply.send(Err(error.clone()));
             }
         }
--- a/crates/client/src/pace.rs
+++ b/crates/client/src/pace.rs
@@ -1,72 +1,75 @@
-//! Flow control: backoff, retry budget, rate limit and congestion control; pure, times are
-//! seconds that are passed in. A library in a thousand processes must not overload a controller
-//! that comes back.
+//! Flow control: backoff, retry budget, rate limit and congestion control. A thousand processes may
+//! use this library; together they must not overload a controller that comes back after an outage.
+//!
+//! The module does no I/O and reads no clock: callers pass times in seconds.
 
 use rand::Rng;
 use std::collections::VecDeque;
 
-/// Exponential backoff with full jitter: a wait drawn evenly between nothing and
-/// a bound that doubles with each failure (M. Brooker, "Exponential Backoff And
-/// Jitter", AWS Architecture Blog, 2015). The protocol asks for a second at
-/// least, and for `Retry-After` up to 30 s where that is longer.
+/// The wait in seconds before the next attempt: exponential backoff with full jitter. The jitter is
+/// drawn uniformly between 0 and a bound that doubles with each failure (M. Brooker, "Exponential
+/// Backoff And Jitter", AWS Architecture Blog, 2015). The protocol requires a wait of at least a
+/// second, or of `Retry-After` up to 30 s if that is longer; the jitter is added to this minimum.
 pub fn backoff(failures: u32, retry_after: Option<f64>, rng: &mut impl Rng) -> f64 {
-    let bound = 2f64
+    let max_jitter_s = 2f64
         .powi(failures.saturating_sub(1).min(10) as i32)
         .min(MOST_WAIT_S);
-    let asked = retry_after.unwrap_or(0.0).clamp(0.0, MOST_WAIT_S);
-    // What all were told to wait for they would end together: jitter on top.
-    1.0 + (asked - 1.0).max(0.0) + rng.random_range(0.0..=bound)
+    let requested_s = retry_after.unwrap_or(0.0).clamp(0.0, MOST_WAIT_S);
+    // Without added jitter, clients that got the same `Retry-After` would all return at once.
+    1.0 + (requested_s - 1.0).max(0.0) + rng.random_range(0.0..=max_jitter_s)
 }
 
-/// Longest wait between two attempts, and longest `Retry-After` heeded.
+/// The largest bound of the jitter, and the longest `Retry-After` that is honored.
 pub const MOST_WAIT_S: f64 = 30.0;
 
-/// Retries as a proportion of first attempts (Finagle's `RetryBudget`): each first
-/// attempt pays `share` into it, each retry takes one out, and a trickle of
-/// `floor_per_s` keeps a caller with a single job going. A retry that is answered
-/// gives back two, so that what piled up in an outage goes out ever faster once
-/// it is over (as in TCP's slow start), and not before.
+/// A token bucket that limits retries to a proportion of first attempts (as Finagle's
+/// `RetryBudget`). Each first attempt adds `share` tokens and each retry takes one token. In
+/// addition `floor_per_s` tokens are added per second, so that a caller with a single job can retry
+/// too. A retry that is answered adds two tokens: after an outage the accumulated jobs go out at a
+/// growing rate, as in TCP's slow start, but not while requests still fail.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     share: f64,
     floor_per_s: f64,
-    most: f64,
+    max_tokens: f64,
     tokens: f64,
-    at: f64,
+    /// When the tokens per second were last added.
+    filled_at: f64,
 }
 
 impl RetryBudget {
-    /// A budget with a first retry in it, that saves up at most `most`.
-    pub fn new(share: f64, floor_per_s: f64, most: f64) -> RetryBudget {
+    /// Creates a budget that holds one token and accumulates at most `max_tokens`.
+    pub fn new(share: f64, floor_per_s: f64, max_tokens: f64) -> RetryBudget {
         RetryBudget {
             share,
             floor_per_s,
-            most,
-            tokens: most.min(1.0),
-            at: f64::NEG_INFINITY,
+            max_tokens,
+            tokens: max_tokens.min(1.0),
+            filled_at: f64::NEG_INFINITY,
         }
     }
 
     fn fill(&mut self, now: f64) {
-        if self.at.is_finite() {
-            let more = (now - self.at).max(0.0) * self.floor_per_s;
-            self.tokens = (self.tokens + more).min(self.most);
+        if self.filled_at.is_finite() {
+            let added = (now - self.filled_at).max(0.0) * self.floor_per_s;
+            self.tokens = (self.tokens + added).min(self.max_tokens);
         }
-        self.at = self.at.max(now);
+        self.filled_at = self.filled_at.max(now);
     }
 
-    /// A first attempt was made.
+    /// Records a first attempt.
     pub fn first(&mut self, now: f64) {
         self.fill(now);
-        self.tokens = (self.tokens + self.share).min(self.most);
+        self.tokens = (self.tokens + self.share).min(self.max_tokens);
     }
 
-    /// A retry was answered.
+    /// Records that a retry was answered.
     pub fn answered(&mut self) {
-        self.tokens = (self.tokens + 2.0).min(self.most);
+        self.tokens = (self.tokens + 2.0).min(self.max_tokens);
     }
 
-    /// Takes out a retry, or says in how many seconds there is one at the latest.
+    /// Takes a token for a retry. If there is none, returns the time in seconds after which there
+    /// will be one even without further attempts and answers.
     pub fn retry(&mut self, now: f64) -> Result<(), f64> {
         self.fill(now);
         if self.tokens >= 1.0 {
@@ -77,50 +80,50 @@
     }
 }
 
-/// Requests a second, with bursts of `burst`: each gets a slot of its own, so that
-/// thousands that are due at once do not ask again and again whether it is time
-/// (the generic cell rate algorithm of ATM, ITU-T I.371).
+/// A rate limiter that allows bursts (the generic cell rate algorithm of ATM, ITU-T I.371). Each
+/// request reserves a time slot of its own. Thousands of requests that are due at once therefore
+/// need not poll the limiter until it admits them.
 #[derive(Debug, Clone)]
 pub struct Rate {
     per_s: f64,
     burst: f64,
-    next: f64,
+    next_slot: f64,
 }
 
 impl Rate {
-    /// So many requests a second.
+    /// Creates a limiter of `per_s` requests per second, and bursts of `burst` requests.
     pub fn new(per_s: f64, burst: f64) -> Rate {
         Rate {
             per_s,
             burst,
-            next: f64::NEG_INFINITY,
+            next_slot: f64::NEG_INFINITY,
         }
     }
 
-    /// Reserves the next slot: in how many seconds it is, 0 for now.
+    /// Reserves the next slot, and returns the time in seconds until it; 0 if it is now.
     pub fn reserve(&mut self, now: f64) -> f64 {
         let slot = self
-            .next
+            .next_slot
             .max(now - (self.burst - 1.0).max(0.0) / self.per_s);
-        self.next = slot + 1.0 / self.per_s;
+        self.next_slot = slot + 1.0 / self.per_s;
         (slot - now).max(0.0)
     }
 }
 
-/// How many requests may be in flight: additive increase, multiplicative
-/// decrease (Chiu and Jain, 1989; TCP's congestion avoidance, Jacobson 1988).
-/// A refusal or a timeout shrinks it, and so does an answer that took much
-/// longer than the fastest of late, which means a queue (as in TCP Vegas).
+/// Limits the number of requests in flight by additive increase and multiplicative decrease (Chiu
+/// and Jain, 1989; TCP's congestion avoidance, Jacobson 1988). An overload answer or a timeout
+/// lowers the limit. So does an answer that took much longer than the fastest recent one, since
+/// this means that requests are queueing (as in TCP Vegas).
 #[derive(Debug, Clone)]
 pub struct InFlight {
     limit: f64,
-    most: f64,
+    max_limit: f64,
     in_flight: usize,
     /// Recent latencies in seconds.
     recent: VecDeque<f64>,
-    /// When the limit last shrank.
-    shrunk_at: f64,
-    /// Until it shrinks for the first time it grows by one with each answer.
+    /// When the limit was last lowered.
+    lowered_at: f64,
+    /// Whether the limit was never lowered. Until then it grows by one with each answer.
     slow_start: bool,
 }
 
@@ -129,45 +132,48 @@
 pub enum Ended {
     /// Answered after this many seconds.
     Answered(f64),
-    /// 429, 5xx, no answer in time.
+    /// The answer was 429 or 5xx, or there was no answer in time.
     Overloaded,
-    /// The connection broke or was not made: that front may be gone, but it
-    /// says nothing of how much the others can take.
+    /// The connection broke or could not be established. This front may be down, but that is no
+    /// sign of the load on the other fronts.
     Broken,
 }
 
-/// Latencies that are kept, and that a quantile needs.
+/// The number of recent latencies that are kept.
 const MAX_RECENT: usize = 64;
+/// The number of latencies that are needed for a quantile.
 const MIN_RECENT: usize = 16;
-/// An answer that takes this many times longer than the fastest, and a margin more, was queued.
+/// An answer is taken to have been queued if it took longer than the fastest recent answer times
+/// this factor, plus the margin.
 const QUEUEING_FACTOR: f64 = 4.0;
 const QUEUEING_MARGIN_S: f64 = 0.25;
-/// The limit shrinks by this factor, at most once in this time: what was in flight together
-/// fails together.
-const SHRINK_FACTOR: f64 = 0.7;
-const SHRINK_INTERVAL_S: f64 = 1.0;
+/// The limit is lowered by this factor, and at most once per interval: requests that are in flight
+/// at the same time tend to fail together, and count as one sign of congestion.
+const DECREASE_FACTOR: f64 = 0.7;
+const MIN_DECREASE_INTERVAL_S: f64 = 1.0;
 
 impl InFlight {
-    /// A limit that begins low and grows up to `most`.
-    pub fn new(most: usize) -> InFlight {
+    /// Creates a limit that starts at an eighth of `max_limit`, but at least 2, and grows up to
+    /// `max_limit`.
+    pub fn new(max_limit: usize) -> InFlight {
         InFlight {
-            limit: (most as f64 / 8.0).max(2.0),
-            most: most as f64,
+            limit: (max_limit as f64 / 8.0).max(2.0),
+            max_limit: max_limit as f64,
             in_flight: 0,
             recent: VecDeque::new(),
-            shrunk_at: f64::NEG_INFINITY,
+            lowered_at: f64::NEG_INFINITY,
             slow_start: true,
         }
     }
 
-    /// Begins a request if there is room.
+    /// Begins a request if the limit allows one, and returns whether it does.
     pub fn begin(&mut self) -> bool {
-        let room = (self.in_flight as f64) < self.limit.floor().max(1.0);
-        self.in_flight += usize::from(room);
-        room
+        let allowed = (self.in_flight as f64) < self.limit.floor().max(1.0);
+        self.in_flight += usize::from(allowed);
+        allowed
     }
 
-    /// What was begun was not sent after all.
+    /// Records that a request that was begun was not sent.
     pub fn cancel(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
@@ -177,36 +183,36 @@
         self.limit as usize
     }
 
-    /// A request ended.
+    /// Records the end of a request and adjusts the limit.
     pub fn end(&mut self, ended: Ended, now: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let congested = match ended {
             Ended::Broken => return,
             Ended::Overloaded => true,
-            Ended::Answered(s) => {
-                self.recent.push_back(s);
+            Ended::Answered(latency_s) => {
+                self.recent.push_back(latency_s);
                 if self.recent.len() > MAX_RECENT {
                     self.recent.pop_front();
                 }
-                let best = self.recent.iter().copied().fold(f64::MAX, f64::min);
-                s > QUEUEING_FACTOR * best + QUEUEING_MARGIN_S
+                let fastest_s = self.recent.iter().copied().fold(f64::MAX, f64::min);
+                latency_s > QUEUEING_FACTOR * fastest_s + QUEUEING_MARGIN_S
             }
         };
         if !congested {
-            let more = if self.slow_start {
+            let increase = if self.slow_start {
                 1.0
             } else {
                 1.0 / self.limit
             };
-            self.limit = (self.limit + more).min(self.most);
-        } else if now - self.shrunk_at > SHRINK_INTERVAL_S {
+            self.limit = (self.limit + increase).min(self.max_limit);
+        } else if now - self.lowered_at > MIN_DECREASE_INTERVAL_S {
             self.slow_start = false;
-            self.limit = (self.limit * SHRINK_FACTOR).max(1.0);
-            self.shrunk_at = now;
+            self.limit = (self.limit * DECREASE_FACTOR).max(1.0);
+            self.lowered_at = now;
         }
     }
 
-    /// The latency that all but a twentieth of the answers stayed under.
+    /// The 95th percentile of recent latencies in seconds; `None` while too few are known.
     pub fn p95(&self) -> Option<f64> {
         if self.recent.len() < MIN_RECENT {
             return None;
--- a/crates/client/src/record.rs
+++ b/crates/client/src/record.rs
@@ -1,43 +1,44 @@
-//! What is known of one job, and what an answer adds to it; pure. Answers come in any order,
-//! twice, and from controllers that are behind; a terminal status stays.
+//! The state machine of one job: what is known of it, and how a controller's answer changes that.
+//! It does no I/O. Answers may arrive in any order, more than once, and from controllers whose
+//! state is out of date. A terminal status never changes.
 
 use crate::job::{Cancelled, JobId, Key, Outcome, Refused, Submitted, Told};
 use foxspur_wire::job::JobState;
 use serde::{Deserialize, Serialize};
 
-/// How far a job has come.
+/// Phase of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// Not known to be accepted.
+    /// Not known to be accepted or refused.
     Waiting,
-    /// Accepted; its state as last seen.
+    /// Accepted, with the state that was last reported.
     Accepted(JobState),
-    /// Refused for good.
+    /// Refused permanently.
     Refused(Refused),
-    /// Over, with its terminal status.
+    /// Closed with a terminal status.
     Final(Outcome),
 }
 
-/// One job of the outbox.
+/// One job in the outbox.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Its id.
     pub id: JobId,
     /// The caller's key for it.
     pub key: Key,
-    /// The submission as it goes over the wire, the same each time.
+    /// The body of the submission. Every attempt sends the same bytes.
     pub body: String,
-    /// How far it has come.
+    /// Its phase.
     pub phase: Phase,
-    /// The caller wants it cancelled.
+    /// Whether the caller has asked to cancel it.
     pub cancel: bool,
-    /// When it was queued, in milliseconds of the time of day.
+    /// When it was queued, in milliseconds of Unix time.
     pub queued_ms: u64,
-    /// When it was over.
+    /// When it was refused or reached its terminal status, in milliseconds of Unix time.
     pub closed_ms: Option<u64>,
 }
 
-/// What a controller said about a job.
+/// A controller's conclusive answer about a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Heard {
     /// 201 to a submission.
@@ -50,19 +51,19 @@
     NotFound,
 }
 
-/// What an answer meant.
+/// How an answer relates to what was known before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Meaning {
-    /// It says what is to be written.
+    /// The answer changed the record, which is to be stored.
     News,
-    /// Nothing that is not known, or an older state.
+    /// The answer adds nothing, or reports an older state.
     Nothing,
-    /// It contradicts what was told before, which stays.
+    /// The answer contradicts what was known before. The record is not changed.
     Contradiction(&'static str),
 }
 
 impl Record {
-    /// A job that was just queued.
+    /// Creates the record of a new job.
     pub fn new(id: JobId, key: Key, body: String, now_ms: u64) -> Record {
         Record {
             id,
@@ -75,30 +76,31 @@
         }
     }
 
-    /// Whether nothing more is to be asked about it.
+    /// Whether the job is refused or has its terminal status, so that no more requests are needed.
     pub fn closed(&self) -> bool {
         matches!(self.phase, Phase::Refused(_) | Phase::Final(_))
     }
 
-    /// Takes in an answer; what it meant.
+    /// Applies an answer to the record, and returns how it relates to what was known.
     pub fn hear(&mut self, heard: &Heard, now_ms: u64) -> Meaning {
-        let last = |state: JobState| match state {
+        let outcome_of = |state: JobState| match state {
             JobState::Done => Some(Outcome::Done),
             JobState::Cancelled => Some(Outcome::Withdrawn),
             JobState::Pending | JobState::Running => None,
         };
         let next = match (&self.phase, heard) {
             (Phase::Final(known), Heard::State(state)) => {
-                // A controller that is behind may say less, none may say else.
-                return match last(*state) {
+                // A controller with older state may report that the job is not closed yet, but no
+                // controller may report another terminal status.
+                return match outcome_of(*state) {
                     Some(outcome) if outcome != *known => {
-                        Meaning::Contradiction("another final answer")
+                        Meaning::Contradiction("another terminal status")
                     }
                     _ => Meaning::Nothing,
                 };
             }
             (Phase::Final(_), Heard::Created) => {
-                return Meaning::Contradiction("accepted after it was over");
+                return Meaning::Contradiction("accepted after its terminal status");
             }
             (Phase::Final(_) | Phase::Accepted(_), Heard::Refused(_)) => {
                 return Meaning::Contradiction("refused after it was accepted");
@@ -109,14 +111,14 @@
             (Phase::Refused(_), Heard::Created | Heard::State(_)) => {
                 return Meaning::Contradiction("accepted after it was refused");
             }
-            // The submission may still be on its way: a 404 tells nothing.
+            // A 404 is not conclusive while the submission may still be on its way.
             (Phase::Waiting, Heard::NotFound) | (Phase::Refused(_), _) => {
                 return Meaning::Nothing;
             }
-            (Phase::Waiting, Heard::Refused(why)) => Phase::Refused(why.clone()),
+            (Phase::Waiting, Heard::Refused(refusal)) => Phase::Refused(refusal.clone()),
             (Phase::Waiting, Heard::Created) => Phase::Accepted(JobState::Pending),
             (Phase::Accepted(_), Heard::Created) => return Meaning::Nothing,
-            (_, Heard::State(state)) => match last(*state) {
+            (_, Heard::State(state)) => match outcome_of(*state) {
                 Some(outcome) => Phase::Final(outcome),
                 None => Phase::Accepted(*state),
             },
@@ -131,33 +133,33 @@
         Meaning::News
     }
 
-    /// What a caller of `outcome` is told.
+    /// The result of `Client::outcome`.
     pub fn told(&self) -> Told {
         match &self.phase {
             Phase::Waiting => Told::NotKnownYet,
             Phase::Accepted(state) => Told::Open(*state),
-            Phase::Refused(why) => Told::Refused(why.clone()),
+            Phase::Refused(refusal) => Told::Refused(refusal.clone()),
             Phase::Final(outcome) => Told::Final(*outcome),
         }
     }
 
-    /// What a caller of `submit` is told; `fresh` if this call's own attempt was
-    /// the one that was accepted.
+    /// The result of `Client::submit`. `fresh` means that an attempt of this call was the one that
+    /// was accepted.
     pub fn submitted(&self, fresh: bool) -> Submitted {
         match &self.phase {
             Phase::Waiting => Submitted::NotKnownYet(self.id),
-            Phase::Refused(why) => Submitted::Refused(self.id, why.clone()),
+            Phase::Refused(refusal) => Submitted::Refused(self.id, refusal.clone()),
             Phase::Accepted(_) | Phase::Final(_) if fresh => Submitted::Accepted(self.id),
             Phase::Accepted(_) | Phase::Final(_) => Submitted::KnownAlready(self.id),
         }
     }
 
-    /// What a caller of `cancel` is told.
+    /// The result of `Client::cancel`.
     pub fn cancelled(&self) -> Cancelled {
         match &self.phase {
             Phase::Final(Outcome::Withdrawn) => Cancelled::Withdrawn,
             Phase::Final(Outcome::Done) => Cancelled::DoneAlready,
-            Phase::Refused(why) => Cancelled::NeverWas(why.clone()),
+            Phase::Refused(refusal) => Cancelled::NeverWas(refusal.clone()),
             Phase::Waiting | Phase::Accepted(_) => Cancelled::NotKnownYet,
         }
     }
--- a/crates/client/src/settings.rs
+++ b/crates/client/src/settings.rs
@@ -1,42 +1,43 @@
-//! Settings of a client; bad ones name their field.
+//! Settings of a client, and their check. An error names the setting that is wrong.
 
-/// Limits and times of a client. The defaults are the protocol's times, and parts of them.
+/// Limits and timeouts of a client. The default timeouts are the protocol's times or parts of them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Base URLs of the fronts, such as `http://10.0.0.1:8080`.
     pub fronts: Vec<String>,
-    /// How long a submission or cancellation waits for its answer, in seconds.
+    /// Timeout of a submission or cancellation, in seconds.
     pub submit_s: f64,
-    /// How long a poll does, in seconds.
+    /// Timeout of a poll, in seconds.
     pub poll_s: f64,
-    /// The most requests in flight.
+    /// Maximum number of requests in flight.
     pub in_flight: usize,
-    /// The most polls a second.
+    /// Maximum number of polls per second.
     pub polls_per_s: f64,
     /// Retries as a proportion of first attempts.
     pub retry_share: f64,
-    /// Retries a second that are allowed besides, so that a single job is tried
-    /// again; times the number of processes this is what hits a controller
-    /// that comes back.
+    /// Retries per second that are allowed in addition, so that a client with a single job can
+    /// retry too. Multiplied by the number of client processes, this is the rate of retries that
+    /// reaches a controller that comes back after an outage.
     pub retry_floor_per_s: f64,
-    /// Retries that may be saved up.
+    /// Maximum number of retries that the budget accumulates.
     pub retry_most: f64,
-    /// Ask a second front when a poll takes longer than nearly all do.
+    /// Whether a poll that takes longer than nearly all others is also sent to a second front
+    /// (hedging).
     pub hedge: bool,
 }
 
-/// A setting out of range.
+/// A setting that is out of range.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("settings: {field}: {why}")]
 pub struct BadSetting {
-    /// Its name.
+    /// Name of the setting.
     pub field: &'static str,
     /// What is wrong with it.
     pub why: &'static str,
 }
 
 impl Settings {
-    /// Defaults for these fronts.
+    /// The default settings with these fronts.
     pub fn new(fronts: impl IntoIterator<Item = impl Into<String>>) -> Settings {
         Settings {
             fronts: fronts.into_iter().map(Into::into).collect(),
@@ -55,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first that is out of range.
+    /// The first setting that is out of range.
     pub fn check(&self) -> Result<(), BadSetting> {
         let bad = |field, why| Err(BadSetting { field, why });
         if self.fronts.is_empty() {
@@ -63,7 +64,7 @@
         }
         for front in &self.fronts {
             if !front.starts_with("http://") && !front.starts_with("https://") {
-                return bad("fronts", "is no http:// or https:// URL");
+                return bad("fronts", "contains a URL that is not http:// or https://");
             }
         }
         for (field, value) in [
@@ -73,17 +74,17 @@
             ("retry_floor_per_s", self.retry_floor_per_s),
         ] {
             if !value.is_finite() || value <= 0.0 {
-                return bad(field, "is not above 0");
+                return bad(field, "must be above 0");
             }
         }
         if self.in_flight == 0 {
-            return bad("in_flight", "is 0");
+            return bad("in_flight", "must be above 0");
         }
         if !(0.0..=1.0).contains(&self.retry_share) {
-            return bad("retry_share", "is not within 0 and 1");
+            return bad("retry_share", "must be between 0 and 1");
         }
         if !self.retry_most.is_finite() || self.retry_most < 1.0 {
-            return bad("retry_most", "is below 1");
+            return bad("retry_most", "must be at least 1");
         }
         Ok(())
     }
--- a/crates/client/src/transport.rs
+++ b/crates/client/src/transport.rs
@@ -1,4 +1,4 @@
-//! One request to one front, and what is known when it gave no answer.
+//! Sends one request to one front. The errors tell apart why there is no answer.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,47 +7,48 @@
 /// A request to a controller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// `POST` with this body, or `GET` without.
+    /// Body of a `POST` request; `None` makes it a `GET` request.
     pub body: Option<String>,
     /// Path below the front's base URL.
     pub path: String,
 }
 
-/// An answer.
+/// A controller's answer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// `Retry-After`, in seconds.
+    /// The `Retry-After` header in seconds, if there is one.
     pub retry_after: Option<f64>,
     /// The whole body.
     pub body: Vec<u8>,
 }
 
-/// Why there is no answer. The request may have been carried out all the same.
+/// Why there is no answer. The request may have been carried out nevertheless.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum NoAnswer {
-    /// The time was up: the other side, or the way there, has too much to do.
+    /// The timeout expired. The front or the network to it is overloaded.
     #[error("no answer in time")]
     TimedOut,
-    /// The connection broke, or was never made.
+    /// The connection broke or could not be established.
     #[error("{0}")]
     Broken(String),
 }
 
-/// A future that a transport gives.
+/// The future of a request's result.
 pub type Call<'a> = Pin<Box<dyn Future<Output = Result<Answer, NoAnswer>> + Send + 'a>>;
 
-/// How requests travel. `front` counts from 0 in the order of the settings.
+/// Sends requests to fronts.
 pub trait Transport: Send + Sync + 'static {
-    /// Sends a request to a front and waits for the answer, at most so long.
+    /// Sends a request to a front and waits for the answer, at most for `timeout`. `front` is the
+    /// front's index in the settings.
     fn call(&self, front: usize, request: Request, timeout: Duration) -> Call<'_>;
 }
 
-/// The longest answer that is read: the protocol's answers are a line.
+/// The longest answer body that is read. The protocol's answers are a single line.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 
-/// HTTP/1.1 by `reqwest`.
+/// The transport over HTTP/1.1, with `reqwest`.
 #[derive(Debug, Clone)]
 pub struct Http {
     client: reqwest::Client,
@@ -55,17 +56,17 @@
 }
 
 impl Http {
-    /// `fronts` are base URLs, such as `http://10.0.0.1:8080`; `connect` bounds the time of a
-    /// connection's establishment.
+    /// Creates the transport. `fronts` are base URLs, such as `http://10.0.0.1:8080`, and
+    /// `connect_timeout` limits the time to establish a connection.
     ///
     /// # Errors
     ///
-    /// If no HTTP client can be made.
-    pub fn new(fronts: &[String], connect: Duration) -> Result<Http, NoAnswer> {
+    /// If the HTTP client cannot be created.
+    pub fn new(fronts: &[String], connect_timeout: Duration) -> Result<Http, NoAnswer> {
         let client = reqwest::Client::builder()
-            .connect_timeout(connect)
+            .connect_timeout(connect_timeout)
             .redirect(reqwest::redirect::Policy::none())
-            // What is sent again is decided here, and counted.
+            // Retries are decided and counted against a budget in this library.
             .retry(reqwest::retry::never())
             .no_proxy()
             .build()
@@ -78,7 +79,7 @@
     }
 
     async fn exchange(&self, front: usize, request: Request) -> Result<Answer, NoAnswer> {
-        let failed = |e: reqwest::Error| NoAnswer::Broken(e.without_url().to_string());
+        let broken = |e: reqwest::Error| NoAnswer::Broken(e.without_url().to_string());
         let base = self.fronts.get(front).map_or("", String::as_str);
         let url = format!("{base}{}", request.path);
         let call = match request.body {
@@ -86,14 +87,14 @@
             None => self.client.get(url),
         };
         let call = call.header("content-type", "application/json");
-        let mut response = call.send().await.map_err(failed)?;
+        let mut response = call.send().await.map_err(broken)?;
         let header = response.headers().get("retry-after");
         let retry_after = header.and_then(|v| v.to_str().ok()?.trim().parse().ok());
         let status = response.status().as_u16();
         let mut body = Vec::new();
-        while let Some(chunk) = response.chunk().await.map_err(failed)? {
+        while let Some(chunk) = response.chunk().await.map_err(broken)? {
             if body.len() + chunk.len() > MAX_ANSWER_BYTES {
-                return Err(NoAnswer::Broken("answer over 64 KiB".into()));
+                return Err(NoAnswer::Broken("answer body exceeds 64 KiB".into()));
             }
             body.extend_from_slice(&chunk);
         }
--- a/crates/client/src/verdict.rs
+++ b/crates/client/src/verdict.rs
@@ -1,5 +1,5 @@
-//! What an answer means by the protocol; pure. Anything but the few answers that say something
-//! for certain means that the attempt is retried.
+//! Interprets the answers of controllers by the rules of the protocol, without I/O. Only a few
+//! answers are conclusive; after any other answer the request is retried.
 
 use crate::agenda::Step;
 use crate::job::{JobId, Refused};
@@ -7,30 +7,30 @@
 use crate::transport::{Answer, NoAnswer};
 use foxspur_wire::job::{Accepted, Progress, Refusal};
 
-/// What the end of an attempt means.
+/// What the result of an attempt means.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// A controller said something for certain.
+    /// The answer is conclusive.
     Heard(Heard),
-    /// Nothing is known: it is retried.
+    /// The result is not conclusive; the request is retried.
     Again {
-        /// `Retry-After` in seconds, if that was given.
+        /// The answer's `Retry-After` in seconds, if it has one.
         retry_after: Option<f64>,
-        /// For the log.
+        /// Reason for the retry, for the log.
         why: String,
     },
 }
 
-fn again(answer: &Answer, why: String) -> Verdict {
+fn retry(answer: &Answer, why: String) -> Verdict {
     Verdict::Again {
         retry_after: answer.retry_after.filter(|s| s.is_finite() && *s >= 0.0),
         why,
     }
 }
 
-/// Judges the end of an attempt of this step for this job.
-pub fn judge(step: Step, id: JobId, ended: &Result<Answer, NoAnswer>) -> Verdict {
-    let answer = match ended {
+/// Interprets the result of an attempt of this step for this job.
+pub fn judge(step: Step, id: JobId, result: &Result<Answer, NoAnswer>) -> Verdict {
+    let answer = match result {
         Ok(answer) => answer,
         Err(no_answer) => {
             return Verdict::Again {
@@ -39,18 +39,20 @@
             }
         }
     };
-    let state = || match step {
+    let parse_state = || match step {
         Step::Poll => serde_json::from_slice::<Progress>(&answer.body).map(|p| (p.id, p.state)),
         _ => serde_json::from_slice::<Accepted>(&answer.body).map(|a| (a.id, a.state)),
     };
     let status = answer.status;
     match (step, status) {
-        (Step::Submit, 200 | 201) | (Step::Poll | Step::Cancel, 200) => match state() {
-            // An answer about another job is no answer about this one.
-            Ok((about, _)) if about != id.to_string() => again(answer, format!("about {about}")),
+        (Step::Submit, 200 | 201) | (Step::Poll | Step::Cancel, 200) => match parse_state() {
+            // An answer about another job is not conclusive for this one.
+            Ok((about, _)) if about != id.to_string() => {
+                retry(answer, format!("answer is about {about}"))
+            }
             Ok(_) if status == 201 => Verdict::Heard(Heard::Created),
             Ok((_, state)) => Verdict::Heard(Heard::State(state)),
-            Err(e) => again(answer, format!("status {status}, unreadable: {e}")),
+            Err(e) => retry(answer, format!("status {status}, malformed body: {e}")),
         },
         (Step::Submit, 400 | 422) => {
             let reason = serde_json::from_slice::<Refusal>(&answer.body)
@@ -59,6 +61,6 @@
             Verdict::Heard(Heard::Refused(Refused { status, reason }))
         }
         (Step::Poll | Step::Cancel, 404) => Verdict::Heard(Heard::NotFound),
-        _ => again(answer, format!("status {status}")),
+        _ => retry(answer, format!("status {status}")),
     }
 }
