--- a/crates/client/tests/client.rs
+++ b/crates/client/tests/client.rs
@@ -1,5 +1,5 @@
-//! The client against a cluster in memory, in paused time: what a caller is told
-//! when the connection does its worst.
+//! Tests of the client against a simulated cluster with paused time: what callers are told when
+//! requests are lost, delayed, rejected or answered from out-of-date state.
 
 mod support;
 
@@ -12,349 +12,374 @@
 use support::*;
 use tokio::time::Instant;
 
-fn memory() -> Outbox {
+fn in_memory_outbox() -> Outbox {
     Outbox::in_memory().unwrap()
 }
 
-async fn one(client: &Client, key: &str, within: u64) -> Submitted {
-    let told = client.submit(vec![work(key, "t")], secs(within)).await;
-    told.unwrap().pop().unwrap().unwrap()
+async fn submit_one(client: &Client, key: &str, within_s: u64) -> Submitted {
+    let results = client.submit(vec![work(key, "t")], secs(within_s)).await;
+    results.unwrap().pop().unwrap().unwrap()
 }
 
-/// Each fate of the first request, and of later ones, and what comes of it: never
-/// two jobs, and the answer that is true.
+/// Guards against a submission that is carried out twice or reported wrongly because its first
+/// request was lost, delayed or rejected, or because its answer was lost.
 #[tokio::test(start_paused = true)]
-async fn whatever_happens_to_a_submission_there_is_one_job() {
+async fn submission_creates_one_job_whatever_the_delivery() {
+    // (Delivery of the first request, expected report, submissions that are carried out)
     let cases = [
-        (Fate::Arrives, "accepted", 1),
-        (Fate::Lost, "accepted", 1),
-        // The connection dies after acceptance and before the reply.
-        (Fate::AnswerLost, "known", 2),
-        // A retry arrives while the first is still on its way, elsewhere.
-        (Fate::Late(900), "known", 2),
-        (Fate::Late(40_000), "accepted", 2),
-        (Fate::Hangs, "accepted", 1),
-        (Fate::Refused(503, Some(2)), "accepted", 1),
-        (Fate::Refused(429, None), "accepted", 1),
-        (Fate::Refused(502, None), "accepted", 1),
-        (Fate::Slow(3_000), "accepted", 1),
+        (Delivery::Normal, "accepted", 1),
+        (Delivery::Lost, "accepted", 1),
+        // The connection breaks after acceptance and before the answer.
+        (Delivery::AnswerLost, "known", 2),
+        // A retry is sent while the first request is still on its way to another controller.
+        (Delivery::Delayed(900), "known", 2),
+        (Delivery::Delayed(40_000), "accepted", 2),
+        (Delivery::Hangs, "accepted", 1),
+        (Delivery::Rejected(503, Some(2)), "accepted", 1),
+        (Delivery::Rejected(429, None), "accepted", 1),
+        (Delivery::Rejected(502, None), "accepted", 1),
+        (Delivery::Slow(3_000), "accepted", 1),
     ];
-    for (first, expected, arrivals) in cases {
-        let cluster = Cluster::new(move |inner, _, _| match inner.requests.is_empty() {
+    for (first, expected, submissions) in cases {
+        let cluster = Cluster::new(move |state, _, _| match state.requests.is_empty() {
             true => first,
-            false => Fate::Arrives,
+            false => Delivery::Normal,
         });
-        let client = client(&cluster, 3, memory());
-        let told = one(&client, "batch/1", 30).await;
-        let found = match &told {
+        let client = client(&cluster, 3, in_memory_outbox());
+        let submitted = submit_one(&client, "batch/1", 30).await;
+        let found = match &submitted {
             Submitted::Accepted(_) => "accepted",
             Submitted::KnownAlready(_) => "known",
             other => panic!("{first:?}: {other:?}"),
         };
         assert_eq!(found, expected, "{first:?}");
         tokio::time::sleep(secs(60)).await;
-        let job = cluster.job(&told.id().to_string()).unwrap();
-        assert_eq!(job.submitted, arrivals, "{first:?}");
-        assert_eq!(cluster.inner.lock().unwrap().jobs.len(), 1);
-        let told = client.outcome(told.id(), secs(1)).await;
-        assert_eq!(told, Ok(Told::Final(Outcome::Done)), "{first:?}");
+        let job = cluster.job(&submitted.id().to_string()).unwrap();
+        assert_eq!(job.submissions, submissions, "{first:?}");
+        assert_eq!(cluster.state.lock().unwrap().jobs.len(), 1);
+        let outcome = client.outcome(submitted.id(), secs(1)).await;
+        assert_eq!(outcome, Ok(Told::Final(Outcome::Done)), "{first:?}");
     }
 }
 
+/// Guards against a key that names two jobs, because the same key was submitted again or with
+/// another body, and against further requests for jobs that are refused or closed.
 #[tokio::test(start_paused = true)]
-async fn a_key_is_one_job() {
-    let cluster = Cluster::new(|_, _, _| Fate::Arrives);
-    let client = client(&cluster, 1, memory());
-    let first = one(&client, "a", 5).await;
+async fn a_key_identifies_one_job() {
+    let cluster = Cluster::new(|_, _, _| Delivery::Normal);
+    let client = client(&cluster, 1, in_memory_outbox());
+    let first = submit_one(&client, "a", 5).await;
     assert!(matches!(first, Submitted::Accepted(_)));
     assert_eq!(
-        one(&client, "a", 5).await,
+        submit_one(&client, "a", 5).await,
         Submitted::KnownAlready(first.id())
     );
     let mut other = work("a", "t");
     other.spec.tasks = 5;
     let batch = vec![other, work("b", "nobody"), work("c", "t")];
-    let told = client.submit(batch, secs(5)).await.unwrap();
-    let Err(NotQueued::KeyTaken(taken)) = &told[0] else {
-        panic!("{told:?}");
+    let results = client.submit(batch, secs(5)).await.unwrap();
+    let Err(NotQueued::KeyTaken(taken)) = &results[0] else {
+        panic!("{results:?}");
     };
     assert!(taken.known.contains("\"shards\":4") && taken.other.contains("\"shards\":5"));
-    let Ok(Submitted::Refused(id, why)) = &told[1] else {
-        panic!("{told:?}");
+    let Ok(Submitted::Refused(id, refusal)) = &results[1] else {
+        panic!("{results:?}");
     };
-    assert_eq!((why.status, &*why.reason), (422, "unknown owner nobody"));
+    assert_eq!(
+        (refusal.status, &*refusal.reason),
+        (422, "unknown owner nobody")
+    );
     assert_eq!(
         client.outcome(*id, secs(0)).await,
-        Ok(Told::Refused(why.clone()))
+        Ok(Told::Refused(refusal.clone()))
     );
-    assert!(matches!(told[2], Ok(Submitted::Accepted(_))));
-    // Once refused it is not sent again, nor is one that is over asked about.
+    assert!(matches!(results[2], Ok(Submitted::Accepted(_))));
+    // A refused job is not submitted again, and a closed job is not polled.
     tokio::time::sleep(secs(100)).await;
-    let before = cluster.requests();
-    let again = client.submit(vec![work("b", "nobody")], secs(5)).await;
+    let requests_before = cluster.request_count();
+    let repeated = client.submit(vec![work("b", "nobody")], secs(5)).await;
     assert_eq!(
-        again.unwrap(),
-        vec![Ok(Submitted::Refused(*id, why.clone()))]
+        repeated.unwrap(),
+        vec![Ok(Submitted::Refused(*id, refusal.clone()))]
     );
     tokio::time::sleep(secs(1000)).await;
-    assert_eq!(cluster.requests(), before);
+    assert_eq!(cluster.request_count(), requests_before);
 }
 
-/// Guards against an answer that goes back: a controller that is behind says
-/// less, and polls fail for 90 s, and the final answer comes once and stays.
+/// Guards against a reported state that goes back, or a final status that changes, when one front
+/// answers from out-of-date state and polls fail for 90 s.
 #[tokio::test(start_paused = true)]
-async fn answers_never_go_back() {
+async fn reported_state_never_goes_back() {
     let start = Instant::now();
     let cluster = Cluster::new(move |_, front, request| {
-        let s = start.elapsed().as_secs();
+        let elapsed_s = start.elapsed().as_secs();
         match (&request.body, front) {
-            (None, _) if (5..95).contains(&s) => Fate::Refused(503, None),
-            (None, 0) => Fate::Behind,
-            _ => Fate::Arrives,
+            (None, _) if (5..95).contains(&elapsed_s) => Delivery::Rejected(503, None),
+            (None, 0) => Delivery::Stale,
+            _ => Delivery::Normal,
         }
     });
-    let client = client(&cluster, 2, memory());
-    let id = one(&client, "a", 5).await.id();
+    let client = client(&cluster, 2, in_memory_outbox());
+    let id = submit_one(&client, "a", 5).await.id();
     assert!(matches!(
         client.outcome(id, secs(80)).await,
         Ok(Told::Open(_))
     ));
-    let last = client.outcome(id, secs(600)).await;
-    assert_eq!(last, Ok(Told::Final(Outcome::Done)));
-    let before = cluster.requests();
+    let outcome = client.outcome(id, secs(600)).await;
+    assert_eq!(outcome, Ok(Told::Final(Outcome::Done)));
+    let requests_before = cluster.request_count();
     tokio::time::sleep(secs(3600)).await;
-    assert_eq!(client.outcome(id, secs(0)).await, last);
+    assert_eq!(client.outcome(id, secs(0)).await, outcome);
     assert_eq!(
-        cluster.requests(),
-        before,
-        "a final answer is asked for again"
+        cluster.request_count(),
+        requests_before,
+        "polled after the final status"
     );
 }
 
+/// Guards against a cancellation that is dropped because its request or answer was lost or
+/// rejected, or because it was not yet known whether the job was accepted.
 #[tokio::test(start_paused = true)]
-async fn cancellations_are_asked_for_until_answered() {
-    // The cancellation's first fates, when it is asked for, and what it ends as.
+async fn cancellations_are_repeated_until_answered() {
+    // (Deliveries of the first cancel requests, time of the cancellation in seconds, its result)
     let cases = [
         (vec![], 1, Cancelled::Withdrawn),
-        (vec![Fate::AnswerLost], 1, Cancelled::Withdrawn),
+        (vec![Delivery::AnswerLost], 1, Cancelled::Withdrawn),
         (
-            vec![Fate::Lost, Fate::Refused(503, None)],
+            vec![Delivery::Lost, Delivery::Rejected(503, None)],
             1,
             Cancelled::Withdrawn,
         ),
         (vec![], 25, Cancelled::DoneAlready),
     ];
-    for (fates, at, expected) in cases {
+    for (deliveries, at_s, expected) in cases {
         let count = Arc::new(AtomicUsize::new(0));
-        let list = fates.clone();
+        let cancel_deliveries = deliveries.clone();
         let cluster = Cluster::new(move |_, _, request| {
             if !request.path.ends_with("/cancel") {
-                return Fate::Arrives;
+                return Delivery::Normal;
             }
             let n = count.fetch_add(1, Ordering::Relaxed);
-            list.get(n).copied().unwrap_or(Fate::Arrives)
+            cancel_deliveries
+                .get(n)
+                .copied()
+                .unwrap_or(Delivery::Normal)
         });
-        let client = client(&cluster, 2, memory());
-        let id = one(&client, "a", 5).await.id();
-        tokio::time::sleep(secs(at)).await;
-        assert_eq!(client.cancel(id, secs(60)).await, Ok(expected), "{fates:?}");
-        let wanted = client.cancel(id, secs(0)).await;
-        assert!(wanted.is_ok_and(|c| c != Cancelled::NotKnownYet));
+        let client = client(&cluster, 2, in_memory_outbox());
+        let id = submit_one(&client, "a", 5).await.id();
+        tokio::time::sleep(secs(at_s)).await;
+        let cancelled = client.cancel(id, secs(60)).await;
+        assert_eq!(cancelled, Ok(expected), "{deliveries:?}");
+        let repeated = client.cancel(id, secs(0)).await;
+        assert!(repeated.is_ok_and(|c| c != Cancelled::NotKnownYet));
     }
-    // Cancelled before it is known whether it was accepted: whatever is still on
-    // its way, it ends withdrawn.
-    let cluster = Cluster::new(|inner, _, _| match inner.requests.len() {
-        0 => Fate::Late(8_000),
-        _ => Fate::Arrives,
+    // A job that is cancelled before it is known whether it was accepted ends withdrawn, even if
+    // its submission arrives later.
+    let cluster = Cluster::new(|state, _, _| match state.requests.len() {
+        0 => Delivery::Delayed(8_000),
+        _ => Delivery::Normal,
     });
-    let client = client(&cluster, 1, memory());
-    let told = one(&client, "a", 0).await;
-    assert!(matches!(told, Submitted::NotKnownYet(_)));
-    let cancelled = client.cancel(told.id(), secs(60)).await;
+    let client = client(&cluster, 1, in_memory_outbox());
+    let submitted = submit_one(&client, "a", 0).await;
+    assert!(matches!(submitted, Submitted::NotKnownYet(_)));
+    let cancelled = client.cancel(submitted.id(), secs(60)).await;
     assert_eq!(cancelled, Ok(Cancelled::Withdrawn));
     tokio::time::sleep(secs(60)).await;
     assert_eq!(
-        cluster.job(&told.id().to_string()).unwrap().state,
+        cluster.job(&submitted.id().to_string()).unwrap().state,
         "withdrawn"
     );
-    let other = Outbox::in_memory().unwrap();
-    let queued = other.enqueue(&[work("x", "t")], 0).unwrap();
-    let foreign = queued[0].as_ref().unwrap().record().id;
+    // A job of another outbox is not known.
+    let other_outbox = Outbox::in_memory().unwrap();
+    let queued = other_outbox.enqueue(&[work("x", "t")], 0).unwrap();
+    let other_id = queued[0].as_ref().unwrap().record().id;
     assert_eq!(
-        client.outcome(foreign, secs(0)).await,
+        client.outcome(other_id, secs(0)).await,
         Err(AskError::NoSuchJob)
     );
 }
 
-/// Guards against a storm: for a minute all fronts answer 503; meanwhile and after
-/// it requests stay within the budget, and then all get through soon.
+/// Guards against a retry storm. All fronts answer 503 for a minute: during and after it the
+/// requests must stay within the retry budget, and afterwards all jobs must be submitted soon.
 #[tokio::test(start_paused = true)]
-async fn a_minute_of_503_and_then_no_storm() {
+async fn an_outage_of_a_minute_causes_no_retry_storm() {
     for jobs in [1, 200] {
         let start = Instant::now();
         let cluster = Cluster::new(move |_, _, _| match start.elapsed().as_secs() {
-            0..60 => Fate::Refused(503, None),
-            _ => Fate::Arrives,
+            0..60 => Delivery::Rejected(503, None),
+            _ => Delivery::Normal,
         });
-        let client = client(&cluster, 3, memory());
+        let client = client(&cluster, 3, in_memory_outbox());
         let batch = (0..jobs).map(|n| work(&format!("k{n}"), "t")).collect();
-        let told = client.submit(batch, secs(58)).await.unwrap();
-        let open = |t: &Result<_, _>| matches!(t, Ok(Submitted::NotKnownYet(_)));
-        assert!(told.iter().all(open));
-        let during = cluster.requests();
-        // First attempts, what was saved up, and the trickle.
+        let results = client.submit(batch, secs(58)).await.unwrap();
+        let is_unknown = |r: &Result<_, _>| matches!(r, Ok(Submitted::NotKnownYet(_)));
+        assert!(results.iter().all(is_unknown));
+        let during_outage = cluster.request_count();
+        // One first attempt per job, the retries that the budget may accumulate, and those that it
+        // allows per second.
         let allowed = jobs + 10 + (0.2 * 60.0) as usize + 2;
-        assert!(during <= allowed && during >= jobs + 3, "{jobs}: {during}");
+        assert!(
+            during_outage <= allowed && during_outage >= jobs + 3,
+            "{jobs}: {during_outage}"
+        );
         tokio::time::sleep(secs(40)).await;
         assert_eq!(
-            cluster.inner.lock().unwrap().jobs.len(),
+            cluster.state.lock().unwrap().jobs.len(),
             jobs,
-            "not all got through"
+            "not all jobs were submitted"
         );
-        let inner = cluster.inner.lock().unwrap();
-        let in_second = |s: u64| {
-            let at = |r: &&(Instant, usize, String)| (r.0 - start).as_secs() == s;
-            inner.requests.iter().filter(at).count()
+        let state = cluster.state.lock().unwrap();
+        let count_in_second = |second: u64| {
+            let is_in_second = |r: &&SentRequest| (r.at - start).as_secs() == second;
+            state.requests.iter().filter(is_in_second).count()
         };
-        let most = (60..98).map(in_second).max().unwrap_or(0);
-        assert!(most <= 64 + 50, "{jobs}: {most} in one second");
+        let peak = (60..98).map(count_in_second).max().unwrap_or(0);
+        assert!(peak <= 64 + 50, "{jobs}: {peak} in one second");
     }
 }
 
-/// Guards against jobs that sit in the outbox unsent because whoever submitted
-/// them stopped waiting at once.
+/// Guards against jobs that stay in the outbox unsent because the caller dropped the future of the
+/// submission at once.
 #[tokio::test(start_paused = true)]
-async fn a_dropped_future_leaves_nothing_behind() {
-    let cluster = Cluster::new(|_, _, _| Fate::Arrives);
-    let client = client(&cluster, 1, memory());
+async fn a_dropped_future_leaves_no_job_unsent() {
+    let cluster = Cluster::new(|_, _, _| Delivery::Normal);
+    let client = client(&cluster, 1, in_memory_outbox());
     {
         let submit = client.submit(vec![work("a", "t")], secs(5));
         tokio::pin!(submit);
-        // Polled once, then dropped.
+        // The future is polled once and then dropped.
         let poll = std::future::poll_fn(|cx| std::task::Poll::Ready(submit.as_mut().poll(cx)));
         assert!(poll.await.is_pending());
     }
     tokio::time::sleep(secs(30)).await;
-    assert_eq!(cluster.inner.lock().unwrap().jobs.len(), 1);
+    assert_eq!(cluster.state.lock().unwrap().jobs.len(), 1);
     assert_eq!(client.len(), Ok((1, 0)));
 }
 
-/// One front never answers: others do, and it is left alone most of the time.
+/// Guards against a front that never answers and delays submissions because it is not ejected.
 #[tokio::test(start_paused = true)]
-async fn a_front_that_never_answers_is_left_alone() {
+async fn a_front_that_never_answers_is_ejected() {
     let cluster = Cluster::new(|_, front, _| match front {
-        0 => Fate::Hangs,
-        _ => Fate::Arrives,
+        0 => Delivery::Hangs,
+        _ => Delivery::Normal,
     });
-    let client = client(&cluster, 3, memory());
+    let client = client(&cluster, 3, in_memory_outbox());
     for n in 0..40 {
-        let told = one(&client, &format!("k{n}"), 60).await;
-        assert!(!matches!(told, Submitted::NotKnownYet(_)), "{n}");
+        let submitted = submit_one(&client, &format!("k{n}"), 60).await;
+        assert!(!matches!(submitted, Submitted::NotKnownYet(_)), "{n}");
     }
-    let inner = cluster.inner.lock().unwrap();
-    let hung = inner.requests.iter().filter(|r| r.1 == 0).count();
+    let state = cluster.state.lock().unwrap();
+    let hung = state.requests.iter().filter(|r| r.front == 0).count();
     assert!(
-        hung < inner.requests.len() / 5,
+        hung < state.requests.len() / 5,
         "{hung} of {}",
-        inner.requests.len()
+        state.requests.len()
     );
 }
 
-/// Thousands of open jobs: polls stay below the rate, and all ends are learnt.
+/// Guards against polls above the configured rate, and against jobs that are never polled, when
+/// more than a thousand jobs are open.
 #[tokio::test(start_paused = true)]
-async fn thousands_of_open_jobs_on_one_schedule() {
-    let cluster = Cluster::new(|_, _, _| Fate::Arrives);
-    let client = client(&cluster, 2, memory());
+async fn polls_of_many_open_jobs_stay_within_the_rate() {
+    let cluster = Cluster::new(|_, _, _| Delivery::Normal);
+    let client = client(&cluster, 2, in_memory_outbox());
     let batch = (0..1500).map(|n| work(&format!("k{n}"), "t")).collect();
-    let told = client.submit(batch, secs(120)).await.unwrap();
-    assert!(told.iter().all(|t| matches!(t, Ok(Submitted::Accepted(_)))));
+    let results = client.submit(batch, secs(120)).await.unwrap();
+    let is_accepted = |r: &Result<_, _>| matches!(r, Ok(Submitted::Accepted(_)));
+    assert!(results.iter().all(is_accepted));
     tokio::time::sleep(secs(300)).await;
     assert_eq!(client.len(), Ok((1500, 0)));
-    let inner = cluster.inner.lock().unwrap();
-    let polls: Vec<_> = inner
+    let state = cluster.state.lock().unwrap();
+    let polls: Vec<_> = state
         .requests
         .iter()
-        .filter(|r| r.2.contains("/run-"))
+        .filter(|r| r.path.contains("/run-"))
         .collect();
     let Some(first) = polls.first() else {
         panic!("no polls");
     };
-    for s in 0..300 {
+    for second in 0..300 {
         let in_second = polls
             .iter()
-            .filter(|r| (r.0 - first.0).as_secs() == s)
+            .filter(|r| (r.at - first.at).as_secs() == second)
             .count();
-        assert!(in_second <= 100, "{in_second} polls in second {s}");
+        assert!(in_second <= 100, "{in_second} polls in second {second}");
     }
 }
 
-/// A full disk: the caller hears of it, and nothing was sent.
+/// Guards against a job that is sent although it could not be written to the outbox because the
+/// disk was full.
 #[tokio::test(start_paused = true)]
-async fn what_cannot_be_written_is_not_sent() {
-    let cluster = Cluster::new(|_, _, _| Fate::Arrives);
-    let disk = disk::Power::default();
+async fn jobs_that_cannot_be_written_are_not_sent() {
+    let cluster = Cluster::new(|_, _, _| Delivery::Normal);
+    let disk = disk::FaultyDisk::default();
     let outbox = Outbox::with_backend(disk.clone(), true).unwrap();
     let client = client(&cluster, 1, outbox);
-    disk.fails_after(0, std::io::ErrorKind::StorageFull);
+    disk.fail_after(0, std::io::ErrorKind::StorageFull);
     let refused = client.submit(vec![work("a", "t")], secs(5)).await;
     assert_eq!(refused, Err(OutboxError::Full));
     tokio::time::sleep(secs(60)).await;
-    assert_eq!(cluster.requests(), 0);
+    assert_eq!(cluster.request_count(), 0);
 }
 
-/// A poll that is slower than nearly all is asked of a second front, no oftener
-/// than the budget of retries allows.
+/// Guards against slow polls that are not hedged, and against more hedges than the retry budget
+/// allows.
 #[tokio::test(start_paused = true)]
 async fn slow_polls_are_hedged_within_the_budget() {
-    let cluster = Cluster::new(|inner, front, request| {
-        let later = inner.requests.len() > 60;
+    let cluster = Cluster::new(|state, front, request| {
+        let past_start = state.requests.len() > 60;
         match (&request.body, front) {
-            (None, 0) if later => Fate::Slow(1_500),
-            _ => Fate::Arrives,
+            (None, 0) if past_start => Delivery::Slow(1_500),
+            _ => Delivery::Normal,
         }
     });
-    let client = client(&cluster, 2, memory());
+    let client = client(&cluster, 2, in_memory_outbox());
     for n in 0..40 {
-        let told = one(&client, &format!("k{n}"), 30).await;
-        assert!(matches!(told, Submitted::Accepted(_)), "{n}");
+        let submitted = submit_one(&client, &format!("k{n}"), 30).await;
+        assert!(matches!(submitted, Submitted::Accepted(_)), "{n}");
     }
     tokio::time::sleep(secs(120)).await;
     assert_eq!(client.len(), Ok((40, 0)));
-    let inner = cluster.inner.lock().unwrap();
-    let polls: Vec<_> = inner
+    let state = cluster.state.lock().unwrap();
+    let polls: Vec<_> = state
         .requests
         .iter()
-        .filter(|r| r.2.contains("/run-"))
+        .filter(|r| r.path.contains("/run-"))
         .collect();
-    // The same job asked about at both fronts within a second.
-    let hedged = |a: &&&(Instant, usize, String)| {
-        let other = |b: &&(Instant, usize, String)| {
-            b.2 == a.2 && b.1 == 1 && b.0 > a.0 && (b.0 - a.0).as_millis() < 1_000
+    // A poll is hedged if the same job is polled at the other front within a second.
+    let is_hedged = |poll: &&&SentRequest| {
+        let is_hedge = |other: &&SentRequest| {
+            other.path == poll.path
+                && other.front == 1
+                && other.at > poll.at
+                && (other.at - poll.at).as_millis() < 1_000
         };
-        a.1 == 0 && polls.iter().any(other)
+        poll.front == 0 && polls.iter().any(is_hedge)
     };
-    let count = polls.iter().filter(hedged).count();
-    // A fifth of the first attempts, what was saved up, and the trickle.
-    let allowed = inner.requests.len() / 5 + 10 + 25;
+    let count = polls.iter().filter(is_hedged).count();
+    // A fifth of the first attempts, the retries that the budget may accumulate, and those that it
+    // allows per second.
+    let allowed = state.requests.len() / 5 + 10 + 25;
     assert!(count > 3 && count <= allowed, "{count} of {}", polls.len());
 }
 
-/// The time of day jumps by years in either direction between two starts: what was
-/// queued is submitted and followed at the same pace, and nothing is forgotten.
+/// Guards against waits that depend on the system clock. The clock jumps by years in either
+/// direction between queueing and sending: queued jobs must be submitted and polled at the same
+/// pace, and none may be deleted.
 #[tokio::test(start_paused = true)]
-async fn a_clock_that_jumps_changes_no_wait() {
-    let mut requests = Vec::new();
+async fn a_jump_of_the_clock_changes_no_wait() {
+    let mut request_counts = Vec::new();
     for queued_ms in [0, 4_000_000_000_000] {
-        let cluster = Cluster::new(|_, _, _| Fate::Arrives);
-        let mut outbox = memory();
+        let cluster = Cluster::new(|_, _, _| Delivery::Normal);
+        let mut outbox = in_memory_outbox();
         let queued = outbox.enqueue(&[work("a", "t")], queued_ms).unwrap();
         let id = queued[0].as_ref().unwrap().record().id;
-        // Open jobs have no age, whatever the clock says.
+        // Open jobs are never deleted, whatever the clock shows.
         assert_eq!(outbox.compact(u64::MAX), Ok(0));
         let client = client(&cluster, 1, outbox);
-        let told = client.outcome(id, secs(60)).await;
-        assert_eq!(told, Ok(Told::Final(Outcome::Done)), "{queued_ms}");
-        requests.push(cluster.requests());
+        let outcome = client.outcome(id, secs(60)).await;
+        assert_eq!(outcome, Ok(Told::Final(Outcome::Done)), "{queued_ms}");
+        request_counts.push(cluster.request_count());
     }
-    assert_eq!(requests[0], requests[1]);
+    assert_eq!(request_counts[0], request_counts[1]);
 }
--- a/crates/client/tests/pace.rs
+++ b/crates/client/tests/pace.rs
@@ -1,4 +1,5 @@
-//! Tables on pacing, fronts, the schedule, and what answers mean.
+//! Tests of flow control, the choice of fronts, the schedule, the meaning of answers, and the check
+//! of settings and keys.
 
 use foxspur_client::agenda::{poll_in, Agenda, Step};
 use foxspur_client::fronts::Fronts;
@@ -11,7 +12,7 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 
-fn record() -> Record {
+fn new_record() -> Record {
     let spec: JobSpec = serde_json::from_value(serde_json::json!({
         "name_id": "run-0", "queue": "q", "owner": "t", "shape": "sweep", "urgency": "high",
         "shards": 1, "cpus": 1.0, "cards": 0.0, "memory_gb": 1.0, "bundle": "b",
@@ -25,11 +26,13 @@
     queued.unwrap()[0].as_ref().unwrap().record().clone()
 }
 
+/// Guards against waits that are too short or too long, that ignore `Retry-After`, or whose jitter
+/// does not cover the whole range.
 #[test]
-fn waits_between_attempts() {
+fn backoff_stays_within_bounds() {
     let mut rng = StdRng::seed_from_u64(3);
-    // (failures, Retry-After, at least, at most)
-    for (failures, after, least, most) in [
+    // (failures, Retry-After, shortest wait, longest wait)
+    for (failures, retry_after, shortest, longest) in [
         (0, None, 1.0, 2.0),
         (3, None, 1.0, 5.0),
         (60, None, 1.0, 31.0),
@@ -38,25 +41,27 @@
         (1, Some(0.0), 1.0, 2.0),
     ] {
         let waits: Vec<f64> = (0..200)
-            .map(|_| backoff(failures, after, &mut rng))
+            .map(|_| backoff(failures, retry_after, &mut rng))
             .collect();
-        let (min, max) = waits
-            .iter()
-            .fold((f64::MAX, 0f64), |m, w| (m.0.min(*w), m.1.max(*w)));
+        let (min, max) = waits.iter().fold((f64::MAX, 0f64), |(min, max), wait| {
+            (min.min(*wait), max.max(*wait))
+        });
         assert!(
-            min >= least && max <= most,
-            "{failures} {after:?}: {min} to {max}"
+            min >= shortest && max <= longest,
+            "{failures} {retry_after:?}: {min} to {max}"
         );
-        // Full jitter: over the whole width.
+        // The jitter covers the whole range.
         assert!(
-            max - min > 0.8 * (most - least),
-            "{failures} {after:?}: {min} to {max}"
+            max - min > 0.8 * (longest - shortest),
+            "{failures} {retry_after:?}: {min} to {max}"
         );
     }
 }
 
+/// Guards against more retries than the budget allows: its share of first attempts, the accumulated
+/// maximum, the retries per second, and two for each answered retry.
 #[test]
-fn retries_are_a_share_of_first_attempts() {
+fn retries_stay_within_the_budget() {
     let mut budget = RetryBudget::new(0.25, 0.1, 5.0);
     let granted = |budget: &mut RetryBudget, now: f64| {
         (0..100).take_while(|_| budget.retry(now).is_ok()).count()
@@ -69,49 +74,63 @@
     for _ in 0..1000 {
         budget.first(0.0);
     }
-    assert_eq!(granted(&mut budget, 0.0), 5, "no more than can be saved up");
-    assert_eq!(granted(&mut budget, 30.0), 3, "the trickle");
+    assert_eq!(
+        granted(&mut budget, 0.0),
+        5,
+        "more retries than may accumulate"
+    );
+    assert_eq!(granted(&mut budget, 30.0), 3, "retries per second");
     budget.answered();
     assert_eq!(
         granted(&mut budget, 30.0),
         2,
-        "one that was answered gives two"
+        "an answered retry allows two more"
     );
-    let wait = budget.retry(30.0).unwrap_err();
-    assert!(budget.retry(30.0 + wait + 1e-6).is_ok());
+    let wait_s = budget.retry(30.0).unwrap_err();
+    assert!(budget.retry(30.0 + wait_s + 1e-6).is_ok());
 }
 
+/// Guards against a limit of requests in flight that does not grow with answers, does not fall with
+/// congestion, falls with broken connections or falls to 0, and against a rate limiter that does
+/// not space requests after a burst.
 #[test]
-fn requests_under_way_follow_the_answers() {
-    let mut room = InFlight::new(64);
-    let start = room.limit();
+fn limit_in_flight_follows_the_answers() {
+    let mut in_flight = InFlight::new(64);
+    let initial_limit = in_flight.limit();
     for n in 0..4000 {
-        assert!(room.begin());
-        room.end(Ended::Answered(0.02), f64::from(n) * 0.01);
+        assert!(in_flight.begin());
+        in_flight.end(Ended::Answered(0.02), f64::from(n) * 0.01);
     }
-    assert_eq!(room.limit(), 64);
-    room.begin();
-    room.end(Ended::Broken, 50.0);
-    assert_eq!(room.limit(), 64, "a broken connection is no sign of load");
-    assert!(start < 64 && room.p95().is_some_and(|s| s < 0.03));
-    // Failures of one second count once; a queue counts like a refusal.
+    assert_eq!(in_flight.limit(), 64);
+    in_flight.begin();
+    in_flight.end(Ended::Broken, 50.0);
+    assert_eq!(
+        in_flight.limit(),
+        64,
+        "a broken connection lowered the limit"
+    );
+    assert!(initial_limit < 64 && in_flight.p95().is_some_and(|s| s < 0.03));
+    // Failures within one second count once, and a slow answer counts like an overload answer.
     for (ended, limit) in [(Ended::Overloaded, 44), (Ended::Answered(2.0), 31)] {
         let now = if limit == 44 { 100.0 } else { 102.0 };
         for _ in 0..10 {
-            room.begin();
-            room.end(ended, now);
+            in_flight.begin();
+            in_flight.end(ended, now);
         }
         assert!(
-            room.limit().abs_diff(limit) <= 1,
+            in_flight.limit().abs_diff(limit) <= 1,
             "{ended:?}: {}",
-            room.limit()
+            in_flight.limit()
         );
     }
     for n in 0..100 {
-        room.begin();
-        room.end(Ended::Overloaded, 200.0 + 2.0 * f64::from(n));
+        in_flight.begin();
+        in_flight.end(Ended::Overloaded, 200.0 + 2.0 * f64::from(n));
     }
-    assert!(room.begin() && !room.begin(), "one is always allowed");
+    assert!(
+        in_flight.begin() && !in_flight.begin(),
+        "one request is always allowed"
+    );
     let mut rate = Rate::new(10.0, 5.0);
     let waits: Vec<f64> = (0..8).map(|_| rate.reserve(100.0)).collect();
     assert!(
@@ -120,41 +139,46 @@
     );
 }
 
+/// Guards against a front that is not ejected after failures, gets its full load back at once, is
+/// not ejected for longer the next time, and against no front being chosen when all are ejected.
 #[test]
-fn fronts_come_and_go() {
+fn failing_fronts_are_ejected_and_return_gradually() {
     let mut rng = StdRng::seed_from_u64(5);
     let mut fronts = Fronts::new(3);
-    let mut share = |fronts: &mut Fronts, now: f64| {
+    let mut chosen_counts = |fronts: &mut Fronts, now: f64| {
         let mut counts = [0; 3];
         for _ in 0..3000 {
-            let n = fronts.choose(None, now, &mut rng).unwrap();
-            fronts.end(n, Ended::Answered(0.01), now);
-            counts[n] += 1;
+            let front = fronts.choose(None, now, &mut rng).unwrap();
+            fronts.end(front, Ended::Answered(0.01), now);
+            counts[front] += 1;
         }
         counts
     };
-    assert!(share(&mut fronts, 0.0)
+    assert!(chosen_counts(&mut fronts, 0.0)
         .iter()
-        .all(|n| (800..1200).contains(n)));
+        .all(|count| (800..1200).contains(count)));
     for _ in 0..3 {
         fronts.end(0, Ended::Overloaded, 10.0);
     }
-    assert_eq!((share(&mut fronts, 12.9)[0], fronts.out(12.9)), (0, 1));
-    // Back, step by step over ten seconds.
-    let shares = [13.5, 18.0, 24.0].map(|now| share(&mut fronts, now)[0]);
+    assert_eq!(
+        (chosen_counts(&mut fronts, 12.9)[0], fronts.out(12.9)),
+        (0, 1)
+    );
+    // After the ejection its load grows over ten seconds.
+    let counts = [13.5, 18.0, 24.0].map(|now| chosen_counts(&mut fronts, now)[0]);
     assert!(
-        shares[0] < 300 && shares[0] < shares[1] && shares[1] < shares[2],
-        "{shares:?}"
+        counts[0] < 300 && counts[0] < counts[1] && counts[1] < counts[2],
+        "{counts:?}"
     );
-    // Out again at the first failure, for longer.
+    // When it fails again it is ejected for twice as long.
     fronts.end(0, Ended::Overloaded, 25.0);
     fronts.end(0, Ended::Overloaded, 25.0);
     fronts.end(0, Ended::Overloaded, 25.0);
     assert_eq!((fronts.out(30.9), fronts.out(31.1)), (1, 0));
-    // All out: somebody has to find out, the first to come back.
-    for (n, at) in [(1, 40.0), (2, 41.0), (0, 42.0)] {
+    // If all fronts are ejected, the one whose ejection ends first is chosen.
+    for (front, at) in [(1, 40.0), (2, 41.0), (0, 42.0)] {
         for _ in 0..3 {
-            fronts.end(n, Ended::Overloaded, at);
+            fronts.end(front, Ended::Overloaded, at);
         }
     }
     assert_eq!(
@@ -163,13 +187,15 @@
     );
 }
 
+/// Guards against steps that are taken early, twice or not at all, and against poll intervals that
+/// do not follow the expected duration.
 #[test]
-fn what_is_due() {
-    let (a, b) = (record().id, record().id);
+fn steps_are_taken_when_due() {
+    let (a, b) = (new_record().id, new_record().id);
     let mut agenda = Agenda::default();
     agenda.put(a, Step::Poll, 5.0);
     agenda.put(b, Step::Submit, 3.0);
-    // A later word replaces the earlier one.
+    // A later entry replaces the earlier one.
     agenda.put(a, Step::Cancel, 1.0);
     agenda.put(b, Step::Submit, 4.0);
     assert_eq!(agenda.take(0.9), None);
@@ -177,8 +203,8 @@
     assert_eq!((agenda.take(3.5), agenda.next_at()), (None, Some(4.0)));
     agenda.remove(b);
     assert_eq!((agenda.take(9.0), agenda.is_empty()), (None, true));
-    // (expected, age, wait): soon when it should end, rarely when not.
-    for (expected, age, wait) in [
+    // (expected duration, age, wait until the next poll)
+    for (expected_s, age_s, wait_s) in [
         (50.0, 0.0, 12.5),
         (50.0, 45.0, 3.125),
         (50.0, 51.0, 3.0),
@@ -186,24 +212,25 @@
         (7200.0, 0.0, 60.0),
         (0.0, 0.0, 3.0),
     ] {
-        assert_eq!(poll_in(expected, age), wait, "{expected} {age}");
+        assert_eq!(poll_in(expected_s, age_s), wait_s, "{expected_s} {age_s}");
     }
 }
 
-/// What was heard, after what, and what is known then: the table of all that can
-/// come in any order.
+/// Guards against a job's state that goes back, or a contradiction that is not reported, when
+/// answers arrive in any order.
 #[test]
-fn answers_in_any_order() {
+fn answers_in_any_order_give_a_consistent_state() {
     let refused = Refused {
         status: 422,
         reason: "no".into(),
     };
     let accepted = Phase::Accepted(JobState::Pending);
     let done = Phase::Final(Outcome::Done);
-    let gone = Phase::Final(Outcome::Withdrawn);
-    let contradiction = |m: &Meaning| matches!(m, Meaning::Contradiction(_));
+    let withdrawn = Phase::Final(Outcome::Withdrawn);
+    let is_contradiction = |m: &Meaning| matches!(m, Meaning::Contradiction(_));
     let state = Heard::State;
-    for (before, heard, after, contradicts) in [
+    // (Phase before, answer, phase after, whether the answer is a contradiction)
+    for (before, answer, after, contradicts) in [
         (Phase::Waiting, Heard::Created, accepted.clone(), false),
         (Phase::Waiting, state(JobState::Done), done.clone(), false),
         (Phase::Waiting, Heard::NotFound, Phase::Waiting, false),
@@ -224,13 +251,18 @@
         (
             accepted.clone(),
             state(JobState::Cancelled),
-            gone.clone(),
+            withdrawn.clone(),
             false,
         ),
         (done.clone(), state(JobState::Pending), done.clone(), false),
         (done.clone(), state(JobState::Cancelled), done.clone(), true),
         (done.clone(), Heard::Created, done.clone(), true),
-        (gone.clone(), state(JobState::Done), gone.clone(), true),
+        (
+            withdrawn.clone(),
+            state(JobState::Done),
+            withdrawn.clone(),
+            true,
+        ),
         (
             Phase::Refused(refused.clone()),
             state(JobState::Done),
@@ -238,39 +270,50 @@
             true,
         ),
     ] {
-        let mut job = record();
+        let mut job = new_record();
         job.phase = before.clone();
-        let meaning = job.hear(&heard, 9);
-        assert_eq!(job.phase, after, "{before:?} {heard:?}");
-        assert_eq!(contradiction(&meaning), contradicts, "{before:?} {heard:?}");
+        let meaning = job.hear(&answer, 9);
+        assert_eq!(job.phase, after, "{before:?} {answer:?}");
+        assert_eq!(
+            is_contradiction(&meaning),
+            contradicts,
+            "{before:?} {answer:?}"
+        );
         assert_eq!(meaning == Meaning::News, before != after);
     }
 }
 
+/// Guards against an answer that is taken as conclusive although the protocol does not say so, or
+/// the reverse.
 #[test]
-fn what_an_answer_says() {
-    let id = record().id;
+fn only_conclusive_answers_are_applied() {
+    let id = new_record().id;
     let body =
         |state: &str| format!(r#"{{"name_id":"{id}","status":"{state}","done":1,"running":2}}"#);
-    let other = r#"{"name_id":"run-1","status":"done","done":1,"running":0}"#.to_string();
-    let heard = |h| Some(h);
+    let other_job = r#"{"name_id":"run-1","status":"done","done":1,"running":0}"#.to_string();
+    let conclusive = |answer| Some(answer);
     let done = Heard::State(JobState::Done);
     for (step, status, text, expected) in [
-        (Step::Submit, 201, body("pending"), heard(Heard::Created)),
-        (Step::Submit, 200, body("done"), heard(done.clone())),
-        (Step::Submit, 200, other.clone(), None),
+        (
+            Step::Submit,
+            201,
+            body("pending"),
+            conclusive(Heard::Created),
+        ),
+        (Step::Submit, 200, body("done"), conclusive(done.clone())),
+        (Step::Submit, 200, other_job.clone(), None),
         (Step::Submit, 201, "<html>".into(), None),
         (Step::Submit, 404, "{}".into(), None),
         (Step::Submit, 302, body("done"), None),
-        (Step::Poll, 200, body("done"), heard(done.clone())),
+        (Step::Poll, 200, body("done"), conclusive(done.clone())),
         (Step::Poll, 200, body("paused"), None),
-        (Step::Poll, 404, "{}".into(), heard(Heard::NotFound)),
+        (Step::Poll, 404, "{}".into(), conclusive(Heard::NotFound)),
         (Step::Poll, 400, "{}".into(), None),
         (
             Step::Cancel,
             200,
             body("withdrawn"),
-            heard(Heard::State(JobState::Cancelled)),
+            conclusive(Heard::State(JobState::Cancelled)),
         ),
         (Step::Cancel, 503, body("withdrawn"), None),
     ] {
@@ -282,7 +325,7 @@
         let found = match judge(step, id, &Ok(answer)) {
             Verdict::Heard(heard) => Some(heard),
             Verdict::Again { retry_after, .. } => {
-                assert_eq!(retry_after, None, "not a number");
+                assert_eq!(retry_after, None, "NaN is ignored");
                 None
             }
         };
@@ -290,10 +333,12 @@
     }
 }
 
+/// Guards against invalid settings or keys that are accepted, and against errors that name the
+/// wrong setting.
 #[test]
-fn settings_and_keys_name_what_is_wrong() {
-    let good = Settings::new(["http://a:1"]);
-    assert!(good.check().is_ok());
+fn invalid_settings_and_keys_are_refused() {
+    let valid = Settings::new(["http://a:1"]);
+    assert!(valid.check().is_ok());
     type Change = Box<dyn Fn(&mut Settings)>;
     let cases: [(&str, Change); 6] = [
         ("fronts", Box::new(|s| s.fronts.clear())),
@@ -304,16 +349,16 @@
         ("retry_most", Box::new(|s| s.retry_most = 0.0)),
     ];
     for (field, change) in cases {
-        let mut settings = good.clone();
+        let mut settings = valid.clone();
         change(&mut settings);
         assert_eq!(settings.check().unwrap_err().field, field);
     }
-    for (key, good) in [
+    for (key, is_valid) in [
         ("evening/1", true),
         ("", false),
         ("a\nb", false),
         (&"k".repeat(513), false),
     ] {
-        assert_eq!(Key::new(key).is_ok(), good, "{key}");
+        assert_eq!(Key::new(key).is_ok(), is_valid, "{key}");
     }
 }
--- a/crates/client/tests/support/mod.rs
+++ b/crates/client/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! A cluster in memory: what controllers would do with requests, and a network
-//! that loses, delays and refuses on order. Time is the runtime's, paused.
+//! A simulated cluster in memory. It answers requests as controllers would, behind a simulated
+//! network that loses, delays or rejects them as each test specifies. Time is the runtime's paused
+//! clock.
 #![allow(dead_code)]
 
 pub mod disk;
@@ -12,78 +13,102 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What the network does with one request.
+/// What the simulated network and front do with one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Fate {
-    Arrives,
+pub enum Delivery {
+    /// It is carried out and answered.
+    Normal,
     /// It never arrives.
     Lost,
-    /// It is carried out, and the answer is lost.
+    /// It is carried out, but the answer is lost.
     AnswerLost,
-    /// It is carried out this much later, and nobody hears of it.
-    Late(u64),
-    /// The front takes the connection and never answers.
+    /// It is carried out after this many milliseconds, and the answer is lost.
+    Delayed(u64),
+    /// The front accepts the connection and never answers.
     Hangs,
-    /// Answered with this status and `Retry-After`.
-    Refused(u16, Option<u64>),
-    /// Answered after this long, in milliseconds.
+    /// It is not carried out, and is answered with this status and `Retry-After` in seconds.
+    Rejected(u16, Option<u64>),
+    /// It is carried out and answered after this many milliseconds. It is not carried out if this
+    /// exceeds the timeout.
     Slow(u64),
-    /// Carried out, and answered as if the job had only been accepted.
-    Behind,
+    /// It is carried out, but answered from out-of-date state: as if the job had only been
+    /// accepted.
+    Stale,
 }
 
+/// A job as the cluster knows it.
 #[derive(Debug, Clone)]
 pub struct ServerJob {
     pub body: String,
+    /// Its state in the protocol's terms.
     pub state: &'static str,
     pub done_at: Instant,
-    pub submitted: u32,
+    /// How many submissions of it were carried out.
+    pub submissions: u32,
+}
+
+/// A request that the client sent, whether or not it was carried out.
+#[derive(Debug, Clone)]
+pub struct SentRequest {
+    pub at: Instant,
+    pub front: usize,
+    pub path: String,
 }
 
 #[derive(Default)]
-pub struct Inner {
+pub struct ClusterState {
     pub jobs: HashMap<String, ServerJob>,
-    /// All requests: when, which front, path.
-    pub requests: Vec<(Instant, usize, String)>,
+    /// All requests, in the order in which they were sent.
+    pub requests: Vec<SentRequest>,
 }
 
-type Decide = dyn Fn(&Inner, usize, &Request) -> Fate + Send + Sync;
+type DecideDelivery = dyn Fn(&ClusterState, usize, &Request) -> Delivery + Send + Sync;
 
-/// The cluster; clones share it.
+/// The simulated cluster. Clones share its state.
 #[derive(Clone)]
 pub struct Cluster {
-    pub inner: Arc<Mutex<Inner>>,
-    fate: Arc<Decide>,
-    run: Duration,
+    pub state: Arc<Mutex<ClusterState>>,
+    decide_delivery: Arc<DecideDelivery>,
+    run_time: Duration,
 }
 
 impl Cluster {
-    pub fn new(fate: impl Fn(&Inner, usize, &Request) -> Fate + Send + Sync + 'static) -> Cluster {
+    /// Creates a cluster. `decide` gets the cluster's state, the front and the request, and returns
+    /// what happens to the request.
+    pub fn new(
+        decide: impl Fn(&ClusterState, usize, &Request) -> Delivery + Send + Sync + 'static,
+    ) -> Cluster {
         Cluster {
-            inner: Arc::default(),
-            fate: Arc::new(fate),
-            run: Duration::from_secs(20),
+            state: Arc::default(),
+            decide_delivery: Arc::new(decide),
+            run_time: Duration::from_secs(20),
         }
     }
 
-    pub fn requests(&self) -> usize {
-        self.inner.lock().unwrap().requests.len()
+    pub fn request_count(&self) -> usize {
+        self.state.lock().unwrap().requests.len()
     }
 
-    /// Requests about a path that holds this.
-    pub fn asked(&self, part: &str) -> usize {
-        let inner = self.inner.lock().unwrap();
-        inner.requests.iter().filter(|r| r.2.contains(part)).count()
+    /// The number of requests whose path contains this text.
+    pub fn request_count_with(&self, part: &str) -> usize {
+        let state = self.state.lock().unwrap();
+        state
+            .requests
+            .iter()
+            .filter(|r| r.path.contains(part))
+            .count()
     }
 
     pub fn job(&self, id: &str) -> Option<ServerJob> {
-        self.inner.lock().unwrap().jobs.get(id).cloned()
+        self.state.lock().unwrap().jobs.get(id).cloned()
     }
 
-    fn carry_out(&self, request: &Request, behind: bool) -> Answer {
+    /// Carries out a request as a controller would. With `stale` the answer reports any job as
+    /// pending.
+    fn carry_out(&self, request: &Request, stale: bool) -> Answer {
         let now = Instant::now();
-        let mut inner = self.inner.lock().unwrap();
-        for job in inner.jobs.values_mut() {
+        let mut state = self.state.lock().unwrap();
+        for job in state.jobs.values_mut() {
             if job.state == "pending" && now >= job.done_at {
                 job.state = "done";
             }
@@ -93,9 +118,9 @@
             retry_after: None,
             body: body.into_bytes(),
         };
-        let told = |id: &str, state: &str| {
-            let state = if behind { "pending" } else { state };
-            format!(r#"{{"name_id":"{id}","status":"{state}","done":0,"running":0}}"#)
+        let progress = |id: &str, status: &str| {
+            let status = if stale { "pending" } else { status };
+            format!(r#"{{"name_id":"{id}","status":"{status}","done":0,"running":0}}"#)
         };
         if request.path == "/work" {
             let body = request.body.clone().unwrap_or_default();
@@ -103,26 +128,27 @@
             if spec.team == "nobody" {
                 return answer(422, r#"{"error":"unknown owner nobody"}"#.into());
             }
-            let run = self.run;
-            let known = inner.jobs.contains_key(&spec.id);
-            let job = inner.jobs.entry(spec.id.clone()).or_insert(ServerJob {
+            let run_time = self.run_time;
+            let known = state.jobs.contains_key(&spec.id);
+            let job = state.jobs.entry(spec.id.clone()).or_insert(ServerJob {
                 body,
                 state: "pending",
-                done_at: now + run,
-                submitted: 0,
+                done_at: now + run_time,
+                submissions: 0,
             });
-            job.submitted += 1;
-            return answer(if known { 200 } else { 201 }, told(&spec.id, job.state));
+            job.submissions += 1;
+            let status = if known { 200 } else { 201 };
+            return answer(status, progress(&spec.id, job.state));
         }
-        let cancels = request.path.ends_with("/cancel");
+        let is_cancellation = request.path.ends_with("/cancel");
         let id = request.path.split('/').nth(2).unwrap_or_default();
-        match inner.jobs.get_mut(id) {
+        match state.jobs.get_mut(id) {
             None => answer(404, r#"{"error":"no such job"}"#.into()),
             Some(job) => {
-                if cancels && job.state == "pending" {
+                if is_cancellation && job.state == "pending" {
                     job.state = "withdrawn";
                 }
-                answer(200, told(id, job.state))
+                answer(200, progress(id, job.state))
             }
         }
     }
@@ -131,47 +157,50 @@
 impl Transport for Cluster {
     fn call(&self, front: usize, request: Request, timeout: Duration) -> Call<'_> {
         Box::pin(async move {
-            let fate = {
-                let mut inner = self.inner.lock().unwrap();
-                let fate = (self.fate)(&inner, front, &request);
-                let about = (Instant::now(), front, request.path.clone());
-                inner.requests.push(about);
-                fate
+            let delivery = {
+                let mut state = self.state.lock().unwrap();
+                let delivery = (self.decide_delivery)(&state, front, &request);
+                state.requests.push(SentRequest {
+                    at: Instant::now(),
+                    front,
+                    path: request.path.clone(),
+                });
+                delivery
             };
-            let none = |why: &str| Err(NoAnswer::Broken(why.into()));
+            let reset = || Err(NoAnswer::Broken("connection reset".into()));
             tokio::time::sleep(Duration::from_millis(5)).await;
-            match fate {
-                Fate::Arrives => Ok(self.carry_out(&request, false)),
-                Fate::Behind => Ok(self.carry_out(&request, true)),
-                Fate::Lost => none("connection reset"),
-                Fate::AnswerLost => {
+            match delivery {
+                Delivery::Normal => Ok(self.carry_out(&request, false)),
+                Delivery::Stale => Ok(self.carry_out(&request, true)),
+                Delivery::Lost => reset(),
+                Delivery::AnswerLost => {
                     self.carry_out(&request, false);
-                    none("connection reset")
+                    reset()
                 }
-                Fate::Late(ms) => {
+                Delivery::Delayed(ms) => {
                     let (cluster, request) = (self.clone(), request.clone());
                     tokio::spawn(async move {
                         tokio::time::sleep(Duration::from_millis(ms)).await;
                         cluster.carry_out(&request, false);
                     });
-                    none("connection reset")
+                    reset()
                 }
-                Fate::Hangs => {
+                Delivery::Hangs => {
                     tokio::time::sleep(timeout).await;
                     Err(NoAnswer::TimedOut)
                 }
-                Fate::Refused(status, after) => Ok(Answer {
+                Delivery::Rejected(status, retry_after) => Ok(Answer {
                     status,
-                    retry_after: after.map(|s| s as f64),
+                    retry_after: retry_after.map(|s| s as f64),
                     body: b"{}".to_vec(),
                 }),
-                Fate::Slow(ms) => {
-                    let slow = Duration::from_millis(ms);
-                    if slow >= timeout {
+                Delivery::Slow(ms) => {
+                    let latency = Duration::from_millis(ms);
+                    if latency >= timeout {
                         tokio::time::sleep(timeout).await;
                         return Err(NoAnswer::TimedOut);
                     }
-                    tokio::time::sleep(slow).await;
+                    tokio::time::sleep(latency).await;
                     Ok(self.carry_out(&request, false))
                 }
             }
@@ -202,6 +231,6 @@
     Client::with_transport(settings(fronts), outbox, transport, 7).unwrap()
 }
 
-pub fn secs(s: u64) -> Duration {
-    Duration::from_secs(s)
+pub fn secs(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
 }
