--- a/crates/client/src/agenda.rs
+++ b/crates/client/src/agenda.rs
@@ -16,7 +16,8 @@
     Poll,
 }
 
-/// Converts seconds to whole microseconds, which have a total order as the heap needs it.
+/// Converts seconds to whole microseconds. Unlike floating-point numbers, integers have the total
+/// order that the heap requires.
 fn to_micros(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1e6) as u64
 }
@@ -61,6 +62,7 @@
         Some((job, step))
     }
 
+    /// Removes stale entries from the top of the heap.
     fn drop_stale(&mut self) {
         while let Some(Reverse((at, job))) = self.heap.peek() {
             if self
--- a/crates/client/src/engine/learn.rs
+++ b/crates/client/src/engine/learn.rs
@@ -69,8 +69,8 @@
         };
         state.schedule_retry(id, step, retry_after, now);
         drop(state);
-        // Between the end of the request and this point the driver may have checked the schedule on
-        // another thread, found no step to wait for, and gone to sleep.
+        // Between the end of the request and this point the driver task may have checked the
+        // schedule on another thread, found no step to wait for, and gone to sleep.
         self.wake.notify_one();
     }
 
--- a/crates/client/src/engine/mod.rs
+++ b/crates/client/src/engine/mod.rs
@@ -24,7 +24,7 @@
 use tokio::time::Instant;
 use tracing::Instrument;
 
-/// Bounds of the driver's pause until the next step is due, in seconds.
+/// Bounds of the driver task's pause until the next step is due, in seconds.
 const MIN_PAUSE_S: f64 = 0.001;
 const MAX_PAUSE_S: f64 = 3600.0;
 
@@ -35,13 +35,13 @@
     pub outbox: Arc<Outbox>,
     pub writer: Writer,
     state: Mutex<State>,
-    /// Wakes the driver: a step may be due earlier, or another attempt may be allowed.
+    /// Wakes the driver task: a step may be due earlier, or another attempt may be allowed.
     wake: Notify,
     start: Instant,
 }
 
-/// Milliseconds of Unix time. They are used for time stamps only, so that a jump of the system
-/// clock changes no wait.
+/// The system clock, in milliseconds of Unix time. It is used for time stamps only, so that a jump
+/// of the clock changes no wait.
 pub(crate) fn unix_time_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |d| d.as_millis() as u64)
@@ -87,7 +87,7 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Stops the driver, so that no further attempts begin. The outbox keeps the open jobs.
+    /// Stops the driver task, so that no further attempts begin. The outbox keeps the open jobs.
     pub fn close(&self) {
         self.lock().closed = true;
         self.wake.notify_one();
@@ -162,7 +162,7 @@
     }
 }
 
-/// Begins attempts as they become due, until the engine is closed.
+/// The driver task: begins attempts as they become due, until the engine is closed.
 async fn run_schedule(engine: Arc<Engine>) {
     loop {
         let next_at = engine.begin_due();
--- a/crates/client/src/engine/state.rs
+++ b/crates/client/src/engine/state.rs
@@ -27,7 +27,7 @@
     pub fresh: bool,
 }
 
-/// A job that is neither refused nor at a terminal status.
+/// A job that is neither refused nor at a final status.
 pub(super) struct OpenJob {
     /// The job's record, including changes that are still being written.
     pub record: Record,
@@ -158,7 +158,7 @@
         let mut attempts = Vec::new();
         while self.agenda.next_at().is_some_and(|at| at <= now) {
             if !self.in_flight.begin() {
-                // The driver is woken when an attempt ends.
+                // The driver task is woken when an attempt ends.
                 let next_at = None;
                 return Due { attempts, next_at };
             }
--- a/crates/client/src/fronts.rs
+++ b/crates/client/src/fronts.rs
@@ -2,8 +2,8 @@
 //! front that fails repeatedly is ejected for a time that doubles with each ejection, and gets its
 //! load back gradually.
 //!
-//! A front is an address at which controllers accept requests. The module does no I/O and reads no
-//! clock: callers pass times in seconds.
+//! A front is one of the base URLs in the settings. The module does no I/O and reads no clock:
+//! callers pass times in seconds.
 
 use crate::pace::Ended;
 use rand::Rng;
@@ -26,6 +26,8 @@
 /// load balancer takes a controller out of service when its health checks fail.
 const MIN_EJECTION_S: f64 = 3.0;
 const MAX_EJECTION_S: f64 = 60.0;
+/// Keeps the power of two small. `MAX_EJECTION_S` limits the ejection at this bound already.
+const MAX_DOUBLINGS: u32 = 5;
 /// After an ejection, the proportion of the full load that a front gets grows from `MIN_LOAD` to 1
 /// over this time.
 const SLOW_START_S: f64 = 10.0;
@@ -119,7 +121,8 @@
             Ended::Overloaded | Ended::Broken => {
                 front.failures += 1;
                 if front.failures >= MAX_FAILURES && now >= front.ejected_until {
-                    let ejection_s = MIN_EJECTION_S * 2f64.powi(front.ejections.min(5) as i32);
+                    let ejection_s =
+                        MIN_EJECTION_S * 2f64.powi(front.ejections.min(MAX_DOUBLINGS) as i32);
                     front.ejected_until = now + ejection_s.min(MAX_EJECTION_S);
                     front.back_at = front.ejected_until;
                     front.ejections += 1;
--- a/crates/client/src/job.rs
+++ b/crates/client/src/job.rs
@@ -93,7 +93,7 @@
     pub reason: String,
 }
 
-/// The terminal status of a job that was accepted.
+/// The final status of a job that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// All of its tasks are completed.
@@ -131,7 +131,7 @@
 /// What is known of a job's outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Told {
-    /// Its terminal status.
+    /// Its final status.
     Final(Outcome),
     /// It never existed: its submission was refused.
     Refused(Refused),
--- a/crates/client/src/outbox/mod.rs
+++ b/crates/client/src/outbox/mod.rs
@@ -150,7 +150,7 @@
         match e {
             redb::Error::Io(e) => storage_error(&e),
             redb::Error::Corrupted(what) => self.damaged(what),
-            // After a failed write redb accepts no more writes until it is opened again.
+            // After a failed write redb requires the database to be opened again.
             redb::Error::PreviousIo => {
                 OutboxError::Io("an earlier write failed; the outbox must be opened again".into())
             }
--- a/crates/client/src/pace.rs
+++ b/crates/client/src/pace.rs
@@ -12,16 +12,23 @@
 /// second, or of `Retry-After` up to 30 s if that is longer; the jitter is added to this minimum.
 pub fn backoff(failures: u32, retry_after: Option<f64>, rng: &mut impl Rng) -> f64 {
     let max_jitter_s = 2f64
-        .powi(failures.saturating_sub(1).min(10) as i32)
+        .powi(failures.saturating_sub(1).min(MAX_DOUBLINGS) as i32)
         .min(MOST_WAIT_S);
     let requested_s = retry_after.unwrap_or(0.0).clamp(0.0, MOST_WAIT_S);
     // Without added jitter, clients that got the same `Retry-After` would all return at once.
-    1.0 + (requested_s - 1.0).max(0.0) + rng.random_range(0.0..=max_jitter_s)
+    MIN_WAIT_S + (requested_s - MIN_WAIT_S).max(0.0) + rng.random_range(0.0..=max_jitter_s)
 }
 
+/// The shortest wait between two attempts, as the protocol requires.
+const MIN_WAIT_S: f64 = 1.0;
+/// Keeps the power of two small. `MOST_WAIT_S` limits the jitter before this bound is reached.
+const MAX_DOUBLINGS: u32 = 10;
 /// The largest bound of the jitter, and the longest `Retry-After` that is honored.
 pub const MOST_WAIT_S: f64 = 30.0;
 
+/// The tokens that an answered retry adds to the budget.
+const TOKENS_PER_ANSWERED_RETRY: f64 = 2.0;
+
 /// A token bucket that limits retries to a proportion of first attempts (as Finagle's
 /// `RetryBudget`). Each first attempt adds `share` tokens and each retry takes one token. In
 /// addition `floor_per_s` tokens are added per second, so that a caller with a single job can retry
@@ -65,7 +72,7 @@
 
     /// Records that a retry was answered.
     pub fn answered(&mut self) {
-        self.tokens = (self.tokens + 2.0).min(self.max_tokens);
+        self.tokens = (self.tokens + TOKENS_PER_ANSWERED_RETRY).min(self.max_tokens);
     }
 
     /// Takes a token for a retry. If there is none, returns the time in seconds after which there
--- a/crates/client/src/record.rs
+++ b/crates/client/src/record.rs
@@ -1,6 +1,6 @@
 //! The state machine of one job: what is known of it, and how a controller's answer changes that.
 //! It does no I/O. Answers may arrive in any order, more than once, and from controllers whose
-//! state is out of date. A terminal status never changes.
+//! state is out of date. A final status never changes.
 
 use crate::job::{Cancelled, JobId, Key, Outcome, Refused, Submitted, Told};
 use foxspur_wire::job::JobState;
@@ -15,7 +15,7 @@
     Accepted(JobState),
     /// Refused permanently.
     Refused(Refused),
-    /// Closed with a terminal status.
+    /// Closed with a final status.
     Final(Outcome),
 }
 
@@ -34,7 +34,7 @@
     pub cancel: bool,
     /// When it was queued, in milliseconds of Unix time.
     pub queued_ms: u64,
-    /// When it was refused or reached its terminal status, in milliseconds of Unix time.
+    /// When it was refused or reached its final status, in milliseconds of Unix time.
     pub closed_ms: Option<u64>,
 }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Whether the job is refused or has its terminal status, so that no more requests are needed.
+    /// Whether the job is refused or has its final status, so that no more requests are needed.
     pub fn closed(&self) -> bool {
         matches!(self.phase, Phase::Refused(_) | Phase::Final(_))
     }
@@ -91,16 +91,16 @@
         let next = match (&self.phase, heard) {
             (Phase::Final(known), Heard::State(state)) => {
                 // A controller with older state may report that the job is not closed yet, but no
-                // controller may report another terminal status.
+                // controller may report another final status.
                 return match outcome_of(*state) {
                     Some(outcome) if outcome != *known => {
-                        Meaning::Contradiction("another terminal status")
+                        Meaning::Contradiction("another final status")
                     }
                     _ => Meaning::Nothing,
                 };
             }
             (Phase::Final(_), Heard::Created) => {
-                return Meaning::Contradiction("accepted after its terminal status");
+                return Meaning::Contradiction("accepted after its final status");
             }
             (Phase::Final(_) | Phase::Accepted(_), Heard::Refused(_)) => {
                 return Meaning::Contradiction("refused after it was accepted");
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -80,7 +80,7 @@
     /// Its worker runs.
     #[serde(rename = "running")]
     Running,
-    /// It has failed and does not come back.
+    /// The machine has failed.
     #[serde(rename = "failed")]
     Failed,
 }
--- a/crates/wire/src/roll.rs
+++ b/crates/wire/src/roll.rs
@@ -25,7 +25,7 @@
     Halted,
     /// It is being undone: its drains are being ended.
     Back,
-    /// It has finished with all of its machines.
+    /// It is over: it has finished with all of its machines, or has been undone.
     Done,
 }
 
