--- a/crates/plan/examples/calibrate.rs
+++ b/crates/plan/examples/calibrate.rs
@@ -1,7 +1,8 @@
-//! Calibration of plans: makes random shards under load, plans a drain of some of their
-//! machines, then simulates what really happens with other random numbers, and compares what
-//! was planned with what came. `--drift` makes tasks run longer than the shard had learnt,
-//! `--arrivals` lets jobs arrive that no plan knew of.
+//! Measures the calibration of plans. For each of a number of random shards under load, plans a
+//! drain of some machines, simulates the drain once with other random numbers (the reference
+//! run), and compares the planned probabilities with the observed results. `--drift` makes
+//! tasks run longer in the reference run than the shard's error distribution says. `--arrivals`
+//! adds jobs to the reference run that the plan does not know.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -23,39 +24,42 @@
 
 #[derive(Parser)]
 struct Args {
+    /// Machines of each shard.
     #[arg(long, default_value_t = 200)]
     machines: usize,
-    /// Drains, each of another shard.
+    /// Number of drains, each on a new random shard.
     #[arg(long, default_value_t = 100)]
     drains: u64,
-    /// Machines of each drain.
+    /// Machines to be drained in each shard.
     #[arg(long, default_value_t = 4)]
     hosts: usize,
-    /// Share of the CPUs that run something.
+    /// Proportion of the CPUs that are in use.
     #[arg(long, default_value_t = 0.8)]
     load: f64,
+    /// Samples of each plan.
     #[arg(long, default_value_t = 60)]
     samples: u32,
-    /// By how much tasks run longer than was learnt.
+    /// Factor by which run times in the reference run exceed the shard's error distribution.
     #[arg(long, default_value_t = 1.0)]
     drift: f64,
-    /// Share of the CPUs that jobs arriving meanwhile ask for.
+    /// Proportion of the CPUs that jobs arriving during the reference run request.
     #[arg(long, default_value_t = 0.0)]
     arrivals: f64,
-    /// Where to draw the calibration (SVG).
+    /// File to draw the calibration chart to (SVG).
     #[arg(long)]
     svg: Option<PathBuf>,
 }
 
+/// Simulated time, in seconds.
 const HORIZON_S: f64 = 900.0;
 /// CPUs of a machine.
 const CPUS: f64 = 16.0;
-/// Seconds within which each drain should be over.
+/// Deadline of each drain, in seconds.
 const DEADLINE_S: f64 = 120.0;
-/// Seeds of what really happens begin here, far from those of plans.
-const REAL_SEED: u64 = 1_000_000_007;
-/// Classes of planned probability: none, and ten of equal width.
-const BINS: usize = 11;
+/// The first seed of the reference runs, far from the seeds of the plans.
+const REFERENCE_SEED: u64 = 1_000_000_007;
+/// Bins of planned probabilities: one for exactly 0, and ten of equal width.
+const BIN_COUNT: usize = 11;
 
 /// A random job.
 fn spec(number: usize, rng: &mut StdRng) -> JobSpec {
@@ -87,8 +91,9 @@
     }
 }
 
-/// What the shard has learnt of its classes: off by up to two either way.
-fn ratios(drift: f64) -> Vec<ClassError> {
+/// An error distribution for all classes: log-uniform ratios of run time to estimate from 0.5 to
+/// 2, times `drift`.
+fn error_distribution(drift: f64) -> Vec<ClassError> {
     let points = (0..32).map(|i| drift * 2f64.powf(2.0 * (f64::from(i) + 0.5) / 32.0 - 1.0));
     vec![ClassError {
         class: String::new(),
@@ -115,7 +120,7 @@
         report_s: 5.0,
         lease_s: 30.0,
         cancel_s: 60.0,
-        errors: ratios(1.0),
+        errors: error_distribution(1.0),
         ..support::snapshot(vec![plain], machines.collect(), Vec::new())
     };
     place_jobs(&mut shard, args, rng);
@@ -150,19 +155,19 @@
     }
 }
 
-/// Jobs that arrive in the real run.
+/// Random jobs that arrive during the reference run.
 fn arrivals(args: &Args, rng: &mut StdRng) -> Vec<(f64, JobSpec)> {
     let mut arrivals = Vec::new();
-    let mut asked = 0.0;
-    while asked < args.arrivals * CPUS * args.machines as f64 * HORIZON_S {
+    let mut requested_cpu_s = 0.0;
+    while requested_cpu_s < args.arrivals * CPUS * args.machines as f64 * HORIZON_S {
         let spec = spec(100_000 + arrivals.len(), rng);
-        asked += spec.cpus * f64::from(spec.tasks) * spec.estimate_s;
+        requested_cpu_s += spec.cpus * f64::from(spec.tasks) * spec.estimate_s;
         arrivals.push((rng.random_range(0.0..HORIZON_S), spec));
     }
     arrivals
 }
 
-/// The most that this process has held, in MB, as the kernel counts it.
+/// Peak resident memory of this process according to the kernel, in MB.
 fn peak_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmHWM:"));
@@ -170,7 +175,7 @@
     kb.unwrap_or(0.0) / 1024.0
 }
 
-/// Draws the bins: planned probability against what came.
+/// Draws the observed proportion of late jobs over the planned probability, one circle per bin.
 fn draw(path: &Path, bins: &[Bin]) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(path, (600, 500)).into_drawing_area();
     area.fill(&WHITE)?;
@@ -181,12 +186,12 @@
         .build_cartesian_2d(0.0..1.0, 0.0..1.0)?;
     let mesh = &mut chart.configure_mesh();
     mesh.x_desc("late because of the drain: as planned")
-        .y_desc("as it came")
+        .y_desc("as observed")
         .draw()?;
     chart.draw_series(LineSeries::new([(0.0, 0.0), (1.0, 1.0)], &BLACK.mix(0.3)))?;
     chart.draw_series(bins.iter().map(|bin| {
         let size = 2 + (bin.jobs as f64).ln().max(0.0) as i32;
-        let place = (bin.planned_mean(), bin.came_mean());
+        let place = (bin.planned_mean(), bin.observed_mean());
         Circle::new(place, size, BLUE.filled())
     }))?;
     area.present()?;
@@ -197,7 +202,7 @@
 #[derive(Clone, Default)]
 struct Bin {
     planned: f64,
-    came: usize,
+    observed: usize,
     jobs: usize,
 }
 
@@ -206,8 +211,8 @@
         self.planned / self.jobs as f64
     }
 
-    fn came_mean(&self) -> f64 {
-        self.came as f64 / self.jobs as f64
+    fn observed_mean(&self) -> f64 {
+        self.observed as f64 / self.jobs as f64
     }
 }
 
@@ -215,42 +220,47 @@
 #[derive(Default)]
 struct Sums {
     bins: Vec<Bin>,
-    /// Jobs that were late because of the drain, and those of them that no plan named.
+    /// Jobs that were late because of the drain.
     late: usize,
+    /// Those of them whose planned probability was 0.
     late_unnamed: usize,
-    /// Jobs that plans named, their planned lateness, and all jobs.
+    /// Jobs with a planned probability above 0 of being late because of the drain.
     named: usize,
+    /// The sum of these probabilities: the expected number of late jobs.
     planned_late: f64,
+    /// All jobs.
     jobs: usize,
-    /// Machines that were not drained in time, planned and as it came, and all.
+    /// The expected number of machines that are not drained in time.
     planned_overdue: f64,
+    /// Machines that were not drained in time.
     overdue: usize,
+    /// All drained machines.
     hosts: usize,
-    /// Seconds that each plan took.
-    took_s: Vec<f64>,
+    /// Wall-clock time that each plan took, in seconds.
+    plan_durations_s: Vec<f64>,
 }
 
 impl Sums {
     fn add_host(&mut self, planned_overdue: f64, drained_s: Option<f64>) {
         self.planned_overdue += planned_overdue;
-        self.overdue += usize::from(drained_s.is_none_or(|t| t > DEADLINE_S));
+        self.overdue += usize::from(drained_s.is_none_or(|drained_s| drained_s > DEADLINE_S));
         self.hosts += 1;
     }
 
-    fn add_job(&mut self, planned_late: f64, came: bool) {
-        let bin = match planned_late == 0.0 {
+    fn add_job(&mut self, planned_late: f64, observed: bool) {
+        let index = match planned_late == 0.0 {
             true => 0,
-            false => 1 + ((planned_late * 10.0) as usize).min(BINS - 2),
+            false => 1 + ((planned_late * 10.0) as usize).min(BIN_COUNT - 2),
         };
-        let bin = &mut self.bins[bin];
+        let bin = &mut self.bins[index];
         bin.planned += planned_late;
-        bin.came += usize::from(came);
+        bin.observed += usize::from(observed);
         bin.jobs += 1;
         self.jobs += 1;
         self.planned_late += planned_late;
         self.named += usize::from(planned_late > 0.0);
-        self.late += usize::from(came);
-        self.late_unnamed += usize::from(came && planned_late == 0.0);
+        self.late += usize::from(observed);
+        self.late_unnamed += usize::from(observed && planned_late == 0.0);
     }
 
     fn print(&mut self, args: &Args) {
@@ -262,12 +272,12 @@
             self.jobs / args.drains as usize
         );
         println!(
-            "deadlines missed because of the drain: {}, planned {:.1}, by {} named jobs",
+            "deadlines missed because of the drain: {}, planned {:.1}, for {} listed jobs",
             self.late, self.planned_late, self.named
         );
         let unnamed = self.jobs - self.named;
         println!(
-            "of them not named: {} of {unnamed} jobs that were not ({:.4}%; stated: below {:.1}% each)",
+            "of these, not listed in the plan: {} of {unnamed} unlisted jobs ({:.4}%; planned: below {:.1}% each)",
             self.late_unnamed,
             100.0 * self.late_unnamed as f64 / unnamed.max(1) as f64,
             300.0 / f64::from(args.samples)
@@ -276,10 +286,11 @@
             "machines not drained in time: {} of {}, planned {:.1}",
             self.overdue, self.hosts, self.planned_overdue
         );
-        self.took_s.sort_by(f64::total_cmp);
-        let quantile = |q: f64| self.took_s[((self.took_s.len() - 1) as f64 * q) as usize];
+        self.plan_durations_s.sort_by(f64::total_cmp);
+        let quantile =
+            |q: f64| self.plan_durations_s[((self.plan_durations_s.len() - 1) as f64 * q) as usize];
         println!(
-            "a plan of {} pairs of runs: p50 {:.2} s, max {:.2} s; peak {:.0} MB",
+            "time for a plan of {} pairs of runs: p50 {:.2} s, max {:.2} s; peak {:.0} MB",
             args.samples,
             quantile(0.5),
             quantile(1.0),
@@ -288,7 +299,7 @@
     }
 }
 
-/// Plans a drain of the shard's first machines.
+/// Plans a drain of the shard's first `args.hosts` machines.
 fn plan_drain(args: &Args, shard: &Snapshot, seed: u64) -> Result<Plan, PlanError> {
     let hosts = shard.machines[..args.hosts].iter();
     let order = Order {
@@ -307,22 +318,22 @@
     plan(shard, &order, &options)
 }
 
-/// Simulates what really happens, with other random numbers and perhaps another distribution,
-/// and adds up how it compares with the plan.
+/// Runs the reference simulation, with other random numbers and `args.drift` applied to the
+/// error distribution, and adds its results and the plan's to the sums.
 fn compare(args: &Args, shard: &Snapshot, plan: &Plan, rng: &mut StdRng, sums: &mut Sums) {
-    let mut real = shard.clone();
-    real.errors = ratios(args.drift);
+    let mut reference = shard.clone();
+    reference.errors = error_distribution(args.drift);
     let mut scenario = Scenario {
         horizon_s: HORIZON_S,
         arrivals: arrivals(args, rng),
         ..Scenario::default()
     };
-    let seed = REAL_SEED + plan.options.seed;
-    let without = late_jobs(&real, &run(&real, &scenario, seed), HORIZON_S);
+    let seed = REFERENCE_SEED + plan.options.seed;
+    let without = late_jobs(&reference, &run(&reference, &scenario, seed), HORIZON_S);
     let drain = |host: &String| (0.0, support::drain(host, Some(DEADLINE_S), Rest::Stop));
     scenario.drains = plan.order.hosts.iter().map(drain).collect();
-    let outcome = run(&real, &scenario, seed);
-    let with = late_jobs(&real, &outcome, HORIZON_S);
+    let outcome = run(&reference, &scenario, seed);
+    let with = late_jobs(&reference, &outcome, HORIZON_S);
     for host in &plan.hosts {
         let drained_s = outcome.drained_s.get(&host.host).copied();
         sums.add_host(host.overdue, drained_s);
@@ -338,7 +349,7 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let args = Args::parse();
     let mut sums = Sums {
-        bins: vec![Bin::default(); BINS],
+        bins: vec![Bin::default(); BIN_COUNT],
         ..Sums::default()
     };
     for seed in 0..args.drains {
@@ -346,14 +357,17 @@
         let shard = shard(&args, &mut rng);
         let began = Instant::now();
         let plan = plan_drain(&args, &shard, seed)?;
-        sums.took_s.push(began.elapsed().as_secs_f64());
+        sums.plan_durations_s.push(began.elapsed().as_secs_f64());
         compare(&args, &shard, &plan, &mut rng, &mut sums);
     }
     sums.print(&args);
     sums.bins.retain(|bin| bin.jobs > 0);
     for bin in &sums.bins {
-        let (planned, came) = (bin.planned_mean(), bin.came_mean());
-        println!("planned {planned:.3}  came {came:.3}  jobs {}", bin.jobs);
+        let (planned, observed) = (bin.planned_mean(), bin.observed_mean());
+        println!(
+            "planned {planned:.3}  observed {observed:.3}  jobs {}",
+            bin.jobs
+        );
     }
     if let Some(path) = &args.svg {
         draw(path, &sums.bins)?;
--- a/crates/plan/src/alternatives.rs
+++ b/crates/plan/src/alternatives.rs
@@ -1,22 +1,23 @@
-//! Other ways to carry an order out, and failures of other machines meanwhile.
+//! Variants of an order: other start times, and failures of other machines during the drain.
 
 use crate::plan::Variant;
-use crate::samples::{Planner, Starts};
+use crate::samples::{DrainStarts, Planner};
 use foxspur::coordination::scheduler::snapshot::SnapMachine;
 use std::collections::HashMap;
 
-/// Alternatives get a part of the plan's samples, and at least so many.
+/// The least number of samples of a variant. Variants get a fraction of the plan's samples.
 const MIN_SAMPLES: u32 = 8;
 
-/// A way to carry an order out.
+/// Start times for the order's machines.
 struct Alternative<'a> {
     name: String,
-    starts: Starts<'a>,
+    starts: DrainStarts<'a>,
 }
 
 impl Planner<'_> {
-    /// Other starts within the window, together and one after the other; best first.
-    pub fn starts(&self) -> Vec<Variant> {
+    /// Statistics of other start times within the window, best first. They start the drains of
+    /// all machines together or one after the other.
+    pub fn start_variants(&self) -> Vec<Variant> {
         if self.options.window_s <= 0.0 {
             return Vec::new();
         }
@@ -29,7 +30,7 @@
             alternatives.push(self.starts_in_turn(&most_work_first, "most work first"));
         }
         let variant = |Alternative { name, starts }: &Alternative| {
-            let pairs = self.pairs(samples, starts, &|_| Vec::new());
+            let pairs = self.simulate_pairs(samples, starts, &|_| Vec::new());
             self.variant(name, starts, &pairs)
         };
         let mut variants: Vec<Variant> = alternatives.iter().map(variant).collect();
@@ -42,7 +43,7 @@
         variants
     }
 
-    /// The machines of the order, those with the fewest tasks first.
+    /// The machines of the order, the one with the fewest tasks first.
     fn hosts_by_work(&self) -> Vec<&str> {
         let machines = self.snapshot.machines.iter();
         let machines = machines.filter(|m| self.order.hosts.contains(&m.info.id));
@@ -53,7 +54,7 @@
         hosts.into_iter().map(|(_, host)| host).collect()
     }
 
-    /// All machines at once, at five times over the window.
+    /// Starts all machines together, at five times that are evenly spaced over the window.
     fn starts_together<'a>(&self, hosts: &[&'a str]) -> Vec<Alternative<'a>> {
         let at_quarter = |quarter: i32| {
             let at_s = self.order.start_s + self.options.window_s * f64::from(quarter) / 4.0;
@@ -65,7 +66,7 @@
         (0..=4).map(at_quarter).collect()
     }
 
-    /// One machine after the other over the window, in this order.
+    /// Starts one machine after the other at regular intervals over the window, in this order.
     fn starts_in_turn<'a>(&self, hosts: &[&'a str], order: &str) -> Alternative<'a> {
         let step_s = self.options.window_s / hosts.len() as f64;
         let start_s = |turn: usize| self.order.start_s + step_s * turn as f64;
@@ -76,9 +77,10 @@
         }
     }
 
-    /// What changes when another machine fails within `drained_s` seconds from the start: any
-    /// one, and the largest of the first machine's zone.
-    pub fn failures(&self, drained_s: f64) -> Vec<Variant> {
+    /// Statistics of the order if another machine fails within `window_s` seconds of the
+    /// order's start: any other machine, and the largest one in the zone of the order's first
+    /// machine.
+    pub fn failure_variants(&self, window_s: f64) -> Vec<Variant> {
         let others: Vec<&SnapMachine> = (self.snapshot.machines)
             .iter()
             .filter(|m| m.alive && !self.order.hosts.contains(&m.info.id))
@@ -87,25 +89,26 @@
             return Vec::new();
         }
         let start_s = self.order.start_s;
-        let at_s = move |seed: u64| start_s + drained_s * unit_from(seed);
-        let any = |seed: u64| {
-            let drawn = index_from(seed) % others.len();
-            vec![(at_s(seed), others[drawn].info.id.clone())]
+        let at_s = move |seed: u64| start_s + window_s * unit_from(seed);
+        let any_machine = |seed: u64| {
+            let index = index_from(seed) % others.len();
+            vec![(at_s(seed), others[index].info.id.clone())]
         };
         let samples = (self.options.samples / 3).max(MIN_SAMPLES);
         let starts = HashMap::new();
-        let pairs = self.pairs(samples, &starts, &any);
+        let pairs = self.simulate_pairs(samples, &starts, &any_machine);
         let mut variants = vec![self.variant("another machine fails", &starts, &pairs)];
         if let Some(largest) = self.largest_in_zone(&others) {
             let name = format!("the zone's largest, {largest}, fails");
-            let death = |seed| vec![(at_s(seed), largest.to_string())];
-            let pairs = self.pairs(samples, &starts, &death);
+            let failure = |seed| vec![(at_s(seed), largest.to_string())];
+            let pairs = self.simulate_pairs(samples, &starts, &failure);
             variants.push(self.variant(&name, &starts, &pairs));
         }
         variants
     }
 
-    /// The machine with the most CPUs, then tasks, in the zone of the order's first machine.
+    /// The machine with the most CPUs in the zone of the order's first machine; of several such
+    /// machines, one with the most tasks.
     fn largest_in_zone<'m>(&self, others: &[&'m SnapMachine]) -> Option<&'m str> {
         let first = self.order.hosts.first()?;
         let mut machines = self.snapshot.machines.iter();
@@ -121,12 +124,12 @@
     }
 }
 
-/// A number in 0..1 that belongs to a seed.
+/// A pseudo-random number from 0 to 1 (exclusive) that depends only on the seed.
 fn unit_from(seed: u64) -> f64 {
     (seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 40) as f64 / (1u64 << 24) as f64
 }
 
-/// An index that belongs to a seed, independent of [`unit_from`].
+/// A pseudo-random index that depends only on the seed, by another hash than [`unit_from`].
 fn index_from(seed: u64) -> usize {
     (seed.wrapping_mul(0xD1B5_4A32_D192_ED03) >> 33) as usize
 }
--- a/crates/plan/src/cluster.rs
+++ b/crates/plan/src/cluster.rs
@@ -1,5 +1,5 @@
-//! What all machines of a simulation share: facts about jobs, checkpoints, and the check that
-//! the scheduler's decisions violate no rule.
+//! The state that all machines of a simulation share: data of the jobs, checkpoints, and the
+//! checks that the scheduler's decisions violate no rule.
 
 use crate::draw::Draws;
 use crate::scenario::TaskStart;
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Slack for sums of CPUs, which are not whole numbers.
+/// Tolerance for rounding errors in sums of CPUs, which may be fractional.
 const CPU_TOLERANCE: f64 = 1e-6;
 
 /// A task of a job.
@@ -20,7 +20,7 @@
 }
 
 impl TaskKey {
-    /// Reads `JOB/INDEX`.
+    /// Parses `JOB/INDEX`.
     pub fn parse(text: &str) -> Option<TaskKey> {
         let (job, index) = text.rsplit_once('/')?;
         Some(TaskKey {
@@ -37,7 +37,7 @@
     pub number: u64,
 }
 
-/// What machines need to know of a job.
+/// What machines need to know about a job.
 pub(crate) struct JobFacts {
     pub spec: Rc<JobSpec>,
     /// The scheduler's prediction of a task's run time.
@@ -47,56 +47,60 @@
 /// The state that all machines of a simulation share.
 pub(crate) struct Cluster {
     pub jobs: HashMap<String, JobFacts>,
-    /// Seconds of work that the last checkpoint of each stopped task kept.
+    /// Seconds of work that the last checkpoint of each stopped task contains.
     pub checkpoints: HashMap<TaskKey, f64>,
     pub draws: Draws,
-    /// CPU seconds lost by stopping, by job.
+    /// CPU seconds lost because attempts were stopped, by job: work to be done again and time
+    /// spent on last checkpoints.
     pub lost_cpu_s: HashMap<String, f64>,
-    /// Starts, in their order.
+    /// Starts of tasks, in chronological order.
     pub starts: Vec<TaskStart>,
-    /// Attempts of each task that are on machines.
-    attempts: HashMap<TaskKey, u32>,
-    /// CPUs that each team uses, and the most it may use; 0 for no limit.
+    /// The number of attempts of each task that are on machines.
+    attempt_counts: HashMap<TaskKey, u32>,
+    /// CPUs that each team uses.
     used_cpus: HashMap<String, f64>,
+    /// The most CPUs that each team may use; 0 for no limit.
     cpu_limits: HashMap<String, f64>,
+    /// Descriptions of decisions that violate a rule of the scheduler.
     pub violations: Vec<String>,
 }
 
 impl Cluster {
-    /// The state of a snapshot's jobs and teams; nothing is on a machine yet.
+    /// The state of a snapshot's jobs and teams, without attempts.
     pub fn new(snapshot: &Snapshot, jobs: HashMap<String, JobFacts>, seed: u64) -> Cluster {
-        let limits = snapshot.teams.iter().map(|t| (t.name.clone(), t.cpus_max));
+        let limits = snapshot.teams.iter();
+        let limits = limits.map(|team| (team.name.clone(), team.cpus_max));
         Cluster {
             jobs,
             checkpoints: HashMap::new(),
             draws: Draws::new(snapshot, seed),
             lost_cpu_s: HashMap::new(),
             starts: Vec::new(),
-            attempts: HashMap::new(),
+            attempt_counts: HashMap::new(),
             used_cpus: HashMap::new(),
             cpu_limits: limits.collect(),
             violations: Vec::new(),
         }
     }
 
-    /// The description of an attempt's job.
+    /// The specification of an attempt's job.
     pub fn spec(&self, key: &AttemptKey) -> &Rc<JobSpec> {
         &self.jobs[&key.task.job].spec
     }
 
-    /// CPU time of a job is lost.
+    /// Adds lost CPU time of a job.
     pub fn add_lost(&mut self, job: &str, cpu_s: f64) {
         *self.lost_cpu_s.entry(job.into()).or_default() += cpu_s;
     }
 
-    /// An attempt comes onto a machine: checks that it may.
+    /// Adds an attempt to a machine and records any rule that this violates.
     pub fn attempt_added(&mut self, key: &AttemptKey, machine: &MachineInfo) {
         let spec = self.spec(key).clone();
-        let attempts = self.attempts.entry(key.task.clone()).or_default();
-        *attempts += 1;
-        if *attempts > 1 {
+        let count = self.attempt_counts.entry(key.task.clone()).or_default();
+        *count += 1;
+        if *count > 1 {
             let TaskKey { job, index } = &key.task;
-            let violation = format!("{job}/{index} is on {attempts} machines");
+            let violation = format!("{job}/{index} is on {count} machines");
             self.violations.push(violation);
         }
         self.check_limit(&spec);
@@ -117,7 +121,7 @@
     fn check_constraints(&mut self, spec: &JobSpec, machine: &MachineInfo) {
         let types = spec.types.as_ref();
         let type_allowed = types.is_none_or(|types| types.contains(&machine.kind));
-        let zone_allowed = spec.zone.as_ref().is_none_or(|z| *z == machine.zone);
+        let zone_allowed = spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone);
         let spot_allowed = !machine.spot || spec.spot;
         if !type_allowed || !zone_allowed || !spot_allowed {
             let violation = format!("{} may not start on {}", spec.id, machine.id);
@@ -125,11 +129,11 @@
         }
     }
 
-    /// An attempt is gone from its machine.
+    /// Removes an attempt from its machine.
     pub fn attempt_removed(&mut self, key: &AttemptKey) {
         let spec = self.spec(key).clone();
-        if let Some(attempts) = self.attempts.get_mut(&key.task) {
-            *attempts = attempts.saturating_sub(1);
+        if let Some(count) = self.attempt_counts.get_mut(&key.task) {
+            *count = count.saturating_sub(1);
         }
         *self.used_cpus.entry(spec.team.clone()).or_default() -= spec.cpus;
     }
--- a/crates/plan/src/difference.rs
+++ b/crates/plan/src/difference.rs
@@ -1,13 +1,14 @@
-//! What changed between two plans of the same order.
+//! Compares two plans of the same order.
 
 use crate::plan::Plan;
 use std::collections::BTreeSet;
 
-/// Figures that are apart by less than this proportion are called the same.
-const SAME_WITHIN: f64 = 0.005;
+/// Values count as equal if they differ by no more than this proportion of the older one (or of
+/// 1, if that is larger).
+const RELATIVE_TOLERANCE: f64 = 0.005;
 
-/// What a newer plan of the same order says otherwise, in plain lines; nothing if it is made
-/// from the same state.
+/// The differences of a newer plan of the same order, one per line for the operator. Empty if
+/// both plans were made from the same state.
 pub fn difference(old: &Plan, new: &Plan) -> Vec<String> {
     let mut lines = state_changes(old, new);
     if lines.is_empty() {
@@ -24,15 +25,15 @@
         ("drained after, s (p90)", drained_s(old), drained_s(new)),
     ];
     for (name, before, after) in figures {
-        if (before - after).abs() > SAME_WITHIN * before.abs().max(1.0) {
+        if (before - after).abs() > RELATIVE_TOLERANCE * before.abs().max(1.0) {
             lines.push(format!("{name}: {before:.2} became {after:.2}"));
         }
     }
     let (before, after) = (late_jobs(old), late_jobs(new));
     if before != after {
-        let added = list(after.difference(&before));
+        let added = join_ids(after.difference(&before));
         lines.push(format!("may now miss their deadline: {added}"));
-        let removed = list(before.difference(&after));
+        let removed = join_ids(before.difference(&after));
         lines.push(format!("no longer: {removed}"));
     }
     lines
@@ -56,6 +57,6 @@
     late.map(|job| job.id.as_str()).collect()
 }
 
-fn list<'a>(ids: impl Iterator<Item = &'a &'a str>) -> String {
+fn join_ids<'a>(ids: impl Iterator<Item = &'a &'a str>) -> String {
     ids.copied().collect::<Vec<_>>().join(" ")
 }
--- a/crates/plan/src/html.rs
+++ b/crates/plan/src/html.rs
@@ -1,4 +1,4 @@
-//! A plan as one self-contained HTML file: figures, tables and pictures (SVG).
+//! Renders a plan as one self-contained HTML file with tables and SVG charts.
 
 use crate::plan::{HostPlan, JobPlan, Plan, Range, Variant};
 use plotters::coord::Shift;
@@ -6,16 +6,16 @@
 use std::fmt::Write;
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-/// Size of a picture, in pixels.
-const SIZE: (u32, u32) = (900, 320);
-/// The most machines in the timeline, and classes in a chart.
-const MAX_LANES: usize = 24;
+/// Default width and height of a chart, in pixels.
+const CHART_SIZE: (u32, u32) = (900, 320);
+/// The most machines in the timeline, and the most classes in the chart of late jobs.
+const MAX_CHART_ITEMS: usize = 24;
 /// The most rows in a table.
 const MAX_ROWS: usize = 200;
 
-/// Text with the characters replaced that have a meaning in HTML.
+/// Escapes the characters that have a meaning in HTML.
 fn escaped(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for c in text.chars() {
@@ -31,15 +31,15 @@
     out
 }
 
-/// A picture as SVG, or why there is none.
-fn svg(height: u32, draw: impl FnOnce(&Area) -> Drawn) -> String {
+/// Draws a chart as SVG. Returns a paragraph with the error if that fails.
+fn svg(height: u32, draw: impl FnOnce(&Area) -> DrawResult) -> String {
     let mut text = String::new();
     let drawn = {
-        let area = SVGBackend::with_string(&mut text, (SIZE.0, height)).into_drawing_area();
+        let area = SVGBackend::with_string(&mut text, (CHART_SIZE.0, height)).into_drawing_area();
         area.fill(&WHITE)
-            .map_err(|e| e.to_string())
-            .and_then(|()| draw(&area).map_err(|e| e.to_string()))
-            .and_then(|()| area.present().map_err(|e| e.to_string()))
+            .map_err(|error| error.to_string())
+            .and_then(|()| draw(&area).map_err(|error| error.to_string()))
+            .and_then(|()| area.present().map_err(|error| error.to_string()))
     };
     match drawn {
         Ok(()) => text,
@@ -47,9 +47,9 @@
     }
 }
 
-/// What runs on each drained machine in the first run, until it is empty.
+/// The tasks on each drained machine in the first sample, until all machines are empty.
 fn timeline(plan: &Plan) -> String {
-    let lanes: Vec<_> = plan.picture.machines.iter().take(MAX_LANES).collect();
+    let lanes: Vec<_> = plan.picture.machines.iter().take(MAX_CHART_ITEMS).collect();
     let end = plan.picture.drained_s.values().copied().fold(1.0, f64::max) * 1.1;
     let end = end
         .min(plan.options.horizon_s)
@@ -61,12 +61,13 @@
             .y_label_area_size(110)
             .build_cartesian_2d(0.0..end, -0.5..lanes.len().max(1) as f64 - 0.5)?;
         let name = |y: &f64| {
-            // Names stand at whole numbers, in the middle of their lanes.
+            // Label whole numbers only, which are the middles of the lanes.
             let whole = (y - y.round()).abs() < 0.01 && *y > -0.1;
-            let at = lanes.len().checked_sub(1 + y.round().max(0.0) as usize);
-            let at = at.filter(|_| whole);
-            at.and_then(|at| lanes.get(at))
-                .map_or(String::new(), |l| l.0.clone())
+            let index = lanes.len().checked_sub(1 + y.round().max(0.0) as usize);
+            let index = index.filter(|_| whole);
+            index
+                .and_then(|index| lanes.get(index))
+                .map_or(String::new(), |(host, _)| (*host).clone())
         };
         chart
             .configure_mesh()
@@ -78,15 +79,15 @@
         for (lane, (host, spans)) in lanes.iter().enumerate() {
             let y = (lanes.len() - 1 - lane) as f64;
             for span in *spans {
-                let colour = if span.completed { &GREEN } else { &RED };
+                let color = if span.completed { &GREEN } else { &RED };
                 let (from, to) = (span.from_s.max(0.0), span.to_s.min(end));
                 if from < to {
                     let bar = [(from, y - 0.35), (to, y + 0.35)];
-                    chart.draw_series([Rectangle::new(bar, colour.mix(0.25).filled())])?;
+                    chart.draw_series([Rectangle::new(bar, color.mix(0.25).filled())])?;
                 }
             }
-            if let Some(at) = plan.picture.drained_s.get(*host) {
-                let line = vec![(*at, y - 0.5), (*at, y + 0.5)];
+            if let Some(drained_s) = plan.picture.drained_s.get(*host) {
+                let line = vec![(*drained_s, y - 0.5), (*drained_s, y + 0.5)];
                 chart.draw_series([PathElement::new(line, BLACK.stroke_width(2))])?;
             }
         }
@@ -99,26 +100,30 @@
     })
 }
 
-/// Free CPUs over time, without and with the drain.
-fn capacity(plan: &Plan) -> String {
+/// Free CPUs over time in the first sample, without and with the drain.
+fn free_cpu_chart(plan: &Plan) -> String {
     let (without, with) = &plan.picture.free;
-    let most = without.iter().chain(with).map(|p| p.1).fold(1.0, f64::max);
-    svg(SIZE.1, |area| {
+    let max_cpus = without
+        .iter()
+        .chain(with)
+        .map(|point| point.1)
+        .fold(1.0, f64::max);
+    svg(CHART_SIZE.1, |area| {
         let mut chart = ChartBuilder::on(area)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(60)
-            .build_cartesian_2d(0.0..plan.options.horizon_s, 0.0..most * 1.05)?;
+            .build_cartesian_2d(0.0..plan.options.horizon_s, 0.0..max_cpus * 1.05)?;
         chart
             .configure_mesh()
             .x_desc("seconds from the snapshot")
             .y_desc("free CPUs")
             .draw()?;
-        for (points, colour, name) in [(without, BLUE, "without"), (with, RED, "with the drain")] {
+        for (points, color, name) in [(without, BLUE, "without"), (with, RED, "with the drain")] {
             chart
-                .draw_series(LineSeries::new(points.iter().copied(), &colour))?
+                .draw_series(LineSeries::new(points.iter().copied(), &color))?
                 .label(name)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], colour));
+                .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], color));
         }
         chart
             .configure_series_labels()
@@ -130,22 +135,22 @@
 }
 
 /// Late jobs by class, without and with the drain.
-fn lateness(plan: &Plan) -> String {
-    let classes: Vec<_> = plan.classes.iter().take(MAX_LANES).collect();
-    let most = classes
+fn late_jobs_chart(plan: &Plan) -> String {
+    let classes: Vec<_> = plan.classes.iter().take(MAX_CHART_ITEMS).collect();
+    let max_late = classes
         .iter()
-        .map(|c| c.late_with.max(c.late_without))
+        .map(|class| class.late_with.max(class.late_without))
         .fold(1.0, f64::max);
-    svg(SIZE.1, |area| {
+    svg(CHART_SIZE.1, |area| {
         let mut chart = ChartBuilder::on(area)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(60)
-            .build_cartesian_2d(-0.5..classes.len().max(1) as f64 - 0.5, 0.0..most * 1.1)?;
+            .build_cartesian_2d(-0.5..classes.len().max(1) as f64 - 0.5, 0.0..max_late * 1.1)?;
         let name = |x: &f64| {
             let whole = (x - x.round()).abs() < 0.01 && *x > -0.1;
             let class = classes.get(x.round().max(0.0) as usize).filter(|_| whole);
-            class.map_or(String::new(), |c| c.class.clone())
+            class.map_or(String::new(), |class| class.class.clone())
         };
         chart
             .configure_mesh()
@@ -154,28 +159,28 @@
             .x_label_formatter(&name)
             .y_desc("late jobs, on average")
             .draw()?;
-        for (at, class) in classes.iter().enumerate() {
-            let x = at as f64;
+        for (index, class) in classes.iter().enumerate() {
+            let x = index as f64;
             let bars = [
                 (x - 0.35, x - 0.05, class.late_without, BLUE),
                 (x + 0.05, x + 0.35, class.late_with, RED),
             ];
-            for (from, to, height, colour) in bars {
+            for (from, to, height, color) in bars {
                 let bar = [(from, 0.0), (to, height)];
-                chart.draw_series([Rectangle::new(bar, colour.mix(0.6).filled())])?;
+                chart.draw_series([Rectangle::new(bar, color.mix(0.6).filled())])?;
             }
         }
         Ok(())
     })
 }
 
-fn percent(share: f64) -> String {
-    format!("{:.0}%", share * 100.0)
+fn percent(proportion: f64) -> String {
+    format!("{:.0}%", proportion * 100.0)
 }
 
-fn table(head: &[&str], rows: impl Iterator<Item = Vec<String>>) -> String {
+fn table(header: &[&str], rows: impl Iterator<Item = Vec<String>>) -> String {
     let mut text = String::from("<table><tr>");
-    for name in head {
+    for name in header {
         let _ = write!(text, "<th>{}</th>", escaped(name));
     }
     text.push_str("</tr>");
@@ -190,7 +195,7 @@
     text
 }
 
-/// Quantiles of a time, or that it never comes.
+/// The median and the 90th percentile of a time, or `never` if there are none.
 fn quantiles(range: Option<Range>) -> String {
     range.map_or("never".into(), |r| format!("{:.0} / {:.0}", r.p50, r.p90))
 }
@@ -229,7 +234,7 @@
     ]
 }
 
-const HOST_HEAD: [&str; 5] = [
+const HOST_HEADER: [&str; 5] = [
     "machine",
     "zone",
     "tasks now",
@@ -237,7 +242,7 @@
     "overdue",
 ];
 
-const JOB_HEAD: [&str; 8] = [
+const JOB_HEADER: [&str; 8] = [
     "job",
     "class",
     "late because of it",
@@ -248,7 +253,7 @@
     "CPU s lost",
 ];
 
-const VARIANT_HEAD: [&str; 6] = [
+const VARIANT_HEADER: [&str; 6] = [
     "way",
     "deadlines missed because of it",
     "runs with any",
@@ -257,28 +262,28 @@
     "overdue",
 ];
 
-const PAGE_HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>foxspur: plan of a drain</title>\
+const PAGE_START: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>foxspur: plan of a drain</title>\
     <style>body{font:15px/1.4 sans-serif;margin:2em auto;max-width:60em;color:#222}\
     table{border-collapse:collapse;margin:.5em 0 1.5em}td,th{border:1px solid #ccc;padding:.2em .6em;text-align:left}\
     th{background:#f2f2f2}svg{max-width:100%}</style></head><body>";
 
-/// The plan as HTML.
+/// Renders the plan as an HTML page.
 pub fn html(plan: &Plan) -> String {
-    let mut page = String::from(PAGE_HEAD);
+    let mut page = String::from(PAGE_START);
     page.push_str(&introduction(plan));
     page.push_str(&tables(plan));
-    page.push_str(&pictures(plan));
+    page.push_str(&charts(plan));
     page.push_str("</body></html>\n");
     page
 }
 
-/// What was planned, and the most important figures.
+/// What was planned, and the main results.
 fn introduction(plan: &Plan) -> String {
     format!(
         "<h1>Plan: drain {}</h1><p>Made from the state of term {}, revision {}: {} machines, {} live jobs. \
-         {} runs of {:.0} s, each with and without the drain, under the same draws; the draws are simulated.</p>\
-         <p>Deadlines missed because of the drain: <b>{:.2}</b> on average; {} of the runs miss any. What is \
-         not named below happens with a probability below {:.1}% (at 95%).</p>",
+         {} runs of {:.0} s, each with the drain and without it, with the same random numbers.</p>\
+         <p>Deadlines missed because of the drain: <b>{:.2}</b> on average; {} of the runs miss any. Any event \
+         that is not listed below has a probability below {:.1}% (at a confidence of 95%).</p>",
         escaped(&plan.order.hosts.join(", ")),
         plan.term,
         plan.revision,
@@ -296,33 +301,33 @@
 fn tables(plan: &Plan) -> String {
     let mut text = String::from("<h2>Machines</h2>");
     let hosts = plan.hosts.iter().take(MAX_ROWS).map(host_row);
-    text.push_str(&table(&HOST_HEAD, hosts));
+    text.push_str(&table(&HOST_HEADER, hosts));
     text.push_str("<h2>Jobs</h2>");
     let jobs = plan.jobs.iter().take(MAX_ROWS).map(job_row);
-    text.push_str(&table(&JOB_HEAD, jobs));
+    text.push_str(&table(&JOB_HEADER, jobs));
     if plan.jobs.len() > MAX_ROWS {
         let _ = write!(text, "<p>and {} more</p>", plan.jobs.len() - MAX_ROWS);
     }
     for (name, variants) in [
         ("When to start", &plan.starts),
-        ("If something fails meanwhile", &plan.failures),
+        ("If another machine fails during the drain", &plan.failures),
     ] {
         if !variants.is_empty() {
             let _ = write!(text, "<h2>{name}</h2>");
-            text.push_str(&table(&VARIANT_HEAD, variants.iter().map(variant_row)));
+            text.push_str(&table(&VARIANT_HEADER, variants.iter().map(variant_row)));
         }
     }
     text
 }
 
-/// The first sample in pictures.
-fn pictures(plan: &Plan) -> String {
-    let mut text = String::from("<h2>One run in pictures</h2><h3>The drained machines</h3>");
-    text.push_str("<p>Green ends by itself, red is moved or goes on; blue line: the drain begins, black: proven empty.</p>");
+/// Charts of the first sample, and of late jobs over all samples.
+fn charts(plan: &Plan) -> String {
+    let mut text = String::from("<h2>Charts</h2><h3>The drained machines in the first run</h3>");
+    text.push_str("<p>Green: the task is completed; red: it is stopped or still runs at the end. Blue line: the drain begins; black line: the machine is proven empty.</p>");
     text.push_str(&timeline(plan));
-    text.push_str("<h3>Free capacity</h3>");
-    text.push_str(&capacity(plan));
-    text.push_str("<h3>Late jobs by class</h3><p>Blue without, red with the drain.</p>");
-    text.push_str(&lateness(plan));
+    text.push_str("<h3>Free CPUs in the first run</h3>");
+    text.push_str(&free_cpu_chart(plan));
+    text.push_str("<h3>Late jobs by class</h3><p>Means over all runs. Blue: without the drain; red: with it.</p>");
+    text.push_str(&late_jobs_chart(plan));
     text
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,17 +1,19 @@
-//! Plans of drains, by simulation.
+//! Predicts the effects of draining machines by simulation.
 //!
-//! A plan simulates the shard's present state forward many times (Monte Carlo): the
-//! controllers' own scheduler decides, and simulated machines run tasks for as long as
-//! estimates of their class have turned out to be off. Each sample is run once with the drain
-//! and once without, with the same random numbers, so that the difference is the drain's
-//! effect.
+//! A plan simulates the shard forward from a snapshot many times (Monte Carlo). The
+//! controllers' own scheduler makes the decisions. Simulated machines run the tasks; run times
+//! are drawn from the estimate errors observed for each class. Each sample is simulated once
+//! with the drain and once without, with the same random numbers, so that the difference is
+//! the drain's effect.
 //!
-//! Pure: a snapshot and a seed give the same plan on every machine.
+//! Planning is deterministic: the same snapshot, order and options, which include the seed,
+//! give the same plan on every machine.
 //!
-//! Modules, each importing only those before it: `order` and `plan` (data), `scenario`
-//! (input and result of a simulation), `draw` (run times), `cluster` and `machine` (simulated
-//! machines), `simulation`, `samples` (pairs of simulations), `summary` (their statistics),
-//! `alternatives`, `planner` (a plan from all of these); `difference` and `html` show plans.
+//! Modules, each importing only earlier ones: `order` and `plan` (data), `scenario` (input and
+//! result of a simulation), `draw` (run times), `cluster` and `machine` (simulated machines),
+//! `simulation`, `samples` (pairs of simulations), `summary` (statistics of the samples),
+//! `alternatives` (other start times, failures of other machines), `planner` (assembles the
+//! plan). `difference` compares two plans and `html` renders a plan.
 
 mod alternatives;
 mod cluster;
--- a/crates/plan/src/machine.rs
+++ b/crates/plan/src/machine.rs
@@ -1,5 +1,6 @@
-//! A simulated machine: it executes commands as the protocol describes, and its attempts pass
-//! through their phases: fetching, running, (saving,) exited.
+//! A simulated machine. It executes commands as the protocol describes. Its attempts pass
+//! through the phases fetching, running, saving (only if stopped with a last checkpoint) and
+//! exited.
 
 use crate::cluster::{AttemptKey, Cluster, TaskKey};
 use crate::scenario::{Span, TaskStart};
@@ -8,7 +9,7 @@
 use foxspur::storage::records::MachineInfo;
 use std::collections::{BTreeMap, HashSet};
 
-/// The slowest fetch of images, in gigabytes a second; avoids a division by 0.
+/// The lowest rate at which images are fetched, in gigabytes per second. Avoids a division by 0.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 /// An attempt on a machine. Times are seconds from the snapshot.
@@ -16,11 +17,11 @@
 struct Attempt {
     phase: Phase,
     cause: Option<Cause>,
-    /// When it entered this phase.
+    /// When the attempt entered the present phase.
     since: f64,
-    /// When the phase ends by itself.
+    /// When the phase ends unless a command ends it earlier.
     until: f64,
-    /// Seconds of work that were done before `since`.
+    /// Seconds of the task's work that were done before `since`.
     done_before_s: f64,
 }
 
@@ -30,23 +31,22 @@
     }
 }
 
-/// A machine.
 pub(crate) struct Machine {
     pub info: MachineInfo,
     session: u64,
     heartbeat_number: u64,
     pub token: u64,
     fetch_gb_per_s: f64,
-    /// Images in its cache.
+    /// Images in the machine's cache.
     images: HashSet<String>,
     attempts: BTreeMap<AttemptKey, Attempt>,
-    pub dead: bool,
-    /// What ran here and has ended.
+    pub failed: bool,
+    /// Periods in which a task ran here, without those that have not ended.
     spans: Vec<Span>,
 }
 
 impl Machine {
-    /// A machine with nothing on it.
+    /// A machine without attempts.
     pub fn new(info: MachineInfo, session: u64, token: u64, fetch_gb_per_s: f64) -> Machine {
         Machine {
             info,
@@ -56,12 +56,12 @@
             fetch_gb_per_s,
             images: HashSet::new(),
             attempts: BTreeMap::new(),
-            dead: false,
+            failed: false,
             spans: Vec::new(),
         }
     }
 
-    /// Its heartbeat now.
+    /// The machine's next heartbeat.
     pub fn heartbeat(&mut self) -> Report {
         self.heartbeat_number += 1;
         let tasks = self.attempts.iter().map(|(key, attempt)| Shown {
@@ -85,19 +85,19 @@
         }
     }
 
-    /// Whether it reports attempts that have ended.
+    /// Whether the machine still reports attempts that have exited.
     pub fn has_exited_attempts(&self) -> bool {
         self.attempts.values().any(|attempt| !attempt.is_open())
     }
 
-    /// When something next happens by itself; infinite if nothing does.
-    pub fn next_event(&self) -> f64 {
+    /// When the next phase of an attempt ends; infinite if no phase ends by itself.
+    pub fn next_phase_end(&self) -> f64 {
         let open = self.attempts.values().filter(|attempt| attempt.is_open());
         open.map(|attempt| attempt.until)
             .fold(f64::INFINITY, f64::min)
     }
 
-    /// What ran here until `end_s`, with what still runs.
+    /// Takes the periods in which tasks ran here. Those of running tasks end at `end_s`.
     pub fn take_spans(&mut self, end_s: f64) -> Vec<Span> {
         let mut spans = std::mem::take(&mut self.spans);
         let running = self.attempts.iter();
@@ -111,7 +111,8 @@
         spans
     }
 
-    /// An attempt that the snapshot shows here, with the seconds it has run.
+    /// Adds an attempt from the snapshot. `ran_s` is how many seconds it has run, or `None` if it
+    /// is still fetching its image.
     pub fn adopt(&mut self, key: AttemptKey, ran_s: Option<f64>, cluster: &mut Cluster) {
         cluster.attempt_added(&key, &self.info);
         let attempt = match ran_s {
@@ -125,7 +126,7 @@
         self.attempts.insert(key, attempt);
     }
 
-    /// Carries out commands.
+    /// Executes commands of the scheduler.
     pub fn execute(&mut self, commands: &[Command], now: f64, cluster: &mut Cluster) {
         for command in commands {
             let (Command::Start { task, attempt }
@@ -140,7 +141,11 @@
                 Command::Start { .. } => self.start(key, now, cluster),
                 Command::Stop { grace_s, .. } => self.stop(&key, *grace_s, now, cluster),
                 Command::Forget { .. } => {
-                    if self.attempts.get(&key).is_some_and(|a| !a.is_open()) {
+                    if self
+                        .attempts
+                        .get(&key)
+                        .is_some_and(|attempt| !attempt.is_open())
+                    {
                         self.attempts.remove(&key);
                     }
                 }
@@ -163,7 +168,7 @@
         self.attempts.insert(key, attempt);
     }
 
-    /// The attempt while it fetches its image.
+    /// A new attempt in the phase in which it fetches its image.
     fn fetching(&self, key: &AttemptKey, now: f64, cluster: &Cluster) -> Attempt {
         let spec = cluster.spec(key);
         let fetch_s = if self.images.contains(&spec.image) {
@@ -181,7 +186,8 @@
         }
     }
 
-    /// Stops an attempt: with a last checkpoint if the grace period is long enough for it.
+    /// Stops an attempt. It saves a last checkpoint if the job has checkpoints and the grace
+    /// period is long enough. Otherwise, the work since the last periodic checkpoint is lost.
     fn stop(&mut self, key: &AttemptKey, grace_s: f64, now: f64, cluster: &mut Cluster) {
         let Some(attempt) = self.attempts.get_mut(key) else {
             return;
@@ -219,15 +225,19 @@
         }
     }
 
-    /// The machine fails for good; what was on it is gone.
-    pub fn die(&mut self, cluster: &mut Cluster) {
-        self.dead = true;
-        let open = self.attempts.iter().filter(|(_, a)| a.is_open());
+    /// Marks the machine as permanently failed. Its attempts are gone.
+    pub fn fail(&mut self, cluster: &mut Cluster) {
+        self.failed = true;
+        let open = self
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.is_open());
         open.for_each(|(key, _)| cluster.attempt_removed(key));
         self.attempts.clear();
     }
 
-    /// Phases that end by themselves until now end; whether any did.
+    /// Advances each attempt whose phase has ended by `now` to its next phase. Returns whether
+    /// there was any.
     pub fn advance(&mut self, now: f64, cluster: &mut Cluster) -> bool {
         let due: Vec<AttemptKey> = (self.attempts.iter())
             .filter(|(_, attempt)| attempt.is_open() && attempt.until <= now)
@@ -243,7 +253,7 @@
         !due.is_empty()
     }
 
-    /// The attempt after its present phase ended by itself.
+    /// The attempt in the phase that follows its present one.
     fn next_phase(&mut self, key: &AttemptKey, cluster: &Cluster) -> Attempt {
         let attempt = self.attempts[key].clone();
         match attempt.phase {
@@ -273,8 +283,9 @@
     }
 }
 
-/// The attempt while it runs from `from` on, until it is completed.
-fn running(key: &AttemptKey, from: f64, done_before_s: f64, cluster: &Cluster) -> Attempt {
+/// An attempt that runs from `from_s` on until the task is completed. Tasks of services never
+/// complete.
+fn running(key: &AttemptKey, from_s: f64, done_before_s: f64, cluster: &Cluster) -> Attempt {
     let TaskKey { job, index } = &key.task;
     let facts = &cluster.jobs[job];
     let until = if facts.spec.shape == Shape::Service {
@@ -283,12 +294,12 @@
         let class = &facts.spec.class;
         let draws = &cluster.draws;
         let total_s = draws.run_s(class, job, *index, facts.predicted_s, done_before_s);
-        from + total_s - done_before_s
+        from_s + total_s - done_before_s
     };
     Attempt {
         phase: Phase::Running,
         cause: None,
-        since: from,
+        since: from_s,
         until,
         done_before_s,
     }
--- a/crates/plan/src/order.rs
+++ b/crates/plan/src/order.rs
@@ -1,39 +1,38 @@
-//! What is to be planned, and which orders can be.
+//! The order to be planned, the options of the simulation, and checks of both.
 
 use foxspur::coordination::scheduler::snapshot::Snapshot;
 use foxspur::protocol::admin::Rest;
 use serde::{Deserialize, Serialize};
 
-/// The longest horizon of a plan: a day.
+/// The longest horizon of a plan, in seconds.
 const MAX_HORIZON_S: f64 = 86_400.0;
-/// The most samples of a plan.
 const MAX_SAMPLES: u32 = 10_000;
 
-/// A drain to be planned.
+/// A drain of one or more machines, to be planned.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Order {
-    /// Names of the machines.
+    /// Names of the machines to be drained.
     pub hosts: Vec<String>,
-    /// Seconds from its start until the drain should be over.
+    /// Seconds from the drain's start until it should be complete.
     pub deadline_s: Option<f64>,
-    /// What happens to work that is left at the deadline.
+    /// What happens to tasks that are still on a machine at the deadline.
     pub rest: Rest,
-    /// Seconds from the snapshot until it starts.
+    /// Seconds from the snapshot until the drain starts.
     pub start_s: f64,
 }
 
-/// How it is planned.
+/// Options of the simulation.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Decides all random draws.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// Samples, each a simulation with the drain and one without.
+    /// The number of samples. Each is a simulation with the drain and one without it.
     pub samples: u32,
-    /// How many seconds are simulated.
+    /// The simulated time, in seconds.
     pub horizon_s: f64,
-    /// Within how many seconds the drain may start; 0 leaves the start as it is.
+    /// Seconds after the order's start within which other start times are tried; 0 for none.
     pub window_s: f64,
-    /// Whether to plan what the failure of another machine changes.
+    /// Whether to simulate failures of other machines during the drain as well.
     pub failures: bool,
 }
 
@@ -49,51 +48,65 @@
     }
 }
 
-/// Why there is no plan.
+/// Why an order cannot be planned.
 #[derive(thiserror::Error, Debug, PartialEq)]
 pub enum PlanError {
-    /// The snapshot does not have this machine.
-    #[error("hosts: no machine {0} is in use")]
-    Unknown(String),
+    /// The snapshot does not contain this machine.
+    #[error("hosts: there is no machine {0}")]
+    UnknownMachine(String),
     /// This machine sends no heartbeats.
-    #[error("hosts: {0} is not heard of now: what is on it cannot be told")]
-    Silent(String),
+    #[error("hosts: {0} sends no heartbeats, so its tasks are unknown")]
+    SilentMachine(String),
     /// The order names no machine.
-    #[error("hosts: names no machine")]
-    Nothing,
-    /// A field, and what is wrong with it.
+    #[error("hosts: no machine is given")]
+    NoMachines,
+    /// A field has an invalid value: its name, and what is wrong with the value.
     #[error("{0}: {1}")]
-    Field(&'static str, &'static str),
+    InvalidField(&'static str, &'static str),
 }
 
 impl Order {
-    /// Checks that it can be planned from the snapshot.
+    /// Checks that the order can be planned from the snapshot with these options.
     pub(crate) fn check(&self, snapshot: &Snapshot, options: &Options) -> Result<(), PlanError> {
         self.check_hosts(snapshot)?;
-        if self.deadline_s.is_some_and(|deadline| !positive(deadline)) {
-            return Err(PlanError::Field("deadline", "is not above 0"));
+        if self
+            .deadline_s
+            .is_some_and(|deadline_s| !is_positive(deadline_s))
+        {
+            return Err(PlanError::InvalidField("deadline", "must be above 0 s"));
         }
-        if !positive(options.horizon_s) || options.horizon_s > MAX_HORIZON_S {
-            return Err(PlanError::Field("horizon", "is not within 0 and a day"));
+        if !is_positive(options.horizon_s) || options.horizon_s > MAX_HORIZON_S {
+            return Err(PlanError::InvalidField(
+                "horizon",
+                "must be above 0 s and at most one day",
+            ));
         }
         if options.samples == 0 || options.samples > MAX_SAMPLES {
-            return Err(PlanError::Field("samples", "is not within 1 and 10000"));
+            return Err(PlanError::InvalidField(
+                "samples",
+                "must be from 1 to 10000",
+            ));
         }
         let latest_s = self.start_s + options.window_s;
         if self.start_s < 0.0 || options.window_s < 0.0 || latest_s >= options.horizon_s {
-            return Err(PlanError::Field("start", "is not within the horizon"));
+            return Err(PlanError::InvalidField(
+                "start",
+                "must be at least 0 s and, with the window, before the horizon",
+            ));
         }
         Ok(())
     }
 
     fn check_hosts(&self, snapshot: &Snapshot) -> Result<(), PlanError> {
         if self.hosts.is_empty() {
-            return Err(PlanError::Nothing);
+            return Err(PlanError::NoMachines);
         }
         for host in &self.hosts {
             match snapshot.machines.iter().find(|m| m.info.id == *host) {
-                None => return Err(PlanError::Unknown(host.clone())),
-                Some(machine) if !machine.alive => return Err(PlanError::Silent(host.clone())),
+                None => return Err(PlanError::UnknownMachine(host.clone())),
+                Some(machine) if !machine.alive => {
+                    return Err(PlanError::SilentMachine(host.clone()))
+                }
                 Some(_) => {}
             }
         }
@@ -101,6 +114,6 @@
     }
 }
 
-fn positive(value: f64) -> bool {
+fn is_positive(value: f64) -> bool {
     value.is_finite() && value > 0.0
 }
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -1,134 +1,139 @@
-//! A plan: what a drain would do, as statistics over many simulations. Data only; saved as
-//! JSON.
+//! The data of a plan: the predicted effects of a drain, as statistics over many simulations.
+//! Plans are saved as JSON.
 
 use crate::order::{Options, Order};
 use crate::scenario::Span;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Quantiles of a figure over the samples.
+/// Quantiles of a value over the samples.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Default)]
 pub struct Range {
     /// The median.
     pub p50: f64,
-    /// Nine in ten are at most this.
+    /// The 90th percentile.
     pub p90: f64,
 }
 
-/// A machine to be drained.
+/// The predicted drain of one machine.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct HostPlan {
-    /// Its name.
+    /// The machine's name.
     pub host: String,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Attempts on it at the snapshot.
+    /// Attempts on the machine when the snapshot was taken.
     pub tasks: usize,
-    /// Seconds from the drain's start until it is proven empty, in samples where it is.
+    /// Seconds from the drain's start until the machine is proven empty, over the samples in
+    /// which that happens.
     pub drained_s: Option<Range>,
-    /// The proportion of samples in which it is not drained within its deadline (or the
-    /// horizon, without one).
+    /// The proportion of samples in which the machine is not drained within the order's
+    /// deadline, or within the horizon if the order has no deadline.
     pub overdue: f64,
 }
 
-/// A job for which the drain makes a difference, or that is late anyway. Proportions are of
-/// the samples, from 0 to 1.
+/// A job that the drain affects, or that is late even without the drain. Proportions are
+/// proportions of the samples, from 0 to 1.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct JobPlan {
-    /// Its id.
+    /// The job's id.
     pub id: String,
-    /// Its class.
+    /// The job's class.
     pub class: String,
-    /// Proportion in which tasks of it are moved.
+    /// Proportion in which some of its tasks are moved.
     pub moved: f64,
-    /// Proportion in which it ends later by a tenth of what it had left, and by more than a
-    /// scheduling round.
+    /// Proportion in which the drain delays the job's end by more than 10% of the time until
+    /// its end without the drain, and by more than the longest interval between two scheduling
+    /// rounds.
     pub waits: f64,
-    /// Proportion in which its deadline is missed because of the drain.
+    /// Proportion in which the job misses its deadline only with the drain.
     pub late_because: f64,
-    /// Proportion in which its deadline is missed without the drain as well.
+    /// Proportion in which the job misses its deadline even without the drain.
     pub late_anyway: f64,
-    /// CPU seconds that are done again, on average.
+    /// Mean CPU seconds lost because of the drain.
     pub lost_cpu_s: f64,
-    /// By how many seconds it ends later, on average.
+    /// Mean delay of the job's end because of the drain, in seconds.
     pub later_s: f64,
 }
 
-/// A class of jobs, on average over the samples.
+/// Late jobs of a class, as means over the samples.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ClassPlan {
-    /// Its name.
+    /// The name of the class.
     pub class: String,
-    /// How many live jobs it has.
+    /// The number of its live jobs.
     pub jobs: usize,
-    /// Jobs that miss their deadline without the drain.
+    /// Mean number of jobs that miss their deadline without the drain.
     pub late_without: f64,
-    /// Jobs that miss their deadline with the drain.
+    /// Mean number of jobs that miss their deadline with the drain.
     pub late_with: f64,
 }
 
-/// A way to carry an order out, or a failure meanwhile.
+/// Statistics of one variant of the order: its own start times, other start times, or a failure
+/// of another machine during the drain.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Variant {
-    /// What it is, for people.
+    /// A description for the operator.
     pub name: String,
-    /// Deadlines missed because of the drain, on average.
+    /// Mean number of jobs that miss their deadline because of the drain.
     pub late: f64,
-    /// The proportion of samples in which there is any.
+    /// The proportion of samples in which at least one job does.
     pub any_late: f64,
-    /// CPU seconds that are done again, on average.
+    /// Mean CPU seconds lost because of the drain.
     pub lost_cpu_s: f64,
-    /// Seconds from the snapshot until all machines are drained, in samples where they are.
+    /// Seconds from the snapshot until all machines of the order are drained, over the samples
+    /// in which that happens.
     pub drained_s: Option<Range>,
-    /// The proportion of samples in which not all machines are drained in time.
+    /// The proportion of samples in which not all machines are drained by their deadline.
     pub overdue: f64,
 }
 
-/// A value over time: seconds, value.
+/// A time series: pairs of the time in seconds from the snapshot and the value.
 pub type Series = Vec<(f64, f64)>;
 
-/// The first sample, for pictures.
+/// The course of the first sample, for the charts of the report.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Default)]
-pub struct Picture {
-    /// What runs on each drained machine.
+pub struct SampleTrace {
+    /// The periods in which tasks ran on each drained machine.
     pub machines: BTreeMap<String, Vec<Span>>,
-    /// When each drained machine is proven empty, in seconds.
+    /// When each drained machine is proven empty, in seconds from the snapshot.
     pub drained_s: BTreeMap<String, f64>,
-    /// Free CPUs over time, without and with the drain.
+    /// Free CPUs over time: without the drain, and with it.
     pub free: (Series, Series),
 }
 
-/// A plan.
+/// The predicted effects of an order.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// The leader's term when the snapshot was made.
+    /// The leader's term when the snapshot was taken.
     pub term: u64,
     /// The snapshot's revision.
     pub revision: u64,
-    /// When the snapshot was made, in milliseconds of the time of day.
+    /// When the snapshot was taken, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What was planned.
+    /// The order that was simulated.
     pub order: Order,
-    /// How it was planned.
+    /// The options of the simulation.
     pub options: Options,
-    /// Live jobs of the snapshot.
+    /// The number of live jobs in the snapshot.
     pub jobs_live: usize,
-    /// Machines that send heartbeats.
+    /// The number of machines that send heartbeats.
     pub machines: usize,
     /// The machines to be drained.
     pub hosts: Vec<HostPlan>,
-    /// Jobs that the drain affects, worst first.
+    /// Jobs that the drain affects or that are late anyway; the most often late ones first.
     pub jobs: Vec<JobPlan>,
-    /// All classes.
+    /// Late jobs of all classes.
     pub classes: Vec<ClassPlan>,
-    /// The order as it is.
+    /// The order with its own start time, and without failures of other machines.
     pub all: Variant,
-    /// What is not named happens with less than this probability, at 95%.
+    /// Upper bound, at a confidence of 95%, of the probability of any event that occurred in no
+    /// sample and is therefore not listed.
     pub unnamed_below: f64,
-    /// Other starts, best first.
+    /// Other start times, best first.
     pub starts: Vec<Variant>,
-    /// Failures of other machines meanwhile.
+    /// Failures of other machines during the drain.
     pub failures: Vec<Variant>,
-    /// One sample in pictures.
-    pub picture: Picture,
+    /// The course of the first sample.
+    pub picture: SampleTrace,
 }
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -1,23 +1,23 @@
-//! Makes a plan: checks the order, simulates, and sums the samples up.
+//! Makes a plan: checks the order, simulates it, and summarizes the samples.
 
 use crate::order::{Options, Order, PlanError};
-use crate::plan::{Picture, Plan};
+use crate::plan::{Plan, SampleTrace};
 use crate::samples::{Pair, Planner};
 use foxspur::coordination::scheduler::snapshot::Snapshot;
 use std::collections::HashMap;
 
-/// By the rule of three, what did not happen in n samples has a probability below this
-/// divided by n, at 95%.
+/// Numerator of the rule of three: an event that occurred in none of n samples has a
+/// probability below 3 / n, at a confidence of 95%.
 const RULE_OF_THREE: f64 = 3.0;
-/// The shortest time within which failures of other machines are planned.
+/// The shortest period in which failures of other machines are simulated, in seconds.
 const MIN_FAILURE_WINDOW_S: f64 = 1.0;
 
-/// Plans the order from the snapshot.
+/// Predicts the effects of the order, starting from the snapshot.
 ///
 /// # Errors
 ///
-/// If the order names no machine, or one that is not there or sends no heartbeats, or a field
-/// is out of range.
+/// If the order names no machine, names a machine that the snapshot does not contain or that
+/// sends no heartbeats, or if a field is out of range.
 pub fn plan(snapshot: &Snapshot, order: &Order, options: &Options) -> Result<Plan, PlanError> {
     order.check(snapshot, options)?;
     let planner = Planner {
@@ -26,12 +26,12 @@
         options,
     };
     let starts = HashMap::new();
-    let mut pairs = planner.pairs(options.samples, &starts, &|_| Vec::new());
+    let mut pairs = planner.simulate_pairs(options.samples, &starts, &|_| Vec::new());
     let all = planner.variant("the order as it is", &starts, &pairs);
     let hosts = planner.hosts(&pairs);
     let jobs = planner.jobs(&pairs);
     let classes = planner.classes(&pairs);
-    let picture = picture(pairs.swap_remove(0));
+    let picture = sample_trace(pairs.swap_remove(0));
     let drained_s = all.drained_s.map_or(options.horizon_s, |range| range.p90);
     let failure_window_s = (drained_s - order.start_s).max(MIN_FAILURE_WINDOW_S);
     Ok(Plan {
@@ -41,23 +41,27 @@
         order: order.clone(),
         options: options.clone(),
         jobs_live: snapshot.jobs.len(),
-        machines: snapshot.machines.iter().filter(|m| m.alive).count(),
+        machines: snapshot
+            .machines
+            .iter()
+            .filter(|machine| machine.alive)
+            .count(),
         hosts,
         jobs,
         classes,
         all,
         unnamed_below: (RULE_OF_THREE / f64::from(options.samples)).min(1.0),
-        starts: planner.starts(),
-        failures: planner.failures(failure_window_s),
+        starts: planner.start_variants(),
+        failures: planner.failure_variants(failure_window_s),
         picture,
     })
 }
 
-fn picture(pair: Pair) -> Picture {
+fn sample_trace(pair: Pair) -> SampleTrace {
     let (without, with) = (pair.without.outcome, pair.with.outcome);
-    Picture {
+    SampleTrace {
         machines: with.spans.into_iter().collect(),
         drained_s: with.drained_s.into_iter().collect(),
-        free: (without.free, with.free),
+        free: (without.free_cpus, with.free_cpus),
     }
 }
--- a/crates/plan/src/samples.rs
+++ b/crates/plan/src/samples.rs
@@ -1,47 +1,50 @@
-//! Pairs of simulations, with the drain and without, under the same random numbers.
+//! Pairs of simulations, without the drain and with it, that use the same random numbers.
 
 use crate::order::{Options, Order};
-use crate::scenario::{JobEnd, Outcome, Scenario};
+use crate::scenario::{JobOutcome, Outcome, Scenario};
 use crate::simulation::run;
 use foxspur::coordination::scheduler::snapshot::{SnapJob, Snapshot};
 use foxspur::protocol::admin::Drain;
 use rayon::prelude::*;
 use std::collections::{BTreeSet, HashMap};
 
-/// When a job must be done, in seconds from the snapshot, if it has a deadline: the first
-/// service-level objective of its class that asks for an end, or its own deadline.
+/// The time by which a job must be done, in seconds from the snapshot: the earliest deadline
+/// that the service-level objectives of its class set, else the job's own deadline. `None` if
+/// there is neither.
 pub fn due_s(snapshot: &Snapshot, job: &SnapJob) -> Option<f64> {
     let spec = &job.spec;
     let class = Some(spec.class.as_str());
     let objectives = snapshot.objectives.iter();
     let objectives = objectives.filter(|objective| objective.class.as_deref() == class);
-    let ends = objectives.filter_map(|objective| match objective.kind.as_str() {
+    let deadlines = objectives.filter_map(|objective| match objective.kind.as_str() {
         "deadline" => Some(spec.deadline_s? * objective.times.unwrap_or(1.0)),
         "finished" => objective.within_s,
         _ => None,
     });
-    let first = ends.fold(f64::INFINITY, f64::min);
-    let due = if first.is_finite() {
-        Some(first)
+    let earliest_s = deadlines.fold(f64::INFINITY, f64::min);
+    let due_s = if earliest_s.is_finite() {
+        Some(earliest_s)
     } else {
         spec.deadline_s
     };
-    due.map(|due| due - job.age_s)
+    due_s.map(|due_s| due_s - job.age_s)
 }
 
-/// Jobs of the snapshot that miss their deadline. One that is not done by the horizon is late
-/// if its deadline is before that; else it cannot be told, and is mostly the same with the
-/// drain and without.
+/// Jobs of the snapshot that miss their deadline during the simulation. A job that is not done
+/// by the horizon counts as late if its deadline is earlier than the horizon. If its deadline
+/// is later, whether the job misses it is unknown, and it does not count; the drain mostly
+/// makes no difference then. A job whose deadline had passed at the snapshot does not count
+/// either.
 pub fn late_jobs(snapshot: &Snapshot, outcome: &Outcome, horizon_s: f64) -> BTreeSet<String> {
     let late = snapshot.jobs.iter().filter(|job| {
-        let end = outcome.jobs.get(&job.spec.id);
-        let end_s = end.and_then(|end| end.done_s).unwrap_or(horizon_s);
-        due_s(snapshot, job).is_some_and(|due| end_s > due && due > 0.0)
+        let job_outcome = outcome.jobs.get(&job.spec.id);
+        let end_s = job_outcome.and_then(|job| job.done_s).unwrap_or(horizon_s);
+        due_s(snapshot, job).is_some_and(|due_s| end_s > due_s && due_s > 0.0)
     });
     late.map(|job| job.spec.id.clone()).collect()
 }
 
-/// A simulation as far as plans look at it.
+/// The result of one simulation.
 #[derive(Default)]
 pub(crate) struct Sample {
     /// Jobs that miss their deadline.
@@ -58,13 +61,13 @@
         }
     }
 
-    /// CPU seconds lost, of all jobs.
+    /// CPU seconds lost by all jobs.
     pub fn lost_cpu_s(&self) -> f64 {
-        self.outcome.jobs.values().map(|end| end.lost_cpu_s).sum()
+        self.outcome.jobs.values().map(|job| job.lost_cpu_s).sum()
     }
 
-    /// What came of a job.
-    pub fn end(&self, job: &str) -> JobEnd {
+    /// The result for a job.
+    pub fn job_outcome(&self, job: &str) -> JobOutcome {
         self.outcome.jobs.get(job).cloned().unwrap_or_default()
     }
 
@@ -74,7 +77,7 @@
     }
 }
 
-/// The same random numbers without the drain and with it.
+/// Two simulations with the same random numbers: without the drain, and with it.
 pub(crate) struct Pair {
     pub without: Sample,
     pub with: Sample,
@@ -87,13 +90,14 @@
     }
 }
 
-/// When the drain of each machine starts, where that differs from the order's start.
-pub(crate) type Starts<'a> = HashMap<&'a str, f64>;
+/// When the drain of a machine starts, in seconds from the snapshot. Contains only machines
+/// whose start time differs from the order's.
+pub(crate) type DrainStarts<'a> = HashMap<&'a str, f64>;
 
-/// Which machines die when, in the simulations of this seed.
-pub(crate) type Deaths<'d> = dyn Fn(u64) -> Vec<(f64, String)> + Sync + 'd;
+/// The machines that fail in the simulations with a given seed, and when they fail.
+pub(crate) type MachineFailures<'d> = dyn Fn(u64) -> Vec<(f64, String)> + Sync + 'd;
 
-/// What a plan is made from.
+/// The input of a plan; its methods simulate the order and summarize the samples.
 pub(crate) struct Planner<'a> {
     pub snapshot: &'a Snapshot,
     pub order: &'a Order,
@@ -101,13 +105,18 @@
 }
 
 impl Planner<'_> {
-    /// When the drain of a machine starts.
-    pub fn start_s(&self, starts: &Starts, host: &str) -> f64 {
+    /// When the drain of a machine starts, in seconds from the snapshot.
+    pub fn start_s(&self, starts: &DrainStarts, host: &str) -> f64 {
         starts.get(host).copied().unwrap_or(self.order.start_s)
     }
 
-    /// Simulates without and with the drain.
-    pub fn pairs(&self, samples: u32, starts: &Starts, deaths: &Deaths) -> Vec<Pair> {
+    /// Simulates each sample without the drain and with it.
+    pub fn simulate_pairs(
+        &self,
+        samples: u32,
+        starts: &DrainStarts,
+        failures: &MachineFailures,
+    ) -> Vec<Pair> {
         let drains = self.drains(starts);
         let numbers = (0..u64::from(samples)).into_par_iter();
         let pairs = numbers.map(|number| {
@@ -115,7 +124,7 @@
             let seed = seed.wrapping_add(number);
             let mut scenario = Scenario {
                 drains: Vec::new(),
-                deaths: deaths(seed),
+                failures: failures(seed),
                 arrivals: Vec::new(),
                 horizon_s: self.options.horizon_s,
             };
@@ -127,8 +136,8 @@
         pairs.collect()
     }
 
-    /// The drains of the order, each with its start.
-    fn drains(&self, starts: &Starts) -> Vec<(f64, Drain)> {
+    /// The drains of the order, each with its start time.
+    fn drains(&self, starts: &DrainStarts) -> Vec<(f64, Drain)> {
         let drain = |host: &String| {
             let start_s = self.start_s(starts, host);
             let deadline_s = self.order.deadline_s.map(|deadline| start_s + deadline);
--- a/crates/plan/src/scenario.rs
+++ b/crates/plan/src/scenario.rs
@@ -1,62 +1,63 @@
-//! What a simulation is given and what comes of it. Times are seconds from the snapshot.
+//! The input and the result of a simulation. Times are seconds from the snapshot.
 
 use foxspur::protocol::admin::Drain;
 use foxspur::protocol::job::JobSpec;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// What happens in a simulation, with its times.
+/// The external events of a simulation.
 #[derive(Debug, Clone, Default)]
 pub struct Scenario {
-    /// Drains, and when each is ordered.
+    /// Drains, and when each of them is ordered.
     pub drains: Vec<(f64, Drain)>,
-    /// Machines that die, and when.
-    pub deaths: Vec<(f64, String)>,
-    /// Jobs that arrive, and when.
+    /// Names of machines that fail permanently, and when.
+    pub failures: Vec<(f64, String)>,
+    /// Jobs that are accepted, and when.
     pub arrivals: Vec<(f64, JobSpec)>,
-    /// How long is simulated.
+    /// The simulated time, in seconds.
     pub horizon_s: f64,
 }
 
-/// What came of a job.
+/// The result for one job.
 #[derive(Debug, Clone, Default)]
-pub struct JobEnd {
-    /// When all its tasks were completed, if within the horizon.
+pub struct JobOutcome {
+    /// When all its tasks were completed, if that was within the horizon.
     pub done_s: Option<f64>,
-    /// Starts, beyond one for each task that was not on a machine.
+    /// Starts of its tasks during the simulation. A task that the snapshot shows on a machine
+    /// counts only if it is started again.
     pub starts: u32,
-    /// CPU seconds that were done again.
+    /// CPU seconds lost because attempts were stopped.
     pub lost_cpu_s: f64,
 }
 
-/// What came of a simulation.
+/// The result of a simulation.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// By job id.
-    pub jobs: HashMap<String, JobEnd>,
+    /// The results for jobs, by job id.
+    pub jobs: HashMap<String, JobOutcome>,
     /// When each drained machine was proven empty.
     pub drained_s: HashMap<String, f64>,
-    /// Free CPUs of machines in use, at each scheduling round.
-    pub free: Vec<(f64, f64)>,
-    /// What ran on the drained machines.
+    /// The time of each scheduling round, and the free CPUs of machines in use then.
+    pub free_cpus: Vec<(f64, f64)>,
+    /// The periods in which tasks ran on each drained machine.
     pub spans: HashMap<String, Vec<Span>>,
-    /// All starts, in their order.
+    /// All starts of tasks, in chronological order.
     pub starts: Vec<TaskStart>,
-    /// Violations of the scheduler's rules: none, or the simulation is worth nothing.
+    /// Violations of the scheduler's rules. If there are any, the result is invalid.
     pub violations: Vec<String>,
 }
 
-/// A time in which a task ran on a machine. Saved as an array in the order of its fields.
+/// A period in which a task ran on a machine. Serialized as an array in the order of the fields.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 #[serde(from = "(f64, f64, String, bool)", into = "(f64, f64, String, bool)")]
 pub struct Span {
-    /// When it began; before 0 if it ran already at the snapshot.
+    /// When the period began; 0 for a task that already ran when the snapshot was taken.
     pub from_s: f64,
-    /// When it ended.
+    /// When the period ended.
     pub to_s: f64,
     /// The task's job.
     pub job: String,
-    /// Whether the task was completed.
+    /// Whether the task was completed at the end of the period.
     pub completed: bool,
 }
 
@@ -80,9 +81,9 @@
 /// A start of a task.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskStart {
-    /// When.
+    /// When the task started.
     pub at_s: f64,
-    /// The machine's name.
+    /// The name of the machine.
     pub machine: String,
     /// The job's id.
     pub job: String,
--- a/crates/plan/src/simulation.rs
+++ b/crates/plan/src/simulation.rs
@@ -1,6 +1,7 @@
-//! One simulation: the controllers' scheduler, made from a snapshot, and simulated machines,
-//! from event to event. Machines send a heartbeat when something changed on them; that they
-//! are there is told to the scheduler without one, which would say nothing new.
+//! A discrete-event simulation of the controllers' scheduler, created from a snapshot, and of
+//! simulated machines. A machine sends a heartbeat only when something has changed on it.
+//! Between heartbeats the simulation updates the scheduler's contact times directly, because a
+//! heartbeat without changes would have no other effect.
 
 use crate::cluster::{AttemptKey, Cluster, JobFacts, TaskKey};
 use crate::machine::Machine;
@@ -17,58 +18,59 @@
 use std::collections::{BinaryHeap, HashMap};
 use std::rc::Rc;
 
-/// The most heartbeats of one machine at one time. Each but the last carries out commands, or
-/// learns of what ended, which is forgotten once its completion is written.
-const MAX_EXCHANGES: usize = 8;
-/// The most rounds of direct calls at one time.
+/// The most heartbeats of one machine at one simulated time. Each heartbeat except the last
+/// returns commands or reports exited attempts. The scheduler lets the machine forget exited
+/// attempts after their completion has been written.
+const MAX_HEARTBEAT_EXCHANGES: usize = 8;
+/// The most rounds of direct calls at one simulated time.
 const MAX_CALL_ROUNDS: usize = 64;
-/// Bounds of the time between two scheduling rounds, in seconds: in these neither the number
-/// of rounds nor what one of them finds grows large.
+/// Bounds of the interval between two scheduling rounds, in seconds. They limit both the number
+/// of rounds and the amount of work in one round.
 const MIN_ROUND_S: f64 = 0.5;
 const MAX_ROUND_S: f64 = 2.0;
 
-/// Time in whole microseconds, to be ordered.
-fn micros(s: f64) -> u64 {
-    (s.max(0.0) * 1e6) as u64
+/// Converts seconds to whole microseconds, which have a total order.
+fn micros(seconds: f64) -> u64 {
+    (seconds.max(0.0) * 1e6) as u64
 }
 
-/// Simulates the snapshot forward.
+/// Simulates the scenario, starting from the snapshot.
 pub fn run(snapshot: &Snapshot, scenario: &Scenario, seed: u64) -> Outcome {
     let mut simulation = Simulation::new(snapshot, scenario, seed);
     for index in 0..simulation.machines.len() {
         simulation.exchange_heartbeats(index, 0.0);
     }
     for machine in &snapshot.machines {
-        adopt_ages(&mut simulation.scheduler, machine);
+        set_running_since(&mut simulation.scheduler, machine);
     }
-    // Twice in a heartbeat interval, as the controllers' own clock.
+    // Like the controllers, run two scheduling rounds per heartbeat interval.
     let round_s = (snapshot.report_s / 2.0).clamp(MIN_ROUND_S, MAX_ROUND_S);
     let mut now = 0.0;
-    simulation.round(now);
+    simulation.scheduling_round(now);
     while now < scenario.horizon_s {
         let until = now + round_s;
         simulation.apply_scenario(now, until);
         simulation.run_machines(now, until);
         now = until;
-        simulation.round(now);
+        simulation.scheduling_round(now);
     }
     simulation.into_outcome()
 }
 
-/// A drain and the version of its record.
+/// A drain and the version of its stored record.
 type VersionedDrain = (Drain, u64);
 
 struct Simulation<'a> {
     scheduler: Scheduler,
     cluster: Cluster,
     machines: Vec<Machine>,
-    /// Index in `machines`, by name.
-    by_name: HashMap<String, usize>,
-    /// When (in microseconds) something happens by itself on which machine.
+    /// Indices into `machines`, by machine name.
+    machine_indices: HashMap<String, usize>,
+    /// Ends of attempt phases: the time in microseconds and the machine's index, earliest first.
     events: BinaryHeap<Reverse<(u64, usize)>>,
     scenario: &'a Scenario,
     drains: HashMap<String, VersionedDrain>,
-    /// The version of the last record that was written.
+    /// The version of the record that was written last.
     version: u64,
     outcome: Outcome,
 }
@@ -82,16 +84,20 @@
         });
         let mut cluster = Cluster::new(snapshot, facts.collect(), seed);
         let machines = machines(snapshot, &mut cluster);
-        let names = machines.iter().enumerate();
-        let by_name = names.map(|(n, m)| (m.info.id.clone(), n)).collect();
-        let standing = snapshot.drains.iter();
-        let drains = standing.map(|d| (d.host.clone(), (d.clone(), 1))).collect();
+        let indexed = machines.iter().enumerate();
+        let machine_indices = indexed
+            .map(|(index, machine)| (machine.info.id.clone(), index))
+            .collect();
+        let existing = snapshot.drains.iter();
+        let drains = existing
+            .map(|drain| (drain.host.clone(), (drain.clone(), 1)))
+            .collect();
         scheduler.set_drains(&drains);
         Simulation {
             scheduler,
             cluster,
             machines,
-            by_name,
+            machine_indices,
             events: BinaryHeap::new(),
             scenario,
             drains,
@@ -100,11 +106,11 @@
         }
     }
 
-    /// The machine sends heartbeats and carries out the answers, until there is no news.
+    /// Sends the machine's heartbeats and executes the replies until nothing changes any more.
     fn exchange_heartbeats(&mut self, index: usize, now: f64) {
-        for _ in 0..MAX_EXCHANGES {
+        for _ in 0..MAX_HEARTBEAT_EXCHANGES {
             let machine = &mut self.machines[index];
-            if machine.dead {
+            if machine.failed {
                 return;
             }
             let heartbeat = machine.heartbeat();
@@ -112,13 +118,13 @@
             let HeartbeatReply::Commands(reply) = reply else {
                 return;
             };
-            let news = machine.token < reply.token || !reply.commands.is_empty();
+            let changed = machine.token < reply.token || !reply.commands.is_empty();
             machine.token = machine.token.max(reply.token);
             machine.execute(&reply.commands, now, &mut self.cluster);
             machine.advance(now, &mut self.cluster);
-            let news = news || machine.has_exited_attempts();
+            let changed = changed || machine.has_exited_attempts();
             self.write_completions(now);
-            if !news {
+            if !changed {
                 break;
             }
         }
@@ -126,13 +132,13 @@
     }
 
     fn schedule_event(&mut self, index: usize) {
-        let next = self.machines[index].next_event();
+        let next = self.machines[index].next_phase_end();
         if next.is_finite() {
             self.events.push(Reverse((micros(next) + 1, index)));
         }
     }
 
-    /// Completed tasks are written at once, and a complete job is over.
+    /// Records completed tasks as written, and finishes jobs of which all tasks are completed.
     fn write_completions(&mut self, now: f64) {
         for id in self.scheduler.completions_due(usize::MAX) {
             let Some(job) = self.scheduler.jobs.get(&id) else {
@@ -143,14 +149,14 @@
             self.scheduler
                 .completions_written(&id, &completed, self.version);
             if complete {
-                let end = self.outcome.jobs.entry(id.to_string()).or_default();
-                end.done_s = Some(now);
+                let job_outcome = self.outcome.jobs.entry(id.to_string()).or_default();
+                job_outcome.done_s = Some(now);
                 self.scheduler.finish_job(&id);
             }
         }
     }
 
-    /// The scheduler's direct calls, until it has none left.
+    /// Delivers the scheduler's direct calls until none are left.
     fn send_direct_calls(&mut self, now: f64) {
         for _ in 0..MAX_CALL_ROUNDS {
             let names: Vec<_> = self.scheduler.outbox.drain(..).collect();
@@ -161,11 +167,11 @@
                 let Some((_, call)) = self.scheduler.next_direct_call(&name, now) else {
                     continue;
                 };
-                let Some(&index) = self.by_name.get(&*name) else {
+                let Some(&index) = self.machine_indices.get(&*name) else {
                     continue;
                 };
                 let machine = &mut self.machines[index];
-                let result = if machine.dead {
+                let result = if machine.failed {
                     CallResult::NotSent
                 } else {
                     machine.token = machine.token.max(call.token);
@@ -173,39 +179,38 @@
                     machine.advance(now, &mut self.cluster);
                     CallResult::Executed(machine.heartbeat())
                 };
-                let dead = machine.dead;
+                let failed = machine.failed;
                 self.scheduler
                     .direct_call_finished(&name, &call, result, now);
-                if !dead {
+                if !failed {
                     self.schedule_event(index);
                 }
             }
         }
     }
 
-    /// What the scenario says for the time from `from` until before `until`.
+    /// Applies the scenario's events from `from` up to, but not including, `until`.
     fn apply_scenario(&mut self, from: f64, until: f64) {
         let scenario = self.scenario;
         let due = |at: f64| from <= at && at < until;
-        for (at_s, spec) in scenario.arrivals.iter().filter(|a| due(a.0)) {
+        for (at_s, spec) in scenario.arrivals.iter().filter(|arrival| due(arrival.0)) {
             self.add_job(*at_s, spec);
         }
-        let mut drained = false;
-        for (_, drain) in scenario.drains.iter().filter(|d| due(d.0)) {
+        let mut drains_written = false;
+        for (_, drain) in scenario.drains.iter().filter(|drain| due(drain.0)) {
             self.write_drain(drain.clone());
-            drained = true;
+            drains_written = true;
         }
-        for (_, host) in scenario.deaths.iter().filter(|d| due(d.0)) {
-            if let Some(&index) = self.by_name.get(host) {
-                self.machines[index].die(&mut self.cluster);
+        for (_, host) in scenario.failures.iter().filter(|failure| due(failure.0)) {
+            if let Some(&index) = self.machine_indices.get(host) {
+                self.machines[index].fail(&mut self.cluster);
             }
         }
-        if drained {
+        if drains_written {
             self.scheduler.set_drains(&self.drains);
         }
     }
 
-    /// A job arrives.
     fn add_job(&mut self, at_s: f64, spec: &JobSpec) {
         let spec = Rc::new(spec.clone());
         self.version += 1;
@@ -220,14 +225,14 @@
         self.cluster.jobs.insert(spec.id.clone(), facts);
     }
 
-    /// Writes a drain's record; the scheduler does not know it yet.
+    /// Writes a drain's record. The scheduler learns of it only through `set_drains`.
     fn write_drain(&mut self, drain: Drain) {
         self.version += 1;
         let host = drain.host.clone();
         self.drains.insert(host, (drain, self.version));
     }
 
-    /// Everything that happens by itself on machines until then.
+    /// Processes the events of all machines up to and including `until`.
     fn run_machines(&mut self, now: f64, until: f64) {
         while let Some(&Reverse((at_us, index))) = self.events.peek() {
             let at_s = at_us as f64 / 1e6;
@@ -236,16 +241,16 @@
             }
             self.events.pop();
             let machine = &mut self.machines[index];
-            if !machine.dead && machine.advance(at_s, &mut self.cluster) {
+            if !machine.failed && machine.advance(at_s, &mut self.cluster) {
                 self.exchange_heartbeats(index, at_s.max(now));
                 self.send_direct_calls(at_s.max(now));
             }
         }
     }
 
-    /// A scheduling round of the leader.
-    fn round(&mut self, now: f64) {
-        self.keep_machines_alive(now);
+    /// Runs one scheduling round of the leader and writes the records that it changed.
+    fn scheduling_round(&mut self, now: f64) {
+        self.record_heartbeats(now);
         self.scheduler.tick(now, now);
         self.scheduler.place_all(now);
         self.send_direct_calls(now);
@@ -256,12 +261,15 @@
         }
         self.write_machine_record();
         self.write_proven_drains(now);
-        self.outcome.free.push((now, self.scheduler.capacity().2));
+        self.outcome
+            .free_cpus
+            .push((now, self.scheduler.capacity().2));
     }
 
-    /// Heartbeats without news, of all machines that are not dead.
-    fn keep_machines_alive(&mut self, now: f64) {
-        for machine in self.machines.iter().filter(|m| !m.dead) {
+    /// Updates the contact times of all machines that have not failed, in place of heartbeats
+    /// without changes.
+    fn record_heartbeats(&mut self, now: f64) {
+        for machine in self.machines.iter().filter(|m| !m.failed) {
             let name = machine.info.id.as_str();
             if let Some(known) = self.scheduler.machines.get_mut(name) {
                 known.heard_at = now;
@@ -275,9 +283,9 @@
             return;
         }
         self.scheduler.machine_record_dirty = false;
-        let wanted = self.scheduler.wanted_machine_record();
-        let wanted: Vec<_> = wanted.into_iter().cloned().collect();
-        self.scheduler.machine_record_written(&wanted);
+        let record = self.scheduler.wanted_machine_record();
+        let record: Vec<_> = record.into_iter().cloned().collect();
+        self.scheduler.machine_record_written(&record);
     }
 
     fn write_proven_drains(&mut self, now: f64) {
@@ -322,10 +330,12 @@
     }
 }
 
-/// The snapshot's machines that are alive, with what is on them.
+/// The snapshot's machines that send heartbeats, with their attempts.
 fn machines(snapshot: &Snapshot, cluster: &mut Cluster) -> Vec<Machine> {
     let alive = snapshot.machines.iter().filter(|m| m.alive);
-    alive.map(|m| machine(snapshot, m, cluster)).collect()
+    alive
+        .map(|shown| machine(snapshot, shown, cluster))
+        .collect()
 }
 
 fn machine(snapshot: &Snapshot, shown: &SnapMachine, cluster: &mut Cluster) -> Machine {
@@ -348,9 +358,10 @@
     machine
 }
 
-/// The scheduler counts the age of what it adopts from its first heartbeat on; here it is
-/// known for how long each task has run.
-fn adopt_ages(scheduler: &mut Scheduler, shown: &SnapMachine) {
+/// Sets the start times of the machine's attempts. The scheduler takes an adopted attempt to
+/// have started when the machine's first heartbeat reports it, but the snapshot holds how long
+/// each attempt has run.
+fn set_running_since(scheduler: &mut Scheduler, shown: &SnapMachine) {
     let Some(machine) = scheduler.machines.get_mut(shown.info.id.as_str()) else {
         return;
     };
--- a/crates/plan/src/summary.rs
+++ b/crates/plan/src/summary.rs
@@ -1,15 +1,17 @@
-//! Statistics of samples: what they say of variants, machines, jobs and classes.
+//! Statistics of the samples for variants, machines, jobs and classes.
 
 use crate::plan::{ClassPlan, HostPlan, JobPlan, Range, Variant};
-use crate::samples::{Pair, Planner, Starts};
+use crate::samples::{DrainStarts, Pair, Planner};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job waits if it ends later by this proportion of what it had left, and by more than
-/// `MIN_WAIT_S` seconds.
+/// A job counts as waiting if the drain delays its end by more than this proportion of the time
+/// until its end without the drain, and by more than `MIN_WAIT_S`.
 const WAIT_PROPORTION: f64 = 0.1;
+/// The smallest delay that counts as waiting, in seconds: the longest interval between two
+/// scheduling rounds.
 const MIN_WAIT_S: f64 = 2.0;
 
-/// Quantiles of values; none if there are none.
+/// Quantiles of the values; `None` if there are no values.
 fn range(mut values: Vec<f64>) -> Option<Range> {
     values.sort_by(f64::total_cmp);
     let quantile = |q: f64| {
@@ -22,20 +24,20 @@
     })
 }
 
-/// 1 if it holds, else 0.
-fn indicator(holds: bool) -> f64 {
-    f64::from(u8::from(holds))
+/// 1 if the condition is true, else 0.
+fn one_if(condition: bool) -> f64 {
+    f64::from(u8::from(condition))
 }
 
-/// The number of pairs to divide by.
-fn count(pairs: &[Pair]) -> f64 {
+/// The number of pairs as a divisor: at least 1.
+fn pair_count(pairs: &[Pair]) -> f64 {
     pairs.len().max(1) as f64
 }
 
 impl Planner<'_> {
-    /// Sums a variant up.
-    pub fn variant(&self, name: &str, starts: &Starts, pairs: &[Pair]) -> Variant {
-        let samples = count(pairs);
+    /// Statistics of a variant of the order.
+    pub fn variant(&self, name: &str, starts: &DrainStarts, pairs: &[Pair]) -> Variant {
+        let samples = pair_count(pairs);
         let late: f64 = pairs.iter().map(|pair| pair.late_because() as f64).sum();
         let any_late = pairs.iter().filter(|pair| pair.late_because() > 0).count();
         let lost = |pair: &Pair| pair.with.lost_cpu_s() - pair.without.lost_cpu_s();
@@ -51,7 +53,7 @@
         }
     }
 
-    /// When all machines are drained, if they are.
+    /// When the last machine of the order is drained, if all are drained within the horizon.
     fn all_drained_s(&self, pair: &Pair) -> Option<f64> {
         let hosts = self.order.hosts.iter();
         let drained = hosts.map(|host| pair.with.drained_s(host));
@@ -59,8 +61,8 @@
         Some(drained.into_iter().fold(0.0, f64::max))
     }
 
-    /// Whether each machine is drained within its deadline.
-    fn in_time(&self, starts: &Starts, pair: &Pair) -> bool {
+    /// Whether all machines of the order are drained by their deadlines.
+    fn in_time(&self, starts: &DrainStarts, pair: &Pair) -> bool {
         self.order.hosts.iter().all(|host| {
             let start_s = self.start_s(starts, host);
             let deadline_s = self.order.deadline_s;
@@ -70,7 +72,7 @@
         })
     }
 
-    /// Sums the machines to be drained up.
+    /// Statistics of the machines to be drained.
     pub fn hosts(&self, pairs: &[Pair]) -> Vec<HostPlan> {
         let hosts = self.order.hosts.iter();
         hosts.map(|host| self.host(host, pairs)).collect()
@@ -80,19 +82,25 @@
         let mut machines = self.snapshot.machines.iter();
         let machine = machines.find(|m| m.info.id == *host);
         let drained = pairs.iter().filter_map(|pair| pair.with.drained_s(host));
-        let took: Vec<f64> = drained.map(|at| at - self.order.start_s).collect();
+        let durations_s: Vec<f64> = drained
+            .map(|drained_s| drained_s - self.order.start_s)
+            .collect();
         let deadline_s = self.order.deadline_s.unwrap_or(f64::INFINITY);
-        let in_time = took.iter().filter(|took_s| **took_s <= deadline_s).count();
+        let in_time = durations_s.iter();
+        let in_time = in_time
+            .filter(|duration_s| **duration_s <= deadline_s)
+            .count();
         HostPlan {
             host: host.into(),
             zone: machine.map_or(String::new(), |m| m.info.zone.clone()),
             tasks: machine.map_or(0, |m| m.tasks.len()),
-            overdue: 1.0 - in_time as f64 / count(pairs),
-            drained_s: range(took),
+            overdue: 1.0 - in_time as f64 / pair_count(pairs),
+            drained_s: range(durations_s),
         }
     }
 
-    /// Sums up the jobs that the drain affects or that are late anyway, worst first.
+    /// Statistics of the jobs that the drain affects or that are late anyway. Those most often
+    /// late because of the drain come first.
     pub fn jobs(&self, pairs: &[Pair]) -> Vec<JobPlan> {
         let drained = self.snapshot.machines.iter();
         let drained = drained.filter(|m| self.order.hosts.contains(&m.info.id));
@@ -116,7 +124,7 @@
     }
 
     fn job(&self, id: &str, class: &str, on_drained: bool, pairs: &[Pair]) -> JobPlan {
-        let samples = count(pairs);
+        let samples = pair_count(pairs);
         let mut plan = JobPlan {
             id: id.into(),
             class: class.into(),
@@ -128,32 +136,32 @@
             later_s: 0.0,
         };
         for Pair { without, with } in pairs {
-            let (end_without, end_with) = (without.end(id), with.end(id));
-            let done_without_s = end_without.done_s.unwrap_or(self.options.horizon_s);
-            let done_with_s = end_with.done_s.unwrap_or(self.options.horizon_s);
+            let (outcome_without, outcome_with) = (without.job_outcome(id), with.job_outcome(id));
+            let done_without_s = outcome_without.done_s.unwrap_or(self.options.horizon_s);
+            let done_with_s = outcome_with.done_s.unwrap_or(self.options.horizon_s);
             let later_s = done_with_s - done_without_s;
             let wait_s = (WAIT_PROPORTION * done_without_s).max(MIN_WAIT_S);
-            let moved = on_drained && end_with.starts > end_without.starts;
+            let moved = on_drained && outcome_with.starts > outcome_without.starts;
             let late_anyway = without.late.contains(id);
             let late_because = !late_anyway && with.late.contains(id);
-            plan.moved += indicator(moved) / samples;
-            plan.waits += indicator(later_s > wait_s) / samples;
-            plan.lost_cpu_s += (end_with.lost_cpu_s - end_without.lost_cpu_s) / samples;
+            plan.moved += one_if(moved) / samples;
+            plan.waits += one_if(later_s > wait_s) / samples;
+            plan.lost_cpu_s += (outcome_with.lost_cpu_s - outcome_without.lost_cpu_s) / samples;
             plan.later_s += later_s / samples;
-            plan.late_anyway += indicator(late_anyway) / samples;
-            plan.late_because += indicator(late_because) / samples;
+            plan.late_anyway += one_if(late_anyway) / samples;
+            plan.late_because += one_if(late_because) / samples;
         }
         plan
     }
 
-    /// Sums all classes up.
+    /// Statistics of all classes.
     pub fn classes(&self, pairs: &[Pair]) -> Vec<ClassPlan> {
         let mut classes: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for job in &self.snapshot.jobs {
             let ids = classes.entry(&job.spec.class).or_default();
             ids.push(&job.spec.id);
         }
-        let samples = count(pairs);
+        let samples = pair_count(pairs);
         let late = |late: &BTreeSet<String>, ids: &[&str]| {
             ids.iter().filter(|id| late.contains(**id)).count() as f64 / samples
         };
--- a/crates/plan/tests/draw.rs
+++ b/crates/plan/tests/draw.rs
@@ -1,12 +1,12 @@
-//! Drawn run times of tasks.
+//! Tests of the random run times of tasks.
 
 use foxspur_plan::draw::Draws;
 use std::collections::HashMap;
 
-/// Guards against a plan in which running tasks are over at once because
-/// their estimate is: the draw is among times that are still possible.
+/// Guards against plans in which a running task ends at once because it has already run longer
+/// than its estimate. The drawn run time must exceed the elapsed run time.
 #[test]
-fn what_has_run_is_taken_into_account() {
+fn drawn_run_time_exceeds_elapsed_run_time() {
     let ratios = vec![0.5, 0.8, 1.0, 1.2, 3.0];
     let draws = |seed| {
         let ratios = HashMap::from([("c".to_string(), ratios.clone())]);
@@ -20,16 +20,16 @@
             ("c", 500.0),
             ("x", 19.0),
         ] {
-            let all = draws(seed).run_s(class, "run-1", 3, 10.0, ran_s);
-            assert!(all > ran_s, "{class} {ran_s}: {all}");
-            let most = if ran_s > 30.0 {
+            let total_s = draws(seed).run_s(class, "run-1", 3, 10.0, ran_s);
+            assert!(total_s > ran_s, "{class} {ran_s}: {total_s}");
+            let max_s = if ran_s > 30.0 {
                 3.0 * ran_s + 1.0
             } else {
                 60.0
             };
-            assert!(all <= most, "{class} {ran_s}: {all}");
+            assert!(total_s <= max_s, "{class} {ran_s}: {total_s}");
         }
-        let a = draws(seed).run_s("c", "run-1", 3, 10.0, 0.0);
-        assert_eq!(a, draws(seed).run_s("c", "run-1", 3, 10.0, 0.0));
+        let total_s = draws(seed).run_s("c", "run-1", 3, 10.0, 0.0);
+        assert_eq!(total_s, draws(seed).run_s("c", "run-1", 3, 10.0, 0.0));
     }
 }
--- a/crates/plan/tests/plan.rs
+++ b/crates/plan/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans of shards that are random or made for a case.
+//! Tests of plans for hand-made and random shards.
 
 mod support;
 
@@ -22,14 +22,14 @@
     support::machine(format!("m-{number}"), kind, zone)
 }
 
-/// A shard with small and large machines.
+/// A shard whose machine types are `small` and `large`.
 fn shard(machines: Vec<SnapMachine>, jobs: Vec<SnapJob>) -> Snapshot {
     let types = vec![machine_type("small", 8.0), machine_type("large", 16.0)];
     support::snapshot(types, machines, jobs)
 }
 
-/// Puts a task of the job on the machine.
-fn on(shard: &mut Snapshot, machine: usize, job: usize, index: u32, ran_s: f64) {
+/// Places a task of the job on the machine, where it has run for `ran_s` seconds.
+fn place_task(shard: &mut Snapshot, machine: usize, job: usize, index: u32, ran_s: f64) {
     let attempt = 1 + shard
         .machines
         .iter()
@@ -52,7 +52,7 @@
     }
 }
 
-fn few() -> Options {
+fn small_plan() -> Options {
     Options {
         samples: 20,
         horizon_s: 600.0,
@@ -61,12 +61,12 @@
     }
 }
 
-/// Guards against a plan that does not say what a drain costs: the same two
-/// machines, and what differs is the job that one of them runs.
+/// Guards against plans that predict the wrong effects of a drain. All cases use the same
+/// machines; the job on the drained machine and the drain's deadline differ.
 #[test]
-fn what_runs_on_the_machine_decides() {
+fn drain_effects_depend_on_the_job() {
     let as_is = Case {
-        name: "it ends by itself",
+        name: "without a deadline the task runs to its end",
         change: |_| {},
         deadline_s: None,
         rest: Rest::Leave,
@@ -77,25 +77,25 @@
     let cases = [
         as_is,
         Case {
-            name: "it ends in time",
+            name: "the task ends before the deadline",
             deadline_s: Some(400.0),
             ..as_is
         },
         Case {
-            name: "it would not, so it moves",
+            name: "the task would end after the deadline, so it is moved",
             deadline_s: Some(20.0),
             moved: true,
             ..as_is
         },
         Case {
-            name: "moved it would miss its deadline, so it stays",
+            name: "moved, the job would miss its own deadline, so it stays",
             change: |s| s.jobs[0].spec.deadline_s = Some(140.0),
             deadline_s: Some(20.0),
             drained: false,
             ..as_is
         },
         Case {
-            name: "the operator said so",
+            name: "the operator orders tasks to be stopped at the deadline",
             change: |s| s.jobs[0].spec.deadline_s = Some(140.0),
             deadline_s: Some(20.0),
             rest: Rest::Stop,
@@ -104,7 +104,7 @@
             ..as_is
         },
         Case {
-            name: "a replica never ends, so it moves at once",
+            name: "a service never ends, so it is moved at once",
             change: |s| s.jobs[0].spec.shape = Shape::Service,
             moved: true,
             ..as_is
@@ -117,7 +117,7 @@
             ..as_is
         },
         Case {
-            name: "what has checkpoints loses little",
+            name: "a job with checkpoints is moved",
             change: |s| {
                 s.jobs[0].spec.checkpoint_s = 10.0;
                 s.jobs[0].spec.save_s = 2.0;
@@ -132,18 +132,18 @@
     }
 }
 
-/// A job on the machine to be drained, the order, and what is expected of the plan.
+/// A job on the machine to be drained, the order, and the expected results of the plan.
 #[derive(Clone, Copy)]
 struct Case {
     name: &'static str,
     change: fn(&mut Snapshot),
     deadline_s: Option<f64>,
     rest: Rest,
-    /// The machine is drained in time.
+    /// Whether the machine is drained in time.
     drained: bool,
-    /// The job is moved.
+    /// Whether the job is moved.
     moved: bool,
-    /// The job is late because of the drain.
+    /// Whether the job is late because of the drain.
     late: bool,
 }
 
@@ -156,17 +156,17 @@
             machine(2, "small"),
         ];
         let mut shard = shard(machines, vec![job(0, 1, 100.0)]);
-        // Estimates are nearly right here, so that the case decides.
+        // Estimates are almost exact, so that run times do not decide the results.
         shard.errors = vec![ClassError {
             class: "class".into(),
             tasks: 100,
             ratios: vec![0.95, 1.0, 1.05],
         }];
-        on(&mut shard, 0, 0, 0, 40.0);
+        place_task(&mut shard, 0, 0, 0, 40.0);
         (self.change)(&mut shard);
         shard.jobs[0].age_s = 50.0;
         let order = order(&["m-0"], self.deadline_s, self.rest);
-        let made = plan(&shard, &order, &few()).unwrap();
+        let made = plan(&shard, &order, &small_plan()).unwrap();
         let drained = made.hosts[0].overdue < 0.5;
         assert_eq!(drained, self.drained, "{name}: {:?}", made.hosts);
         let job = made.jobs.iter().find(|j| j.id == "run-0");
@@ -178,10 +178,10 @@
     }
 }
 
-/// Guards against plans that speak of a machine they know nothing about, and
-/// against fields that make no sense.
+/// Guards against plans for machines whose tasks are unknown, and for fields with invalid
+/// values.
 #[test]
-fn orders_that_cannot_be_planned() {
+fn invalid_orders_are_rejected() {
     let mut shard = shard(
         vec![machine(0, "small"), machine(1, "small")],
         vec![job(0, 1, 10.0)],
@@ -189,45 +189,52 @@
     shard.machines[1].alive = false;
     let plain = order(&["m-0"], None, Rest::Leave);
     let cases = [
-        (order(&[], None, Rest::Leave), few(), PlanError::Nothing),
+        (
+            order(&[], None, Rest::Leave),
+            small_plan(),
+            PlanError::NoMachines,
+        ),
         (
             order(&["m-9"], None, Rest::Leave),
-            few(),
-            PlanError::Unknown("m-9".into()),
+            small_plan(),
+            PlanError::UnknownMachine("m-9".into()),
         ),
         (
             order(&["m-1"], None, Rest::Leave),
-            few(),
-            PlanError::Silent("m-1".into()),
+            small_plan(),
+            PlanError::SilentMachine("m-1".into()),
         ),
         (
             order(&["m-0"], Some(-1.0), Rest::Leave),
-            few(),
-            PlanError::Field("deadline", "is not above 0"),
+            small_plan(),
+            PlanError::InvalidField("deadline", "must be above 0 s"),
         ),
         (
             plain.clone(),
             Options {
                 samples: 0,
-                ..few()
+                ..small_plan()
             },
-            PlanError::Field("samples", "is not within 1 and 10000"),
+            PlanError::InvalidField("samples", "must be from 1 to 10000"),
         ),
         (
             plain.clone(),
             Options {
                 horizon_s: f64::NAN,
-                ..few()
+                ..small_plan()
             },
-            PlanError::Field("horizon", "is not within 0 and a day"),
+            PlanError::InvalidField("horizon", "must be above 0 s and at most one day"),
         ),
         (
             Order {
                 start_s: 700.0,
                 ..plain
             },
-            few(),
-            PlanError::Field("start", "is not within the horizon"),
+            small_plan(),
+            PlanError::InvalidField(
+                "start",
+                "must be at least 0 s and, with the window, before the horizon",
+            ),
         ),
     ];
     for (order, options, error) in cases {
@@ -235,10 +242,11 @@
     }
 }
 
-/// Guards against a second failure that the plan does not see: with it, the work
-/// of the drained machine has nowhere to go in time.
+/// Guards against plans that ignore the failure of another machine during the drain. After such
+/// a failure, the drained machine's tasks find no free machine in time. The test also checks
+/// the HTML report and the comparison with a later plan.
 #[test]
-fn a_second_failure_is_named() {
+fn failure_during_the_drain_is_reported() {
     let mut shard = shard(
         vec![
             machine(0, "small"),
@@ -248,8 +256,8 @@
         vec![job(0, 4, 100.0), job(1, 4, 100.0)],
     );
     for index in 0..4 {
-        on(&mut shard, 0, 0, index, 5.0);
-        on(&mut shard, 1, 1, index, 5.0);
+        place_task(&mut shard, 0, 0, index, 5.0);
+        place_task(&mut shard, 1, 1, index, 5.0);
     }
     for job in &mut shard.jobs {
         job.spec.deadline_s = Some(240.0);
@@ -260,7 +268,7 @@
         &order,
         &Options {
             failures: true,
-            ..few()
+            ..small_plan()
         },
     )
     .unwrap();
@@ -277,19 +285,25 @@
         html.matches("<svg").count() == 3 && !html.contains("no picture"),
         "{html}"
     );
-    // What is named of another state is another plan, and the difference is told.
+    // A plan made from another state differs, and the difference names the new revision.
     assert_eq!(difference(&made, &made), Vec::<String>::new());
     shard.revision += 1;
     shard.jobs.push(job(2, 6, 300.0));
-    let later = plan(&shard, &order, &few()).unwrap();
+    let later = plan(&shard, &order, &small_plan()).unwrap();
     assert!(difference(&made, &later)[0].contains("100 became 101"));
 }
 
+/// Random input for a shard, a drain and a simulation.
 #[derive(Debug, Clone)]
-struct Drawn {
+struct RandomShard {
+    /// For each machine, whether it is large.
     machines: Vec<bool>,
+    /// For each job: tasks, estimate in seconds, variant of the specification, deadline in
+    /// seconds.
     jobs: Vec<(u32, f64, u8, Option<f64>)>,
+    /// Tasks on machines: machine, job, index, elapsed run time in seconds.
     placed: Vec<(usize, usize, u32, f64)>,
+    /// The team's CPU limit; 0 for none.
     limit: f64,
     drained: usize,
     deadline_s: Option<f64>,
@@ -297,7 +311,7 @@
     seed: u64,
 }
 
-fn drawn() -> impl Strategy<Value = Drawn> {
+fn random_shard() -> impl Strategy<Value = RandomShard> {
     let job = (
         1u32..6,
         5.0..200.0,
@@ -317,7 +331,7 @@
         ),
     )
         .prop_map(
-            |(machines, jobs, placed, limit, (drained, deadline_s, stop, seed))| Drawn {
+            |(machines, jobs, placed, limit, (drained, deadline_s, stop, seed))| RandomShard {
                 machines,
                 jobs,
                 placed,
@@ -330,87 +344,95 @@
         )
 }
 
-/// The shard that was drawn: within its limits, each task in one place.
-fn drawn_shard(d: &Drawn) -> Snapshot {
-    let machines = d.machines.iter().enumerate();
+/// Builds the shard. Leaves out placements that would violate the team's limit or a constraint,
+/// or that would place a task twice.
+fn build_shard(input: &RandomShard) -> Snapshot {
+    let machines = input.machines.iter().enumerate();
     let machines = machines.map(|(n, large)| machine(n, if *large { "large" } else { "small" }));
-    let jobs = d
-        .jobs
-        .iter()
-        .enumerate()
-        .map(|(n, (tasks, estimate_s, shape, deadline_s))| {
-            let mut job = job(n, *tasks, *estimate_s);
-            job.spec.deadline_s = *deadline_s;
-            match shape {
-                0 => job.spec.shape = Shape::Service,
-                1 => job.spec.types = Some(vec!["large".into()]),
-                2 => job.spec.zone = Some("a".into()),
-                3 => (job.spec.checkpoint_s, job.spec.save_s) = (20.0, 3.0),
-                4 => job.spec.urgency = Urgency::High,
-                5 => job.spec.one_zone = true,
-                6 => job.spec.spread = true,
-                _ => {}
-            }
-            job
-        });
+    let jobs =
+        input
+            .jobs
+            .iter()
+            .enumerate()
+            .map(|(n, (tasks, estimate_s, variant, deadline_s))| {
+                let mut job = job(n, *tasks, *estimate_s);
+                job.spec.deadline_s = *deadline_s;
+                match variant {
+                    0 => job.spec.shape = Shape::Service,
+                    1 => job.spec.types = Some(vec!["large".into()]),
+                    2 => job.spec.zone = Some("a".into()),
+                    3 => (job.spec.checkpoint_s, job.spec.save_s) = (20.0, 3.0),
+                    4 => job.spec.urgency = Urgency::High,
+                    5 => job.spec.one_zone = true,
+                    6 => job.spec.spread = true,
+                    _ => {}
+                }
+                job
+            });
     let mut shard = shard(machines.collect(), jobs.collect());
-    shard.teams[0].cpus_max = d.limit;
-    let mut used = 0.0;
-    for (m, j, index, ran_s) in &d.placed {
-        let (m, j) = (m % shard.machines.len(), j % shard.jobs.len());
-        let spec = shard.jobs[j].spec.clone();
-        let info = &shard.machines[m].info;
-        let taken = shard.machines.iter().flat_map(|m| &m.tasks);
-        let twice = taken.clone().any(|t| t.job == spec.id && t.index == *index);
-        let full = shard.machines[m].tasks.len() >= 4 || *index >= spec.tasks;
-        let wrong = spec.types.as_ref().is_some_and(|t| !t.contains(&info.kind))
-            || spec.zone.as_ref().is_some_and(|z| *z != info.zone)
+    shard.teams[0].cpus_max = input.limit;
+    let mut used_cpus = 0.0;
+    for (machine, job, index, ran_s) in &input.placed {
+        let (machine, job) = (machine % shard.machines.len(), job % shard.jobs.len());
+        let spec = shard.jobs[job].spec.clone();
+        let info = &shard.machines[machine].info;
+        let placed = shard.machines.iter().flat_map(|m| &m.tasks);
+        let twice = placed
+            .clone()
+            .any(|task| task.job == spec.id && task.index == *index);
+        let full = shard.machines[machine].tasks.len() >= 4 || *index >= spec.tasks;
+        let types = spec.types.as_ref();
+        let forbidden = types.is_some_and(|types| !types.contains(&info.kind))
+            || spec.zone.as_ref().is_some_and(|zone| *zone != info.zone)
             || spec.one_zone
             || spec.spread;
-        used += spec.cpus;
-        if twice || full || wrong || d.limit > 0.0 && used > d.limit {
-            used -= spec.cpus;
+        used_cpus += spec.cpus;
+        if twice || full || forbidden || input.limit > 0.0 && used_cpus > input.limit {
+            used_cpus -= spec.cpus;
             continue;
         }
-        on(&mut shard, m, j, *index, *ran_s);
+        place_task(&mut shard, machine, job, *index, *ran_s);
     }
     shard
 }
 
-fn ends(outcome: &Outcome) -> Vec<(String, Option<f64>, u32)> {
-    let mut ends: Vec<_> = outcome
+/// Completion time and number of starts of each job, by id.
+fn job_results(outcome: &Outcome) -> Vec<(String, Option<f64>, u32)> {
+    let mut results: Vec<_> = outcome
         .jobs
         .iter()
-        .map(|(id, e)| (id.clone(), e.done_s, e.starts))
+        .map(|(id, job)| (id.clone(), job.done_s, job.starts))
         .collect();
-    ends.sort_by(|a, b| a.0.cmp(&b.0));
-    ends
+    results.sort_by(|a, b| a.0.cmp(&b.0));
+    results
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
-    /// For any shard: no start that the rules forbid, with the drain or without,
-    /// nothing new on the drained machine, the same twice; and a drain of nothing,
-    /// or of a machine that is drained already, changes nothing.
+    /// Guards against simulations that violate the scheduler's rules or are not reproducible.
+    /// For any shard, no start violates a rule, with the drain or without. No task starts on
+    /// the draining machine, and the same simulation gives the same result again. Ordering a
+    /// drain that already exists changes nothing.
     #[test]
-    fn a_plan_never_breaks_a_rule(d in drawn()) {
-        let mut shard = drawn_shard(&d);
-        let host = format!("m-{}", d.drained % d.machines.len());
-        let rest = if d.stop { Rest::Stop } else { Rest::Leave };
+    fn simulations_violate_no_rule(input in random_shard()) {
+        let mut shard = build_shard(&input);
+        let host = format!("m-{}", input.drained % input.machines.len());
+        let rest = if input.stop { Rest::Stop } else { Rest::Leave };
         let mut scenario = Scenario { horizon_s: 400.0, ..Scenario::default() };
-        let without = run(&shard, &scenario, d.seed);
-        scenario.drains = vec![(0.0, drain(&host, d.deadline_s, rest))];
-        let with = run(&shard, &scenario, d.seed);
+        let without = run(&shard, &scenario, input.seed);
+        scenario.drains = vec![(0.0, drain(&host, input.deadline_s, rest))];
+        let with = run(&shard, &scenario, input.seed);
         prop_assert_eq!(&without.violations, &Vec::<String>::new());
         prop_assert_eq!(&with.violations, &Vec::<String>::new());
-        let late = with.starts.iter().find(|s| s.machine == host && s.at_s > 0.0);
-        prop_assert!(late.is_none(), "{late:?} on the drained machine");
-        prop_assert_eq!(ends(&with), ends(&run(&shard, &scenario, d.seed)));
-        // It is drained already: the same order again is no news.
-        shard.drains = vec![drain(&host, d.deadline_s, rest)];
-        let known = run(&shard, &Scenario { drains: Vec::new(), ..scenario.clone() }, d.seed);
-        let again = run(&shard, &scenario, d.seed);
-        prop_assert_eq!(ends(&known), ends(&again));
+        let forbidden = with.starts.iter().find(|start| start.machine == host && start.at_s > 0.0);
+        prop_assert!(forbidden.is_none(), "{forbidden:?} on the draining machine");
+        prop_assert_eq!(job_results(&with), job_results(&run(&shard, &scenario, input.seed)));
+        // The machine is already being drained: ordering the same drain again has no effect.
+        shard.drains = vec![drain(&host, input.deadline_s, rest)];
+        let no_order = Scenario { drains: Vec::new(), ..scenario.clone() };
+        let existing = run(&shard, &no_order, input.seed);
+        let again = run(&shard, &scenario, input.seed);
+        prop_assert_eq!(job_results(&existing), job_results(&again));
     }
 }
--- a/crates/plan/tests/support/mod.rs
+++ b/crates/plan/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Snapshots that tests and examples plan from. Each of them uses a part.
+//! Snapshots for tests and examples. Each of them uses only some of these functions.
 #![allow(dead_code)]
 
 use foxspur::coordination::scheduler::snapshot::{SnapJob, SnapMachine, Snapshot};
@@ -9,7 +9,7 @@
 use foxspur::protocol::settings::Team;
 use foxspur::storage::records::MachineInfo;
 
-/// A job of tasks of two CPUs.
+/// A job whose tasks need two CPUs each.
 pub fn spec(number: usize, class: &str, tasks: u32, estimate_s: f64) -> JobSpec {
     JobSpec {
         id: format!("run-{number}"),
@@ -35,7 +35,7 @@
     }
 }
 
-/// A job that was just accepted.
+/// A job that has just been accepted.
 pub fn job(spec: JobSpec) -> SnapJob {
     SnapJob {
         spec,
@@ -44,7 +44,7 @@
     }
 }
 
-/// A machine on demand with nothing on it.
+/// An on-demand machine without tasks.
 pub fn machine(name: String, kind: &str, zone: &str) -> SnapMachine {
     SnapMachine {
         info: MachineInfo {
@@ -60,7 +60,7 @@
     }
 }
 
-/// A type of machines in zones `a` and `b`.
+/// A machine type that is available in zones `a` and `b`.
 pub fn machine_type(name: &str, cpus: f64) -> MachineType {
     MachineType {
         name: name.into(),
@@ -76,7 +76,7 @@
     }
 }
 
-/// A team with a guarantee and a limit of CPUs; 0 for none.
+/// A team with a guarantee and a limit of CPUs; 0 means none.
 pub fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
     Team {
         name: name.into(),
@@ -87,7 +87,7 @@
     }
 }
 
-/// A shard of one team `t` without limits.
+/// A shard with one team, `t`, without limits.
 pub fn snapshot(
     types: Vec<MachineType>,
     machines: Vec<SnapMachine>,
@@ -111,7 +111,7 @@
     }
 }
 
-/// A drain that is ordered at the snapshot.
+/// A drain that is ordered when the snapshot is taken.
 pub fn drain(host: &str, deadline_s: Option<f64>, rest: Rest) -> Drain {
     Drain {
         host: host.into(),
