--- a/crates/ctl/src/api.rs
+++ b/crates/ctl/src/api.rs
@@ -1,5 +1,5 @@
-//! A client of the operators' API. Controllers are tried in the order of their addresses; the
-//! first that answers counts.
+//! An HTTP client of the operators' API. It tries the controllers in the order of their
+//! addresses and uses the first answer.
 
 use foxspur_wire::admin::{Answer, Problem};
 use serde::de::DeserializeOwned;
@@ -7,60 +7,61 @@
 use std::time::Duration;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longer than a controller waits for the leader.
-const TIMEOUT: Duration = Duration::from_secs(5);
+/// The limit for a whole request, longer than a controller waits for the leader.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why there is no result.
+/// Why a command has no result.
 #[derive(thiserror::Error, Debug)]
 pub enum Error {
-    /// The order is refused, or names something that does not exist.
+    /// A controller refused the call: it is invalid, or names something that does not exist.
     #[error("{0}")]
     Refused(String),
-    /// Nobody answers now; giving the same order again is safe.
+    /// No controller gave a valid answer. It is unknown whether an order was carried out; it is
+    /// safe to send the same order again.
     #[error("no controller answers: {0}")]
-    Nobody(String),
-    /// A file, or the terminal.
+    NoAnswer(String),
+    /// Something failed on this side, such as a file or the terminal.
     #[error("{0}")]
     Local(String),
 }
 
 impl Error {
-    /// Something on this side failed.
+    /// An error on this side.
     pub(crate) fn local(error: impl std::fmt::Display) -> Error {
         Error::Local(error.to_string())
     }
 
-    fn unreadable(error: serde_json::Error) -> Error {
-        Error::Nobody(format!("unreadable answer: {error}"))
+    fn invalid_answer(error: serde_json::Error) -> Error {
+        Error::NoAnswer(format!("cannot parse the answer: {error}"))
     }
 
-    /// The exit code that scripts see.
+    /// The exit code of the process.
     pub fn code(&self) -> u8 {
         match self {
             Error::Refused(_) => 1,
             Error::Local(_) => 2,
-            Error::Nobody(_) => 3,
+            Error::NoAnswer(_) => 3,
         }
     }
 }
 
-/// A client of all controllers.
+/// A client of the operators' API of all controllers.
 pub struct Api {
     http: reqwest::blocking::Client,
-    /// Base URLs.
+    /// The controllers' base URLs, in the order in which they are tried.
     at: Vec<String>,
 }
 
 impl Api {
-    /// A client of the controllers at these addresses or URLs.
+    /// Creates a client for the controllers at these addresses or URLs.
     ///
     /// # Errors
     ///
-    /// If no HTTP client can be made.
+    /// If the HTTP client cannot be created.
     pub fn new(at: &[String]) -> Result<Api, Error> {
         let http = reqwest::blocking::Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
-            .timeout(TIMEOUT)
+            .timeout(REQUEST_TIMEOUT)
             .no_proxy()
             .build()
             .map_err(Error::local)?;
@@ -70,76 +71,76 @@
         })
     }
 
-    /// The base URLs that are tried.
+    /// The controllers' base URLs, in the order in which they are tried.
     pub fn at(&self) -> &[String] {
         &self.at
     }
 
-    /// Asks one controller: `POST` with a body, else `GET`.
+    /// Calls one controller: with `POST` if there is a body, else with `GET`.
     fn call_one(&self, base: &str, path: &str, body: Option<&str>) -> Result<String, Error> {
         let url = format!("{base}{path}");
         let request = match body {
             Some(body) => self.http.post(url).body(body.to_string()),
             None => self.http.get(url),
         };
-        let nobody = |e: reqwest::Error| Error::Nobody(format!("{base}: {e}"));
-        let response = request.send().map_err(nobody)?;
+        let no_answer = |error: reqwest::Error| Error::NoAnswer(format!("{base}: {error}"));
+        let response = request.send().map_err(no_answer)?;
         let status = response.status();
-        let text = response.text().map_err(nobody)?;
+        let text = response.text().map_err(no_answer)?;
         if status.is_success() {
             return Ok(text);
         }
-        let why = match serde_json::from_str::<Problem>(&text) {
+        let message = match serde_json::from_str::<Problem>(&text) {
             Ok(problem) => problem.error,
-            Err(_) => format!("{base} answers {status}"),
+            Err(_) => format!("{base} answered with status {status}"),
         };
         if status.is_client_error() {
-            Err(Error::Refused(why))
+            Err(Error::Refused(message))
         } else {
-            Err(Error::Nobody(why))
+            Err(Error::NoAnswer(message))
         }
     }
 
-    /// Asks one controller after the other; a refusal is an answer.
+    /// Calls one controller after the other until one answers. A refusal is an answer, too.
     ///
     /// # Errors
     ///
     /// If the call is refused or no controller answers.
     pub fn call(&self, path: &str, body: Option<&str>) -> Result<String, Error> {
-        let mut last = Error::Nobody("no address is given".into());
+        let mut last_error = Error::NoAnswer("no address is given".into());
         for base in &self.at {
             match self.call_one(base, path, body) {
-                Err(error @ Error::Nobody(_)) => last = error,
-                other => return other,
+                Err(error @ Error::NoAnswer(_)) => last_error = error,
+                result => return result,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// A view: as text, and parsed.
+    /// Gets a view, as text and parsed.
     ///
     /// # Errors
     ///
     /// As [`Api::call`], and if the answer cannot be parsed.
     pub fn view<T: DeserializeOwned>(&self, path: &str) -> Result<(String, Answer<T>), Error> {
         let text = self.call(path, None)?;
-        let answer = serde_json::from_str(&text).map_err(Error::unreadable)?;
+        let answer = serde_json::from_str(&text).map_err(Error::invalid_answer)?;
         Ok((text, answer))
     }
 
-    /// The view of each controller, in the order of the addresses.
+    /// Gets a view from every controller, in the order of the addresses.
     pub fn each<T: DeserializeOwned>(&self, path: &str) -> Vec<(String, Result<Answer<T>, Error>)> {
-        let ask = |base: &String| {
+        let get = |base: &String| {
             let text = self.call_one(base, path, None)?;
-            serde_json::from_str(&text).map_err(Error::unreadable)
+            serde_json::from_str(&text).map_err(Error::invalid_answer)
         };
         self.at
             .iter()
-            .map(|base| (base.clone(), ask(base)))
+            .map(|base| (base.clone(), get(base)))
             .collect()
     }
 
-    /// Gives an order; the answer as text.
+    /// Sends an order and returns the answer as text.
     ///
     /// # Errors
     ///
@@ -150,7 +151,7 @@
     }
 }
 
-/// The base URL of a controller at this address or URL.
+/// The base URL for an address or URL.
 fn base_url(address: &str) -> String {
     let address = address.trim_end_matches('/');
     if address.contains("://") {
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -1,5 +1,5 @@
-//! The command line of `foxctl`. Doc comments here are help texts that operators see; where an
-//! argument has none, its name says enough.
+//! The command line of `foxctl`. Doc comments here are the help texts for operators. Arguments
+//! whose name is sufficient have none.
 #![allow(missing_docs)]
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
@@ -7,14 +7,16 @@
 use foxspur_wire::roll::AtMost;
 use std::path::PathBuf;
 
-/// Looks at a foxspur cluster, plans and orders drains.
+/// Shows the state of a foxspur cluster, plans drains and orders them.
 ///
-/// Exit codes: 0 all is well; 1 refused, or named something that does not exist;
-/// 2 wrong use; 3 no controller answers now; 4 `--check` found something.
+/// Exit codes: 0 success; 1 the order was refused or names something that does not
+/// exist; 2 wrong usage, or a local file or the terminal failed; 3 no controller
+/// answered; 4 `--check` found a problem, or a drain did not complete within `--wait`.
 #[derive(Parser, Debug)]
 #[command(version, name = "foxctl")]
 pub struct Cli {
-    /// Operators' addresses of controllers; the first that answers is used.
+    /// Addresses of the controllers' operators' API, separated by commas. They are tried
+    /// in this order.
     #[arg(
         long,
         env = "FOXSPUR_AT",
@@ -23,91 +25,93 @@
         global = true
     )]
     pub at: Vec<String>,
-    /// Print JSON as the API gives it.
+    /// Print JSON instead of tables.
     #[arg(long, global = true)]
     pub json: bool,
     #[command(subcommand)]
-    pub verb: Verb,
+    pub command: Command,
 }
 
 #[derive(Subcommand, Debug)]
-pub enum Verb {
-    /// Live jobs, the stuck ones first, with the reason.
+pub enum Command {
+    /// Lists live jobs, stuck jobs first, with the reason why they wait.
     Jobs {
         #[arg(long, default_value_t = 50)]
         limit: u32,
-        /// Exit with 4 if a job is stuck or fails everywhere.
+        /// Exit with code 4 if a job is stuck or failing.
         #[arg(long)]
         check: bool,
     },
-    /// Teams against their guarantees and limits.
+    /// Shows what each team uses, with its guarantees and limits.
     Teams,
-    /// Machines with their state and what it rests on.
+    /// Lists machines with their state and the reason for it.
     Machines,
-    /// Shares, owners and terms, as each controller sees them.
+    /// Lists shares with their owners and terms, as each controller sees them.
     Shares,
-    /// State service and cloud, as each controller met them.
+    /// Shows how each controller reaches the state service and the cloud.
     Health,
-    /// Waits by class, and how long acceptance took.
+    /// Shows how long jobs waited for their first start, by class, and how long
+    /// acceptance took.
     Waits,
-    /// Drains and how far they are.
+    /// Lists drains and their progress.
     Drains {
-        /// Exit with 4 unless all are drained or gone.
+        /// Exit with code 4 unless every drain is complete or its machine is gone.
         #[arg(long)]
         check: bool,
     },
-    /// Sets machines aside: nothing new starts there, what runs ends or moves.
+    /// Drains machines: no new tasks start on them, and running tasks end or are moved.
     Drain(DrainArgs),
-    /// Takes machines back into use.
+    /// Ends the drains of machines, so that tasks can start on them again.
     Undrain {
         #[arg(required = true)]
         hosts: Vec<String>,
         #[command(flatten)]
         by: ByArgs,
     },
-    /// Drains machines one after the other, so many of each zone at once.
+    /// Drains machines one after the other, with a limit for each zone.
     Roll {
         #[command(subcommand)]
-        what: RollVerb,
+        what: RollCommand,
     },
-    /// Shows beforehand what an order would do.
+    /// Predicts the effects of an order without carrying it out.
     Plan {
         #[command(subcommand)]
-        what: PlanVerb,
+        what: PlanCommand,
     },
-    /// A view that follows the cluster, the stuck jobs on top.
+    /// Shows a live view of the cluster, stuck jobs first.
     Watch {
-        /// Seconds between looks.
+        /// Seconds between two refreshes.
         #[arg(long, default_value_t = 1.0)]
         every: f64,
     },
-    /// Shell completions.
+    /// Prints shell completions.
     Completions { shell: clap_complete::Shell },
 }
 
 #[derive(Subcommand, Debug)]
-pub enum PlanVerb {
+pub enum PlanCommand {
     /// Plans a drain of these machines.
     Drain(PlanArgs),
 }
 
 #[derive(Subcommand, Debug)]
-pub enum RollVerb {
-    /// Begins a roll over machines by name, type and zone.
+pub enum RollCommand {
+    /// Starts a rollout over machines selected by name, type and zone.
     Start(RollArgs),
-    /// Rolls and how far they are.
+    /// Lists rollouts and their progress.
     List {
-        /// Exit with 4 if one is halted.
+        /// Exit with code 4 if a rollout is halted.
         #[arg(long)]
         check: bool,
     },
-    /// Drains nothing more until it is resumed.
+    /// Halts a rollout: it drains no further machines until it is resumed.
     Halt(TurnArgs),
-    /// Goes on; what was lost until now counts as known.
+    /// Resumes a halted rollout. Jobs that miss their objectives by now no longer count
+    /// towards halting it.
     Resume(TurnArgs),
-    /// Ends all its drains.
+    /// Ends all drains of a rollout.
     Back(TurnArgs),
-    /// Forgets one that is done.
+    /// Removes the record of a completed rollout.
     Forget(TurnArgs),
 }
 
@@ -127,40 +131,42 @@
 #[derive(Args, Debug)]
 pub struct RollArgs {
     pub name: String,
-    /// Machines; without any, all of the type and zone.
+    /// Names of machines; if none are given, all machines of the type and zone.
     pub hosts: Vec<String>,
     #[arg(long = "type")]
     pub kind: Option<String>,
     #[arg(long)]
     pub zone: Option<String>,
-    /// Machines of a zone out of use at once: a number, or a share such as 10%.
+    /// The most machines of a zone that are out of use at the same time: a number, or a
+    /// share such as 10%.
     #[arg(long, default_value = "1", value_parser = at_most)]
     pub at_most: AtMost,
     #[arg(long)]
     pub why: String,
     #[command(flatten)]
     pub by: ByArgs,
-    /// Seconds until each machine should be drained.
+    /// Seconds from the start of each machine's drain until it should be complete.
     #[arg(long)]
     pub deadline: Option<f64>,
     #[arg(long, value_enum, default_value = "leave")]
     pub rest: RestArg,
-    /// Halt when more jobs than this lose their aims.
+    /// Halt when more jobs than this miss their objectives, beyond those that did when the
+    /// rollout started or was resumed.
     #[arg(long, default_value_t = 0)]
     pub late: u32,
-    /// Halt when a machine is not drained after so many seconds.
+    /// Halt when a machine is not drained after this many seconds.
     #[arg(long)]
     pub step: Option<f64>,
-    /// Halt when a drained machine is not back after so many seconds.
+    /// Halt when a drained machine is not back in use after this many seconds.
     #[arg(long)]
     pub back: Option<f64>,
 }
 
-/// Reads the most machines of a zone: `3` or `10%`.
+/// Parses the value of `--at-most`: a number of machines such as `3`, or a share such as `10%`.
 ///
 /// # Errors
 ///
-/// A sentence for the user, if it is neither.
+/// If the text is neither; the error is a message for the operator.
 pub fn at_most(text: &str) -> Result<AtMost, String> {
     let malformed = || format!("{text} is neither a number of machines nor a share such as 10%");
     match text.strip_suffix('%') {
@@ -178,9 +184,9 @@
 
 #[derive(ValueEnum, Debug, Clone, Copy)]
 pub enum RestArg {
-    /// What is left at the deadline stays; the drain is overdue.
+    /// Tasks that are left at the deadline stay, and the drain becomes overdue.
     Leave,
-    /// What is left at the deadline is stopped.
+    /// Tasks that are left at the deadline are stopped.
     Stop,
 }
 
@@ -195,30 +201,32 @@
 
 #[derive(Args, Debug)]
 pub struct DrainArgs {
-    /// Machines; without any, those of `--plan`.
+    /// Names of machines; if none are given, those of `--plan`.
     #[arg(required_unless_present = "plan")]
     pub hosts: Vec<String>,
     #[arg(long, required_unless_present = "plan")]
     pub why: Option<String>,
     #[command(flatten)]
     pub by: ByArgs,
-    /// Seconds until it should be over.
+    /// Seconds until the drain should be complete.
     #[arg(long)]
     pub deadline: Option<f64>,
     #[arg(long, value_enum, default_value = "leave")]
     pub rest: RestArg,
-    /// Name of the order; the same order given again is one. Drawn if not given.
+    /// Unique name of the order; random by default. An order that is sent again under the
+    /// same name is carried out once.
     #[arg(long)]
     pub order: Option<String>,
-    /// Carry out the plan in this file (JSON). If the state has changed since, a
-    /// new one is made and the difference shown, and nothing is done without
+    /// Carry out the saved plan in this file (JSON). If the cluster's state has changed
+    /// since, the differences of a new plan are shown, and nothing is ordered without
     /// `--yes`.
     #[arg(long, conflicts_with = "hosts")]
     pub plan: Option<PathBuf>,
-    /// Carry it out although the new plan says something else.
+    /// Carry out the order even if a new plan differs from the saved one.
     #[arg(long)]
     pub yes: bool,
-    /// Wait until all are drained, at most so many seconds; exit with 4 if not.
+    /// Wait at most this many seconds until all machines are drained; exit with code 4 if
+    /// they are not.
     #[arg(long)]
     pub wait: Option<f64>,
 }
@@ -227,33 +235,36 @@
 pub struct PlanArgs {
     #[arg(required = true)]
     pub hosts: Vec<String>,
-    /// Seconds from the start until it should be over.
+    /// Seconds from the drain's start until it should be complete.
     #[arg(long)]
     pub deadline: Option<f64>,
     #[arg(long, value_enum, default_value = "leave")]
     pub rest: RestArg,
-    /// Seconds from now until it starts.
+    /// Seconds from now until the drain starts.
     #[arg(long, default_value_t = 0.0)]
     pub start: f64,
-    /// Look for the best start and order within so many seconds after that.
+    /// Compare other start times and sequences within this many seconds after the start.
     #[arg(long, default_value_t = 0.0)]
     pub window: f64,
+    /// Number of simulated samples.
     #[arg(long, default_value_t = 60)]
     pub samples: u32,
+    /// Simulated time, in seconds.
     #[arg(long, default_value_t = 3600.0)]
     pub horizon: f64,
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Plan from this snapshot instead of the present state.
+    /// Plan from the snapshot in this file (JSON) instead of the present state.
     #[arg(long)]
     pub snapshot: Option<PathBuf>,
-    /// Write the plan as JSON, to be carried out by `drain --plan`.
+    /// Write the plan to this file as JSON, for `drain --plan`.
     #[arg(long)]
     pub save: Option<PathBuf>,
-    /// Write a report with pictures.
+    /// Write a report with charts to this file (HTML).
     #[arg(long)]
     pub html: Option<PathBuf>,
-    /// Exit with 4 if a deadline may be missed because of the drain.
+    /// Exit with code 4 if a job may miss its deadline because of the drain.
     #[arg(long)]
     pub check: bool,
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,8 +1,8 @@
-//! `foxctl`: the operators' command line of foxspur. It asks any controller's operators' API,
-//! and tries the next controller if one does not answer.
+//! `foxctl`: the command line for operators of foxspur. It calls the operators' API of any
+//! controller, and tries the next controller if one does not answer.
 //!
-//! `cli` is the command line, `run` carries it out, `api` is the client, `plans` plans and
-//! orders drains, `show` makes tables, `watch` is the terminal view.
+//! `cli` defines the command line, `run` executes it, `api` is the HTTP client, `plans` plans
+//! and orders drains, `show` formats tables, `watch` is the terminal view.
 
 pub mod api;
 pub mod cli;
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,7 +1,7 @@
-//! Carries out one command line.
+//! Executes one command line.
 
 use crate::api::{Api, Error};
-use crate::cli::{Cli, PlanArgs, PlanVerb, RollArgs, RollVerb, TurnArgs, Verb};
+use crate::cli::{Cli, Command, PlanArgs, PlanCommand, RollArgs, RollCommand, TurnArgs};
 use crate::{plans, show, watch};
 use clap::CommandFactory;
 use foxspur_wire::admin::{
@@ -13,81 +13,82 @@
 use serde::Serialize;
 use std::io::Write;
 
-/// The exit code if all is well.
+/// The exit code of a successful command.
 const EXIT_OK: u8 = 0;
-/// The exit code if `--check` or `--wait` found something.
+/// The exit code if `--check` found a problem, or if a drain did not complete within `--wait`.
 const EXIT_FOUND: u8 = 4;
-/// The most jobs shown of a plan.
+/// The most jobs that the table of a plan shows.
 const MAX_PLANNED_JOBS: usize = 30;
 
-/// The exit code of a check.
-fn exit_code(found: bool) -> u8 {
-    if found {
+/// The exit code of a check: whether it found a problem.
+fn exit_code(problem_found: bool) -> u8 {
+    if problem_found {
         EXIT_FOUND
     } else {
         EXIT_OK
     }
 }
 
-/// Carries the command line out; gives the exit code.
+/// Executes the command line and returns the exit code.
 ///
 /// # Errors
 ///
-/// If the order is refused, no controller answers, or a file or the terminal fails.
+/// If a controller refuses the call, no controller answers, or a file or the terminal fails.
 pub fn run(cli: &Cli, out: &mut dyn Write) -> Result<u8, Error> {
     let api = Api::new(&cli.at)?;
     let json = cli.json;
     let mut session = Session { api, json, out };
-    session.run(&cli.verb)
+    session.run(&cli.command)
 }
 
-/// Prints a text.
 pub(crate) fn print(out: &mut dyn Write, text: &str) -> Result<(), Error> {
     match out.write_all(text.as_bytes()) {
-        // The reader of a pipe has seen enough.
-        Err(e) if e.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
-        other => other.map_err(Error::local),
+        // The reader of the pipe closed it, for example `head`; that is no failure.
+        Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
+        result => result.map_err(Error::local),
     }
 }
 
-/// Where a command goes and prints.
+/// The API client and the output of a command.
 struct Session<'a> {
     api: Api,
-    /// Whether to print JSON as the API gives it.
+    /// Whether to print JSON instead of tables.
     json: bool,
     out: &'a mut dyn Write,
 }
 
 impl Session<'_> {
-    fn run(&mut self, verb: &Verb) -> Result<u8, Error> {
-        match verb {
-            Verb::Jobs { limit, check } => self.jobs(*limit, *check),
-            Verb::Teams => self.show("teams", |t: &Vec<TeamRow>| show::teams(t)),
-            Verb::Machines => self.show("machines", |m: &Vec<MachineRow>| show::machines(m)),
-            Verb::Waits => self.show("waits", |w: &Waits| show::waits(w)),
-            Verb::Shares => {
-                let rows = |from: &str, s: &Vec<ShareRow>| show::shares(from, s);
-                self.show_each("shares", &show::SHARES_HEAD, rows)
+    fn run(&mut self, command: &Command) -> Result<u8, Error> {
+        match command {
+            Command::Jobs { limit, check } => self.jobs(*limit, *check),
+            Command::Teams => self.show("teams", |teams: &Vec<TeamRow>| show::teams(teams)),
+            Command::Machines => self.show("machines", |machines: &Vec<MachineRow>| {
+                show::machines(machines)
+            }),
+            Command::Waits => self.show("waits", |waits: &Waits| show::waits(waits)),
+            Command::Shares => {
+                let rows = |from: &str, shares: &Vec<ShareRow>| show::shares(from, shares);
+                self.show_each("shares", &show::SHARES_HEADER, rows)
             }
-            Verb::Health => {
-                let rows = |from: &str, s: &Vec<ServiceRow>| show::services(from, s);
-                self.show_each("health", &show::SERVICES_HEAD, rows)
+            Command::Health => {
+                let rows = |from: &str, services: &Vec<ServiceRow>| show::services(from, services);
+                self.show_each("health", &show::SERVICES_HEADER, rows)
             }
-            Verb::Drains { check } => self.drains(*check),
-            Verb::Drain(args) => {
+            Command::Drains { check } => self.drains(*check),
+            Command::Drain(args) => {
                 let drained = plans::drain(&self.api, args, self.out)?;
                 Ok(exit_code(!drained))
             }
-            Verb::Undrain { hosts, by } => self.undrain(hosts, &by.by),
-            Verb::Roll { what } => self.roll(what),
-            Verb::Plan {
-                what: PlanVerb::Drain(args),
+            Command::Undrain { hosts, by } => self.undrain(hosts, &by.by),
+            Command::Roll { what } => self.roll(what),
+            Command::Plan {
+                what: PlanCommand::Drain(args),
             } => self.plan(args),
-            Verb::Watch { every } => {
+            Command::Watch { every } => {
                 watch::watch(&self.api, *every)?;
                 Ok(EXIT_OK)
             }
-            Verb::Completions { shell } => self.completions(*shell),
+            Command::Completions { shell } => self.completions(*shell),
         }
     }
 
@@ -100,7 +101,7 @@
         self.print(&format!("{text}\n"))
     }
 
-    /// Prints a view of the API as JSON or as a table, and gives its data.
+    /// Prints a view of the API as JSON or as a table, and returns its data.
     fn view<T: DeserializeOwned>(
         &mut self,
         view: &str,
@@ -116,7 +117,7 @@
         Ok(answer.data)
     }
 
-    /// Prints a view in which nothing is to be found.
+    /// Prints a view for which there is no `--check`.
     fn show<T: DeserializeOwned>(
         &mut self,
         view: &str,
@@ -126,34 +127,34 @@
         Ok(EXIT_OK)
     }
 
-    /// Prints what each controller says for itself.
+    /// Prints a view of every controller, for views that differ between controllers.
     fn show_each<T: DeserializeOwned + Serialize>(
         &mut self,
         view: &str,
-        head: &[&str],
+        header: &[&str],
         rows: impl Fn(&str, &T) -> Vec<Vec<String>>,
     ) -> Result<u8, Error> {
         let mut all_rows = Vec::new();
         let mut answers: Vec<Answer<T>> = Vec::new();
-        let mut silent = Vec::new();
+        let mut errors = Vec::new();
         for (base, answer) in self.api.each::<T>(&format!("/admin/v1/{view}")) {
             match answer {
                 Ok(answer) => {
                     all_rows.extend(rows(&answer.from, &answer.data));
                     answers.push(answer);
                 }
-                Err(error) => silent.push(format!("{base}: {error}")),
+                Err(error) => errors.push(format!("{base}: {error}")),
             }
         }
         if answers.is_empty() {
-            return Err(Error::Nobody(silent.join("; ")));
+            return Err(Error::NoAnswer(errors.join("; ")));
         }
         if self.json {
             self.print_json(&answers)?;
             return Ok(EXIT_OK);
         }
-        self.print(&show::table(head, all_rows))?;
-        for line in silent {
+        self.print(&show::table(header, all_rows))?;
+        for line in errors {
             self.print(&format!("{line}\n"))?;
         }
         Ok(EXIT_OK)
@@ -165,9 +166,10 @@
     }
 
     fn drains(&mut self, check: bool) -> Result<u8, Error> {
-        let drains = self.view("drains", |d: &Vec<DrainRow>| show::drains(d))?;
-        let over = |d: &DrainRow| matches!(d.state, DrainState::Drained | DrainState::Gone);
-        Ok(exit_code(check && !drains.iter().all(over)))
+        let drains = self.view("drains", |drains: &Vec<DrainRow>| show::drains(drains))?;
+        let is_complete =
+            |drain: &DrainRow| matches!(drain.state, DrainState::Drained | DrainState::Gone);
+        Ok(exit_code(check && !drains.iter().all(is_complete)))
     }
 
     fn undrain(&mut self, hosts: &[String], by: &str) -> Result<u8, Error> {
@@ -197,19 +199,19 @@
         Ok(EXIT_OK)
     }
 
-    /// Begins, shows and steers rollouts.
-    fn roll(&mut self, verb: &RollVerb) -> Result<u8, Error> {
-        match verb {
-            RollVerb::Start(args) => self.start_roll(args),
-            RollVerb::List { check } => {
-                let rolls = self.view("rolls", |r: &Vec<Roll>| show::rolls(r))?;
-                let halted = rolls.iter().any(|r| r.state == RollState::Halted);
+    /// Starts, lists and controls rollouts.
+    fn roll(&mut self, command: &RollCommand) -> Result<u8, Error> {
+        match command {
+            RollCommand::Start(args) => self.start_roll(args),
+            RollCommand::List { check } => {
+                let rolls = self.view("rolls", |rolls: &Vec<Roll>| show::rolls(rolls))?;
+                let halted = rolls.iter().any(|roll| roll.state == RollState::Halted);
                 Ok(exit_code(*check && halted))
             }
-            RollVerb::Halt(args) => self.turn_roll(args, Turn::Halt),
-            RollVerb::Resume(args) => self.turn_roll(args, Turn::Resume),
-            RollVerb::Back(args) => self.turn_roll(args, Turn::Back),
-            RollVerb::Forget(args) => self.turn_roll(args, Turn::Forget),
+            RollCommand::Halt(args) => self.turn_roll(args, Turn::Halt),
+            RollCommand::Resume(args) => self.turn_roll(args, Turn::Resume),
+            RollCommand::Back(args) => self.turn_roll(args, Turn::Back),
+            RollCommand::Forget(args) => self.turn_roll(args, Turn::Forget),
         }
     }
 
@@ -233,8 +235,8 @@
             },
         };
         let text = self.api.order("/admin/v1/rolls", &order)?;
-        let begun: Result<Roll, _> = serde_json::from_str(&text);
-        let hosts = begun.map_or(0, |roll| roll.hosts.len());
+        let started: Result<Roll, _> = serde_json::from_str(&text);
+        let hosts = started.map_or(0, |roll| roll.hosts.len());
         self.print(&format!("roll {} over {hosts} machines\n", args.name))?;
         Ok(EXIT_OK)
     }
@@ -246,7 +248,11 @@
             turn,
         };
         self.api.order("/admin/v1/rolls/turn", &order)?;
-        self.print(&format!("roll {}: {}\n", args.name, show::name(&turn)))?;
+        self.print(&format!(
+            "roll {}: {}\n",
+            args.name,
+            show::variant_name(&turn)
+        ))?;
         Ok(EXIT_OK)
     }
 }
--- a/crates/ctl/src/show/cluster.rs
+++ b/crates/ctl/src/show/cluster.rs
@@ -1,9 +1,9 @@
 //! Tables of teams, machines, shards, services and waits.
 
-use super::{flag, name, optional_span, span, table, NONE};
+use super::{duration, optional_duration, table, variant_name, word_or_dash, EMPTY_CELL};
 use foxspur_wire::admin::{MachineRow, ServiceRow, ShareRow, Spread, TeamRow, Waits};
 
-const TEAMS_HEAD: [&str; 10] = [
+const TEAMS_HEADER: [&str; 10] = [
     "team",
     "cpus",
     "guaranteed",
@@ -16,7 +16,7 @@
     "waiting cpus",
 ];
 
-/// Teams against their quotas.
+/// The table of teams: what they use, and their guarantees and limits.
 pub fn teams(teams: &[TeamRow]) -> String {
     let row = |team: &TeamRow| {
         vec![
@@ -32,18 +32,18 @@
             format!("{:.1}", team.waiting_cpus),
         ]
     };
-    table(&TEAMS_HEAD, teams.iter().map(row))
+    table(&TEAMS_HEADER, teams.iter().map(row))
 }
 
 fn quota(amount: f64) -> String {
     if amount > 0.0 {
         format!("{amount:.0}")
     } else {
-        NONE.into()
+        EMPTY_CELL.into()
     }
 }
 
-const MACHINES_HEAD: [&str; 10] = [
+const MACHINES_HEADER: [&str; 10] = [
     "machine",
     "type",
     "zone",
@@ -56,27 +56,27 @@
     "why",
 ];
 
-/// Machines with their state.
+/// The table of machines and their states.
 pub fn machines(machines: &[MachineRow]) -> String {
     let row = |machine: &MachineRow| {
         vec![
             machine.id.clone(),
             machine.kind.clone(),
             machine.zone.clone(),
-            flag(machine.spot, "spot"),
-            name(&machine.state),
+            word_or_dash(machine.spot, "spot"),
+            variant_name(&machine.state),
             machine.tasks.to_string(),
             machine.bound.to_string(),
             format!("{:.1}", machine.free_cpus),
-            span(machine.silent_s),
+            duration(machine.silent_s),
             machine.why.clone(),
         ]
     };
-    table(&MACHINES_HEAD, machines.iter().map(row))
+    table(&MACHINES_HEADER, machines.iter().map(row))
 }
 
-/// Head of the rows of [`shares`].
-pub const SHARES_HEAD: [&str; 9] = [
+/// The header for the rows of [`shares`].
+pub const SHARES_HEADER: [&str; 9] = [
     "seen from",
     "share",
     "owner",
@@ -88,7 +88,7 @@
     "former",
 ];
 
-/// Rows of the shards as the controller `from` sees them.
+/// The rows of the shards as the controller `from` sees them.
 pub fn shares(from: &str, shares: &[ShareRow]) -> Vec<Vec<String>> {
     let row = |share: &ShareRow| {
         vec![
@@ -96,9 +96,11 @@
             share.share.to_string(),
             share.owner.clone().unwrap_or_else(|| "nobody".into()),
             share.term.to_string(),
-            flag(share.ours, "yes"),
-            optional_span(share.confirmed_s, NONE),
-            share.missing.map_or(NONE.into(), |n| n.to_string()),
+            word_or_dash(share.ours, "yes"),
+            optional_duration(share.confirmed_s, EMPTY_CELL),
+            share
+                .missing
+                .map_or(EMPTY_CELL.into(), |count| count.to_string()),
             share.alive.join(" "),
             share.former.join(" "),
         ]
@@ -106,37 +108,38 @@
     shares.iter().map(row).collect()
 }
 
-/// Head of the rows of [`services`].
-pub const SERVICES_HEAD: [&str; 6] = ["seen from", "service", "answered", "last", "failed", "last"];
+/// The header for the rows of [`services`].
+pub const SERVICES_HEADER: [&str; 6] =
+    ["seen from", "service", "answered", "last", "failed", "last"];
 
-/// Rows of the outside services as the controller `from` met them.
+/// The rows of the external services: how the controller `from` last reached them.
 pub fn services(from: &str, services: &[ServiceRow]) -> Vec<Vec<String>> {
     let row = |service: &ServiceRow| {
         vec![
             from.to_string(),
             service.name.clone(),
             service.answered.to_string(),
-            optional_span(service.answered_s, "never"),
+            optional_duration(service.answered_s, "never"),
             service.failed.to_string(),
-            optional_span(service.failed_s, "never"),
+            optional_duration(service.failed_s, "never"),
         ]
     };
     services.iter().map(row).collect()
 }
 
-const WAITS_HEAD: [&str; 7] = ["what", "class", "count", "p50 s", "p90 s", "p99 s", "max s"];
+const WAITS_HEADER: [&str; 7] = ["what", "class", "count", "p50 s", "p90 s", "p99 s", "max s"];
 
-/// Quantiles of waits.
+/// The table of quantiles of the times until the first start and until acceptance.
 pub fn waits(waits: &Waits) -> String {
     let first_starts = waits.first_start.iter();
     let first_starts = first_starts.map(|spread| wait_row("first start", spread));
     let acceptance = waits.acceptance.iter();
     let acceptance = acceptance.map(|spread| wait_row("acceptance", spread));
-    table(&WAITS_HEAD, first_starts.chain(acceptance))
+    table(&WAITS_HEADER, first_starts.chain(acceptance))
 }
 
 fn wait_row(what: &str, spread: &Spread) -> Vec<String> {
-    let seconds = |s: f64| format!("{s:.2}");
+    let seconds = |value: f64| format!("{value:.2}");
     vec![
         what.to_string(),
         spread.name.clone(),
--- a/crates/ctl/src/show/drains.rs
+++ b/crates/ctl/src/show/drains.rs
@@ -1,46 +1,46 @@
 //! Tables of drains and rollouts.
 
-use super::{name, percent, table, text_or_none, NONE};
+use super::{percent, table, text_or_dash, variant_name, EMPTY_CELL};
 use foxspur_wire::admin::{DrainRow, DrainState};
 use foxspur_wire::roll::{AtMost, Roll, RollState};
 
-const DRAINS_HEAD: [&str; 8] = [
+const DRAINS_HEADER: [&str; 8] = [
     "machine", "state", "tasks", "stays", "by", "why", "rest", "proof",
 ];
 
-/// Drains and how far they are.
+/// The table of drains and their progress.
 pub fn drains(drains: &[DrainRow]) -> String {
-    table(&DRAINS_HEAD, drains.iter().map(drain_row))
+    table(&DRAINS_HEADER, drains.iter().map(drain_row))
 }
 
 fn drain_row(row: &DrainRow) -> Vec<String> {
     let drain = &row.drain;
     let state = match row.state {
         DrainState::Overdue => "OVERDUE".into(),
-        other => name(&other),
+        other => variant_name(&other),
     };
-    let proof = drain.drained.as_ref().map_or(NONE.into(), |drained| {
-        format!("{} in term {}", name(&drained.proof), drained.term)
+    let proof = drain.drained.as_ref().map_or(EMPTY_CELL.into(), |drained| {
+        format!("{} in term {}", variant_name(&drained.proof), drained.term)
     });
     vec![
         drain.host.clone(),
         state,
         row.tasks.to_string(),
-        text_or_none(&row.stays),
+        text_or_dash(&row.stays),
         drain.by.clone(),
         drain.why.clone(),
-        name(&drain.rest),
+        variant_name(&drain.rest),
         proof,
     ]
 }
 
-const ROLLS_HEAD: [&str; 8] = [
+const ROLLS_HEADER: [&str; 8] = [
     "roll", "state", "begun", "of", "at most", "by", "why", "reason",
 ];
 
-/// Rollouts and how far they are.
+/// The table of rollouts and their progress.
 pub fn rolls(rolls: &[Roll]) -> String {
-    table(&ROLLS_HEAD, rolls.iter().map(roll_row))
+    table(&ROLLS_HEADER, rolls.iter().map(roll_row))
 }
 
 fn roll_row(roll: &Roll) -> Vec<String> {
@@ -50,7 +50,7 @@
     };
     let state = match roll.state {
         RollState::Halted => "HALTED".into(),
-        other => name(&other),
+        other => variant_name(&other),
     };
     vec![
         roll.name.clone(),
@@ -60,6 +60,6 @@
         at_most,
         roll.by.clone(),
         roll.why.clone(),
-        text_or_none(&roll.reason),
+        text_or_dash(&roll.reason),
     ]
 }
--- a/crates/ctl/src/show/jobs.rs
+++ b/crates/ctl/src/show/jobs.rs
@@ -1,15 +1,15 @@
 //! The table of live jobs.
 
-use super::{name, optional_span, span, table, NONE};
+use super::{duration, optional_duration, table, variant_name, EMPTY_CELL};
 use foxspur_wire::admin::{JobRow, Jobs, Standing};
 
-const HEAD: [&str; 10] = [
+const HEADER: [&str; 10] = [
     "state", "job", "class", "team", "age", "slack", "done", "runs", "waits", "why",
 ];
 
-/// Live jobs, and how many of them are in trouble.
+/// The table of live jobs, and a line with the numbers of stuck, failing and late jobs.
 pub fn jobs(jobs: &Jobs) -> String {
-    let mut text = table(&HEAD, jobs.rows.iter().map(row));
+    let mut text = table(&HEADER, jobs.rows.iter().map(row));
     text.push_str(&format!(
         "{} live, {} stuck, {} failing, {} late\n",
         jobs.live, jobs.stuck, jobs.failing, jobs.late
@@ -20,15 +20,15 @@
 fn row(job: &JobRow) -> Vec<String> {
     let standing = match job.standing {
         Standing::Ok => "ok".to_string(),
-        bad => name(&bad).to_uppercase(),
+        problem => variant_name(&problem).to_uppercase(),
     };
     vec![
         standing,
         job.id.clone(),
         job.class.clone(),
         job.team.clone(),
-        span(job.age_s),
-        optional_span(job.slack_s, NONE),
+        duration(job.age_s),
+        optional_duration(job.slack_s, EMPTY_CELL),
         format!("{}/{}", job.done, job.tasks),
         job.running.to_string(),
         job.waiting.to_string(),
--- a/crates/ctl/src/show/mod.rs
+++ b/crates/ctl/src/show/mod.rs
@@ -1,11 +1,11 @@
-//! Answers of the operators' API as tables for a terminal.
+//! Formats answers of the operators' API as tables for a terminal.
 
 mod cluster;
 mod drains;
 mod jobs;
 mod plan;
 
-pub use cluster::{machines, services, shares, teams, waits, SERVICES_HEAD, SHARES_HEAD};
+pub use cluster::{machines, services, shares, teams, waits, SERVICES_HEADER, SHARES_HEADER};
 pub use drains::{drains, rolls};
 pub use jobs::jobs;
 pub use plan::plan;
@@ -13,21 +13,22 @@
 use comfy_table::{presets, Table};
 use foxspur_wire::admin::Answer;
 
-/// Stands in a cell that has no value.
-const NONE: &str = "-";
+/// The content of a cell without a value.
+const EMPTY_CELL: &str = "-";
 
-/// A table with this head.
-pub fn table<R: IntoIterator<Item = Vec<String>>>(head: &[&str], rows: R) -> String {
+/// Formats a table with this header, in upper case.
+pub fn table<R: IntoIterator<Item = Vec<String>>>(header: &[&str], rows: R) -> String {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
-    table.set_header(head.iter().map(|title| title.to_uppercase()));
+    table.set_header(header.iter().map(|title| title.to_uppercase()));
     for row in rows {
         table.add_row(row);
     }
     format!("{table}\n")
 }
 
-/// Which controller answers, who leads, and how old the data is.
+/// A line that names the answering controller and the leader, and says how old the data is if
+/// the leader did not answer.
 pub fn origin<T>(answer: &Answer<T>) -> String {
     let leader = answer.owner.as_deref().unwrap_or("nobody");
     let mut line = format!("from {}, owner {leader}, term {}", answer.from, answer.term);
@@ -41,35 +42,35 @@
     line
 }
 
-/// The name of an enum's variant, as the API writes it.
-pub fn name<T: serde::Serialize>(value: &T) -> String {
+/// The name of an enum variant as the API writes it.
+pub fn variant_name<T: serde::Serialize>(value: &T) -> String {
     let text = serde_json::to_string(value).unwrap_or_default();
     text.trim_matches('"').to_string()
 }
 
-/// Seconds in a unit that suits their size.
-pub fn span(s: f64) -> String {
-    match s.abs() {
-        a if a < 120.0 => format!("{s:.0}s"),
-        a if a < 7200.0 => format!("{:.0}m", s / 60.0),
-        a if a < 172_800.0 => format!("{:.1}h", s / 3600.0),
-        _ => format!("{:.1}d", s / 86_400.0),
+/// Formats a number of seconds in a unit that suits its size.
+pub fn duration(seconds: f64) -> String {
+    match seconds.abs() {
+        size if size < 120.0 => format!("{seconds:.0}s"),
+        size if size < 7200.0 => format!("{:.0}m", seconds / 60.0),
+        size if size < 172_800.0 => format!("{:.1}h", seconds / 3600.0),
+        _ => format!("{:.1}d", seconds / 86_400.0),
     }
 }
 
-/// A time that may not be known.
-fn optional_span(s: Option<f64>, otherwise: &str) -> String {
-    s.map_or(otherwise.into(), span)
+/// Formats a number of seconds, or returns `otherwise` if it is unknown.
+fn optional_duration(seconds: Option<f64>, otherwise: &str) -> String {
+    seconds.map_or(otherwise.into(), duration)
 }
 
-/// A text, or a dash if it is empty.
-fn text_or_none(text: &str) -> String {
-    if text.is_empty() { NONE } else { text }.to_string()
+/// The text, or a dash if it is empty.
+fn text_or_dash(text: &str) -> String {
+    if text.is_empty() { EMPTY_CELL } else { text }.to_string()
 }
 
-/// The word if it holds, or a dash.
-fn flag(holds: bool, word: &str) -> String {
-    if holds { word } else { NONE }.to_string()
+/// The word if the condition is true, else a dash.
+fn word_or_dash(condition: bool, word: &str) -> String {
+    if condition { word } else { EMPTY_CELL }.to_string()
 }
 
 fn percent(proportion: f64) -> String {
--- a/crates/ctl/src/show/plan.rs
+++ b/crates/ctl/src/show/plan.rs
@@ -1,11 +1,11 @@
-//! Plans of drains as tables.
+//! The tables of a plan.
 
-use super::{percent, span, table};
+use super::{duration, percent, table};
 use foxspur_plan::plan::{HostPlan, JobPlan, Plan, Range, Variant};
 
-const HOSTS_HEAD: [&str; 5] = ["machine", "zone", "tasks now", "drained p50/p90", "overdue"];
+const HOSTS_HEADER: [&str; 5] = ["machine", "zone", "tasks now", "drained p50/p90", "overdue"];
 
-const JOBS_HEAD: [&str; 8] = [
+const JOBS_HEADER: [&str; 8] = [
     "job",
     "class",
     "late because",
@@ -16,7 +16,7 @@
     "cpu s lost",
 ];
 
-/// A plan, with at most `max_jobs` jobs.
+/// Formats a plan, with at most `max_jobs` jobs.
 pub fn plan(plan: &Plan, max_jobs: usize) -> String {
     let mut text = format!(
         "plan of term {}, revision {}: {} machines, {} live jobs; {} simulated runs of {}\n\n",
@@ -25,19 +25,19 @@
         plan.machines,
         plan.jobs_live,
         plan.options.samples,
-        span(plan.options.horizon_s)
+        duration(plan.options.horizon_s)
     );
-    text.push_str(&table(&HOSTS_HEAD, plan.hosts.iter().map(host_row)));
+    text.push_str(&table(&HOSTS_HEADER, plan.hosts.iter().map(host_row)));
     text.push('\n');
     let jobs = plan.jobs.iter().take(max_jobs).map(job_row);
-    text.push_str(&table(&JOBS_HEAD, jobs));
+    text.push_str(&table(&JOBS_HEADER, jobs));
     if plan.jobs.len() > max_jobs {
         text.push_str(&format!("and {} more\n", plan.jobs.len() - max_jobs));
     }
     text.push_str(&variants("start", &plan.starts));
     text.push_str(&variants("if", &plan.failures));
     text.push_str(&format!(
-        "\ndeadlines missed because of it: {:.2} on average, any in {} of the runs; what is not named: below {:.1}%\n",
+        "\ndeadlines missed because of the drain: {:.2} on average, at least one in {} of the runs; anything not listed: below {:.1}%\n",
         plan.all.late,
         percent(plan.all.any_late),
         plan.unnamed_below * 100.0
@@ -63,17 +63,17 @@
         percent(job.late_anyway),
         percent(job.moved),
         percent(job.waits),
-        span(job.later_s),
+        duration(job.later_s),
         format!("{:.0}", job.lost_cpu_s),
     ]
 }
 
-/// A table of variants under this title; nothing if there are none.
+/// A table of variants whose first column has this title; empty if there are none.
 fn variants(title: &str, variants: &[Variant]) -> String {
     if variants.is_empty() {
         return String::new();
     }
-    let head = [
+    let header = [
         title,
         "deadlines missed",
         "runs with any",
@@ -81,7 +81,7 @@
         "drained p50/p90",
         "overdue",
     ];
-    format!("\n{}", table(&head, variants.iter().map(variant_row)))
+    format!("\n{}", table(&header, variants.iter().map(variant_row)))
 }
 
 fn variant_row(variant: &Variant) -> Vec<String> {
@@ -95,9 +95,9 @@
     ]
 }
 
-/// Quantiles of a time, or that it never comes.
+/// The median and the 90th percentile of a time, or `never` if there are none.
 fn range(range: Option<Range>) -> String {
     range.map_or("never".into(), |range| {
-        format!("{} / {}", span(range.p50), span(range.p90))
+        format!("{} / {}", duration(range.p50), duration(range.p90))
     })
 }
--- a/crates/ctl/src/watch/draw.rs
+++ b/crates/ctl/src/watch/draw.rs
@@ -1,7 +1,7 @@
-//! Draws the terminal view: the stuck jobs on top, then teams, machines and drains.
+//! Draws the terminal view: jobs with stuck jobs first, then teams, machines and drains.
 
 use super::screen::Screen;
-use crate::show::{name, span};
+use crate::show::{duration, variant_name};
 use foxspur_wire::admin::{
     Answer, DrainRow, DrainState, JobRow, Jobs, ShareRow, Standing, TeamRow,
 };
@@ -13,25 +13,25 @@
 
 fn style_of(standing: Standing) -> Style {
     match standing {
-        Standing::Stuck | Standing::Failing => alarm(),
-        Standing::Late => warning(),
+        Standing::Stuck | Standing::Failing => alarm_style(),
+        Standing::Late => warning_style(),
         Standing::Ok => Style::new(),
     }
 }
 
-fn alarm() -> Style {
+fn alarm_style() -> Style {
     Style::new().fg(Color::Red).add_modifier(Modifier::BOLD)
 }
 
-fn warning() -> Style {
+fn warning_style() -> Style {
     Style::new().fg(Color::Yellow)
 }
 
-/// The first line: counts, the leader, and what is wrong.
-fn head(screen: &Screen) -> Line<'static> {
+/// The first line: job counts, the leader, and the error of the last refresh.
+fn status_line(screen: &Screen) -> Line<'static> {
     let mut spans = match &screen.jobs {
         Some(jobs) => counts(jobs, screen.shares.as_ref()),
-        None => vec![Span::raw(" nothing is known yet")],
+        None => vec![Span::raw(" no data yet")],
     };
     if let Some(error) = &screen.error {
         let style = Style::new().fg(Color::Red);
@@ -49,26 +49,26 @@
     let shard = shares.and_then(|shares| shares.data.first());
     if let Some(missing) = shard.and_then(|shard| shard.missing) {
         let text = format!("   {missing} machines not accounted for");
-        spans.push(Span::styled(text, warning()));
+        spans.push(Span::styled(text, warning_style()));
     }
     if jobs.age_s > 0.0 {
-        let text = format!("   {} OLD", span(jobs.age_s));
-        spans.push(Span::styled(text, alarm()));
+        let text = format!("   {} OLD", duration(jobs.age_s));
+        spans.push(Span::styled(text, alarm_style()));
     }
     spans
 }
 
-/// From this width on the class is shown too; on a narrower terminal the reason needs the
-/// room.
+/// The least width at which the job's class is shown. On a narrower terminal the reason needs
+/// the space.
 const WIDE_COLUMNS: u16 = 150;
 
 fn job_row(job: &JobRow, wide: bool) -> Row<'static> {
     let mut cells = vec![
-        name(&job.standing).to_uppercase(),
+        variant_name(&job.standing).to_uppercase(),
         job.id.clone(),
         job.team.clone(),
-        span(job.age_s),
-        job.slack_s.map_or("-".into(), span),
+        duration(job.age_s),
+        job.slack_s.map_or("-".into(), duration),
         format!("{}/{}", job.done, job.tasks),
         job.running.to_string(),
         job.why.clone(),
@@ -81,8 +81,8 @@
 
 fn draw_jobs(frame: &mut Frame, area: Rect, screen: &Screen) {
     let wide = area.width >= WIDE_COLUMNS;
-    let rows = screen.jobs.iter().flat_map(|j| &j.data.rows);
-    let rows = rows.skip(screen.top).map(|j| job_row(j, wide));
+    let rows = screen.jobs.iter().flat_map(|answer| &answer.data.rows);
+    let rows = rows.skip(screen.first_job).map(|job| job_row(job, wide));
     let mut columns = vec![
         ("state", Constraint::Length(8)),
         ("job", Constraint::Length(24)),
@@ -96,9 +96,9 @@
     if wide {
         columns.insert(2, ("class", Constraint::Length(18)));
     }
-    let head = Row::new(columns.iter().map(|c| c.0));
-    let table = Table::new(rows, columns.iter().map(|c| c.1))
-        .header(head.style(Style::new().add_modifier(Modifier::DIM)))
+    let header = Row::new(columns.iter().map(|column| column.0));
+    let table = Table::new(rows, columns.iter().map(|column| column.1))
+        .header(header.style(Style::new().add_modifier(Modifier::DIM)))
         .block(Block::bordered().title(" jobs, the stuck ones first "));
     frame.render_widget(table, area);
 }
@@ -107,14 +107,19 @@
     let block = Block::bordered().title(" teams: CPUs of limit ");
     let inner = block.inner(area);
     frame.render_widget(block, area);
-    let teams: Vec<&TeamRow> = screen.teams.iter().flat_map(|t| &t.data).collect();
+    let teams: Vec<&TeamRow> = screen
+        .teams
+        .iter()
+        .flat_map(|answer| &answer.data)
+        .collect();
     let lines = Layout::vertical(vec![Constraint::Length(1); teams.len()]).split(inner);
     for (team, line) in teams.iter().zip(lines.iter()) {
         frame.render_widget(team_gauge(team), *line);
     }
 }
 
-/// CPUs that a team uses of its limit, or of its guarantee if that is higher.
+/// A gauge of the CPUs that a team uses, out of its limit or, if that is higher, its guarantee.
+/// The number after `+` counts the CPUs that its waiting tasks need.
 fn team_gauge(team: &TeamRow) -> Gauge<'static> {
     let full = team.cpus_max.max(team.cpus_guaranteed);
     let (ratio, full) = if full > 0.0 {
@@ -133,22 +138,22 @@
 }
 
 fn draw_fleet(frame: &mut Frame, area: Rect, screen: &Screen) {
-    let fleet = screen.fleet.iter().flat_map(|f| &f.data);
+    let fleet = screen.fleet.iter().flat_map(|answer| &answer.data);
     let mut lines: Vec<Line> = fleet
-        .map(|(state, n)| Line::from(format!("{n:>6} {}", name(state))))
+        .map(|(state, count)| Line::from(format!("{count:>6} {}", variant_name(state))))
         .collect();
-    let drains = screen.drains.iter().flat_map(|d| &d.data);
+    let drains = screen.drains.iter().flat_map(|answer| &answer.data);
     lines.extend(drains.map(drain_line));
     let block = Block::bordered().title(" machines and drains ");
     frame.render_widget(Paragraph::new(lines).block(block), area);
 }
 
 fn drain_line(row: &DrainRow) -> Line<'static> {
-    let (host, state) = (&row.drain.host, name(&row.state));
+    let (host, state) = (&row.drain.host, variant_name(&row.state));
     let text = format!("{host} {state} {} {}", row.tasks, row.stays);
     let style = match row.state {
         DrainState::Overdue => Style::new().fg(Color::Red),
-        DrainState::Draining => warning(),
+        DrainState::Draining => warning_style(),
         _ => Style::new(),
     };
     Line::styled(text, style)
@@ -156,16 +161,16 @@
 
 /// Draws the whole screen.
 pub fn draw(frame: &mut Frame, screen: &Screen) {
-    let teams = screen.teams.as_ref().map_or(0, |t| t.data.len()) as u16;
-    // A terminal of a few lines keeps at least its jobs.
-    let below = (teams + 2).max(6).min(frame.area().height / 2);
+    let teams = screen.teams.as_ref().map_or(0, |answer| answer.data.len()) as u16;
+    // The lower part takes at most half of the terminal, so that jobs stay visible.
+    let lower_height = (teams + 2).max(6).min(frame.area().height / 2);
     let [top, jobs, bottom] = Layout::vertical([
         Constraint::Length(1),
         Constraint::Fill(1),
-        Constraint::Length(below),
+        Constraint::Length(lower_height),
     ])
     .areas(frame.area());
-    frame.render_widget(Paragraph::new(head(screen)), top);
+    frame.render_widget(Paragraph::new(status_line(screen)), top);
     draw_jobs(frame, jobs, screen);
     let [left, right] =
         Layout::horizontal([Constraint::Percentage(50), Constraint::Percentage(50)]).areas(bottom);
--- a/crates/ctl/src/watch/screen.rs
+++ b/crates/ctl/src/watch/screen.rs
@@ -1,30 +1,30 @@
-//! What the terminal view shows, and how keys change it.
+//! The data of the terminal view, and how keys change what is shown.
 
 use crate::api::Api;
 use foxspur_wire::admin::{Answer, DrainRow, Jobs, MachineState, ShareRow, TeamRow};
 use ratatui::crossterm::event::KeyCode;
 use serde::de::DeserializeOwned;
 
-/// What is on the screen; each part may be of another age.
+/// The data on the screen. The parts may be of different ages.
 #[derive(Default, Debug)]
 pub struct Screen {
-    /// Live jobs, worst first.
+    /// Live jobs, stuck jobs first.
     pub jobs: Option<Answer<Jobs>>,
-    /// Teams against their quotas.
+    /// What teams use, and their guarantees and limits.
     pub teams: Option<Answer<Vec<TeamRow>>>,
-    /// Machines by state.
+    /// Number of machines by state.
     pub fleet: Option<Answer<Vec<(MachineState, usize)>>>,
-    /// Drains and how far they are.
+    /// Drains and their progress.
     pub drains: Option<Answer<Vec<DrainRow>>>,
     /// Shards as the answering controller sees them.
     pub shares: Option<Answer<Vec<ShareRow>>>,
-    /// Why the last refresh failed, if it did.
+    /// The error of the last refresh, if it failed.
     pub error: Option<String>,
-    /// Index of the first job shown.
-    pub top: usize,
+    /// Index of the first job that is shown.
+    pub first_job: usize,
 }
 
-/// Gets a view; what cannot be had stays as it was.
+/// Fetches a view. If that fails, the part keeps its old data and the error is stored.
 fn refresh_part<T: DeserializeOwned>(
     api: &Api,
     view: &str,
@@ -33,12 +33,12 @@
 ) {
     match api.view::<T>(&format!("/admin/v1/{view}")) {
         Ok((_, answer)) => *part = Some(answer),
-        Err(why) => *error = Some(why.to_string()),
+        Err(failure) => *error = Some(failure.to_string()),
     }
 }
 
 impl Screen {
-    /// Gets all parts anew; what cannot be had stays as it was.
+    /// Fetches all parts again. Parts that cannot be fetched keep their old data.
     pub fn refresh(&mut self, api: &Api) {
         self.error = None;
         let error = &mut self.error;
@@ -49,17 +49,18 @@
         refresh_part(api, "shares", &mut self.shares, error);
     }
 
-    /// Handles a key, where a page has so many jobs; whether to go on.
-    pub fn handle_key(&mut self, code: KeyCode, page: usize) -> bool {
-        let jobs = self.jobs.as_ref().map_or(0, |jobs| jobs.data.rows.len());
-        let last = jobs.saturating_sub(1);
+    /// Handles a key; `page_jobs` is the number of jobs that a page key scrolls by. Returns
+    /// whether to keep running.
+    pub fn handle_key(&mut self, code: KeyCode, page_jobs: usize) -> bool {
+        let count = self.jobs.as_ref().map_or(0, |jobs| jobs.data.rows.len());
+        let last = count.saturating_sub(1);
         match code {
             KeyCode::Char('q') | KeyCode::Esc => return false,
-            KeyCode::Down | KeyCode::Char('j') => self.top = (self.top + 1).min(last),
-            KeyCode::Up | KeyCode::Char('k') => self.top = self.top.saturating_sub(1),
-            KeyCode::PageDown => self.top = (self.top + page).min(last),
-            KeyCode::PageUp => self.top = self.top.saturating_sub(page),
-            KeyCode::Home => self.top = 0,
+            KeyCode::Down | KeyCode::Char('j') => self.first_job = (self.first_job + 1).min(last),
+            KeyCode::Up | KeyCode::Char('k') => self.first_job = self.first_job.saturating_sub(1),
+            KeyCode::PageDown => self.first_job = (self.first_job + page_jobs).min(last),
+            KeyCode::PageUp => self.first_job = self.first_job.saturating_sub(page_jobs),
+            KeyCode::Home => self.first_job = 0,
             _ => {}
         }
         true
--- a/crates/ctl/tests/view.rs
+++ b/crates/ctl/tests/view.rs
@@ -1,5 +1,5 @@
-//! The terminal view and the exit codes, against a stand-in of the operators' API
-//! on loopback that answers from a table.
+//! Tests of the terminal view and the exit codes, against a fake operators' API on loopback that
+//! answers from a table.
 
 use clap::Parser;
 use foxctl::api::Api;
@@ -51,19 +51,20 @@
     }
 }
 
-/// Answers each request by its path, until the test ends.
-fn stand_in(answers: &'static [(&'static str, u16, &'static str)]) -> String {
+/// Starts a fake API that answers each request by the prefix of its path, until the test process
+/// ends. Returns its address.
+fn start_api(answers: &'static [(&'static str, u16, &'static str)]) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let Ok(mut stream) = stream else { continue };
-            let mut head = [0u8; 4096];
-            let n = stream.read(&mut head).unwrap_or(0);
-            let text = String::from_utf8_lossy(&head[..n]).to_string();
+            let mut buffer = [0u8; 4096];
+            let length = stream.read(&mut buffer).unwrap_or(0);
+            let text = String::from_utf8_lossy(&buffer[..length]).to_string();
             let path = text.split(' ').nth(1).unwrap_or_default();
-            let known = answers.iter().find(|a| path.starts_with(a.0));
-            let (status, body) = known.map_or((404, "{}"), |a| (a.1, a.2));
+            let found = answers.iter().find(|answer| path.starts_with(answer.0));
+            let (status, body) = found.map_or((404, "{}"), |answer| (answer.1, answer.2));
             let _ = write!(
                 stream,
                 "HTTP/1.1 {status} x\r\ncontent-length: {}\r\nconnection: close\r\n\r\n{body}",
@@ -74,11 +75,11 @@
     addr.to_string()
 }
 
-const STUCK: &str = r#"{"from":"b","owner":"b","term":7,"age_s":0.0,"data":{"live":1,"stuck":1,"failing":0,"late":0,"rows":[]}}"#;
-const DRAINING: &str = r#"{"from":"b","owner":"b","term":7,"age_s":0.0,"data":[{"drain":{"host":"m-1","order":"o","by":"x","why":"y","at_ms":0,"deadline_ms":null,"rest":"leave","drained":null,"roll":null},"state":"draining","tasks":1,"stays":""}]}"#;
+const JOBS_BODY: &str = r#"{"from":"b","owner":"b","term":7,"age_s":0.0,"data":{"live":1,"stuck":1,"failing":0,"late":0,"rows":[]}}"#;
+const DRAINS_BODY: &str = r#"{"from":"b","owner":"b","term":7,"age_s":0.0,"data":[{"drain":{"host":"m-1","order":"o","by":"x","why":"y","at_ms":0,"deadline_ms":null,"rest":"leave","drained":null,"roll":null},"state":"draining","tasks":1,"stays":""}]}"#;
 const ANSWERS: &[(&str, u16, &str)] = &[
-    ("/admin/v1/jobs", 200, STUCK),
-    ("/admin/v1/drains", 200, DRAINING),
+    ("/admin/v1/jobs", 200, JOBS_BODY),
+    ("/admin/v1/drains", 200, DRAINS_BODY),
     (
         "/admin/v1/undrain",
         404,
@@ -91,47 +92,52 @@
     ),
 ];
 
-/// Guards against scripts that cannot tell what came of a command: refused,
-/// nobody there, found something; and against an address that does not answer
-/// while another one would.
+/// Guards against exit codes that do not tell a refusal, a missing answer and a failed check
+/// apart, so that scripts cannot act on them. Also guards against a command that fails because
+/// the first address does not answer although the second one does.
 #[test]
 fn exit_codes() {
-    let there = stand_in(ANSWERS);
-    let nobody = "127.0.0.1:9";
-    let both = format!("{nobody},{there}");
+    let api = start_api(ANSWERS);
+    let unreachable = "127.0.0.1:9";
+    let unreachable_first = format!("{unreachable},{api}");
     let cases: [(&str, &[&str], u8); 9] = [
-        (&there, &["jobs"], 0),
-        (&there, &["jobs", "--check"], 4),
-        (&both, &["jobs", "--check"], 4),
-        (&there, &["drains"], 0),
-        (&there, &["drains", "--check"], 4),
-        (&there, &["undrain", "m-9"], 1),
-        (&there, &["teams"], 3),
-        (nobody, &["jobs"], 3),
-        (&there, &["completions", "bash"], 0),
+        (&api, &["jobs"], 0),
+        (&api, &["jobs", "--check"], 4),
+        (&unreachable_first, &["jobs", "--check"], 4),
+        (&api, &["drains"], 0),
+        (&api, &["drains", "--check"], 4),
+        (&api, &["undrain", "m-9"], 1),
+        (&api, &["teams"], 3),
+        (unreachable, &["jobs"], 3),
+        (&api, &["completions", "bash"], 0),
     ];
-    for (at, args, code) in cases {
+    for (at, args, expected) in cases {
         let program = ["foxctl", "--at", at];
         let line = program.iter().chain(args);
         let cli = Cli::try_parse_from(line).unwrap();
         let mut out = Vec::new();
-        let got = run(&cli, &mut out).unwrap_or_else(|e| e.code());
-        assert_eq!(got, code, "{args:?}: {}", String::from_utf8_lossy(&out));
+        let code = run(&cli, &mut out).unwrap_or_else(|error| error.code());
+        assert_eq!(
+            code,
+            expected,
+            "{args:?}: {}",
+            String::from_utf8_lossy(&out)
+        );
     }
-    for wrong in [
+    for invalid in [
         &["drain", "m-1"][..],
         &["drain"],
         &["roll", "start", "k", "--why", "x", "--at-most", "0%"],
     ] {
-        let line = std::iter::once(&"foxctl").chain(wrong);
-        assert!(Cli::try_parse_from(line).is_err(), "{wrong:?}");
+        let line = std::iter::once(&"foxctl").chain(invalid);
+        assert!(Cli::try_parse_from(line).is_err(), "{invalid:?}");
     }
     assert_eq!(at_most("3"), Ok(AtMost::Machines(3)));
     assert_eq!(at_most("10%"), Ok(AtMost::Share(0.1)));
 }
 
-fn shown(screen: &Screen) -> String {
-    // The smallest terminals must do no harm.
+/// Renders the screen as text. Also draws it on very small terminals, which must not panic.
+fn render(screen: &Screen) -> String {
     for (width, height) in [(0, 0), (1, 1), (20, 5)] {
         let mut small = Terminal::new(TestBackend::new(width, height)).unwrap();
         small.draw(|frame| draw(frame, screen)).unwrap();
@@ -147,15 +153,15 @@
     (0..20).map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// Guards against a view in which a stuck job is not the first thing seen, an old
-/// answer looks like a fresh one, or a failed look empties the screen.
+/// Guards against a view in which a stuck job is not the first job, an old answer is not marked
+/// as old, or a failed refresh clears the screen.
 #[test]
-fn the_stuck_job_is_on_top() {
+fn stuck_job_comes_first_and_old_data_is_marked() {
     let mut screen = Screen {
         jobs: Some(jobs(0.0)),
         ..Screen::default()
     };
-    let text = shown(&screen);
+    let text = render(&screen);
     let first = text.find("run-7").unwrap();
     assert!(first < text.find("run-8").unwrap(), "{text}");
     assert!(
@@ -164,18 +170,18 @@
     );
     assert!(text.contains("1 stuck") && !text.contains("OLD"), "{text}");
     screen.jobs = Some(jobs(30.0));
-    assert!(shown(&screen).contains("30s OLD"));
+    assert!(render(&screen).contains("30s OLD"));
     screen.refresh(&Api::new(&["127.0.0.1:9".to_string()]).unwrap());
-    let text = shown(&screen);
+    let text = render(&screen);
     assert!(
         text.contains("no controller answers") && text.contains("run-7"),
         "{text}"
     );
-    assert!(screen.handle_key(KeyCode::Down, 10) && screen.top == 1);
+    assert!(screen.handle_key(KeyCode::Down, 10) && screen.first_job == 1);
     assert!(
-        screen.handle_key(KeyCode::Down, 10) && screen.top == 1,
-        "not past the last"
+        screen.handle_key(KeyCode::Down, 10) && screen.first_job == 1,
+        "scrolled past the last job"
     );
-    assert!(!shown(&screen).contains("run-7"));
+    assert!(!render(&screen).contains("run-7"));
     assert!(!screen.handle_key(KeyCode::Char('q'), 10));
 }
