--- a/crates/plan/examples/calibrate.rs
+++ b/crates/plan/examples/calibrate.rs
@@ -191,8 +191,8 @@
     chart.draw_series(LineSeries::new([(0.0, 0.0), (1.0, 1.0)], &BLACK.mix(0.3)))?;
     chart.draw_series(bins.iter().map(|bin| {
         let size = 2 + (bin.jobs as f64).ln().max(0.0) as i32;
-        let place = (bin.planned_mean(), bin.observed_mean());
-        Circle::new(place, size, BLUE.filled())
+        let center = (bin.planned_mean(), bin.observed_mean());
+        Circle::new(center, size, BLUE.filled())
     }))?;
     area.present()?;
     Ok(())
@@ -223,9 +223,9 @@
     /// Jobs that were late because of the drain.
     late: usize,
     /// Those of them whose planned probability was 0.
-    late_unnamed: usize,
+    late_unlisted: usize,
     /// Jobs with a planned probability above 0 of being late because of the drain.
-    named: usize,
+    listed: usize,
     /// The sum of these probabilities: the expected number of late jobs.
     planned_late: f64,
     /// All jobs.
@@ -258,9 +258,9 @@
         bin.jobs += 1;
         self.jobs += 1;
         self.planned_late += planned_late;
-        self.named += usize::from(planned_late > 0.0);
+        self.listed += usize::from(planned_late > 0.0);
         self.late += usize::from(observed);
-        self.late_unnamed += usize::from(observed && planned_late == 0.0);
+        self.late_unlisted += usize::from(observed && planned_late == 0.0);
     }
 
     fn print(&mut self, args: &Args) {
@@ -273,13 +273,13 @@
         );
         println!(
             "deadlines missed because of the drain: {}, planned {:.1}, for {} listed jobs",
-            self.late, self.planned_late, self.named
+            self.late, self.planned_late, self.listed
         );
-        let unnamed = self.jobs - self.named;
+        let unlisted = self.jobs - self.listed;
         println!(
-            "of these, not listed in the plan: {} of {unnamed} unlisted jobs ({:.4}%; planned: below {:.1}% each)",
-            self.late_unnamed,
-            100.0 * self.late_unnamed as f64 / unnamed.max(1) as f64,
+            "of these, not listed in the plan: {} of {unlisted} unlisted jobs ({:.4}%; planned: below {:.1}% each)",
+            self.late_unlisted,
+            100.0 * self.late_unlisted as f64 / unlisted.max(1) as f64,
             300.0 / f64::from(args.samples)
         );
         println!(
--- a/crates/plan/tests/plan.rs
+++ b/crates/plan/tests/plan.rs
@@ -52,7 +52,7 @@
     }
 }
 
-fn small_plan() -> Options {
+fn small_options() -> Options {
     Options {
         samples: 20,
         horizon_s: 600.0,
@@ -166,15 +166,15 @@
         (self.change)(&mut shard);
         shard.jobs[0].age_s = 50.0;
         let order = order(&["m-0"], self.deadline_s, self.rest);
-        let made = plan(&shard, &order, &small_plan()).unwrap();
-        let drained = made.hosts[0].overdue < 0.5;
-        assert_eq!(drained, self.drained, "{name}: {:?}", made.hosts);
-        let job = made.jobs.iter().find(|j| j.id == "run-0");
+        let drain_plan = plan(&shard, &order, &small_options()).unwrap();
+        let drained = drain_plan.hosts[0].overdue < 0.5;
+        assert_eq!(drained, self.drained, "{name}: {:?}", drain_plan.hosts);
+        let job = drain_plan.jobs.iter().find(|j| j.id == "run-0");
         let moved = job.is_some_and(|j| j.moved > 0.5);
         assert_eq!(moved, self.moved, "{name}: {job:?}");
         let late = job.is_some_and(|j| j.late_because > 0.5);
         assert_eq!(late, self.late, "{name}: {job:?}");
-        assert_eq!(made.all.any_late > 0.5, self.late, "{name}");
+        assert_eq!(drain_plan.all.any_late > 0.5, self.late, "{name}");
     }
 }
 
@@ -191,29 +191,29 @@
     let cases = [
         (
             order(&[], None, Rest::Leave),
-            small_plan(),
+            small_options(),
             PlanError::NoMachines,
         ),
         (
             order(&["m-9"], None, Rest::Leave),
-            small_plan(),
+            small_options(),
             PlanError::UnknownMachine("m-9".into()),
         ),
         (
             order(&["m-1"], None, Rest::Leave),
-            small_plan(),
+            small_options(),
             PlanError::SilentMachine("m-1".into()),
         ),
         (
             order(&["m-0"], Some(-1.0), Rest::Leave),
-            small_plan(),
+            small_options(),
             PlanError::InvalidField("deadline", "must be above 0 s"),
         ),
         (
             plain.clone(),
             Options {
                 samples: 0,
-                ..small_plan()
+                ..small_options()
             },
             PlanError::InvalidField("samples", "must be from 1 to 10000"),
         ),
@@ -221,7 +221,7 @@
             plain.clone(),
             Options {
                 horizon_s: f64::NAN,
-                ..small_plan()
+                ..small_options()
             },
             PlanError::InvalidField("horizon", "must be above 0 s and at most one day"),
         ),
@@ -230,7 +230,7 @@
                 start_s: 700.0,
                 ..plain
             },
-            small_plan(),
+            small_options(),
             PlanError::InvalidField(
                 "start",
                 "must be at least 0 s and, with the window, before the horizon",
@@ -263,34 +263,38 @@
         job.spec.deadline_s = Some(240.0);
     }
     let order = order(&["m-0"], Some(10.0), Rest::Stop);
-    let made = plan(
+    let drain_plan = plan(
         &shard,
         &order,
         &Options {
             failures: true,
-            ..small_plan()
+            ..small_options()
         },
     )
     .unwrap();
-    assert_eq!(made.failures.len(), 2);
-    let worst = made.failures.iter().map(|f| f.late).fold(0.0, f64::max);
+    assert_eq!(drain_plan.failures.len(), 2);
+    let worst = drain_plan
+        .failures
+        .iter()
+        .map(|variant| variant.late)
+        .fold(0.0, f64::max);
     assert!(
-        worst > made.all.late,
+        worst > drain_plan.all.late,
         "{:?} against {:?}",
-        made.failures,
-        made.all
+        drain_plan.failures,
+        drain_plan.all
     );
-    let html = foxspur_plan::html::html(&made);
+    let html = foxspur_plan::html::html(&drain_plan);
     assert!(
         html.matches("<svg").count() == 3 && !html.contains("no picture"),
         "{html}"
     );
     // A plan made from another state differs, and the difference names the new revision.
-    assert_eq!(difference(&made, &made), Vec::<String>::new());
+    assert_eq!(difference(&drain_plan, &drain_plan), Vec::<String>::new());
     shard.revision += 1;
     shard.jobs.push(job(2, 6, 300.0));
-    let later = plan(&shard, &order, &small_plan()).unwrap();
-    assert!(difference(&made, &later)[0].contains("100 became 101"));
+    let later = plan(&shard, &order, &small_options()).unwrap();
+    assert!(difference(&drain_plan, &later)[0].contains("100 became 101"));
 }
 
 /// Random input for a shard, a drain and a simulation.
