--- a/src/coordination/agents/failure_detector.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -84,7 +84,7 @@
         // quarter of a lease without an answer, because a busy leader receives the last
         // reports late.
         if presumed_dead.len() > (total / 8).max(1) {
-            if self.fence.open
+            if self.fence.placement_allowed
                 || presumed_dead.len() > total / 4
                 || self.includes_most_of_a_zone(&presumed_dead)
             {
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -113,7 +113,7 @@
             && head.session == machine.last_message.session
             && head.seq > machine.last_message.seq
             && head.addr == machine.info.addr
-            && machine.repeatable_tasks.as_deref() == Some(head.tasks.get());
+            && machine.unchanged_task_list.as_deref() == Some(head.tasks.get());
         if repeats {
             machine.last_message.seq = head.seq;
             machine.heard_at = now;
@@ -130,7 +130,7 @@
         if let Some(machine) = self.machines.get_mut(name) {
             let steady = machine.last_message == message
                 && machine.attempts.values().all(Attempt::is_steady);
-            machine.repeatable_tasks = steady.then(|| tasks.into());
+            machine.unchanged_task_list = steady.then(|| tasks.into());
         }
     }
 
@@ -242,7 +242,7 @@
             token = machine.token_under(self.term);
             machine.answered_at = Some(now);
             machine.delivery.answered(token);
-            machine.repeatable_tasks = None;
+            machine.unchanged_task_list = None;
         }
         Reply { token, commands }
     }
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -75,7 +75,7 @@
     machine.heard_at = now;
     machine.restart_suspected_at = None;
     machine.unanswered_calls = 0;
-    machine.repeatable_tasks = None;
+    machine.unchanged_task_list = None;
     if report.session > machine.last_message.session {
         machine.session_seen_at = now;
         machine.session_numbering_restarted = false;
@@ -274,7 +274,7 @@
         let mut removed = None;
         if let Some(machine) = self.machines.get_mut(name) {
             removed = machine.attempts.remove(key);
-            machine.repeatable_tasks = None;
+            machine.unchanged_task_list = None;
             machine.idle_since = self.now;
         }
         if let Some(mut attempt) = removed {
--- a/src/coordination/agents/task_reconciliation.rs
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -243,7 +243,7 @@
             return;
         }
         if let Some(machine) = self.machines.get_mut(name) {
-            if job.has_succeeded() || !machine.recent_failures.contains(&task.job) {
+            if job.has_completed_task() || !machine.recent_failures.contains(&task.job) {
                 machine.recent_failures.push(task.job.clone());
             }
             tracing::info!(job = %task.job, task = task.index, machine = %name, "task failed");
--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -101,7 +101,7 @@
             return;
         };
         machine.cordoned = true;
-        machine.repeatable_tasks = None;
+        machine.unchanged_task_list = None;
         let unreported: Vec<AttemptId> = machine
             .live_attempts()
             .filter(|(_, a)| a.phase.is_none())
@@ -196,7 +196,7 @@
 
     /// Stops the attempts that are due for eviction on all draining machines.
     pub(crate) fn advance_drains(&mut self) {
-        if self.drains.is_empty() || !self.fence.open {
+        if self.drains.is_empty() || !self.fence.placement_allowed {
             return;
         }
         let names: Vec<Name> = self.drains.keys().cloned().collect();
@@ -259,7 +259,7 @@
     /// Drains whose machine is proven empty although the record does not say so yet, at most
     /// `max_drains`: the record to write and the version that it replaces.
     pub fn proven_drains(&self, now_ms: u64, max_drains: usize) -> Vec<(Drain, u64)> {
-        if !self.fence.open {
+        if !self.fence.placement_allowed {
             return Vec::new();
         }
         let proven = self.drains.iter().filter_map(|(name, active_drain)| {
@@ -306,7 +306,7 @@
             });
         let overdue = active_drain.deadline_at.is_some_and(|d| now > d);
         let state = match machine {
-            None if self.fence.open => DrainState::Gone,
+            None if self.fence.placement_allowed => DrainState::Gone,
             _ if active_drain.drain.drained.is_some() && tasks == 0 => DrainState::Drained,
             _ if overdue => DrainState::Overdue,
             _ => DrainState::Draining,
--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -68,7 +68,7 @@
 /// the takeover. `None` without a scheduler.
 fn is_placing(node: &Node) -> Option<bool> {
     let scheduler = node.scheduler.borrow();
-    scheduler.as_ref().map(|s| s.fence.open)
+    scheduler.as_ref().map(|s| s.fence.placement_allowed)
 }
 
 async fn run_round(node: &Rc<Node>, state: &mut FleetState) {
--- a/src/coordination/fleet/rollout.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -252,7 +252,7 @@
         drains: &HashMap<String, (Drain, u64)>,
         now: f64,
     ) -> Option<FleetView> {
-        if !self.fence.open {
+        if !self.fence.placement_allowed {
             return None;
         }
         let late_jobs = self
--- a/src/coordination/scheduler/attempt.rs
+++ b/src/coordination/scheduler/attempt.rs
@@ -7,33 +7,34 @@
 /// An attempt that is or may be on a machine.
 #[derive(Debug, Clone)]
 pub struct Attempt {
-    /// The phase as last reported; `None` until a report has shown the attempt.
+    /// The phase as last reported; `None` until a report has listed the attempt.
     pub phase: Option<Phase>,
     /// Why the attempt exited; `None` before that.
     pub cause: Option<Cause>,
-    /// When the start was decided.
+    /// When the leader decided to start the attempt.
     pub start_decided_at: f64,
-    /// When the attempt was first reported as running.
+    /// When the attempt was first reported as running; `None` before that.
     pub running_since: Option<f64>,
     /// Whether the attempt is counted among its job's running tasks.
     pub counted_as_running: bool,
-    /// The newest message that showed the attempt.
+    /// The newest message that listed the attempt.
     pub last_shown: MessageId,
-    /// The start was sent in the reply to this heartbeat and may still be executed.
+    /// The heartbeat whose reply carried the start command, as long as that command may still
+    /// be executed.
     pub sent_in_reply_to: Option<MessageId>,
-    /// A direct call with the start is in flight.
+    /// A direct call with the start command is in flight.
     pub call_in_flight: bool,
-    /// Highest token of the direct calls that have carried the start. A late copy of such a
-    /// call restarts the attempt if the machine has forgotten it, unless the machine has
-    /// seen a higher token.
+    /// Highest token of the direct calls that have carried the start command; `None` if there
+    /// was no such call. A late copy of a call starts the attempt again if the machine has
+    /// forgotten the attempt, unless the machine has seen a higher token than the call's.
     pub duplicate_starts_up_to: Option<u64>,
-    /// Token and time of a direct call with the start that got no response. The call may
-    /// still be executed until the machine has seen a higher token or has a newer session.
+    /// Token and time of a direct call with the start command, if the call got no response. It
+    /// may still be executed until the machine has seen a higher token or has a newer session.
     pub unresolved_call: Option<(u64, f64)>,
-    /// A start or stop of the attempt has not been sent yet.
+    /// A command to start or stop the attempt has not been sent yet.
     pub unsent: bool,
-    /// A reply commanded the machine to stop or forget the attempt, and no later message has
-    /// shown that it did.
+    /// A reply carried the command to stop or forget the attempt, and no later message has
+    /// shown whether the command took effect.
     pub end_command_sent: bool,
     /// Grace period, in seconds, of the requested stop; `None` if no stop was requested.
     pub stop_grace_s: Option<f64>,
@@ -62,13 +63,15 @@
         }
     }
 
-    /// Whether another heartbeat that shows the attempt in the same phase has no effect.
+    /// Whether another heartbeat that lists the attempt in the same phase would change nothing
+    /// and need no command for the attempt.
     pub fn is_steady(&self) -> bool {
-        let shown_live = self.phase.is_some() && !self.has_exited() && self.stop_grace_s.is_none();
-        shown_live && !self.unsent && !self.is_in_flight()
+        let is_listed_live =
+            self.phase.is_some() && !self.has_exited() && self.stop_grace_s.is_none();
+        is_listed_live && !self.unsent && !self.is_in_flight()
     }
 
-    /// Whether a start of the attempt may still be executed by the machine.
+    /// Whether the machine may still execute a command to start the attempt.
     pub fn is_in_flight(&self) -> bool {
         self.sent_in_reply_to.is_some() || self.call_in_flight || self.unresolved_call.is_some()
     }
--- a/src/coordination/scheduler/attempts.rs
+++ b/src/coordination/scheduler/attempts.rs
@@ -1,7 +1,7 @@
 //! Starting, stopping and releasing attempts.
 //!
 //! Invariant: an attempt counts as placed, both for capacity and for quotas, from the moment
-//! its start is decided until the machine is proven not to run it.
+//! its start is decided until it is proven that the machine does not run the attempt.
 
 use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
 use crate::coordination::scheduler::machine::Attempt;
@@ -9,7 +9,8 @@
 use crate::coordination::scheduler::state::Scheduler;
 
 impl Scheduler {
-    /// Starts a task on a machine. From now on the task counts as placed.
+    /// Adds an attempt to run the task on the machine and schedules a direct call with the start
+    /// command. From now on the task counts as placed.
     pub(crate) fn start_attempt(&mut self, machine_name: &Name, task: TaskId, now: f64) {
         let number = self.next_attempt();
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -27,12 +28,12 @@
         machine
             .attempts
             .insert(AttemptId::new(task, number), attempt);
-        machine.repeatable_tasks = None;
+        machine.unchanged_task_list = None;
         self.outbox.insert(machine_name.clone());
     }
 
-    /// Requests that an attempt be stopped with a grace period of `grace_s` seconds. A shorter
-    /// grace period replaces a longer one that was requested before.
+    /// Requests that an attempt be stopped with a grace period of `grace_s` seconds. If a stop
+    /// was requested before, the shorter grace period applies.
     pub(crate) fn stop_attempt(&mut self, machine_name: &str, id: &AttemptId, grace_s: f64) {
         let Some((_, name, machine)) = self.machines.get_full_mut(machine_name) else {
             return;
@@ -48,12 +49,12 @@
         }
         attempt.stop_grace_s = Some(grace_s);
         attempt.unsent = true;
-        machine.repeatable_tasks = None;
+        machine.unchanged_task_list = None;
         self.stopping_attempts.insert((name.clone(), id.clone()));
         self.outbox.insert(name.clone());
     }
 
-    /// Handles an attempt that is no longer on its machine or never was there.
+    /// Handles an attempt that is not on its machine, whether it has ended or never started.
     pub(crate) fn release_attempt(&mut self, id: &AttemptId) {
         let AttemptId { task, number } = id;
         if let Some(job) = self.jobs.get_mut(&task.job) {
@@ -67,7 +68,8 @@
         self.placement_due = true;
     }
 
-    /// Removes an attempt that no longer runs from the count of its job's running tasks.
+    /// Subtracts an attempt that no longer runs from the number of its job's running tasks, if
+    /// that number includes the attempt.
     pub(crate) fn uncount_running(&mut self, id: &AttemptId, attempt: &mut Attempt) {
         if std::mem::take(&mut attempt.counted_as_running) {
             if let Some(job) = self.jobs.get_mut(&id.task.job) {
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Removes stop requests that have taken effect from the work list.
+    /// Removes from the work list the attempts that have exited or are no longer known.
     pub(crate) fn prune_stopping_attempts(&mut self) {
         let machines = &self.machines;
         self.stopping_attempts.retain(|(machine, id)| {
@@ -87,7 +89,7 @@
         });
     }
 
-    /// Grace period, in seconds, that lets a task of the job write a checkpoint; 0 if the job
+    /// Grace period, in seconds, in which a task of the job can write a checkpoint; 0 if the job
     /// writes no checkpoints or is unknown.
     pub(crate) fn checkpoint_grace_s(&self, job: &str) -> f64 {
         self.jobs.get(job).map_or(0.0, |job| {
--- a/src/coordination/scheduler/completions.rs
+++ b/src/coordination/scheduler/completions.rs
@@ -1,12 +1,12 @@
-//! Saving completed tasks: which job records are due to be written, and what was written.
+//! Saving completed tasks: selecting the job records to write, and handling finished writes.
 //!
-//! A worker is sent the command to forget a completed task only after its completion is saved.
+//! A worker gets the command to forget a completed task only after the completion is saved.
 
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::storage::completed_tasks::CompletedTasks;
 
-/// Sort key of a job whose completions are to be saved; the smallest comes first.
+/// Sort key of a job whose completed tasks are to be saved; the smallest key comes first.
 struct SaveOrder<'a> {
     incomplete: bool,
     saved_at: f64,
@@ -14,8 +14,9 @@
 }
 
 impl Scheduler {
-    /// At most `limit` jobs with completed tasks that are not saved. Complete jobs come first,
-    /// since users wait for them, then the jobs that were saved longest ago.
+    /// Jobs with completed tasks that are not saved yet, `limit` jobs at the maximum. Jobs whose
+    /// tasks are all completed come first, since users wait for them. Within both groups, the
+    /// job whose last save is oldest comes first.
     pub fn completions_due(&self, limit: usize) -> Vec<Name> {
         let unsaved = self.unsaved_jobs.iter().filter_map(|name| {
             self.jobs.get(name).map(|job| SaveOrder {
@@ -37,8 +38,8 @@
             .collect()
     }
 
-    /// Handles a successful write of these completed tasks to the job's record, which has
-    /// this version now.
+    /// Handles a successful write of the tasks `completed` to the job's record; `version` is the
+    /// new version of the record.
     pub fn completions_written(&mut self, id: &str, completed: &CompletedTasks, version: u64) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Merges a job's record that was read again after a write conflict.
+    /// Takes over the contents of a job's record that was read again after a write conflict:
+    /// its version, and the tasks that the record lists as completed.
     pub fn reload_job(&mut self, id: &str, version: u64, saved: &CompletedTasks) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.version = version;
--- a/src/coordination/scheduler/config.rs
+++ b/src/coordination/scheduler/config.rs
@@ -4,19 +4,20 @@
 use crate::protocol::policy::Policy;
 use crate::protocol::settings::{Objective, Settings, Team};
 
-/// Time that a worker spends on one controller that does not respond: a time-out of 4 s, a
-/// pause of 1 s before the next controller, and 1 s (a fifth of these) for slow packets.
+/// Time, in seconds, that a worker spends on one controller that does not respond: a time-out
+/// of 4 s, a pause of 1 s before the next controller, and a fifth of this sum (1 s) for slow
+/// packets.
 const WORKER_TRY_S: f64 = 6.0;
 
-/// Upper bound on the time, in seconds of this process's clock, after which a worker's lease
-/// has ended: the lease plus 0.2 % (twice the bound on clock drift) plus 0.1 s for the
+/// Upper bound on the duration of a worker's lease of `lease_s` seconds, in seconds of this
+/// process's clock: the lease plus 0.2 % (twice the bound on clock drift) plus 0.1 s for the
 /// granularity of timers.
 pub fn lease_with_margin_s(lease_s: f64) -> f64 {
     lease_s * 1.002 + 0.1
 }
 
-/// Upper bound on the time, in seconds, in which a worker that gets no response tries all
-/// `nodes` controllers once.
+/// Upper bound on the time, in seconds, that a worker needs to try each of `nodes` controllers
+/// once while none of them responds.
 pub fn worker_retry_round_s(nodes: usize) -> f64 {
     nodes as f64 * WORKER_TRY_S
 }
@@ -24,15 +25,15 @@
 /// The settings and the policy that the scheduler uses.
 #[derive(Clone, Debug)]
 pub struct SchedulerConfig {
-    /// Lease of a worker, in seconds. A worker that gets no reply for this long stops its
-    /// tasks.
+    /// Duration of a worker's lease, in seconds. A worker that gets no reply for this duration
+    /// stops its tasks.
     pub lease_s: f64,
     /// Interval between heartbeats of a worker, in seconds.
     pub heartbeat_s: f64,
     /// Time, in seconds, within which all tasks of a cancelled job must have stopped.
     pub cancel_s: f64,
-    /// Upper bound, in seconds, on the time between two tries of the same controller by a
-    /// worker that gets no response from any.
+    /// Upper bound, in seconds, on the time that a worker needs to try each controller once
+    /// while none of them responds.
     pub retry_round_s: f64,
     /// Teams with their guarantees and limits.
     pub teams: Vec<Team>,
@@ -43,7 +44,7 @@
 }
 
 impl SchedulerConfig {
-    /// Takes the scheduler's part of the settings.
+    /// Creates the scheduler's configuration from the settings and the policy.
     pub fn new(settings: &Settings, policy: &Policy) -> SchedulerConfig {
         let workers = &settings.cluster.workers;
         SchedulerConfig {
@@ -57,9 +58,9 @@
         }
     }
 
-    /// A machine that has been silent for this many seconds gets no new tasks. Heartbeats
-    /// come at most 1.25 heartbeat intervals apart. Twice that time means that a heartbeat
-    /// was missed; the additional 0.5 s leaves time for one retry.
+    /// Duration of silence, in seconds, after which no new tasks start on a machine. Two
+    /// heartbeats are at most 1.25 heartbeat intervals apart, so a silence of 2.5 intervals
+    /// means that a heartbeat was missed. The additional 0.5 s leave time for one retry.
     pub fn silent_s(&self) -> f64 {
         2.5 * self.heartbeat_s + 0.5
     }
--- a/src/coordination/scheduler/delivery.rs
+++ b/src/coordination/scheduler/delivery.rs
@@ -1,12 +1,13 @@
 //! Evidence on whether a machine receives this leader's replies.
 //!
 //! Reachability can differ by direction. Arriving heartbeats show that the machine reaches
-//! the leader, but not that replies reach the machine. Their contents give evidence of that.
-//! Evidence against delivery is a term that was sent and not adopted, a start whose task is
-//! not shown, a stop that was not carried out, or a session that ended although it was
-//! answered. One such sign makes delivery doubtful: no new task starts on the machine until
-//! it shows an effect of a reply. Otherwise a machine that receives no replies would stay
-//! empty, and would therefore be chosen for task after task.
+//! the leader, but not that replies reach the machine. Whether replies arrive must be inferred
+//! from the contents of the heartbeats. Evidence against delivery is a term that was sent and
+//! not adopted, a start whose task is not reported, a stop that was not carried out, or a
+//! session that ended although its heartbeats were answered. One piece of such evidence makes
+//! delivery doubtful: no new task starts on the machine until a message shows an effect of a
+//! reply. Otherwise a machine that receives no replies would stay empty, and would therefore
+//! be chosen for one task after another.
 
 /// What a message shows about the delivery of earlier replies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -15,11 +16,12 @@
     Delivered,
     /// Part of an earlier reply had no effect, so the reply may not have arrived.
     Undelivered,
-    /// The message shows neither.
+    /// The message is evidence neither for nor against delivery.
     Neutral,
 }
 
-/// Combines all evidence of one message. A single effect of a reply proves delivery.
+/// Combines all evidence from one message. A single effect of a reply proves delivery, so it
+/// outweighs all evidence against delivery in the same message.
 #[derive(Debug, Default)]
 pub struct EvidenceSummary {
     delivered: bool,
@@ -45,35 +47,38 @@
     }
 }
 
-/// A worker that gets no response within this many seconds tries another controller.
+/// Time-out of a worker, in seconds. A worker that gets no response within this time tries
+/// another controller.
 pub(crate) const ANSWER_TIMEOUT_S: f64 = 4.0;
 
-/// Number of consecutive signs of missing delivery from which on an unfenced machine is no
-/// longer answered. Each reply may renew the machine's lease, and placement cannot begin
-/// while a lease may have been renewed. A single reply can be lost by chance.
+/// Minimum number of consecutive messages with evidence against delivery after which a machine
+/// is considered unreachable. If it is unfenced, its heartbeats are no longer answered: each
+/// reply may renew the machine's lease, and placement cannot begin while such a lease may last.
+/// One message is not enough, since a single reply can be lost by chance.
 const UNREACHABLE_MIN_UNDELIVERED: u32 = 2;
 
 /// Tracks the delivery of this leader's replies to one machine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Delivery {
-    /// Number of consecutive signs that replies did not arrive.
+    /// Number of messages with evidence against delivery since the latest evidence of delivery.
     undelivered: u32,
     /// When delivery became doubtful; `None` if it is not doubtful.
     doubtful_since: Option<f64>,
-    /// The present session was answered and has not yet shown that a reply arrived.
+    /// A heartbeat of the present session was answered, and no message has shown since that a
+    /// reply arrived.
     awaiting_effect: bool,
-    /// Highest term in a reply to the machine so far.
+    /// Highest fencing token in a reply to the machine so far.
     pub highest_sent_term: u64,
 }
 
 impl Delivery {
-    /// Records that a reply with this term is sent to the machine.
-    pub fn answered(&mut self, term: u64) {
-        self.highest_sent_term = self.highest_sent_term.max(term);
+    /// Records that a reply with this fencing token is sent to the machine.
+    pub fn answered(&mut self, token: u64) {
+        self.highest_sent_term = self.highest_sent_term.max(token);
         self.awaiting_effect = true;
     }
 
-    /// Records the evidence of a newer message.
+    /// Records the evidence from a message that is newer than all earlier messages.
     pub fn message_received(&mut self, evidence: Evidence, now: f64) {
         match evidence {
             Evidence::Delivered => {
@@ -90,8 +95,8 @@
         }
     }
 
-    /// Records that the next heartbeat came `interval_s` seconds after the previous message.
-    /// If that is less than the time-out of the worker, the worker must have received the
+    /// Records that a heartbeat arrived `interval_s` seconds after the previous message. If this
+    /// interval is shorter than the time-out of the worker, the worker must have received the
     /// reply to its previous heartbeat.
     pub fn next_heartbeat_after(&mut self, interval_s: f64) {
         if interval_s < ANSWER_TIMEOUT_S {
@@ -99,8 +104,8 @@
         }
     }
 
-    /// Records that a newer session began. Returns whether the previous session was answered
-    /// but ended without having shown that a reply arrived.
+    /// Records that a newer session began. Returns true if heartbeats of the previous session
+    /// were answered, but the session ended without evidence that a reply arrived.
     pub fn session_ended(&mut self) -> bool {
         std::mem::take(&mut self.awaiting_effect)
     }
@@ -115,7 +120,8 @@
         self.doubtful_since.map(|since| now - since)
     }
 
-    /// Whether the machine is considered unreachable, so that it need not be answered.
+    /// Whether the machine is considered unreachable. While it is unfenced, its heartbeats are
+    /// then no longer answered, so that its lease expires.
     pub fn is_unreachable(&self) -> bool {
         self.undelivered >= UNREACHABLE_MIN_UNDELIVERED
     }
--- a/src/coordination/scheduler/fence.rs
+++ b/src/coordination/scheduler/fence.rs
@@ -1,44 +1,46 @@
 //! Fencing after a takeover. A former leader may have started tasks on any recorded machine.
-//! No task may start until every recorded machine has either sent a heartbeat under the new
-//! term or is proven empty.
+//! No task may start until every recorded machine has either sent a message under the new
+//! term or been proven empty.
 
 use crate::storage::records::FormerLeader;
 
 /// Whether placement may begin after a takeover, and what is known of former leaders.
 #[derive(Debug, Clone)]
 pub struct Fence {
-    /// The term of the takeover. A machine that reports under this or a later term is fenced.
+    /// The term of the takeover. A machine is fenced once it has reported this term or a later
+    /// one.
     pub base_term: u64,
-    /// Time since which no former leader can have answered a worker; `None` while that is
-    /// unknown.
+    /// The time after which no former leader can have answered a worker; `None` while this time
+    /// is unknown.
     pub former_leaders_silent_since: Option<f64>,
-    /// No machine blocks placement any more. Once open, the fence stays open.
-    pub open: bool,
+    /// Placement is allowed, since no machine blocked it any more. Once true, this stays true.
+    pub placement_allowed: bool,
 }
 
 impl Fence {
-    /// A closed fence for a takeover under this term.
+    /// A fence that blocks placement after a takeover under the term `base_term`.
     pub fn new(base_term: u64, former_leaders_silent_since: Option<f64>) -> Fence {
         Fence {
             base_term,
             former_leaders_silent_since,
-            open: false,
+            placement_allowed: false,
         }
     }
 
-    /// Time from which on a machine that this leader never answered runs no tasks: one lease,
-    /// with its safety margin, after the last time at which a former leader could have
-    /// renewed the machine's lease.
+    /// The time after which a machine that this leader has never answered runs no tasks: one
+    /// lease, with its safety margin, after the last time at which a former leader could have
+    /// renewed the machine's lease. `None` while that last time is unknown.
     pub fn empty_from(&self, lease_with_margin_s: f64) -> Option<f64> {
         self.former_leaders_silent_since
             .map(|since| since + lease_with_margin_s)
     }
 }
 
-/// The former leaders that may still answer workers. `present_incarnation` gives the present
-/// incarnation of the controller on a host. If it differs from that of the former leader,
-/// the former leader's process has ended. Otherwise a former leader stops answering when the
-/// time in its record is over; both clocks may be off by up to `max_clock_error_ms`.
+/// The former leaders that may still answer workers. `present_incarnation` returns the present
+/// incarnation of the controller on a host, or `None` if it is unknown. If the former leader
+/// was another incarnation, its process has ended. Otherwise the former leader stops answering
+/// at the time `until_ms` in its record; the wall clocks of both controllers may be off by up
+/// to `max_clock_error_ms`.
 pub fn unfenced_leaders(
     former: &[FormerLeader],
     present_incarnation: impl Fn(&str) -> Option<u64>,
@@ -50,7 +52,7 @@
         .filter(|leader| {
             let replaced = present_incarnation(&leader.host)
                 .is_some_and(|incarnation| incarnation != leader.incarnation);
-            // Both clocks may be off by the bound, in opposite directions.
+            // Both clocks may be off by `max_clock_error_ms`, in opposite directions.
             let expired = now_ms > leader.until_ms + 2 * max_clock_error_ms;
             !replaced && !expired
         })
--- a/src/coordination/scheduler/job.rs
+++ b/src/coordination/scheduler/job.rs
@@ -13,16 +13,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Number of machines on which tasks of a job must have failed before the job itself is
-/// suspected to be faulty.
+/// Minimum number of machines on which tasks of a job must have failed before the job itself
+/// is suspected to be faulty.
 const MIN_FAILED_MACHINES_OF_SUSPECT: usize = 3;
 
 /// Name of a job or machine.
 pub type Name = Rc<str>;
 
 /// A map with names as keys. Names share long prefixes (`run-000…`, `m-000…`). A tree would
-/// compare these at every level; hashing reads each name once. The iteration order depends
-/// only on the insertions and removals, so it is the same in every run.
+/// compare the prefixes at every level; hashing reads each name once. The iteration order
+/// depends only on the insertions and removals, so it is the same in every run.
 pub type ByName<V> = IndexMap<Name, V, RandomState>;
 
 /// A set of names.
@@ -37,8 +37,8 @@
     pub running: u32,
 }
 
-/// Identifies a task by its job and its index within the job. The index is compared first,
-/// since it tells most tasks on a machine apart without comparing names.
+/// Identifies a task by its job and its index within the job. The index is compared first:
+/// tasks on one machine usually differ in the index, and the names need not be compared then.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
     /// Index within the job, from 0.
@@ -53,7 +53,7 @@
         format!("{}/{}", self.job, self.index)
     }
 
-    /// Parses a name of the form `job/index`.
+    /// Parses a name of the form `job/index`. Returns `None` for other texts.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = Self::split(text)?;
         Some(TaskId {
@@ -62,7 +62,8 @@
         })
     }
 
-    /// Splits a name of the form `job/index` into job and index.
+    /// Splits a name of the form `job/index` into job and index. Returns `None` for other
+    /// texts.
     pub fn split(text: &str) -> Option<(&str, u32)> {
         let (job, index) = text.rsplit_once('/')?;
         Some((job, index.parse().ok()?))
@@ -80,13 +81,14 @@
 }
 
 impl AttemptId {
-    /// Identifies the attempt of the task with this number.
+    /// The identifier of the attempt `number` at the task.
     pub fn new(task: TaskId, number: u64) -> AttemptId {
         AttemptId { task, number }
     }
 }
 
-/// The pools of machines that a job may use, cached for one version of the capacity index.
+/// Cached indexes of the machine pools that a job may use, valid for one version of the
+/// capacity index.
 #[derive(Debug)]
 pub(crate) struct PoolCache {
     pub index_version: u64,
@@ -94,7 +96,7 @@
 }
 
 impl PoolCache {
-    /// A cache entry that is not valid for any version of the index.
+    /// A cache entry that is valid for no version of the capacity index.
     fn empty() -> PoolCache {
         PoolCache {
             index_version: u64::MAX,
@@ -116,10 +118,10 @@
 pub(crate) struct Claims {
     /// The job fits into its team's guarantee (see `quota`).
     pub guaranteed: bool,
-    /// The job's class or team is underserved, and the job is within its floor: it is placed
-    /// ahead of others (see `fair_share`).
+    /// The job's class or team is underserved, and its guaranteed minimum of CPUs (the floor)
+    /// covers this job. The job is then placed ahead of others (see `fair_share`).
     pub underserved: bool,
-    /// The job can still meet one of its objectives, or has no objectives.
+    /// The job can still meet at least one of its objectives, or has no objectives.
     pub objective_reachable: bool,
     /// Capacity that becomes free without preemption would come too late for the job.
     pub preemption_needed: bool,
@@ -152,17 +154,17 @@
     pub completed: CompletedTasks,
     /// Completed tasks that are saved in the state service.
     pub saved: CompletedTasks,
-    /// When completed tasks were last saved.
+    /// When completed tasks were last saved; before the first save, when the job was accepted.
     pub saved_at: f64,
-    /// The state service records the job as finished or cancelled: no task may start.
+    /// The state service records the job as finished or cancelled, so no task of it may start.
     pub finished: bool,
     /// Tasks from this index on are waiting and are not tracked individually.
     next_untracked: u32,
     /// Waiting tasks below `next_untracked`.
     requeued: BTreeSet<u32>,
-    /// A task of the job was reported as running.
+    /// At least one task of the job was reported as running.
     started: bool,
-    /// How many tasks are known to run, for display only.
+    /// How many tasks were last reported as running, for display only.
     pub running: u32,
     /// Machine and attempt number of each task that is or may be on a machine.
     pub placed: BTreeMap<u32, (Name, u64)>,
@@ -173,30 +175,34 @@
     pub queued: BTreeMap<u32, Name>,
     /// Machines on which a task of this job failed.
     pub failed_on: Names,
-    /// How many attempts of the job failed.
+    /// How many attempts to run tasks of the job failed.
     pub failures: u32,
-    /// How often, since the job is suspect, an attempt failed while no other task of the job
-    /// was placed.
+    /// How many attempts failed while the job was suspect and at most one of its tasks was
+    /// placed.
     pub retries: u32,
-    /// The job's first task was started ahead of other jobs because the job had waited long.
+    /// The job's first task was started ahead of other jobs because the job had waited too
+    /// long.
     pub first_task_prioritized: bool,
-    /// A worker refused the latest start because it does not know the job description.
+    /// A worker refused the latest start because the worker did not have the job description.
     pub description_unknown: bool,
-    /// Back-off after failed attempts and refused starts: no start before this time.
+    /// No task of the job starts before this time, which is a back-off after failed attempts
+    /// and refused starts.
     pub not_before: f64,
-    /// Pools of machines that the job may use.
+    /// The machine pools that the job may use, as last determined.
     pub(crate) pool_cache: PoolCache,
-    /// Tasks began to wait since placement last tried to place all tasks of the job. The
-    /// flag is shared with the job order, which reads it without looking up the job.
+    /// A task of the job began to wait after placement had last tried to place all waiting
+    /// tasks of the job. The flag is shared with the job order, which reads the flag without
+    /// looking up the job.
     pub has_new_tasks: Rc<Cell<bool>>,
     /// The job's claims as of the last refresh of the job order.
     pub(crate) claims: Claims,
-    /// The job's first objective on its finishing time was met or missed, and the outcome
-    /// was counted.
+    /// The outcome of the job's first objective on its finishing time, met or missed, was
+    /// counted.
     pub outcome_recorded: bool,
-    /// How many attempts this leader has started.
+    /// How many attempts to run tasks of the job this leader has started.
     pub starts: u32,
-    /// When the job last had a task start or, if none was waiting, when one began to wait.
+    /// When a task of the job last started, or when a task last began to wait while no other
+    /// task was waiting, whichever is later.
     pub served_at: f64,
     /// The longest time from `served_at` to the next start, in seconds.
     pub longest_wait_s: f64,
@@ -205,7 +211,7 @@
 }
 
 impl Job {
-    /// Creates a job from its record; `saved` are the tasks that are saved as completed.
+    /// Creates a job from its record; `saved` are the tasks that the record lists as completed.
     pub fn new(
         spec: Rc<JobSpec>,
         team: Option<usize>,
@@ -248,9 +254,9 @@
         job
     }
 
-    /// Starts tracking the task, and all tasks below it, individually. No task from
-    /// `next_untracked` on is completed or placed, so they can be counted as waiting without
-    /// examining each one.
+    /// Starts tracking the task, and all tasks with a smaller index, individually. This keeps
+    /// every task from `next_untracked` on neither completed nor placed, so that these tasks
+    /// are counted as waiting without examining each one.
     fn track(&mut self, task: u32) {
         if task >= self.next_untracked {
             self.requeued.extend(self.next_untracked..task);
@@ -258,13 +264,14 @@
         }
     }
 
-    /// Records that a task of the job runs. Returns whether it is the first one.
+    /// Records that a task of the job runs. Returns true if no task of the job was reported as
+    /// running or completed before.
     pub fn note_running(&mut self) -> bool {
         self.description_unknown = false;
         !std::mem::replace(&mut self.started, true) && self.completed.is_empty()
     }
 
-    /// Records that an attempt of the job starts now.
+    /// Records that an attempt to run a task of the job starts now.
     pub(crate) fn note_start(&mut self, now: f64) {
         self.starts += 1;
         self.longest_wait_s = self.longest_wait_s.max(now - self.served_at);
@@ -278,21 +285,21 @@
         self.requeued.remove(&task);
     }
 
-    /// Marks these tasks as completed.
+    /// Marks the tasks in `completed` as completed.
     pub fn merge_completed(&mut self, completed: &CompletedTasks) {
         for task in completed.iter() {
             self.set_completed(task);
         }
     }
 
-    /// Marks these tasks as completed and as saved in the state service.
+    /// Marks the tasks in `saved` as completed and as saved in the state service.
     pub(crate) fn merge_saved(&mut self, saved: &CompletedTasks) {
         self.saved.merge(saved);
         self.merge_completed(saved);
     }
 
-    /// Records that the task is or may be on a machine. Returns whether it was not placed
-    /// before.
+    /// Records that the attempt at the task is or may be on the machine. Returns true if the
+    /// task was not placed before.
     pub fn set_placed(&mut self, task: u32, machine: Name, attempt: u64) -> bool {
         self.track(task);
         self.requeued.remove(&task);
@@ -300,7 +307,7 @@
     }
 
     /// Records that an additional attempt of a placed task is or may be on a machine.
-    /// Returns whether the attempt was unknown before.
+    /// Returns true if this additional attempt was not recorded before.
     pub fn add_extra_attempt(&mut self, task: u32, machine: Name, attempt: u64) -> bool {
         let extra = ExtraAttempt {
             task,
@@ -314,9 +321,8 @@
         is_new
     }
 
-    /// Records that an attempt is no longer on a machine. Returns whether it counted as
-    /// placed. The task stays placed while another attempt of it does; otherwise it waits
-    /// again.
+    /// Removes an attempt that is no longer on a machine. If the task has another attempt, the
+    /// task stays placed; otherwise it waits again. Returns true if the attempt was recorded.
     pub fn remove_attempt(&mut self, task: u32, attempt: u64) -> bool {
         let extra = self
             .extra_attempts
@@ -344,13 +350,13 @@
         true
     }
 
-    /// How many attempts are or may be on machines.
+    /// How many attempts at tasks of the job are or may be on machines.
     pub fn attempts_placed(&self) -> usize {
         self.placed.len() + self.extra_attempts.len()
     }
 
-    /// Removes the next waiting task from the waiting ones and returns it. The caller must
-    /// place, queue or requeue it.
+    /// Removes the next task from the waiting tasks and returns its index; `None` if no task
+    /// waits. The caller must place, queue or requeue the task.
     pub fn take_waiting(&mut self) -> Option<u32> {
         if self.finished {
             return None;
@@ -370,7 +376,7 @@
         }
     }
 
-    /// Returns a task to the waiting ones, unless it is placed or completed.
+    /// Makes a task wait again, unless the task is placed or completed or the job is finished.
     pub fn requeue(&mut self, task: u32) {
         let can_wait = task < self.next_untracked && !self.placed.contains_key(&task);
         if !self.finished && can_wait && !self.completed.contains(task) {
@@ -388,7 +394,7 @@
         untracked + self.requeued.len() as u32
     }
 
-    /// How many tasks wait, in the queue of a machine or outside.
+    /// How many tasks wait, whether or not they are in the queue of a machine.
     pub fn unplaced_tasks(&self) -> u32 {
         self.waiting_tasks() + self.queued.len() as u32
     }
@@ -403,8 +409,9 @@
         self.spec.shape == Shape::Sweep && self.completed.len() as u32 >= self.spec.tasks
     }
 
-    /// Rank in the order of precedence. Lower ranks come first: `prod`, `high`, jobs within
-    /// their team's guarantee, then the other jobs by urgency.
+    /// Rank in the order of precedence; lower ranks come first. The order is: jobs of urgency
+    /// `prod`, jobs of urgency `high`, jobs within their team's guarantee, then the other jobs
+    /// by urgency.
     pub fn rank(&self) -> u8 {
         match (self.spec.urgency, self.claims.guaranteed) {
             (Urgency::Prod, _) => 0,
@@ -415,10 +422,10 @@
         }
     }
 
-    /// Whether the job is more likely to be faulty than its machines: tasks failed on several
-    /// machines, none is completed, and there are at least as many failures as placed tasks.
-    /// The last condition excludes a job that mostly runs while a few of its tasks failed on
-    /// faulty machines.
+    /// Whether the job itself, not the machines, is probably faulty: its tasks failed on several
+    /// machines, no task is completed, and at least as many attempts failed as tasks are placed.
+    /// The last condition excludes a job most of whose tasks run while a few failed on faulty
+    /// machines.
     pub fn is_suspect(&self) -> bool {
         let mostly_fails = self.failures as usize >= self.placed.len();
         self.completed.is_empty()
@@ -426,18 +433,19 @@
             && mostly_fails
     }
 
-    /// Whether a task of the job is completed.
-    pub fn has_succeeded(&self) -> bool {
+    /// Whether at least one task of the job is completed.
+    pub fn has_completed_task(&self) -> bool {
         !self.completed.is_empty()
     }
 
-    /// Whether a task of the job was reported as running, or is completed.
+    /// Whether at least one task of the job was reported as running or is completed.
     pub fn has_started(&self) -> bool {
         self.started || !self.completed.is_empty()
     }
 
-    /// Whether the only placed task is the first one, started because the job had waited
-    /// long, and no task is completed. Preempting it would undo that start.
+    /// Whether the job's first task was started ahead of other jobs because the job had waited
+    /// too long, one task is placed and no task is completed. Preempting the placed task would
+    /// undo that start.
     pub fn runs_only_prioritized_first_task(&self) -> bool {
         self.first_task_prioritized && self.placed.len() == 1 && self.completed.is_empty()
     }
--- a/src/coordination/scheduler/jobs.rs
+++ b/src/coordination/scheduler/jobs.rs
@@ -11,13 +11,13 @@
 
 impl Scheduler {
     /// Adds a live job that was read from its record or has just been accepted. `completed`
-    /// are tasks that are known to be completed in addition to those in the record.
+    /// contains tasks that are known to be completed but may be missing in the record.
     pub fn add_job(&mut self, record: LiveJob, version: u64, completed: CompletedTasks) {
         let id: Name = record.spec.id.as_str().into();
         if let Some(job) = self.jobs.get_mut(&id) {
             // The record was read twice, the watch delivered this leader's own write, or a
-            // former leader saved another completion. In the last case the worker may have
-            // forgotten the task since, so the completion must not be lost.
+            // former leader saved another completed task. In the last case the worker may no
+            // longer report that task, so the completion must be taken from the record.
             if version > job.version {
                 let saved = CompletedTasks::from_text(&record.done, job.spec.tasks);
                 job.version = version;
@@ -27,7 +27,7 @@
         }
         if version <= self.watched_revision || self.finished_jobs.contains(&id) {
             // The response with this record arrived after the watch had delivered both the
-            // record and the end of the job. The job is finished and already removed.
+            // record and the end of the job, so the job is finished and no longer in `jobs`.
             return;
         }
         let job = self.job_from_record(record, version, completed);
@@ -47,11 +47,11 @@
         Job::new(record.spec, team, accepted_at, version, saved)
     }
 
-    /// Handles the recorded end of a job, which is finished or cancelled: none of its tasks
-    /// may start any more, and its placed attempts are stopped.
+    /// Handles a job that the state service records as finished or cancelled: no task of the
+    /// job may start any more, and its placed tasks are stopped.
     pub fn finish_job(&mut self, id: &str) {
-        let known = self.jobs.get_key_value(id).map(|(name, _)| name.clone());
-        let name = known.unwrap_or_else(|| id.into());
+        let shared_name = self.jobs.get_key_value(id).map(|(name, _)| name.clone());
+        let name = shared_name.unwrap_or_else(|| id.into());
         self.finished_jobs.insert(name.clone(), ());
         let Some(job) = self.jobs.get_mut(&name) else {
             return;
@@ -81,8 +81,8 @@
         self.placement_due = true;
     }
 
-    /// Finishes the jobs that are not in `live`, a list of all live jobs as of `revision`.
-    /// Jobs whose record is newer than that revision are kept.
+    /// Finishes the jobs that are not in `live`, the set of all live jobs as of `revision`.
+    /// Jobs whose record is newer than that revision are not affected.
     pub fn reconcile_live_jobs(&mut self, live: &HashSet<&str>, revision: u64) {
         let finished = self
             .jobs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Removes finished jobs of which no machine can have attempts any more, and stale
-    /// entries of the work lists. It visits every machine, so it must not run often.
+    /// Removes finished jobs without remaining attempts on machines, and stale entries of the
+    /// work lists. This method visits every machine, so it must not run often.
     pub fn collect_garbage(&mut self) {
         self.prune_stopping_attempts();
         let jobs_on_machines: IndexSet<&Name, RandomState> = self
@@ -104,8 +104,8 @@
             .flat_map(|machine| machine.attempts.keys().map(|id| &id.task.job))
             .collect();
         self.jobs.retain(|name, job| {
-            let is_over = job.finished && job.placed.is_empty();
-            !is_over || jobs_on_machines.contains(name)
+            let has_no_placed_tasks = job.finished && job.placed.is_empty();
+            !has_no_placed_tasks || jobs_on_machines.contains(name)
         });
         let machines = &self.machines;
         self.image_holders.retain(|image, names| {
@@ -119,8 +119,8 @@
         });
     }
 
-    /// How many tasks of the job are saved as completed and how many run; `None` if the job
-    /// is unknown.
+    /// How many tasks of the job are saved as completed and how many were reported as running;
+    /// `None` if the job is unknown.
     pub fn progress(&self, id: &str) -> Option<TaskCounts> {
         let job = self.jobs.get(id)?;
         Some(TaskCounts {
--- a/src/coordination/scheduler/load.rs
+++ b/src/coordination/scheduler/load.rs
@@ -1,5 +1,5 @@
-//! Totals of capacity and load, for decisions that depend on the size of the fleet and for
-//! the log.
+//! Total capacity and load of the fleet, for the log and for decisions that depend on the
+//! fleet's size.
 
 use crate::coordination::scheduler::state::Scheduler;
 use std::collections::BTreeMap;
@@ -12,15 +12,16 @@
     pub machines: usize,
     /// CPUs of the usable machines.
     pub cpus: f64,
-    /// CPUs of the usable machines that no attempt occupies.
+    /// CPUs of the usable machines, without those that attempts occupy.
     pub free_cpus: f64,
 }
 
 /// Load of one class of jobs.
 #[derive(Default)]
 struct ClassLoad {
-    /// CPUs that attempts of the class occupy.
+    /// CPUs that attempts to run tasks of the class occupy.
     cpus: f64,
+    /// How many tasks of the class wait, whether or not they are in the queue of a machine.
     waiting_tasks: u32,
 }
 
@@ -39,8 +40,8 @@
         total
     }
 
-    /// The number of usable machines, the number of their CPUs, and how many of those CPUs
-    /// are free.
+    /// The number of usable machines, the total number of their CPUs, and the number of these
+    /// CPUs that are free.
     pub fn capacity(&self) -> (usize, f64, f64) {
         let total = self.fleet_capacity();
         (total.machines, total.cpus, total.free_cpus)
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -20,7 +20,8 @@
 /// Why a task is in a machine's queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueueReason {
-    /// The queue was the shortest among sampled machines; the task may also start elsewhere.
+    /// The machine's queue was the shortest among the sampled machines. The task may also
+    /// start on another machine.
     ShortestQueue,
     /// Attempts on this machine are being stopped to free capacity for the task.
     Preemption,
@@ -31,9 +32,9 @@
 pub struct QueuedTask {
     /// The task.
     pub task: TaskId,
-    /// Rank of its job when the task was queued; lower ranks come first.
+    /// Rank of the task's job at the time the task was queued; lower ranks come first.
     pub rank: u8,
-    /// Predicted run time, in seconds.
+    /// Predicted run time of the task, in seconds.
     pub predicted_s: f64,
     /// When the task was queued.
     pub since: f64,
@@ -48,15 +49,15 @@
     }
 }
 
-/// Whether a machine takes tasks, as far as this leader decides.
+/// What this leader has decided about the use of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineStatus {
-    /// The machine takes tasks, provided that it is usable otherwise.
+    /// Tasks may start on the machine if the other conditions of `Machine::is_usable` hold.
     Up,
-    /// The machine takes no more tasks and will be returned to the cloud.
+    /// No more tasks start on the machine, and it will be returned to the cloud.
     Draining,
-    /// The machine's lease expired, which proves that it runs no tasks. Heartbeats of its
-    /// last session must not be answered any more.
+    /// The machine's lease expired, which proves that the machine runs no tasks. Heartbeats of
+    /// its last known session must not be answered any more.
     Expired,
 }
 
@@ -65,9 +66,10 @@
 pub struct Machine {
     /// Name, address, type and zone, as in the machine record.
     pub info: MachineInfo,
-    /// The written machine record lists the machine. No task may start before.
+    /// The written machine record lists the machine. No task may start on a machine that it
+    /// does not list.
     pub recorded: bool,
-    /// Whether the machine takes tasks, as far as this leader decides.
+    /// What this leader has decided about the use of the machine.
     pub status: MachineStatus,
     /// An operator cordoned the machine: no new task starts on it (see `drains`).
     pub cordoned: bool,
@@ -78,61 +80,64 @@
     pub last_message: MessageId,
     /// Highest fencing token that the machine is known to have seen.
     pub seen_token: u64,
-    /// The fencing token for commands to the machine, where it was raised above the term.
+    /// Fencing token for commands to the machine, if it was raised above the term. A value
+    /// below the term has no effect.
     pub raised_token: u64,
     /// The machine has sent a message under this leader's term, or was proven empty after its
     /// lease expired. Replies and calls of former leaders can no longer take effect on it.
     pub fenced: bool,
-    /// When the present session was first seen. A session starts with a lease of its own,
-    /// before any of its heartbeats is answered.
+    /// When the first message of the present session arrived. A session starts with a lease of
+    /// its own, before any of its heartbeats is answered.
     pub session_seen_at: f64,
-    /// When the machine was fenced. Until then a former leader may have answered it.
+    /// When the machine was fenced. Until then a former leader may have answered the machine.
     pub fenced_at: f64,
     /// When the latest message from the machine arrived.
     pub heard_at: f64,
-    /// When a message suggested that the machine had restarted its session numbering, unless
-    /// a newer message has arrived since.
+    /// When a message first suggested that the machine had restarted its session numbering. A
+    /// message that is newer than all earlier ones resets this to `None`.
     pub restart_suspected_at: Option<f64>,
     /// The machine has restarted its session numbering: it answered a direct call with a
-    /// message that is older than the newest one known when the call began. Its sessions may
-    /// therefore reach the number of the session that a start in flight was sent to.
+    /// message that is older than the newest message known when the call began. A later session
+    /// of the machine may therefore get the number of the session to which a start in flight
+    /// was addressed.
     pub session_numbering_restarted: bool,
     /// When a heartbeat of the machine was last answered.
     pub answered_at: Option<f64>,
     /// Evidence on whether the machine receives this leader's replies.
     pub delivery: Delivery,
-    /// When the cloud will take the machine back, if it has announced that.
+    /// When the cloud will reclaim the machine; `None` if the cloud has not announced this.
     pub notice_at: Option<f64>,
     /// The attempts that are or may be on the machine.
     pub attempts: BTreeMap<AttemptId, Attempt>,
-    /// How many attempts of jobs unknown to this leader are on the machine and have not
+    /// How many attempts on the machine belong to jobs unknown to this leader and have not
     /// exited.
     pub unknown_attempts: u32,
-    /// The machine's queue, of bounded length. Tasks in it may also start elsewhere.
+    /// The machine's queue, of bounded length. Queued tasks may also start on other machines.
     pub queue: Vec<QueuedTask>,
     /// Capacity that is not occupied by live attempts.
     pub free_capacity: Resources,
-    /// The machine is in the index of usable machines.
+    /// The machine is in the capacity index, which lists the usable machines.
     pub indexed: bool,
-    /// The task list of the newest heartbeat, as received. It is present only while a
-    /// heartbeat with the same list can be answered without commands.
-    pub repeatable_tasks: Option<Box<str>>,
+    /// The task list of the newest heartbeat, as received. `None` unless a heartbeat with the
+    /// same task list would bring no new information and need no command.
+    pub unchanged_task_list: Option<Box<str>>,
     /// Cached images with their sizes in gigabytes, most recently used last.
     pub images: Vec<(String, f64)>,
     /// A direct call to the machine is in flight.
     pub call_in_flight: bool,
     /// When the latest direct call began.
     pub called_at: f64,
-    /// The newest message known when that call began.
+    /// The newest message that was known when the latest direct call began.
     pub called_at_message: MessageId,
     /// How many consecutive direct calls ended without a response.
     pub unanswered_calls: u32,
-    /// When the machine was first asked for a report under this leader's term.
+    /// When this leader first called the machine to request a report; `None` before that.
     pub probed_at: Option<f64>,
-    /// Jobs of the consecutive failures on the machine. A job that never succeeded is listed
-    /// once, since its failures may be its own fault.
+    /// For each of the machine's consecutive task failures, the task's job. A job without a
+    /// completed task is listed only once, since the job itself may be the cause of its
+    /// failures.
     pub recent_failures: Vec<Name>,
-    /// Time since which the machine has had no attempts.
+    /// When the machine last became free of attempts.
     pub idle_since: f64,
 }
 
@@ -162,7 +167,7 @@
             queue: Vec::new(),
             free_capacity: Resources::default(),
             indexed: false,
-            repeatable_tasks: None,
+            unchanged_task_list: None,
             images: Vec::new(),
             call_in_flight: false,
             called_at: f64::NEG_INFINITY,
@@ -174,8 +179,8 @@
         }
     }
 
-    /// The fencing token of replies and calls to the machine under this term. It stays
-    /// within the term's range of tokens, since a higher one would be a later leader's.
+    /// The fencing token of replies and calls to the machine under `term`. It stays within the
+    /// term's range of tokens, since higher tokens belong to later leaders.
     pub fn token_under(&self, term: u64) -> u64 {
         self.raised_token.clamp(term, term + TOKENS_PER_TERM - 1)
     }
@@ -185,8 +190,8 @@
         self.images.iter().any(|(name, _)| name == image)
     }
 
-    /// Records that an image was used. Evicts the least recently used images while the total
-    /// size exceeds that of the cache.
+    /// Records that an image of `image_gb` gigabytes was used. Evicts the least recently used
+    /// of the other images while the total size exceeds `cache_gb`.
     pub fn used_image(&mut self, image: &str, image_gb: f64, cache_gb: f64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push((image.to_string(), image_gb));
@@ -197,7 +202,7 @@
         }
     }
 
-    /// Capacity that is not occupied by live attempts, for a machine of this type.
+    /// Capacity that is not occupied by live attempts, if the machine is of the type `kind`.
     pub(crate) fn unoccupied(&self, kind: &MachineType) -> Resources {
         let mut unoccupied = Resources::of_type(kind);
         for (_, attempt) in self.live_attempts() {
@@ -206,7 +211,7 @@
         unoccupied
     }
 
-    /// Whether an attempt of the task is or may be on the machine, exited ones included.
+    /// Whether an attempt of the task, live or exited, is or may be on the machine.
     pub fn has_attempt_of(&self, task: &TaskId) -> bool {
         self.attempts
             .range(AttemptId::new(task.clone(), 0)..=AttemptId::new(task.clone(), u64::MAX))
@@ -214,15 +219,15 @@
             .is_some()
     }
 
-    /// Whether the machine blocks placement after a takeover: it may run tasks of a former
-    /// leader, or it runs tasks of unknown jobs.
+    /// Whether the machine blocks placement after a takeover: it may run tasks that a former
+    /// leader started, or it runs tasks of unknown jobs.
     pub fn blocks_placement(&self) -> bool {
         let unfenced = self.recorded && !self.fenced && self.status != MachineStatus::Expired;
         unfenced && !self.drained || self.unknown_attempts > 0
     }
 
-    /// Whether tasks may start on the machine. That requires, among other conditions, that a
-    /// message arrived from it less than `silent_s` seconds ago.
+    /// Whether tasks may start on the machine. One of the conditions is that a message from the
+    /// machine arrived less than `silent_s` seconds ago.
     pub fn is_usable(&self, now: f64, silent_s: f64) -> bool {
         self.recorded
             && self.fenced
@@ -235,19 +240,20 @@
             && now - self.heard_at < silent_s
     }
 
-    /// Whether it has been doubtful for more than `limit_s` seconds that the machine receives
-    /// this leader's replies.
+    /// Whether the delivery of this leader's replies to the machine has been doubtful for more
+    /// than `limit_s` seconds.
     pub fn is_unreachable(&self, now: f64, limit_s: f64) -> bool {
         self.delivery
             .doubtful_for(now)
             .is_some_and(|doubtful_s| doubtful_s > limit_s)
     }
 
-    /// Whether the session is numbered too high to be later than the known one, since each
-    /// session between the two would have lasted at least a lease. Such a session is of an
-    /// earlier incarnation of a machine that has restarted its session numbering. (This
-    /// guards against a late response to a call from just before the restart. It looked
-    /// newer, so that a task that had just started on the machine was started elsewhere too.)
+    /// Whether the session number is too high for a session that began after the newest known
+    /// one: each session between the two would have lasted at least a lease, and less time has
+    /// passed. A session with such a number belongs to an earlier incarnation of a machine that
+    /// has restarted its session numbering. (This check guards against a late response to a
+    /// call from just before the restart. Such a response looked newer than the messages after
+    /// the restart, so a task that had just started on the machine was started elsewhere too.)
     pub fn is_early_session(&self, session: u64, lease_s: f64, now: f64) -> bool {
         let sessions_between = session
             .saturating_sub(self.last_message.session)
@@ -256,17 +262,17 @@
         self.last_message != MessageId::NONE && now - self.session_seen_at < min_elapsed_s
     }
 
-    /// Whether a start that was sent may yet be executed in a future session. If a machine
-    /// has restarted its session numbering, its silence does not rule that out; only a newer
-    /// session, a higher token or the end of the machine does. (This guards against a task
-    /// that ran twice: a start without a response was delayed until the machine reached the
-    /// session number that it was sent to, long after the expiry of the lease had seemed to
-    /// prove the machine empty.)
+    /// Whether the machine may still execute, in a future session, a start command that was
+    /// already sent. If the machine has restarted its session numbering, its silence does not
+    /// rule this out; only a newer session, a higher token or the end of the machine does. (This
+    /// check guards against running a task twice: a start without a response was delayed until
+    /// the machine reached the session number to which the start was addressed, long after the
+    /// expiry of the lease had seemed to prove the machine empty.)
     pub fn may_still_start(&self) -> bool {
-        // A suspected restart of the numbering (`restart_suspected_at`) is not sufficient. If the
-        // first message that a leader receives is a late heartbeat of an old session,
-        // `is_early_session` holds for the present session, and such a machine would be
-        // refused for ever.
+        // Only a proven restart of the numbering counts, not a suspected one
+        // (`restart_suspected_at`). Otherwise a machine would be refused for ever if the first
+        // message that a leader receives from it is a delayed heartbeat of an old session, since
+        // `is_early_session` then holds for the present session.
         let may_have_late_copy = |attempt: &Attempt| {
             attempt
                 .duplicate_starts_up_to
@@ -276,7 +282,7 @@
         self.session_numbering_restarted && self.attempts.values().any(may_start)
     }
 
-    /// Attempts that occupy capacity: all that have not exited.
+    /// The attempts that occupy capacity: all attempts that have not exited.
     pub fn live_attempts(&self) -> impl Iterator<Item = (&AttemptId, &Attempt)> {
         self.attempts
             .iter()
@@ -284,7 +290,7 @@
     }
 }
 
-/// A machine's name as a shared key.
+/// The machine's name, as a key for the scheduler's maps.
 pub fn name(info: &MachineInfo) -> Name {
     info.id.as_str().into()
 }
--- a/src/coordination/scheduler/machines.rs
+++ b/src/coordination/scheduler/machines.rs
@@ -29,8 +29,8 @@
         let name = machine::name(&info);
         let cordoned = self.drains.contains_key(&name);
         // A machine that was drained and proven empty does not block placement. No leader
-        // starts tasks on it while its drain record exists. A leader that learns of the
-        // record's deletion knows by then whether it is still the leader.
+        // starts tasks on such a machine while its drain record exists. A controller that
+        // learns of the deletion of a drain record knows by then whether it still leads.
         let drained = self.is_drained(&name);
         if !drained {
             self.unfenced.insert(name.clone());
@@ -63,8 +63,8 @@
         } else {
             self.capacity_index.remove(key);
         }
-        let grew = !machine.indexed || !machine.free_capacity.fits(&free);
-        if usable && grew {
+        let has_grown = !machine.indexed || !machine.free_capacity.fits(&free);
+        if usable && has_grown {
             self.capacity_index.capacity_grew(&free);
             self.capacity_changes.grown.push(free);
             if !machine.queue.is_empty() {
@@ -75,14 +75,14 @@
         machine.indexed = usable;
     }
 
-    /// Removes all attempts and queued tasks of a machine that was proven empty or is gone.
-    /// The tasks wait again.
+    /// Removes all attempts and queued tasks of a machine that was proven empty or no longer
+    /// exists. Tasks without another attempt wait again.
     pub(crate) fn clear_machine(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         machine.unknown_attempts = 0;
-        machine.repeatable_tasks = None;
+        machine.unchanged_task_list = None;
         machine.idle_since = self.now;
         let attempts = std::mem::take(&mut machine.attempts);
         let live_attempts = attempts.iter().filter(|(_, attempt)| !attempt.has_exited());
@@ -101,8 +101,8 @@
         self.clear_queue(name);
     }
 
-    /// Removes a machine whose return the cloud confirmed. Any heartbeat of the machine that
-    /// still arrives was sent before that.
+    /// Removes a machine whose return the cloud confirmed, and remembers its name, so that
+    /// delayed heartbeats of the machine are refused.
     pub fn confirm_machine_returned(&mut self, name: &str) {
         self.remove_machine(name);
         self.returned_machines.insert(name.into(), ());
@@ -120,7 +120,7 @@
         self.placement_due = true;
     }
 
-    /// Takes a machine out of use permanently. Its tasks are stopped and started elsewhere.
+    /// Takes a machine out of use permanently. Its tasks are stopped and wait again.
     pub fn retire_machine(&mut self, name: &str) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -129,7 +129,7 @@
             return;
         }
         machine.status = MachineStatus::Draining;
-        machine.repeatable_tasks = None;
+        machine.unchanged_task_list = None;
         let attempts: Vec<AttemptId> = machine.live_attempts().map(|(id, _)| id.clone()).collect();
         self.clear_queue(name);
         for id in attempts {
@@ -148,8 +148,8 @@
             .collect()
     }
 
-    /// Handles a successful write of the machine record; `written` are the machines that the
-    /// record lists now.
+    /// Handles a successful write of the machine record; `written` lists the machines that are
+    /// now in the record.
     pub fn machine_record_written(&mut self, written: &[MachineInfo]) {
         for info in written {
             let Some(machine) = self.machines.get_mut(info.id.as_str()) else {
--- a/src/coordination/scheduler/message_id.rs
+++ b/src/coordination/scheduler/message_id.rs
@@ -6,7 +6,7 @@
 /// session. Later messages compare greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageId {
-    /// The session. A new one begins whenever the worker loses its lease or restarts.
+    /// Number of the session. A session begins whenever the worker loses its lease or restarts.
     pub session: u64,
     /// Sequence number within the session.
     pub seq: u64,
--- a/src/coordination/scheduler/overview.rs
+++ b/src/coordination/scheduler/overview.rs
@@ -1,11 +1,11 @@
-//! A table of live jobs in plain text, for operators who have only a browser. It renders the
-//! rows of `views`.
+//! A table of live jobs in plain text, for operators who have only a browser. Its rows come
+//! from `views`.
 
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::admin::Standing;
 use std::fmt::Write;
 
-/// Maximum number of jobs shown.
+/// Maximum number of jobs in the table.
 const MAX_ROWS: usize = 200;
 
 impl Scheduler {
--- a/src/coordination/scheduler/snapshot.rs
+++ b/src/coordination/scheduler/snapshot.rs
@@ -1,5 +1,5 @@
-//! A snapshot of the scheduler's state, and creating a scheduler from a snapshot. Plans are
-//! computed from snapshots, with the same code that makes the decisions on a leader.
+//! Takes snapshots of the scheduler's state, and creates schedulers from snapshots. A plan is
+//! computed from a snapshot by the same code that makes the decisions on a leader.
 
 use crate::coordination::scheduler::fence::Fence;
 use crate::coordination::scheduler::job::Job;
@@ -38,7 +38,7 @@
 pub struct SnapMachine {
     /// The machine's entry in the machine record.
     pub info: MachineInfo,
-    /// The machine is fenced and not silent, so it is expected to keep running.
+    /// Whether the machine is fenced and not silent; it is then expected to keep running.
     pub alive: bool,
     /// The machine's present session.
     pub session: u64,
@@ -57,14 +57,14 @@
     pub done: String,
 }
 
-/// Distribution of the errors of run-time estimates of a job class.
+/// Distribution of the errors of run-time estimates for tasks of a job class.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ClassError {
     /// The class; empty for all classes together.
     pub class: String,
     /// Number of tasks that the distribution is based on.
     pub tasks: u64,
-    /// Ratios of run time to estimate at evenly spaced quantiles.
+    /// Ratios of actual to estimated run time, at evenly spaced quantiles.
     pub ratios: Vec<f64>,
 }
 
@@ -77,9 +77,9 @@
     pub revision: u64,
     /// When the snapshot was taken, in milliseconds of wall-clock time.
     pub at_ms: u64,
-    /// Interval of heartbeats, in seconds.
+    /// Interval between heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// Lease of a worker, in seconds.
+    /// Duration of a worker's lease, in seconds.
     pub lease_s: f64,
     /// Time, in seconds, within which all tasks of a cancelled job must have stopped.
     pub cancel_s: f64,
@@ -101,8 +101,8 @@
     pub drains: Vec<Drain>,
 }
 
-/// The error distribution of a class. The histogram holds ratios of run time to estimate, in
-/// thousandths.
+/// The error distribution of a class. The histogram holds ratios of actual to estimated run
+/// time, in thousandths.
 fn class_error(class: &str, ratios_permille: &Histogram<u32>) -> ClassError {
     let quantile = |i: usize| (i as f64 + 0.5) / QUANTILES as f64;
     let ratio = |i| ratios_permille.value_at_quantile(quantile(i)) as f64 / 1000.0;
@@ -151,7 +151,7 @@
             drains: self
                 .drains
                 .values()
-                .map(|target| target.drain.clone())
+                .map(|active_drain| active_drain.drain.clone())
                 .collect(),
         }
     }
@@ -173,9 +173,9 @@
     }
 
     /// Creates the scheduler of a leader that takes over the state of the snapshot at time 0.
-    /// Machines that are alive in the snapshot are in its machine record, and no message has
-    /// arrived from them yet. Jobs keep the age that they have in the snapshot, so deadlines
-    /// count from their acceptance.
+    /// The leader's machine record lists the machines that are alive in the snapshot, and no
+    /// message has arrived from these machines yet. Jobs keep the age that they have in the
+    /// snapshot, so that their deadlines are still measured from their acceptance.
     pub fn from_snapshot(snapshot: &Snapshot, seed: u64) -> Scheduler {
         let config = SchedulerConfig {
             lease_s: snapshot.lease_s,
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -31,26 +31,26 @@
 pub use crate::coordination::scheduler::resources::Types;
 
 /// Maximum number of remembered names of machines that were returned to the cloud: 1.5
-/// times a fleet of 6,000 machines.
+/// times the number of machines in a fleet of 6,000.
 const MAX_RETURNED_MACHINES: usize = 9_000;
 
 /// Maximum number of remembered names of finished jobs. A response that arrives after this
 /// many other jobs have finished is minutes old, and its caller has timed out.
 const MAX_FINISHED_JOBS: usize = 8_192;
 
-/// Ticks come at least every 0.5 s. If the clock advances by more than a heartbeat interval
-/// plus this margin (in seconds) at once, this process itself was paused.
+/// Two ticks are at most 0.5 s apart. If the clock advances by more than a heartbeat interval
+/// plus this margin (in seconds) between two events, this process was paused.
 const PAUSE_MARGIN_S: f64 = 1.0;
 
 /// The state of the scheduler on the current leader.
 pub struct Scheduler {
     /// Settings and policy that decisions are based on.
     pub config: SchedulerConfig,
-    /// Current term. Replies and commands to machines carry it as their fencing token,
-    /// unless the machine's token was raised above it.
+    /// Current term. It is the fencing token of replies and commands to each machine whose
+    /// token was not raised above the term.
     pub term: u64,
-    /// Blocks placement after a takeover until no machine can run tasks of a former leader
-    /// that this leader does not know of.
+    /// Blocks placement after a takeover while any machine may run tasks that a former leader
+    /// started and this leader does not know.
     pub fence: Fence,
     /// Live jobs, and finished jobs that may still have attempts on machines.
     pub jobs: ByName<Job>,
@@ -58,13 +58,14 @@
     pub machines: ByName<Machine>,
     /// Machine types that the cloud offers.
     pub types: Types,
-    /// Machines that get a direct call now instead of a reply to their next heartbeat.
+    /// Machines to call directly as soon as possible, without waiting for their next
+    /// heartbeat.
     pub outbox: Names,
     /// Jobs with completed tasks that are not yet saved in the state service.
     pub unsaved_jobs: Names,
-    /// An event occurred since the last placement pass that may allow tasks to start.
+    /// Since the last placement pass, an event occurred that may allow tasks to start.
     pub placement_due: bool,
-    /// The written machine record differs from the one that should be written.
+    /// The machine record is out of date and must be written again.
     pub machine_record_dirty: bool,
     /// Wall-clock time minus this process's monotonic time, in seconds.
     pub wall_clock_offset_s: f64,
@@ -76,8 +77,8 @@
     pub(crate) finished_jobs: RecentMap<Name, ()>,
     /// Latest time that was passed to `advance_clock`, in seconds of monotonic time.
     pub(crate) now: f64,
-    /// Time since which this process has received messages without a gap. Messages that
-    /// were missed while this process was paused do not count as silence of the machines.
+    /// End of this process's latest pause, in seconds of monotonic time. A paused process
+    /// receives no messages, so time before this does not count as silence of the machines.
     listening_since: f64,
     /// Usable machines by free capacity.
     pub(crate) capacity_index: CapacityIndex,
@@ -87,18 +88,18 @@
     pub(crate) image_holders: HashMap<String, Vec<Name>, RandomState>,
     /// Capacity that became free since the last placement pass.
     pub(crate) capacity_changes: CapacityChanges,
-    /// Resource usage of teams. It is updated whenever a task is placed or released, and
-    /// recomputed at each full placement pass.
+    /// Resource usage of teams, updated whenever a task is placed or released, and recomputed
+    /// at each full placement pass.
     pub(crate) team_usage: TeamUsage,
-    /// Work list: machines that may block placement after a takeover. While the fence is
-    /// closed it contains every machine that does.
+    /// Work list: candidates for the machines that block placement after a takeover. Until
+    /// placement is allowed, the list contains every machine that blocks it.
     pub(crate) unfenced: Names,
     /// Length of `unfenced` when it was last pruned.
     pub(crate) unfenced_count_at_last_prune: usize,
-    /// Work list: machines that may not receive this leader's replies.
+    /// Work list: machines for which it is doubtful whether they receive this leader's replies.
     pub(crate) machines_with_doubtful_delivery: Names,
-    /// Machines whose return the cloud confirmed most recently. Heartbeats that they sent
-    /// before may still arrive.
+    /// Machines whose return the cloud confirmed most recently. Heartbeats that these machines
+    /// sent before their return may still arrive.
     pub(crate) returned_machines: RecentMap<Name, ()>,
     /// Work list: machines with a start command whose outcome is unknown.
     pub(crate) machines_with_unresolved_starts: Names,
@@ -108,7 +109,7 @@
     pub(crate) job_order: JobOrder,
     /// Tracks which classes and teams meet too few of their objectives.
     pub fair_share: FairShare,
-    /// When the queues of machines were last checked for tasks that waited too long.
+    /// When the queues of machines were last checked for tasks that had been queued too long.
     pub(crate) queues_checked_at: f64,
     /// How many attempt numbers this leader has assigned.
     pub(crate) attempts_numbered: u64,
@@ -160,13 +161,14 @@
         }
     }
 
-    /// Advances the clock, and detects whether this process was paused.
+    /// Advances the clock to `now`, and detects whether this process was paused before `now`.
     pub(crate) fn advance_clock(&mut self, now: f64) {
         self.listening_since = self.listening_since(now);
         self.now = now;
     }
 
-    /// Time since which this process has received messages without a gap, as of `now`.
+    /// End of this process's latest pause, as known at `now`. If the clock is about to advance
+    /// to `now` by more than a heartbeat interval plus a margin, the latest pause ends at `now`.
     pub(crate) fn listening_since(&self, now: f64) -> f64 {
         if now - self.now > self.config.heartbeat_s + PAUSE_MARGIN_S {
             now
@@ -175,7 +177,7 @@
         }
     }
 
-    /// For how many seconds a machine has been silent whose last message arrived at
+    /// Duration of the silence, in seconds, of a machine whose last message arrived at
     /// `heard_at`. The time before the end of this process's latest pause is not counted.
     pub(crate) fn silent_for(&self, heard_at: f64, now: f64) -> f64 {
         now - heard_at.max(self.listening_since(now))
--- a/src/coordination/scheduler/team_usage.rs
+++ b/src/coordination/scheduler/team_usage.rs
@@ -14,7 +14,8 @@
 }
 
 impl Usage {
-    /// Adds the usage of `tasks` tasks of the job; a negative count subtracts it.
+    /// Adds the usage of `tasks` tasks of the job. A negative number of tasks subtracts their
+    /// usage.
     pub(crate) fn add_tasks(&mut self, spec: &JobSpec, tasks: f64) {
         self.cpus += tasks * spec.cpus;
         self.gpus += tasks * spec.gpus;
@@ -28,13 +29,14 @@
         }
     }
 
-    /// Whether this exceeds the team's guarantee of CPUs or of GPUs.
+    /// Whether this usage exceeds the team's guarantee of CPUs or of GPUs.
     pub(crate) fn exceeds_guarantee(&self, team: &Team) -> bool {
         self.cpus > team.cpus + ROUNDING_TOLERANCE || self.gpus > team.gpus + ROUNDING_TOLERANCE
     }
 
-    /// Whether the limits of the team allow this usage plus `tasks` more tasks of the job. A
-    /// limit of 0 means no limit. A job of an unknown team (`None`) is never admitted.
+    /// Whether the limits of the team allow this usage plus that of `tasks` more tasks of the
+    /// job. A limit of 0 means that usage is unlimited. If the team is unknown (`None`), no task
+    /// is allowed.
     pub(crate) fn admits(&self, team: Option<&Team>, spec: &JobSpec, tasks: f64) -> bool {
         let Some(team) = team else {
             return false;
@@ -56,7 +58,8 @@
 }
 
 impl TeamUsage {
-    /// The team's usage; `None` stands for all teams that the settings do not name.
+    /// The usage of the team with this index, or the total usage of all teams that the settings
+    /// do not name (`None`).
     pub fn of(&self, team: Option<usize>) -> Usage {
         match team {
             Some(team) => self.teams.get(team).copied().unwrap_or_default(),
@@ -64,7 +67,8 @@
         }
     }
 
-    /// Adds the usage of `tasks` tasks of the job; a negative count subtracts it.
+    /// Adds the usage of `tasks` tasks of the job to the usage of its team (`None` if the
+    /// settings do not name the team). A negative number of tasks subtracts their usage.
     pub fn add(&mut self, team: Option<usize>, spec: &JobSpec, tasks: f64) {
         let usage = match team {
             Some(team) => {
--- a/src/coordination/scheduler/terms.rs
+++ b/src/coordination/scheduler/terms.rs
@@ -2,27 +2,29 @@
 //! attempts, and tokens above the term for single machines.
 //!
 //! Each term has a range of `TOKENS_PER_TERM` tokens, which begins with the term itself. A
-//! machine refuses commands with a token lower than the highest it has seen. A command with
-//! a higher token therefore rules out that late copies of earlier calls are executed.
+//! machine refuses commands with a token lower than the highest token it has seen. Once a
+//! command with a higher token has arrived, late copies of earlier calls are therefore refused.
 
 use crate::coordination::scheduler::machine::Machine;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::storage::records::TOKENS_PER_TERM;
 
-/// Number of low bits of an attempt number that count the attempts of one term.
+/// Number of low bits of an attempt number that number the attempts of one leader. The high
+/// bits are the term of the leader's takeover.
 const ATTEMPT_BITS: u32 = 24;
 
-/// A direct call with a start that got no response is ruled out by a higher token after the
-/// cancellation deadline divided by this number. That leaves most of the deadline for
-/// stopping the task.
+/// If a direct call with a start command gets no response, the machine's token is raised after
+/// the cancellation deadline divided by this number, so that the call can no longer be
+/// executed. Most of the deadline then remains for stopping the task.
 const UNRESOLVED_START_DIVISOR: f64 = 8.0;
 
 impl Scheduler {
-    /// Whether placement is allowed, which requires that no machine blocks it any more. This
-    /// is called after every heartbeat during a takeover, so it removes each machine that no
-    /// longer blocks placement from `unfenced` instead of examining it again.
+    /// Allows placement if no machine blocks placement any more. Returns whether placement is
+    /// allowed. During a takeover this method is called after every heartbeat. It therefore
+    /// removes machines that no longer block placement from `unfenced`, so that they are not
+    /// examined again.
     pub fn fencing_complete(&mut self) -> bool {
-        if self.fence.open {
+        if self.fence.placement_allowed {
             return true;
         }
         while let Some(name) = self.unfenced.last() {
@@ -33,13 +35,13 @@
             self.unfenced.pop();
         }
         tracing::info!(term = self.term, "all machines fenced: placement begins");
-        self.fence.open = true;
+        self.fence.placement_allowed = true;
         true
     }
 
     /// How many machines block placement after a takeover; `None` once placement is allowed.
     pub fn machines_blocking_placement(&self) -> Option<usize> {
-        if self.fence.open {
+        if self.fence.placement_allowed {
             return None;
         }
         let machines = self
@@ -53,18 +55,18 @@
         )
     }
 
-    /// Assigns the next attempt number. Numbers only increase, also across takeovers, since
-    /// their high bits are the term of the takeover.
+    /// Assigns the next attempt number. Attempt numbers only increase, also across takeovers,
+    /// since their high bits are the term of the takeover.
     pub(crate) fn next_attempt(&mut self) -> u64 {
         self.attempts_numbered += 1;
         (self.fence.base_term << ATTEMPT_BITS) + self.attempts_numbered
     }
 
-    /// Raises the token of machines with a start whose outcome has been unknown for too long.
-    /// Such a start may be executed until the machine has seen a higher token. A token from
-    /// the range of the present term requires no write to the state service, so this works
-    /// during an outage of that service. Returns true if a machine has used up the range, so
-    /// that a new term must be written.
+    /// Raises the token of each machine with a start command whose outcome has been unknown for
+    /// too long. Such a command may be executed until the machine has seen a higher token. A
+    /// token from the range of the present term requires no write to the state service, so
+    /// tokens can be raised during an outage of that service. Returns true if a machine has the
+    /// last token of the range, so that a new term must be written.
     pub fn raise_overdue_tokens(&mut self, now: f64) -> bool {
         let unresolved_limit_s = self.config.cancel_s / UNRESOLVED_START_DIVISOR;
         let term = self.term;
@@ -85,15 +87,16 @@
         any_exhausted
     }
 
-    /// Adopts a higher term that was written for this leader.
+    /// Adopts a new term that was written for this leader; a lower term is ignored.
     pub fn raise_term(&mut self, term: u64) {
         self.term = self.term.max(term);
     }
 }
 
-/// Raises the machine's token if a start under its present token is overdue. While a call to
-/// the machine is in flight the token stays, since the machine would refuse that call.
-/// Returns whether the outcome of any start is unknown.
+/// Raises the machine's token if the outcome of a start command under the present token is
+/// overdue; `is_overdue` decides by the time of the call. While a call to the machine is in
+/// flight, the token is not raised, since the machine could then refuse that call. Returns
+/// whether the machine has a start command with an unknown outcome.
 fn raise_token_if_overdue(
     machine: &mut Machine,
     term: u64,
@@ -111,7 +114,7 @@
         unresolved.any(|(call_token, called_at)| call_token >= token && is_overdue(called_at));
     if overdue && !machine.call_in_flight {
         machine.raised_token = (token + 1).min(last_token);
-        machine.repeatable_tasks = None;
+        machine.unchanged_task_list = None;
     }
     any_unresolved
 }
--- a/src/coordination/scheduler/views.rs
+++ b/src/coordination/scheduler/views.rs
@@ -13,10 +13,11 @@
 use crate::protocol::settings::Team;
 use hdrhistogram::Histogram;
 
-/// A job without running tasks is stuck once it is older than this many leases.
+/// A job with waiting but no running tasks is reported as stuck once it is older than the
+/// duration of a worker's lease times this number.
 const STUCK_AGE_LEASES: f64 = 3.0;
 
-/// Summarizes a histogram of milliseconds for operators, in seconds.
+/// Summarizes a histogram of durations in milliseconds as quantiles in seconds.
 pub fn spread(name: &str, histogram_ms: &Histogram<u32>) -> Spread {
     let quantile_s = |quantile| histogram_ms.value_at_quantile(quantile) as f64 / 1000.0;
     Spread {
@@ -45,9 +46,9 @@
 }
 
 impl Scheduler {
-    /// Why no more tasks of the job start at present.
+    /// The reason why no further task of the job starts at present.
     fn reason(&self, job: &Job, usage: &TeamUsage, now: f64) -> String {
-        if !self.fence.open {
+        if !self.fence.placement_allowed {
             return "waits until all machines are accounted for after a takeover".into();
         }
         if job.is_suspect() {
@@ -72,7 +73,8 @@
         self.capacity_reason(job).into()
     }
 
-    /// Which kind of capacity a job lacks that nothing else keeps from starting.
+    /// The reason why a job whose tasks wait only for capacity finds none: no machine that it
+    /// may use has enough free capacity, or none is usable.
     fn capacity_reason(&self, job: &Job) -> &'static str {
         let pools = self
             .capacity_index
@@ -88,8 +90,9 @@
         }
     }
 
-    /// Whether the job needs attention. It does if it only fails, if tasks wait and none runs
-    /// although several leases have passed, or if it can no longer meet any of its objectives.
+    /// Whether and why the job needs an operator's attention: it is suspected to be faulty; tasks
+    /// wait and none runs although the job is older than several leases; or the job can no
+    /// longer meet any of its objectives.
     fn standing(&self, job: &Job, now: f64) -> Standing {
         let only_waits = job.running == 0 && job.unplaced_tasks() > 0;
         let stuck_age_s = STUCK_AGE_LEASES * self.config.lease_s;
@@ -104,8 +107,8 @@
         }
     }
 
-    /// Counts of live jobs, and rows of at most `limit` of them. Jobs that most need attention
-    /// come first.
+    /// Numbers of live jobs by standing, and the rows of the first `limit` live jobs. Jobs are
+    /// sorted by standing (those that need attention come first), then by age, oldest first.
     pub fn job_rows(&self, now: f64, limit: usize) -> Jobs {
         let usage = self.count_usage();
         let ranked = self.ranked_jobs(now);
@@ -194,7 +197,7 @@
         row
     }
 
-    /// A machine's state, and the reason for it.
+    /// A machine's state, and the reason for that state.
     fn machine_state(&self, machine: &Machine, now: f64) -> (MachineState, String) {
         if let Some(active_drain) = self.drains.get(&*machine.info.id) {
             return drain_state(active_drain);
@@ -213,7 +216,8 @@
         }
     }
 
-    /// The state of a machine with the status `Up`, and the reason for it.
+    /// The state of a machine with the status `Up`, and the reason for that state; the reason is
+    /// empty if the machine is usable.
     fn up_state(&self, machine: &Machine, now: f64) -> (MachineState, String) {
         if !machine.recorded {
             let why = "not in our written record yet";
@@ -240,7 +244,7 @@
         (MachineState::Usable, String::new())
     }
 
-    /// Rows of all machines. The least usable ones come first.
+    /// Rows of all machines, in descending order of state: usable machines come last.
     pub fn machine_rows(&self, now: f64) -> Vec<MachineRow> {
         let machines = self.machines.values();
         let mut rows: Vec<MachineRow> = machines
@@ -266,7 +270,7 @@
         }
     }
 
-    /// How many machines are in each state.
+    /// The number of machines in each state, without states that no machine is in.
     pub fn machine_counts(&self, now: f64) -> Vec<(MachineState, usize)> {
         let mut counts: Vec<(MachineState, usize)> = Vec::new();
         for machine in self.machines.values() {
@@ -289,7 +293,7 @@
     }
 }
 
-/// The state of a machine that an operator drains, and the reason for it.
+/// The state of a machine that an operator drains, and the reason for that state.
 fn drain_state(active_drain: &ActiveDrain) -> (MachineState, String) {
     let drain = &active_drain.drain;
     let state = if drain.drained.is_some() {
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -1,6 +1,7 @@
-//! Tasks of cancelled jobs must stop within the deadline. The tests cover up to which time a
-//! leader knows all cancellations, and what must not start a cancelled task again. The
-//! simulations in tests/pause and tests/simulation search for further cases.
+//! Tasks of cancelled jobs must stop within the deadline. The tests check the time up to which a
+//! leader knows all cancellations, and that late messages neither start a cancelled task again
+//! nor keep it running. The simulations in tests/pause and tests/simulation search for further
+//! cases.
 
 mod common;
 
@@ -21,19 +22,19 @@
 use foxspur::storage::records::TerminalRecord;
 use foxspur::transport::sockets::Sockets;
 
-/// Guards against a leader that answers workers although it may not know of cancellations
-/// that other controllers have confirmed to users. (Leases that a majority had extended kept
-/// a leader answering for six leases while users elsewhere were told `withdrawn`.) A leader
-/// knows all cancellations up to the time of its last answered request of the watch, but not
-/// beyond its last check of the leadership, or up to the time of its queries to all other
-/// controllers.
+/// Guards against a leader that answers workers without knowing all cancellations that other
+/// controllers have confirmed to users. (In one case a majority of controllers had extended the
+/// leader's lease, and the leader answered workers for six leases while other controllers told
+/// users `withdrawn`.) A leader knows all cancellations up to the later of two times. One is
+/// the time of its last answered watch request, or of its last check of the leadership if that
+/// is earlier. The other is the time of its earliest query, if all other controllers answered.
 #[test]
 fn a_leader_knows_cancellations_up_to_the_time_of_its_query() {
     let peers = ["b", "c", "d"].map(String::from);
-    // A report of a peer: its name, when it was asked for, and when it was received.
+    // A report of a peer: the peer's name, when the report was requested, and when it arrived.
     type Report = (&'static str, f64, f64);
-    // Time of the watch's last answered request, time of the last check of the leadership,
-    // reports of peers, and the time up to which all cancellations are known.
+    // Description, time of the last answered watch request, time of the last check of the
+    // leadership, reports of peers, and the time up to which all cancellations are known.
     type Case = (&'static str, Option<f64>, f64, &'static [Report], f64);
     let cases: [Case; 8] = [
         ("no information", None, 9.0, &[], f64::NEG_INFINITY),
@@ -99,7 +100,7 @@
             "{case}"
         );
     }
-    // Without peers there are no reports, so nothing is known.
+    // Without peers there are no reports, so cancellations are not known up to any time.
     assert_eq!(
         CancellationHorizon::default().known_until(9.0, &[]),
         f64::NEG_INFINITY
@@ -110,19 +111,20 @@
     }
 }
 
-/// Guards against a report of confirmed cancellations that omits some. A process does not
-/// know the cancellations that its former process confirmed, and remembers only the latest
-/// ones. If it does not know all cancellations of the requested time, it must not report.
+/// Guards against an incomplete report of confirmed cancellations. A controller's process does
+/// not know the cancellations that the controller confirmed before the process started, and it
+/// remembers only the latest cancellations. If the process may not know all cancellations in
+/// the requested period, it must not report.
 #[test]
-fn a_report_covers_the_requested_time() {
+fn a_report_covers_the_requested_period() {
     let mut confirmed = ConfirmedCancellations::starting_at(100.0);
     confirmed.record("run-1", 110.0);
     confirmed.record("run-2", 120.0);
-    for (for_s, now, report) in [
+    for (period_s, now, report) in [
         (5.0, 121.0, Some(vec!["run-2"])),
         (15.0, 121.0, Some(vec!["run-2", "run-1"])),
         (21.0, 121.0, Some(vec!["run-2", "run-1"])),
-        // The process started within the requested time.
+        // The process started within the requested period.
         (21.1, 121.0, None),
         (f64::INFINITY, 121.0, None),
         (0.5, 121.0, Some(vec![])),
@@ -132,7 +134,11 @@
                 .map(std::string::ToString::to_string)
                 .collect::<Vec<_>>()
         });
-        assert_eq!(confirmed.within(for_s, now), report, "{for_s}");
+        assert_eq!(
+            confirmed.within(period_s, now),
+            report,
+            "the last {period_s} s"
+        );
     }
     for number in 0..16_384 {
         confirmed.record(&format!("run-x{number}"), 130.0 + f64::from(number));
@@ -146,9 +152,9 @@
         .is_some_and(|jobs| jobs.len() == 96));
 }
 
-/// Guards against starting a finished job again. The job's record may arrive after its end is
-/// known, for example in a late response to this controller's own submission, also if the
-/// end was known before the job itself.
+/// Guards against starting tasks of a finished job. The job's record may arrive after the leader
+/// has learned that the job finished, for example in a late response to this controller's own
+/// write of the job. The leader may not even have known the job when it learned of the end.
 #[test]
 fn a_finished_job_is_not_revived_by_a_late_response() {
     for known_before in [true, false] {
@@ -167,19 +173,19 @@
         scheduler.place_all(1.0);
         assert!(
             scheduler.next_direct_call(&"m1".into(), 1.0).is_none(),
-            "the finished job's task is started"
+            "a task of the finished job is started"
         );
     }
 }
 
-/// Guards against taking a late message of a worker's former process for a newer one, after
-/// which a task that had just started was considered lost and was started elsewhere. A
-/// worker that restarts at once also restarts its session numbering. Each session lasts a
-/// lease, so the session number cannot rise by three within a second.
+/// Guards against mistaking a late message of a worker's former process for a new message. A
+/// task that had just started was then considered lost and was started on another machine. A
+/// worker that restarts at once may also restart its session numbering. Since each session lasts
+/// at least one lease, the session number cannot rise by three within a tenth of a lease.
 #[test]
 fn a_session_that_cannot_have_begun_is_of_an_earlier_process() {
-    // By how much the session number rises, within how many leases, and whether that is
-    // possible.
+    // Increase of the session number, duration of the increase in leases, and whether such an
+    // increase is possible.
     for (sessions_later, leases, possible) in [
         (1, 0.1, true),
         (3, 0.1, false),
@@ -193,14 +199,14 @@
         let accepted = matches!(reply, HeartbeatReply::Commands(_));
         assert_eq!(
             accepted, possible,
-            "{sessions_later} sessions later after {leases} leases"
+            "increase of the session number by {sessions_later} within {leases} leases"
         );
     }
 }
 
-/// Guards against considering a machine empty while a start may still take effect on it. A
-/// start may reach a worker that has just restarted. Its task can then run for a lease from
-/// the start on, not from the last answered heartbeat on.
+/// Guards against considering a machine empty while a task may still run on it. A start command
+/// may reach a worker that has just restarted. The task can then run for one lease after the
+/// start, not only for one lease after the last answered heartbeat.
 #[test]
 fn a_start_in_flight_may_run_for_a_lease() {
     for (started_at, checked_at, empty) in [
@@ -216,10 +222,10 @@
         let name = "m1".into();
         let (_, call) = scheduler
             .next_direct_call(&name, started_at)
-            .expect("a start");
+            .expect("no direct call with the start");
         assert!(matches!(call.commands[..], [Command::Start { .. }]));
         scheduler.direct_call_finished(&name, &call, CallResult::Unknown, started_at + 0.5);
-        // Ticks come at the usual interval, so that the leader does not detect a pause of its
+        // The clock advances in steps of 0.5 s, so that the leader does not detect a pause of its
         // own process.
         for tick in 0..=(checked_at * 2.0) as u32 {
             let now = f64::from(tick) / 2.0;
@@ -234,9 +240,9 @@
     }
 }
 
-/// Guards against a task that goes on writing a checkpoint after its job was cancelled. It
-/// must get another stop, without a grace period, at once and in every reply until a
-/// heartbeat shows that it ended.
+/// Guards against letting a task finish its checkpoint after its job was cancelled. A stop
+/// without a grace period must be sent in a direct call at once, and again in every reply until
+/// a heartbeat shows that the task has ended.
 #[test]
 fn a_task_that_writes_a_checkpoint_is_stopped_on_cancellation() {
     let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &["m1"]);
@@ -253,14 +259,14 @@
     };
     let (_, call) = scheduler
         .next_direct_call(&"m1".into(), 0.1)
-        .expect("a stop");
+        .expect("no direct call with the stop");
     assert!(is_immediate_stop(&call.commands));
     scheduler.direct_call_finished(&"m1".into(), &call, CallResult::Unknown, 1.0);
     for seq in 2..5 {
         let HeartbeatReply::Commands(reply) =
             scheduler.handle_heartbeat(&report("m1", 1, seq, 5, &saving), seq as f64)
         else {
-            panic!("refused");
+            panic!("the heartbeat was refused");
         };
         assert!(
             is_immediate_stop(&reply.commands),
@@ -270,29 +276,36 @@
     }
 }
 
-/// Guards against running out of sockets. The limits of the parts must not add up to more
-/// than the sockets of the process, and must leave one for each worker of the largest fleets
-/// and some for users.
+/// Guards against running out of sockets. The limits on the different kinds of connections must
+/// not add up to more than the process may have open. The limit on incoming connections must
+/// allow one per worker of the largest fleets, plus a tenth of that number for users.
 #[test]
 fn socket_limits_stay_within_the_total() {
-    for (all, workers) in [(800, 324), (2832, 1126), (3198, 1905), (32, 12)] {
-        let sockets = Sockets::new(all);
-        assert!(sockets.max_incoming() >= workers + workers / 10, "{all}");
+    for (limit, workers) in [(800, 324), (2832, 1126), (3198, 1905), (32, 12)] {
+        let sockets = Sockets::new(limit);
+        assert!(
+            sockets.max_incoming() >= workers + workers / 10,
+            "limit of {limit}"
+        );
         for open in [0, workers, sockets.max_incoming()] {
             sockets.incoming.set(open);
             let used = open + sockets.max_from_controllers() + sockets.max_to_workers();
-            assert!(used <= all + 8 - all / 16, "{all}, {open} open: {used}");
+            assert!(
+                used <= limit + 8 - limit / 16,
+                "limit of {limit}, {open} incoming connections: {used} sockets used"
+            );
         }
     }
 }
 
-/// Guards against tasks that run on during an outage after their cancellation was confirmed.
-/// A cancellation that got no response was written late, and only a user's poll at the
-/// leader found it, so the reports of other controllers did not contain it. A
-/// controller that confirms a cancellation to a user must tell its own scheduler first.
+/// Guards against tasks that keep running during an outage after their cancellation was
+/// confirmed to a user. The write of a cancellation had got no response and took effect late.
+/// Only a user's poll at the leader found the cancellation, so no report of another controller
+/// contained it. A controller that confirms a cancellation to a user must first inform its own
+/// scheduler.
 #[test]
 fn a_cancellation_found_by_a_poll_at_the_leader_reaches_its_scheduler() {
-    let settings = Settings::parse(SETTINGS).expect("valid settings");
+    let settings = Settings::parse(SETTINGS).expect("invalid settings");
     // The node's clients need a runtime, although nothing is sent.
     let system = actix_rt::System::new();
     let node = system.block_on(async { Node::new(settings, Policy::default()) });
@@ -329,15 +342,15 @@
     }
 }
 
-/// Guards against running a task twice after a start that got no response (seed 1665 of
-/// tests/simulation: the task started elsewhere, then on the first machine too). A worker
-/// that has restarted its session numbering may execute the start once it reaches the
-/// session number that the start was sent to. The machine's silence therefore does not prove
-/// it empty.
+/// Guards against running a task twice after a start command that got no response (seed 1665 of
+/// tests/simulation: the task started on another machine, and later on the first machine too).
+/// A worker that has restarted its session numbering may execute the command once it reaches
+/// the session number to which the command was addressed. The machine's silence therefore does
+/// not prove that the machine is empty.
 #[test]
 fn a_machine_with_restarted_sessions_is_not_proven_empty_by_silence() {
-    // The session in the response to a probe, if there is a response, and whether silence
-    // proves the machine empty.
+    // Description, session in the response to a probe (`None` if there is no response), and
+    // whether silence proves that the machine is empty.
     let cases = [
         ("the session numbering restarted", Some(1), false),
         ("the same session", Some(3), true),
@@ -353,7 +366,9 @@
         );
         scheduler.place_all(0.1);
         let name = "m1".into();
-        let (_, start) = scheduler.next_direct_call(&name, 0.1).expect("a start");
+        let (_, start) = scheduler
+            .next_direct_call(&name, 0.1)
+            .expect("no direct call with the start");
         let [Command::Start { attempt, .. }] = start.commands[..] else {
             panic!("{case}: {start:?}");
         };
@@ -375,7 +390,8 @@
         scheduler.tick(lease_over_at, lease_over_at);
         let is_empty = scheduler.machines["m1"].attempts.is_empty();
         assert_eq!(is_empty, proven_empty, "{case}");
-        // A session after the one that the start was sent to rules out the start.
+        // A heartbeat of a session after the one to which the start was addressed rules out that
+        // the start is still executed.
         scheduler.handle_heartbeat(&report("m1", 4, 1, 5, &[]), lease_over_at + 1.0);
         let ids = scheduler.machines["m1"].attempts.keys();
         let attempts: Vec<u64> = ids.map(|id| id.number).collect();
--- a/tests/common/digest.rs
+++ b/tests/common/digest.rs
@@ -1,6 +1,7 @@
 //! A digest of the history of a simulation. Two versions of the program that make the same
-//! decisions give the same digest for the same seed. Simulations print their digests, so
-//! that a refactoring can be compared with the sources before it (see `CONTRIBUTING.md`).
+//! decisions produce the same digest for the same seed. Simulations print their digests, so
+//! that the sources after a refactoring can be compared with the sources before it (see
+//! `CONTRIBUTING.md`).
 
 /// The 64-bit FNV-1a hash of the events of one history, in order.
 #[derive(Debug, Clone)]
@@ -13,7 +14,8 @@
 }
 
 impl HistoryDigest {
-    /// Adds the bytes of an event in its wire format, which no renaming in the sources changes.
+    /// Adds bytes, such as a message in its wire format. The wire format does not depend on the
+    /// identifiers in the sources, so renaming them does not change the digest.
     pub fn bytes(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
@@ -30,7 +32,7 @@
         self.number(seconds.to_bits());
     }
 
-    /// Prints the digest of the history that this simulation gave for this seed.
+    /// Prints the digest, with the names of the simulation and the seed that produced it.
     pub fn print(&self, simulation: &str, seed: u64) {
         println!("digest {simulation} {seed} {:016x}", self.0);
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -118,10 +118,10 @@
     }
 }
 
-pub fn live(spec: JobSpec, at_s: f64) -> LiveJob {
+pub fn live(spec: JobSpec, accepted_at_s: f64) -> LiveJob {
     LiveJob {
         spec: spec.into(),
-        accepted_at_ms: (at_s * 1000.0) as u64,
+        accepted_at_ms: (accepted_at_s * 1000.0) as u64,
         done: String::new(),
     }
 }
@@ -136,7 +136,7 @@
     }
 }
 
-/// A scheduler with these machines in its machine record. None of them is fenced yet.
+/// A scheduler with these machines in its machine record. No machine is fenced yet.
 pub fn scheduler(teams: Vec<Team>, term: u64, machines: &[&str]) -> Scheduler {
     let mut scheduler = Scheduler::new(
         scheduler_config(teams),
@@ -151,11 +151,12 @@
     scheduler
 }
 
-pub fn add(scheduler: &mut Scheduler, spec: JobSpec, at_s: f64) {
-    scheduler.add_job(live(spec, at_s), 1, CompletedTasks::default());
+/// Adds a live job with this specification that was accepted at `accepted_at_s`.
+pub fn add(scheduler: &mut Scheduler, spec: JobSpec, accepted_at_s: f64) {
+    scheduler.add_job(live(spec, accepted_at_s), 1, CompletedTasks::default());
 }
 
-/// A report of a machine. Each task is given as (name, attempt number, phase, cause).
+/// A report of the machine `id`. Each task is a tuple (name, attempt number, phase, cause).
 pub fn report(
     id: &str,
     session: u64,
@@ -186,8 +187,8 @@
     }
 }
 
-/// The seeds to simulate. The environment variable `SEEDS` gives either their number or a
-/// range `FROM..TO`; without it they are `0..default_count`.
+/// The seeds to simulate. The environment variable `SEEDS` contains either the number of seeds
+/// or a range `FROM..TO`. Without this variable the seeds are `0..default_count`.
 pub fn seeds(default_count: u64) -> std::ops::Range<u64> {
     let requested = std::env::var("SEEDS").unwrap_or_default();
     match requested.split_once("..") {
@@ -196,8 +197,8 @@
     }
 }
 
-/// Whether `SEEDS` gives a range. A range may be small or arbitrary, so the tests then do not
-/// check how often certain situations occurred.
+/// Whether the environment variable `SEEDS` contains a range. A range may be small or
+/// arbitrary, so in this case the tests do not check how often certain situations occurred.
 pub fn seed_range_is_given() -> bool {
     std::env::var("SEEDS").is_ok_and(|requested| requested.contains(".."))
 }
--- a/tests/delivery.rs
+++ b/tests/delivery.rs
@@ -20,12 +20,12 @@
     scheduler(vec![team("t", 0.0, 0.0)], 5, machines)
 }
 
-/// Submits the job `run-1` with this number of tasks.
-fn submit(scheduler: &mut Scheduler, tasks: u32, at: f64) {
+/// Submits the job `run-1` with `tasks` tasks, accepted at `accepted_at_s`.
+fn submit(scheduler: &mut Scheduler, tasks: u32, accepted_at_s: f64) {
     add(
         scheduler,
         spec("run-1", "t", Urgency::Standard, tasks, 1.0),
-        at,
+        accepted_at_s,
     );
 }
 
@@ -40,12 +40,12 @@
     scheduler.machines[id].delivery.is_doubtful()
 }
 
-/// Guards against taking an arriving heartbeat as proof that replies reach the machine. The
-/// terms and sessions in heartbeats are evidence for or against delivery.
+/// Guards against taking an arriving heartbeat as proof that replies reach the machine. Only
+/// the terms and sessions in heartbeats are evidence for or against the delivery of replies.
 #[test]
 fn evidence_of_delivery_from_terms_and_sessions() {
-    // A heartbeat as (time in seconds, session, sequence number, term), and whether delivery
-    // to the machine is doubtful after it.
+    // A heartbeat (time in seconds, session, sequence number, term), and whether delivery to
+    // the machine is doubtful after the heartbeat.
     type Row = (u32, u64, u64, u64, bool);
     let cases: [(&str, &[Row]); 4] = [
         (
@@ -69,7 +69,7 @@
             &[(1, 1, 1, 5, false), (26, 2, 2, 5, true)],
         ),
         (
-            "the session goes on under the leader's term",
+            "the session continues under the leader's term",
             &[
                 (1, 1, 1, 5, false),
                 (2, 1, 2, 5, false),
@@ -93,16 +93,16 @@
     }
 }
 
-/// Guards against taking an arriving heartbeat as proof that replies reach the machine. The
-/// tasks in heartbeats show whether commands to start, stop and forget a task had an effect.
+/// Guards against taking an arriving heartbeat as proof that replies reach the machine. Only
+/// the tasks in heartbeats show whether commands to start, stop and forget a task took effect.
 #[test]
 fn evidence_of_delivery_from_tasks() {
     let shown = |phase, cause| vec![("run-1/0", (5 << 24) + 1, phase, cause)];
     let no_tasks = Vec::new();
     let running = shown(Phase::Running, None);
     let exited = shown(Phase::Exited, Some(Cause::Stopped));
-    // Heartbeats after a reply with the start command: whether the job finishes before the
-    // heartbeat, the tasks that it shows, and whether delivery is doubtful after it.
+    // A heartbeat after a reply with the start command: whether the job finishes before the
+    // heartbeat, the tasks in the heartbeat, and whether delivery is doubtful after the heartbeat.
     type Row<'a> = (bool, &'a Vec<(&'a str, u64, Phase, Option<Cause>)>, bool);
     let cases: [(&str, &[Row]); 4] = [
         ("the task starts", &[(false, &running, false)]),
@@ -136,7 +136,7 @@
         let HeartbeatReply::Commands(reply) =
             scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 1.0)
         else {
-            panic!("refused");
+            panic!("the heartbeat was refused");
         };
         assert_eq!(reply.commands.len(), 1, "{case}");
         for (index, (job_finishes, tasks, doubtful)) in rows.iter().enumerate() {
@@ -154,8 +154,8 @@
     }
 }
 
-/// Guards against doubting a machine whose session ended while the leader's own process was
-/// paused and answered nobody.
+/// Guards against considering delivery doubtful because a machine's session ended while the
+/// leader's own process was paused and answered no heartbeats.
 #[test]
 fn own_pause_is_no_evidence_against_delivery() {
     let mut scheduler = leader(&["m1"]);
@@ -166,15 +166,15 @@
     assert!(!delivery_is_doubtful(&scheduler, "m1"));
 }
 
-/// Guards against starting task after task on a machine that receives no replies and
-/// therefore always looks empty. From the first evidence against delivery on, no new task
-/// starts there, its CPUs are not counted as capacity, and it is probed. A response to a
-/// direct call makes it usable again.
+/// Guards against starting one task after another on a machine that receives no replies and
+/// therefore always looks empty. Once there is evidence against delivery to a machine, no new
+/// task starts on the machine, its CPUs are not counted as capacity, and the leader probes the
+/// machine. A response to a direct call makes the machine usable again.
 #[test]
 fn machine_with_doubtful_delivery_gets_no_new_tasks() {
     let mut scheduler = leader(&["unreachable", "m2"]);
-    let heartbeat = |scheduler: &mut Scheduler, seq: u64, at: f64| {
-        scheduler.handle_heartbeat(&report("m2", 1, seq, 5, &[]), at);
+    let heartbeat = |scheduler: &mut Scheduler, seq: u64, now: f64| {
+        scheduler.handle_heartbeat(&report("m2", 1, seq, 5, &[]), now);
     };
     scheduler.handle_heartbeat(&report("unreachable", 1, 1, 5, &[]), 1.0);
     heartbeat(&mut scheduler, 1, 1.0);
@@ -189,11 +189,11 @@
     tick(&mut scheduler, 4, 6);
     assert!(
         scheduler.outbox.contains("unreachable"),
-        "the machine is not probed"
+        "no probe of the machine is scheduled"
     );
     let (_, call) = scheduler
         .next_direct_call(&"unreachable".into(), 6.0)
-        .expect("a direct call");
+        .expect("no direct call");
     assert!(call.commands.is_empty());
     let result = CallResult::Executed(report("unreachable", 1, 3, 5, &[]));
     scheduler.direct_call_finished(&"unreachable".into(), &call, result, 6.1);
@@ -201,23 +201,23 @@
     assert_eq!(scheduler.machines["unreachable"].attempts.len(), 4);
 }
 
-/// Guards against a takeover that never completes because of a machine that no reply reaches.
-/// While the leader answers the machine, each reply may renew its lease, so the machine is
-/// never proven empty. The leader must stop answering it; one lease later the machine no
-/// longer blocks placement, neither in that session nor in later ones.
+/// Guards against a takeover that never completes because no reply reaches one machine. While
+/// the leader answers the machine, each reply may renew the machine's lease, so the machine is
+/// never proven empty. The leader must stop answering. One lease later the machine no longer
+/// blocks placement, neither in its present session nor in later ones.
 #[test]
 fn takeover_does_not_wait_for_an_unreachable_machine() {
     let teams = vec![team("t", 0.0, 0.0)];
     let mut scheduler = Scheduler::new(scheduler_config(teams), 5, Fence::new(5, Some(0.0)), 7);
     scheduler.set_types(&types());
     scheduler.add_recorded_machine(machine("unreachable", "a", false), 0.0);
-    let mut open_at = None;
+    let mut placement_allowed_at = None;
     let mut session = 1;
     for second in 0..80u32 {
         let now = f64::from(second);
         scheduler.tick(now, now);
         if second % 5 == 0 {
-            // The machine's lease ends every 10 s, which begins a new session.
+            // The machine's lease ends after 10 s in each session, and a new session begins.
             session = 1 + u64::from(second) / 10;
             scheduler.handle_heartbeat(
                 &report("unreachable", session, u64::from(second) + 1, 3, &[]),
@@ -231,15 +231,15 @@
             scheduler.machine_record_written(&written);
         }
         if scheduler.fencing_complete() {
-            open_at.get_or_insert(now);
+            placement_allowed_at.get_or_insert(now);
         }
     }
     assert!(session > 6);
     assert!(
-        open_at.is_some_and(|seconds| seconds <= 35.0),
-        "open at {open_at:?}"
+        placement_allowed_at.is_some_and(|seconds| seconds <= 35.0),
+        "placement allowed at {placement_allowed_at:?}"
     );
-    // The machine is returned to the cloud. Its late heartbeats are refused.
+    // The machine is returned to the cloud. Heartbeats of it that arrive later are refused.
     assert_eq!(scheduler.machines_presumed_dead(80.0), ["unreachable"]);
     scheduler.confirm_machine_returned("unreachable");
     let late_reply = scheduler.handle_heartbeat(&report("unreachable", 1, 900, 5, &[]), 200.0);
@@ -247,11 +247,12 @@
     assert!(scheduler.machines.is_empty());
 }
 
-/// Guards against answering a machine for ever that restarted at once with its session and
-/// sequence numbers reset, while the tasks from before the restart count as running. A
-/// heartbeat that is older than the newest message is answered if it arrives soon after
-/// that message, which may have overtaken it. Later it is a copy, or the machine has reset
-/// its numbers, and the machine's lease must not be renewed.
+/// Guards against renewing the lease of a restarted machine for ever, while its tasks from
+/// before the restart count as running. Such a machine may have reset its session and sequence
+/// numbers. A heartbeat with a lower number than the newest message is answered only if it
+/// arrives soon after that message, since the message may have overtaken the heartbeat. A
+/// heartbeat that arrives later is a copy, or the machine has reset its numbers. The machine's
+/// lease must not be renewed then.
 #[test]
 fn overtaken_heartbeats() {
     for (after_s, answered) in [(1, true), (3, true), (8, false)] {
@@ -263,8 +264,8 @@
         assert_eq!(was_answered, answered, "after {after_s} s");
         assert_eq!(delivery_is_doubtful(&scheduler, "m1"), !answered);
     }
-    // Tasks that direct calls started after the restart run until the lease of the new
-    // session ends, so the machine must not expire before that.
+    // Tasks that direct calls started after the restart may run until the lease of the new
+    // session ends, so the old lease must not be declared expired before that.
     let mut scheduler = leader(&["m1"]);
     scheduler.handle_heartbeat(&report("m1", 1, 50, 5, &[]), 1.0);
     let mut expired_at = None;
@@ -282,16 +283,16 @@
     }
     assert!(
         expired_at.is_some_and(|second| second > 18),
-        "{expired_at:?}"
+        "the lease was declared expired at {expired_at:?}"
     );
 }
 
-/// Guards against removing a start in flight because of a message of an earlier incarnation
-/// of the machine, after which the task was started twice (seed 69 of the simulation). A
-/// machine keeps the highest term that it has seen. A heartbeat with a newer session or
-/// sequence number but a lower term is therefore of an earlier incarnation and removes
-/// nothing. If the report in a call's response is no newer than the newest known message,
-/// it neither proves nor rules out the start, which stays in flight.
+/// Guards against starting a task twice because a message of an earlier incarnation of the
+/// machine removed a start in flight (seed 69 of tests/simulation). A machine remembers the
+/// highest term that it has seen. A heartbeat with a higher session or sequence number but a
+/// lower term was therefore sent by an earlier incarnation and removes no attempts. If the
+/// report in the response to a call is not newer than the newest known message, the report
+/// neither proves nor rules out the start, so the start stays in flight.
 #[test]
 fn heartbeats_of_an_earlier_incarnation_remove_no_attempts() {
     let mut scheduler = leader(&["m1"]);
@@ -299,7 +300,10 @@
     submit(&mut scheduler, 1, 1.0);
     scheduler.place_all(1.2);
     let name = "m1".into();
-    let call = scheduler.next_direct_call(&name, 1.2).expect("a start").1;
+    let call = scheduler
+        .next_direct_call(&name, 1.2)
+        .expect("no direct call with the start")
+        .1;
     let late_reply = scheduler.handle_heartbeat(&report("m1", 5, 1, 3, &[]), 1.3);
     assert!(matches!(late_reply, HeartbeatReply::Refuse));
     assert_eq!(
@@ -320,28 +324,31 @@
     assert!(scheduler.machines["m1"].attempts.is_empty());
 }
 
-/// Guards against starting a task elsewhere that runs on a machine which has restarted its
-/// session numbering (seed 6689 of tests/simulation). Such a machine can reach the session
-/// number in which its earlier incarnation ended. A delayed heartbeat of that incarnation
-/// then looks newer than all present messages. The response to a call that was made since is
-/// decisive.
+/// Guards against starting a task on a second machine while it runs on a machine that has
+/// restarted its session numbering (seed 6689 of tests/simulation). The sessions of such a
+/// machine can reach the number of the session in which its earlier incarnation ended. A
+/// delayed heartbeat of that incarnation then looks newer than all messages of the present
+/// one. The response to a direct call that was made after that heartbeat arrived is decisive.
 #[test]
 fn call_result_outweighs_a_heartbeat_of_an_earlier_incarnation() {
-    // Session and sequence number in the response, and whether its attempt is accepted.
+    // Session and sequence number in the response, and whether the leader accepts that the
+    // attempt in the response runs.
     for (session, seq, accepted) in [(2, 8, true), (2, 70, true), (1, 80, false)] {
         let mut scheduler = leader(&["m1"]);
         scheduler.handle_heartbeat(&report("m1", 2, 5, 5, &[]), 1.0);
         submit(&mut scheduler, 1, 1.0);
         scheduler.place_all(1.1);
         let name = "m1".into();
-        let (_, start) = scheduler.next_direct_call(&name, 1.1).expect("a start");
+        let (_, start) = scheduler
+            .next_direct_call(&name, 1.1)
+            .expect("no direct call with the start");
         let [Command::Start { attempt, .. }] = start.commands[..] else {
             panic!("{start:?}");
         };
         let running = [("run-1/0", attempt, Phase::Running, None)];
         let shown = report("m1", 2, 6, 5, &running);
         scheduler.direct_call_finished(&name, &start, CallResult::Executed(shown), 1.2);
-        // The earlier incarnation sent this before it ended, with a higher sequence number.
+        // A delayed heartbeat of the earlier incarnation, with a higher sequence number.
         scheduler.handle_heartbeat(&report("m1", 2, 69, 5, &[]), 1.3);
         let known_attempts = |scheduler: &Scheduler| {
             let ids = scheduler.machines["m1"].attempts.keys();
@@ -349,27 +356,31 @@
         };
         assert!(
             !known_attempts(&scheduler).contains(&attempt),
-            "{session} {seq}"
+            "session {session}, sequence number {seq}"
         );
-        // Finishing the job keeps its task from being started again, which is not tested here.
+        // The job is finished so that its task is not started again, which is not tested here.
         scheduler.finish_job("run-1");
-        let (_, probe) = scheduler.next_direct_call(&name, 1.4).expect("a probe");
+        let (_, probe) = scheduler.next_direct_call(&name, 1.4).expect("no probe");
         let shown = report("m1", session, seq, 5, &running);
         scheduler.direct_call_finished(&name, &probe, CallResult::Executed(shown), 1.5);
         assert_eq!(
             known_attempts(&scheduler).contains(&attempt),
             accepted,
-            "{seq}"
+            "sequence number {seq}"
         );
         let numbering_restarted = scheduler.machines["m1"].session_numbering_restarted;
-        assert_eq!(numbering_restarted, (session, seq) < (2, 69), "{seq}");
-        // From now on heartbeats of this session are ambiguous and are refused. The next
-        // session proves that all attempts have ended.
+        assert_eq!(
+            numbering_restarted,
+            (session, seq) < (2, 69),
+            "sequence number {seq}"
+        );
+        // If the session numbering has restarted, heartbeats with this session number are
+        // ambiguous and are refused. The next session proves that all attempts have ended.
         let late_reply = scheduler.handle_heartbeat(&report("m1", 2, 90, 5, &[]), 1.6);
         assert_eq!(
             matches!(late_reply, HeartbeatReply::Refuse),
             numbering_restarted,
-            "{seq}"
+            "sequence number {seq}"
         );
         assert_eq!(
             known_attempts(&scheduler).contains(&attempt),
@@ -384,9 +395,9 @@
     }
 }
 
-/// Guards against late copies of heartbeats that arrive at a leader after its takeover. They
-/// must not end the fencing, bring back removed attempts, or end attempts that have
-/// started since.
+/// Guards against mistaking late copies of heartbeats, which arrive after the leader's
+/// takeover, for new ones. The copies must neither complete the fencing, nor bring back removed
+/// attempts, nor end attempts that have started since.
 #[test]
 fn late_copies_after_a_takeover() {
     let mut scheduler = leader(&["m1"]);
@@ -394,11 +405,11 @@
     let old_tasks = [("run-1/0", 9, Phase::Running, None)];
     scheduler.handle_heartbeat(&report("m1", 1, 4, 3, &old_tasks), 1.0);
     assert!(!scheduler.fencing_complete());
-    // The machine reports no task any more, and the start of the task is sent again.
+    // The machine no longer reports the task, so a start of the task is sent.
     let HeartbeatReply::Commands(reply) =
         scheduler.handle_heartbeat(&report("m1", 1, 9, 5, &[]), 2.0)
     else {
-        panic!("refused");
+        panic!("the heartbeat was refused");
     };
     let [Command::Start { attempt, .. }] = reply.commands[..] else {
         panic!("{:?}", reply.commands);
@@ -416,9 +427,10 @@
     }
 }
 
-/// Guards against keeping users at a controller that alone has lost contact with the state
-/// service, and against sending all users away in an outage of that service for everyone.
-/// The controller becomes ready again without flapping.
+/// Guards against keeping users at a controller if only this controller has lost contact with
+/// the state service, and against sending users away from all controllers in a complete outage
+/// of that service. After a loss of contact, a controller becomes ready only once contact has
+/// lasted for some time, so that its readiness does not flap.
 #[test]
 fn controllers_out_of_contact_are_not_ready() {
     let peers = |with, without| {
@@ -467,13 +479,13 @@
     }
 }
 
-/// Guards against refusing a machine for ever, so that its tasks never run (seed 7110 of
-/// tests/simulation, without machines that restart their session numbering). The first
-/// message that the leader receives is a heartbeat of several sessions ago. The present
-/// session then seems to have begun too early, and is refused. Each refusal costs the
-/// machine its lease, so its session number rises with each lease and always seems too high.
-/// The machine must be accepted once the end of its lease proves it empty, also if a start
-/// to it got no response.
+/// Guards against refusing all heartbeats of a machine for ever (seed 7110 of tests/simulation,
+/// without machines that restart their session numbering). The first message that the leader
+/// receives from the machine is a delayed heartbeat of an old session. The number of the
+/// present session then seems too high, and its heartbeats are refused. Without answers the
+/// machine loses its lease and begins a new session, so that the number rises with each lease
+/// and always seems too high. The machine must be accepted once the end of its lease proves
+/// that it is empty, also if a start that was sent to the machine got no response.
 #[test]
 fn machine_first_known_by_a_late_copy_is_readmitted() {
     for has_unanswered_start in [false, true] {
@@ -483,14 +495,17 @@
             submit(&mut scheduler, 1, 1.0);
             scheduler.place_all(1.1);
             let name = "m1".into();
-            let (_, start) = scheduler.next_direct_call(&name, 1.1).expect("a start");
+            let (_, start) = scheduler
+                .next_direct_call(&name, 1.1)
+                .expect("no direct call with the start");
             scheduler.direct_call_finished(&name, &start, CallResult::Unknown, 5.1);
         }
         let (mut refused_count, mut accepted_at) = (0, None);
         for second in 2..60u32 {
             let now = f64::from(second);
             scheduler.tick(now, now);
-            // Five sessions after that of the late heartbeat, and one more per lease.
+            // The session number is higher by five than that of the delayed heartbeat, and rises
+            // by one per lease.
             let session = 8 + u64::from(second) / LEASE_S as u64;
             if second % 4 == 0 && accepted_at.is_none() {
                 let heartbeat = report("m1", session, 100 + u64::from(second), 5, &[]);
@@ -503,7 +518,7 @@
         assert!(refused_count > 0, "the present session was never refused");
         assert!(
             accepted_at.is_some_and(|seconds| seconds < 3.0 * LEASE_S),
-            "{accepted_at:?}"
+            "the machine was accepted at {accepted_at:?}"
         );
     }
 }
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -395,7 +395,7 @@
         submit(&mut scheduler, "run-1", 4, 8.0, 0.0);
         scheduler.handle_heartbeat(&report("m-0", 1, 1, 6, &[]), 0.5);
         scheduler.place_all(0.6);
-        assert_eq!(scheduler.fence.open, opens, "proven: {proven}");
+        assert_eq!(scheduler.fence.placement_allowed, opens, "proven: {proven}");
         // The machine stays silent. It is returned to the cloud only if it was not drained.
         for n in 2..9 {
             scheduler.handle_heartbeat(&report("m-0", 1, n, 6, &[]), n as f64);
@@ -414,7 +414,7 @@
         scheduler.handle_heartbeat(&report("m-1", 1, 1, 6, &[]), 9.5);
         scheduler.handle_heartbeat(&report("m-0", 1, 9, 6, &[]), 9.5);
         scheduler.place_all(9.6);
-        assert!(scheduler.fence.open);
+        assert!(scheduler.fence.placement_allowed);
         assert!(
             scheduler.machines["m-1"].attempts.is_empty(),
             "no task starts on the cordoned machine"
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,6 +1,6 @@
-//! Large fleets: machine records larger than one value of the state service, searches for
-//! capacity that are not repeated, heartbeats that repeat the previous one, and zones whose
-//! machines fall silent together.
+//! Large fleets: machine records larger than one value of the state service, failed searches
+//! for capacity, heartbeats that repeat the previous heartbeat, and zones whose machines fall
+//! silent together.
 
 mod common;
 
@@ -45,20 +45,24 @@
     starts_in_reply(scheduler, &report(machine, 1, seq, 5, &[]), now)
 }
 
-fn refs(machines: &[MachineInfo]) -> Vec<&MachineInfo> {
+fn references(machines: &[MachineInfo]) -> Vec<&MachineInfo> {
     machines.iter().collect()
 }
 
-/// Guards against a machine record larger than one value or transaction of the state service,
-/// which made all machines beyond about 550 unusable, and against rewriting the whole record
-/// when one machine changes.
+/// Guards against writing a machine record that is larger than the limits on one value and on
+/// one transaction of the state service, which made all machines beyond about 550 unusable.
+/// Also guards against rewriting the whole record when one machine changes.
 #[test]
 fn a_machine_record_is_written_in_chunks() {
     let fleet: Vec<_> = (0..6000)
         .map(|number| machine(&format!("m-{number:06}"), "a", false))
         .collect();
-    let first_changes = plan(&MachineRecord::default(), &refs(&fleet), 14_000);
-    assert!(first_changes.len() > 5, "{}", first_changes.len());
+    let first_changes = plan(&MachineRecord::default(), &references(&fleet), 14_000);
+    assert!(
+        first_changes.len() > 5,
+        "{} chunks for the whole fleet",
+        first_changes.len()
+    );
     let mut written = MachineRecord::default();
     for (number, chunk) in &first_changes {
         assert!(serde_json::to_vec(chunk).unwrap().len() < 16 * 1024);
@@ -71,12 +75,12 @@
         (1..first_changes.len()).contains(&fitting) && bytes < 64 * 1024,
         "{fitting} chunks, {bytes} bytes"
     );
-    assert!(plan(&written, &refs(&fleet), 14_000).is_empty());
+    assert!(plan(&written, &references(&fleet), 14_000).is_empty());
     // A write that got no response may still change its chunk, so the chunk is written again.
-    // Otherwise a task could start on a machine that the late write removes from the record,
-    // and machines that the write added would not come into use.
+    // Otherwise a task could start on a machine that a late write removes from the record, and
+    // machines that a late write adds to the record would not come into use.
     written.mark_uncertain(2);
-    let repeated = plan(&written, &refs(&fleet), 14_000);
+    let repeated = plan(&written, &references(&fleet), 14_000);
     assert_eq!(
         repeated
             .iter()
@@ -85,17 +89,21 @@
         [2]
     );
     written.set(2, repeated[0].1.clone(), 7);
-    assert!(plan(&written, &refs(&fleet), 14_000).is_empty());
+    assert!(plan(&written, &references(&fleet), 14_000).is_empty());
     // One machine is removed, one is added, and the address of one changes: only the chunks
     // of these machines are written.
     let mut wanted = fleet.clone();
     wanted.remove(700);
     wanted.push(machine("m-new", "b", true));
     wanted[3].addr = "10.0.0.1:9".into();
-    let changes = plan(&written, &refs(&wanted), 14_000);
-    assert!(changes.len() <= 3, "{}", changes.len());
-    // Each chunk is written on the condition that it still has the known version, so that a
-    // late write that was given up cannot replace a newer list by an old one.
+    let changes = plan(&written, &references(&wanted), 14_000);
+    assert!(
+        changes.len() <= 3,
+        "{} chunks for three changed machines",
+        changes.len()
+    );
+    // Each chunk is written on the condition that its stored version is still the known one.
+    // An old write that is carried out late therefore cannot overwrite a newer chunk.
     let transaction = txn(&written, &changes, 9);
     for (number, _) in &changes {
         let is_known = first_changes.iter().any(|(known, _)| known == number);
@@ -127,14 +135,14 @@
     }
 }
 
-/// Guards against a waiting task that is not started when capacity becomes free. A search for
-/// capacity that failed is not repeated until capacity becomes free, and must be repeated
-/// then, also if memory was lacking and not CPUs.
+/// Guards against not starting a waiting task when capacity becomes free. After a search for
+/// capacity has failed, it is not repeated until capacity becomes free. It must be repeated
+/// then, whether CPUs or memory were lacking.
 #[test]
 fn capacity_that_becomes_free_is_found() {
     for (cpus, memory_gb) in [(1.4, 20.0), (8.0, 1.0), (0.3, 31.0)] {
         let mut scheduler = unlimited_scheduler(&["m1", "m2"]);
-        // Without queues, since a queued task would start without a search.
+        // Queues are disabled, since a queued task would start without a search for capacity.
         scheduler.config.policy.queue_depth = 0;
         for id in ["m1", "m2"] {
             starts_in_reply_to_empty(&mut scheduler, id, 1, 0.0);
@@ -144,20 +152,29 @@
         add(&mut scheduler, job, 0.0);
         scheduler.place_all(0.1);
         let started = ["m1", "m2"].map(|id| starts_in_reply_to_empty(&mut scheduler, id, 2, 0.5));
-        assert_eq!(started.concat().len(), 2, "not one task on each machine");
+        assert_eq!(
+            started.concat().len(),
+            2,
+            "not exactly one task started on each machine"
+        );
         scheduler.place_all(0.6);
         scheduler.place_all(0.7);
         let (id, _) = scheduler.machines["m1"].attempts.first_key_value().unwrap();
         let (task, attempt) = (id.task.wire(), id.number);
         let completed = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Done))];
         let started = starts_in_reply(&mut scheduler, &report("m1", 1, 3, 5, &completed), 1.0);
-        assert_eq!(started.len(), 1, "{cpus} CPUs, {memory_gb} GB");
+        assert_eq!(
+            started.len(),
+            1,
+            "tasks of {cpus} CPUs and {memory_gb} GB of memory"
+        );
     }
 }
 
-/// Guards against missing news in a heartbeat that looks like a repetition. A heartbeat that
-/// repeats the previous one is recognized by its text. One that differs in any relevant
-/// field, or arrives while there are commands for the worker, must not be recognized.
+/// Guards against ignoring new information in a heartbeat that looks like a repetition of the
+/// previous one. A repetition is recognized by the text of its task list. A heartbeat that
+/// differs in any relevant field, or arrives while there are commands for the worker, must not
+/// count as a repetition.
 #[test]
 fn repeated_heartbeats_are_recognized() {
     let tasks = r#"[{"shard":"run-1/0","try":7,"status":"running"}]"#;
@@ -199,8 +216,9 @@
 }
 
 /// Guards against starting a task a second time while it runs. A former leader accepted the
-/// job and started the task. The new leader saw the task before it learned of the job, so it
-/// was already stopping the task as unknown when the job became known.
+/// job and started the task. A heartbeat shows the running task to the new leader before the
+/// new leader learns of the job. The new leader therefore sends a stop, and the task is still
+/// running when the job becomes known.
 #[test]
 fn a_running_task_of_a_job_that_becomes_known_later_is_not_started_twice() {
     let mut scheduler = unlimited_scheduler(&["m1", "m2"]);
@@ -221,8 +239,8 @@
 }
 
 /// Guards against returning the machines of a zone that is only partitioned, and against
-/// scaling out in it. A zone counts as partitioned if most of its machines fall silent
-/// together.
+/// scaling out in such a zone. A zone counts as partitioned if more than half of its machines
+/// are silent at the same time.
 #[test]
 fn a_zone_that_falls_silent_as_a_whole_is_partitioned() {
     for (silent_count, partitioned) in [(0, false), (2, false), (3, true), (4, true)] {
@@ -237,7 +255,7 @@
         assert_eq!(
             !scheduler.partitioned_zones(101.0).is_empty(),
             partitioned,
-            "{silent_count} silent machines"
+            "{silent_count} of 4 machines are silent"
         );
     }
 }
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -655,7 +655,7 @@
             );
         }
         // Once placement has begun, the scheduler waits for silent machines.
-        scheduler.fence.open = true;
+        scheduler.fence.placement_allowed = true;
         assert!(scheduler.machines_presumed_dead(3.8).len() <= 2);
     }
 }
