--- a/src/coordination/scheduler/attempt.rs
+++ b/src/coordination/scheduler/attempt.rs
@@ -15,7 +15,7 @@
     pub start_decided_at: f64,
     /// When the attempt was first reported as running; `None` before that.
     pub running_since: Option<f64>,
-    /// Whether the attempt is counted among its job's running tasks.
+    /// Whether the number of the job's running tasks (`Job::running`) includes this attempt.
     pub counted_as_running: bool,
     /// The newest message that listed the attempt.
     pub last_shown: MessageId,
@@ -28,8 +28,9 @@
     /// was no such call. A late copy of a call starts the attempt again if the machine has
     /// forgotten the attempt, unless the machine has seen a higher token than the call's.
     pub duplicate_starts_up_to: Option<u64>,
-    /// Token and time of a direct call with the start command, if the call got no response. It
-    /// may still be executed until the machine has seen a higher token or has a newer session.
+    /// Token and time of a direct call with the start command, if the call got no response. The
+    /// command may still be executed until the machine has seen a higher token or has a newer
+    /// session.
     pub unresolved_call: Option<(u64, f64)>,
     /// A command to start or stop the attempt has not been sent yet.
     pub unsent: bool,
--- a/src/coordination/scheduler/delivery.rs
+++ b/src/coordination/scheduler/delivery.rs
@@ -52,9 +52,9 @@
 pub(crate) const ANSWER_TIMEOUT_S: f64 = 4.0;
 
 /// Minimum number of consecutive messages with evidence against delivery after which a machine
-/// is considered unreachable. If it is unfenced, its heartbeats are no longer answered: each
-/// reply may renew the machine's lease, and placement cannot begin while such a lease may last.
-/// One message is not enough, since a single reply can be lost by chance.
+/// is considered unreachable. Heartbeats of an unfenced, unreachable machine are no longer
+/// answered: each reply may renew the machine's lease, and placement cannot begin while the
+/// lease may last. One message is not enough, since a single reply can be lost by chance.
 const UNREACHABLE_MIN_UNDELIVERED: u32 = 2;
 
 /// Tracks the delivery of this leader's replies to one machine.
@@ -120,8 +120,8 @@
         self.doubtful_since.map(|since| now - since)
     }
 
-    /// Whether the machine is considered unreachable. While it is unfenced, its heartbeats are
-    /// then no longer answered, so that its lease expires.
+    /// Whether the machine is considered unreachable. Heartbeats of an unreachable machine that is
+    /// not fenced are no longer answered, so that the machine's lease expires.
     pub fn is_unreachable(&self) -> bool {
         self.undelivered >= UNREACHABLE_MIN_UNDELIVERED
     }
--- a/src/coordination/scheduler/fence.rs
+++ b/src/coordination/scheduler/fence.rs
@@ -37,10 +37,10 @@
 }
 
 /// The former leaders that may still answer workers. `present_incarnation` returns the present
-/// incarnation of the controller on a host, or `None` if it is unknown. If the former leader
-/// was another incarnation, its process has ended. Otherwise the former leader stops answering
-/// at the time `until_ms` in its record; the wall clocks of both controllers may be off by up
-/// to `max_clock_error_ms`.
+/// incarnation of the controller on a host, or `None` if unknown. If the former leader was
+/// another incarnation of that controller, the former leader's process has ended. Otherwise the
+/// former leader stops answering at the time `until_ms` in its record; the wall clocks of both
+/// controllers may be off by up to `max_clock_error_ms`.
 pub fn unfenced_leaders(
     former: &[FormerLeader],
     present_incarnation: impl Fn(&str) -> Option<u64>,
--- a/src/coordination/scheduler/job.rs
+++ b/src/coordination/scheduler/job.rs
@@ -2,8 +2,8 @@
 //!
 //! A task of a job is in exactly one state: completed, placed (an attempt of it is or may be
 //! on a machine), in the queue of a machine, or waiting. The tasks of large jobs are not
-//! enumerated: all tasks from the index `next_untracked` on are waiting, and only tasks
-//! below it are tracked individually.
+//! enumerated: all tasks from the index `next_untracked` on are waiting, and only tasks with a
+//! smaller index are tracked individually.
 
 use crate::protocol::job::{JobSpec, Shape, Urgency};
 use crate::storage::completed_tasks::CompletedTasks;
@@ -81,7 +81,7 @@
 }
 
 impl AttemptId {
-    /// The identifier of the attempt `number` at the task.
+    /// The identifier of the task's attempt with this number.
     pub fn new(task: TaskId, number: u64) -> AttemptId {
         AttemptId { task, number }
     }
@@ -113,7 +113,8 @@
     number: u64,
 }
 
-/// A job's claims to capacity that other jobs use, as of the last refresh of the job order.
+/// Conditions that decide whether a job is placed ahead of other jobs or may preempt them, as of
+/// the last refresh of the job order.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Claims {
     /// The job fits into its team's guarantee (see `quota`).
@@ -158,9 +159,10 @@
     pub saved_at: f64,
     /// The state service records the job as finished or cancelled, so no task of it may start.
     pub finished: bool,
-    /// Tasks from this index on are waiting and are not tracked individually.
+    /// The smallest index from which on all tasks are waiting without being tracked
+    /// individually.
     next_untracked: u32,
-    /// Waiting tasks below `next_untracked`.
+    /// Waiting tasks with an index smaller than `next_untracked`.
     requeued: BTreeSet<u32>,
     /// At least one task of the job was reported as running.
     started: bool,
@@ -168,14 +170,14 @@
     pub running: u32,
     /// Machine and attempt number of each task that is or may be on a machine.
     pub placed: BTreeMap<u32, (Name, u64)>,
-    /// Additional attempts of placed tasks. Heartbeats of different ages can show one task
-    /// on two machines; only later messages tell which attempt has ended.
+    /// Additional attempts of placed tasks. Heartbeats of different ages can list the same task
+    /// on two machines. Only later heartbeats then show which of the two attempts has ended.
     extra_attempts: Vec<ExtraAttempt>,
     /// Tasks in the queue of a machine, with the name of the machine.
     pub queued: BTreeMap<u32, Name>,
     /// Machines on which a task of this job failed.
     pub failed_on: Names,
-    /// How many attempts to run tasks of the job failed.
+    /// How many attempts of the job's tasks failed.
     pub failures: u32,
     /// How many attempts failed while the job was suspect and at most one of its tasks was
     /// placed.
@@ -199,10 +201,10 @@
     /// The outcome of the job's first objective on its finishing time, met or missed, was
     /// counted.
     pub outcome_recorded: bool,
-    /// How many attempts to run tasks of the job this leader has started.
+    /// How many attempts of the job's tasks this leader has started.
     pub starts: u32,
-    /// When a task of the job last started, or when a task last began to wait while no other
-    /// task was waiting, whichever is later.
+    /// The latest of three times: when the job was accepted, when a task of it last started, and
+    /// when a task last began to wait while no other task of the job was waiting.
     pub served_at: f64,
     /// The longest time from `served_at` to the next start, in seconds.
     pub longest_wait_s: f64,
@@ -271,7 +273,7 @@
         !std::mem::replace(&mut self.started, true) && self.completed.is_empty()
     }
 
-    /// Records that an attempt to run a task of the job starts now.
+    /// Records that an attempt of one of the job's tasks starts now.
     pub(crate) fn note_start(&mut self, now: f64) {
         self.starts += 1;
         self.longest_wait_s = self.longest_wait_s.max(now - self.served_at);
@@ -298,7 +300,7 @@
         self.merge_completed(saved);
     }
 
-    /// Records that the attempt at the task is or may be on the machine. Returns true if the
+    /// Records that this attempt of the task is or may be on the machine. Returns true if the
     /// task was not placed before.
     pub fn set_placed(&mut self, task: u32, machine: Name, attempt: u64) -> bool {
         self.track(task);
@@ -350,7 +352,7 @@
         true
     }
 
-    /// How many attempts at tasks of the job are or may be on machines.
+    /// How many attempts of the job's tasks are or may be on machines.
     pub fn attempts_placed(&self) -> usize {
         self.placed.len() + self.extra_attempts.len()
     }
--- a/src/coordination/scheduler/jobs.rs
+++ b/src/coordination/scheduler/jobs.rs
@@ -104,8 +104,8 @@
             .flat_map(|machine| machine.attempts.keys().map(|id| &id.task.job))
             .collect();
         self.jobs.retain(|name, job| {
-            let has_no_placed_tasks = job.finished && job.placed.is_empty();
-            !has_no_placed_tasks || jobs_on_machines.contains(name)
+            let finished_and_unplaced = job.finished && job.placed.is_empty();
+            !finished_and_unplaced || jobs_on_machines.contains(name)
         });
         let machines = &self.machines;
         self.image_holders.retain(|image, names| {
--- a/src/coordination/scheduler/load.rs
+++ b/src/coordination/scheduler/load.rs
@@ -19,7 +19,7 @@
 /// Load of one class of jobs.
 #[derive(Default)]
 struct ClassLoad {
-    /// CPUs that attempts to run tasks of the class occupy.
+    /// CPUs that attempts of the class's tasks occupy.
     cpus: f64,
     /// How many tasks of the class wait, whether or not they are in the queue of a machine.
     waiting_tasks: u32,
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -13,8 +13,8 @@
 pub use crate::coordination::scheduler::attempt::Attempt;
 pub use crate::coordination::scheduler::message_id::MessageId;
 
-/// Shortest duration of a session, as a fraction of the lease: 1 minus the bound on clock
-/// drift.
+/// Minimum duration of a session as a fraction of the lease duration: 1 minus the bound on
+/// clock drift.
 const MIN_SESSION_LEASE_FRACTION: f64 = 0.999;
 
 /// Why a task is in a machine's queue.
@@ -54,7 +54,7 @@
 pub enum MachineStatus {
     /// Tasks may start on the machine if the other conditions of `Machine::is_usable` hold.
     Up,
-    /// No more tasks start on the machine, and it will be returned to the cloud.
+    /// No more tasks start on the machine, and the machine will be returned to the cloud.
     Draining,
     /// The machine's lease expired, which proves that the machine runs no tasks. Heartbeats of
     /// its last known session must not be answered any more.
@@ -66,8 +66,8 @@
 pub struct Machine {
     /// Name, address, type and zone, as in the machine record.
     pub info: MachineInfo,
-    /// The written machine record lists the machine. No task may start on a machine that it
-    /// does not list.
+    /// The written machine record lists the machine. No task may start on a machine that the
+    /// record does not list.
     pub recorded: bool,
     /// What this leader has decided about the use of the machine.
     pub status: MachineStatus,
@@ -84,7 +84,8 @@
     /// below the term has no effect.
     pub raised_token: u64,
     /// The machine has sent a message under this leader's term, or was proven empty after its
-    /// lease expired. Replies and calls of former leaders can no longer take effect on it.
+    /// lease expired. Replies and calls of former leaders can no longer take effect on the
+    /// machine.
     pub fenced: bool,
     /// When the first message of the present session arrived. A session starts with a lease of
     /// its own, before any of its heartbeats is answered.
@@ -179,8 +180,8 @@
         }
     }
 
-    /// The fencing token of replies and calls to the machine under `term`. It stays within the
-    /// term's range of tokens, since higher tokens belong to later leaders.
+    /// The fencing token of replies and calls to the machine under `term`. The token stays
+    /// within the term's range of tokens, since higher tokens belong to later leaders.
     pub fn token_under(&self, term: u64) -> u64 {
         self.raised_token.clamp(term, term + TOKENS_PER_TERM - 1)
     }
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -3,10 +3,10 @@
 //! The sibling modules implement the operations on this state, each in its own
 //! `impl Scheduler` block; the [parent module](super) lists them.
 //!
-//! Several sets here are work lists. An entry is added as soon as its condition begins to
-//! hold. It is removed lazily, when the list is next processed, so a list may also contain
-//! entries whose condition no longer holds. This way no event needs a pass over all
-//! machines.
+//! Several fields are work lists: sets of the machines, or of other items, for which some
+//! condition holds. An item is added as soon as the condition begins to hold, and is removed
+//! lazily, when the list is next processed. A list may therefore contain items for which the
+//! condition no longer holds. Because of this, no event needs a pass over all machines.
 
 use crate::coordination::recent::RecentMap;
 use crate::coordination::scheduler::active_drain::ActiveDrain;
@@ -78,13 +78,14 @@
     /// Latest time that was passed to `advance_clock`, in seconds of monotonic time.
     pub(crate) now: f64,
     /// End of this process's latest pause, in seconds of monotonic time. A paused process
-    /// receives no messages, so time before this does not count as silence of the machines.
+    /// receives no messages, so the time before the end of the pause does not count as silence
+    /// of the machines.
     listening_since: f64,
     /// Usable machines by free capacity.
     pub(crate) capacity_index: CapacityIndex,
     /// Work list: machines with tasks in their queue.
     pub(crate) machines_with_queue: Names,
-    /// Work lists by image: machines that have the image cached.
+    /// Work lists, one for each image: machines that have the image cached.
     pub(crate) image_holders: HashMap<String, Vec<Name>, RandomState>,
     /// Capacity that became free since the last placement pass.
     pub(crate) capacity_changes: CapacityChanges,
@@ -111,7 +112,7 @@
     pub fair_share: FairShare,
     /// When the queues of machines were last checked for tasks that had been queued too long.
     pub(crate) queues_checked_at: f64,
-    /// How many attempt numbers this leader has assigned.
+    /// Number of attempt numbers that this leader has assigned.
     pub(crate) attempts_numbered: u64,
     /// Predicts run times from statistics of finished tasks.
     pub predictor: RunTimePredictor,
--- a/src/coordination/scheduler/terms.rs
+++ b/src/coordination/scheduler/terms.rs
@@ -20,9 +20,9 @@
 
 impl Scheduler {
     /// Allows placement if no machine blocks placement any more. Returns whether placement is
-    /// allowed. During a takeover this method is called after every heartbeat. It therefore
-    /// removes machines that no longer block placement from `unfenced`, so that they are not
-    /// examined again.
+    /// allowed. During a takeover this method is called after every heartbeat. For that reason
+    /// machines that no longer block placement are removed from `unfenced` and not examined
+    /// again.
     pub fn fencing_complete(&mut self) -> bool {
         if self.fence.placement_allowed {
             return true;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -56,6 +56,7 @@
 pub const LEASE_S: f64 = 10.0;
 pub const CANCEL_S: f64 = 40.0;
 
+/// A team with a guarantee of `cpus` CPUs and a limit of `cpus_max` CPUs (0: no limit).
 pub fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
     Team {
         name: name.into(),
@@ -78,6 +79,7 @@
     }
 }
 
+/// The machine types that the cloud offers: a single type `small` with 8 CPUs.
 pub fn types() -> Vec<MachineType> {
     vec![MachineType {
         name: "small".into(),
@@ -93,6 +95,7 @@
     }]
 }
 
+/// The description of a sweep of `tasks` tasks that need `cpus` CPUs each.
 pub fn spec(id: &str, team: &str, urgency: Urgency, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
         id: id.into(),
@@ -118,6 +121,7 @@
     }
 }
 
+/// The record of a live job without completed tasks that was accepted at `accepted_at_s`.
 pub fn live(spec: JobSpec, accepted_at_s: f64) -> LiveJob {
     LiveJob {
         spec: spec.into(),
@@ -126,6 +130,7 @@
     }
 }
 
+/// A machine of the type `small`.
 pub fn machine(id: &str, zone: &str, spot: bool) -> MachineInfo {
     MachineInfo {
         id: id.into(),
--- a/tests/delivery.rs
+++ b/tests/delivery.rs
@@ -203,8 +203,8 @@
 
 /// Guards against a takeover that never completes because no reply reaches one machine. While
 /// the leader answers the machine, each reply may renew the machine's lease, so the machine is
-/// never proven empty. The leader must stop answering. One lease later the machine no longer
-/// blocks placement, neither in its present session nor in later ones.
+/// never proven empty. The leader must stop answering the machine's heartbeats. One lease later
+/// the machine no longer blocks placement, neither in its present session nor in later ones.
 #[test]
 fn takeover_does_not_wait_for_an_unreachable_machine() {
     let teams = vec![team("t", 0.0, 0.0)];
@@ -239,7 +239,7 @@
         placement_allowed_at.is_some_and(|seconds| seconds <= 35.0),
         "placement allowed at {placement_allowed_at:?}"
     );
-    // The machine is returned to the cloud. Heartbeats of it that arrive later are refused.
+    // The machine is returned to the cloud. Its heartbeats that arrive later are refused.
     assert_eq!(scheduler.machines_presumed_dead(80.0), ["unreachable"]);
     scheduler.confirm_machine_returned("unreachable");
     let late_reply = scheduler.handle_heartbeat(&report("unreachable", 1, 900, 5, &[]), 200.0);
@@ -247,12 +247,12 @@
     assert!(scheduler.machines.is_empty());
 }
 
-/// Guards against renewing the lease of a restarted machine for ever, while its tasks from
-/// before the restart count as running. Such a machine may have reset its session and sequence
-/// numbers. A heartbeat with a lower number than the newest message is answered only if it
-/// arrives soon after that message, since the message may have overtaken the heartbeat. A
-/// heartbeat that arrives later is a copy, or the machine has reset its numbers. The machine's
-/// lease must not be renewed then.
+/// Guards against renewing the lease of a restarted machine for ever while its tasks from
+/// before the restart count as running. Such a machine has reset its session and sequence
+/// numbers. A heartbeat with lower numbers than the newest message is answered only if the
+/// heartbeat arrives soon after that message, which may have overtaken it. A heartbeat with
+/// lower numbers that arrives later is a copy, or shows that the machine has reset its numbers.
+/// Such a heartbeat must not be answered, since an answer renews the machine's lease.
 #[test]
 fn overtaken_heartbeats() {
     for (after_s, answered) in [(1, true), (3, true), (8, false)] {
