--- a/src/coordination/scheduler/capacity_index.rs
+++ b/src/coordination/scheduler/capacity_index.rs
@@ -6,7 +6,7 @@
 //! enough free CPUs costs about the same for 20 machines and for 1,200.
 //!
 //! Invariants: a machine is in at most one pool and never changes pools while it is indexed;
-//! `entries` mirrors the two lists of every pool.
+//! `CapacityIndex::entries` holds each machine's position in the two lists of its pool.
 
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::resources::{Resources, Types, ROUNDING_TOLERANCE};
@@ -15,9 +15,9 @@
 use foldhash::fast::RandomState;
 use std::collections::HashMap;
 
-/// Bound on the remembered requirements for which no machine has capacity. Requirements beyond
-/// the bound are not remembered, so each placement of such a task searches again.
-const MAX_EXHAUSTED: usize = 64;
+/// Maximum number of entries in `CapacityIndex::exhausted`. Further requirements are not
+/// remembered, so each placement of a task with such requirements searches again.
+const MAX_EXHAUSTED_ENTRIES: usize = 64;
 
 /// An entry in a pool's list of machines sorted by free CPUs.
 #[derive(Debug)]
@@ -33,9 +33,9 @@
 pub(crate) struct MachinePool {
     /// Name of the machine type.
     kind: String,
-    /// The zone that all of them are in.
+    /// The zone that all machines of the pool are in.
     pub zone: String,
-    /// Whether they are spot machines, which the cloud may reclaim.
+    /// Whether the pool's machines are spot machines, which the cloud may reclaim.
     spot: bool,
     /// Usable machines by free CPUs, fewest first. Task sizes are arbitrary decimals, so
     /// buckets of whole CPUs would contain many machines on which a task does not fit. Moving
@@ -61,13 +61,13 @@
         self.kind == info.kind && self.zone == info.zone && self.spot == info.spot
     }
 
-    /// How many usable machines the pool has.
+    /// Number of usable machines in the pool.
     pub fn usable_count(&self) -> usize {
         self.by_free_cpus.len()
     }
 
-    /// Position of a machine with this many free CPUs: `Ok` if it is listed, otherwise `Err`
-    /// with the position at which to insert it.
+    /// Position in `by_free_cpus` of the machine with this name and this number of free CPUs: `Ok`
+    /// if the machine is listed, otherwise `Err` with the position at which to insert it.
     fn position(&self, cpus: f64, name: &str) -> Result<usize, usize> {
         self.by_free_cpus.binary_search_by(|entry| {
             let by_cpus = entry.cpus.total_cmp(&cpus);
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Machines with at least this many CPUs free, the fewest first.
+    /// Machines with at least `cpus` free CPUs, sorted by free CPUs, fewest first.
     fn with_cpus(&self, cpus: f64) -> &[FreeCpus] {
         let first = self
             .by_free_cpus
@@ -88,7 +88,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Availability {
     pub free_cpus: f64,
-    /// Whether its queue is not full.
+    /// Whether the machine's queue has room for another task.
     pub has_short_queue: bool,
 }
 
@@ -101,9 +101,10 @@
     short_queue_position: Option<usize>,
 }
 
-/// Requirements for which no machine of the given pools has capacity.
+/// Requirements for which no machine of `pools` has capacity.
 #[derive(Debug)]
-struct Exhausted {
+struct ExhaustedRequirements {
+    /// Indexes of the pools.
     pools: Vec<usize>,
     need: Resources,
 }
@@ -117,7 +118,7 @@
     pub(crate) version: u64,
     /// Requirements for which an exhaustive search found no machine. An entry stays valid until
     /// the free capacity of some machine grows so that the task fits (see `capacity_grew`).
-    exhausted: Vec<Exhausted>,
+    exhausted: Vec<ExhaustedRequirements>,
 }
 
 impl IndexEntry {
@@ -152,15 +153,16 @@
         }
     }
 
-    /// Inserts a usable machine, or moves it to its new position.
+    /// Inserts a usable machine, or moves the machine to its new position if it is already
+    /// indexed.
     pub(crate) fn insert_or_move(
         &mut self,
         name: &Name,
         info: &MachineInfo,
         availability: Availability,
     ) {
-        let known = self.entries.get(name).copied();
-        if known.is_some_and(|entry| entry.availability() == availability) {
+        let previous = self.entries.get(name).copied();
+        if previous.is_some_and(|entry| entry.availability() == availability) {
             return;
         }
         let Availability {
@@ -169,7 +171,7 @@
         } = availability;
         self.remove(name);
         // An indexed machine stays in its pool.
-        let pool_index = match known {
+        let pool_index = match previous {
             Some(entry) => entry.pool,
             None => self.find_or_add_pool(info),
         };
@@ -196,14 +198,14 @@
     }
 
     fn find_or_add_pool(&mut self, info: &MachineInfo) -> usize {
-        let found = self.pools.iter().position(|pool| pool.matches(info));
-        found.unwrap_or_else(|| {
+        let existing = self.pools.iter().position(|pool| pool.matches(info));
+        existing.unwrap_or_else(|| {
             self.pools.push(MachinePool::new(info));
             self.pools.len() - 1
         })
     }
 
-    /// Index of the pool that contains the machine.
+    /// Index of the pool that contains the machine; `None` if the machine is not indexed.
     pub(crate) fn pool_of(&self, name: &str) -> Option<usize> {
         self.entries.get(name).map(|entry| entry.pool)
     }
@@ -230,34 +232,36 @@
             .collect()
     }
 
-    /// Notes that the free capacity of a machine grew to this amount: requirements that fit
-    /// into it are no longer exhausted.
+    /// Updates the index after the free capacity of a machine grew to `free`: forgets the exhausted
+    /// requirements that fit into this capacity.
     pub(crate) fn capacity_grew(&mut self, free: &Resources) {
-        self.exhausted.retain(|known| !free.fits(&known.need));
+        self.exhausted.retain(|entry| !free.fits(&entry.need));
     }
 
-    /// Remembers that no machine of the pools has capacity for these requirements.
+    /// Remembers that no machine of the pools has enough free capacity for these requirements.
     pub(crate) fn set_exhausted(&mut self, pools: &[usize], need: Resources) {
-        if self.exhausted.len() < MAX_EXHAUSTED {
+        if self.exhausted.len() < MAX_EXHAUSTED_ENTRIES {
             let pools = pools.to_vec();
-            self.exhausted.push(Exhausted { pools, need });
+            self.exhausted.push(ExhaustedRequirements { pools, need });
         }
     }
 
-    /// Whether it is known that no machine of the pools has capacity for these requirements.
+    /// Whether the index remembers that no machine of these pools has enough free capacity for
+    /// these requirements, or for equal or smaller ones.
     pub(crate) fn is_exhausted(&self, pools: &[usize], need: &Resources) -> bool {
         self.exhausted
             .iter()
-            .any(|known| need.fits(&known.need) && known.pools == pools)
+            .any(|entry| need.fits(&entry.need) && entry.pools == pools)
     }
 
-    /// How many machines of the pools have at least this many CPUs free.
+    /// Number of machines in the pools with at least `cpus` free CPUs.
     pub(crate) fn count_with_cpus(&self, pools: &[usize], cpus: f64) -> usize {
         let count = |&index: &usize| self.pools[index].with_cpus(cpus).len();
         pools.iter().map(count).sum()
     }
 
-    /// The `n`-th machine of the pools with at least this many CPUs free.
+    /// The machine at index `n`, counted from 0, among the machines of the pools with at least
+    /// `cpus` free CPUs; `None` if there are not so many.
     pub(crate) fn nth_with_cpus(&self, pools: &[usize], cpus: f64, mut n: usize) -> Option<&Name> {
         for &index in pools {
             let candidates = self.pools[index].with_cpus(cpus);
@@ -269,18 +273,19 @@
         None
     }
 
-    /// The pool's machines with at least this many CPUs free, the fewest first.
+    /// The pool's machines with at least `cpus` free CPUs, sorted by free CPUs, fewest first.
     pub(crate) fn with_cpus(&self, pool: usize, cpus: f64) -> &[FreeCpus] {
         self.pools[pool].with_cpus(cpus)
     }
 
-    /// How many machines of the pools have a queue that is not full.
+    /// Number of machines in the pools whose queue is not full.
     pub(crate) fn count_short_queues(&self, pools: &[usize]) -> usize {
         let count = |&index: &usize| self.pools[index].short_queue.len();
         pools.iter().map(count).sum()
     }
 
-    /// The `n`-th machine of the pools whose queue is not full.
+    /// The machine at index `n`, counted from 0, among the machines of the pools whose queue is
+    /// not full; `None` if there are not so many.
     pub(crate) fn nth_short_queue(&self, pools: &[usize], mut n: usize) -> Option<&Name> {
         for &index in pools {
             let candidates = &self.pools[index].short_queue;
--- a/src/coordination/scheduler/fair_share.rs
+++ b/src/coordination/scheduler/fair_share.rs
@@ -1,29 +1,31 @@
 //! Fair share: tracks whether each job class and each team meets enough of its service-level
-//! objectives, and finds the underserved ones.
+//! objectives, and determines which of these groups are underserved.
 //!
 //! Urgency, guarantees and smallest-first order can each starve the same class for as long as
 //! the load lasts. For each class and team, the fraction of recent jobs that met their first
 //! finishing objective is therefore tracked as a moving average. A group whose fraction falls
 //! below a threshold is underserved until it recovers, and gets a floor: a share of the fleet's
-//! CPUs for its smallest jobs. Within the floor they start before all jobs except `prod` and
+//! CPUs for its smallest jobs. Jobs within the floor start before all jobs except `prod` and
 //! `high`, and borrowed work may not preempt them.
 
 use std::collections::HashMap;
 
-/// About how many recent outcomes a group's moving average covers. With this many, one large job
-/// that misses its objective does not make a group underserved, but half a burst of jobs does.
+/// Approximate number of recent outcomes that a group's moving average covers. With this number, a
+/// single large job that misses its objective does not make its group underserved, but a burst of
+/// jobs of which half miss their objectives does.
 const AVERAGED_OUTCOMES: f64 = 16.0;
 
-/// A group becomes underserved when its fraction falls below this. The goal is that half of its
-/// jobs meet their objective. The threshold is higher because giving a group more capacity shows
-/// only when its jobs finish.
+/// A group becomes underserved when the fraction of its jobs that met their objective falls below
+/// this. The goal is that half of a group's jobs meet their objective. The threshold is above one
+/// half because additional capacity for a group raises the fraction only once jobs finish.
 const UNDERSERVED_BELOW: f64 = 0.70;
 
-/// An underserved group has recovered when its fraction reaches this.
+/// An underserved group has recovered when the fraction of its jobs that met their objective
+/// reaches this.
 const RECOVERED_AT: f64 = 0.80;
 
-/// Bound on the groups tracked, at about 50 bytes each. Users choose the names of classes, so
-/// their number is not limited otherwise.
+/// Maximum number of groups tracked, at about 50 bytes each. Users choose the names of classes, so
+/// the number of classes has no other limit.
 const MAX_GROUPS: usize = 1024;
 
 /// A group of jobs whose outcomes are counted together.
@@ -38,7 +40,7 @@
 /// How well a group meets its objectives.
 #[derive(Debug, Clone, Copy)]
 struct GroupStats {
-    /// Moving average of the fraction of its jobs that meet their objective.
+    /// Moving average of the fraction of the group's jobs that met their objective.
     fraction_met: f64,
     is_underserved: bool,
 }
@@ -69,7 +71,7 @@
 }
 
 impl FairShare {
-    /// Records whether a job of the group met its first finishing objective.
+    /// Records whether a job of the group met the first due objective for its completion.
     pub fn record_outcome(&mut self, group: &FairShareGroup, met: bool) {
         if let Some(stats) = self.groups.get_mut(group) {
             stats.record(met);
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Underserved groups, the lowest fraction first.
+    /// Underserved groups, sorted by the fraction of jobs that met their objective, lowest first.
     pub fn underserved(&self) -> Vec<&FairShareGroup> {
         let groups = self.groups.iter().filter(|(_, stats)| stats.is_underserved);
         let mut groups: Vec<(f64, &FairShareGroup)> = groups
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -5,9 +5,10 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A job's place in the order: lowest rank first, then lowest key.
+/// A job's place in the order. The order is ascending by rank, then by key.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Precedence {
+    /// Jobs with a lower rank number come first.
     pub rank: u8,
     /// Sort key within the rank: predicted work or a time, see `Scheduler::precedence`.
     pub key: f64,
@@ -18,11 +19,11 @@
 pub(crate) struct OrderedJob {
     pub precedence: Precedence,
     pub name: Name,
-    /// The resources that one of its tasks requires.
+    /// The resources that one task of the job requires.
     pub requirements: Resources,
     /// See `Job::has_new_tasks`.
     pub has_new_tasks: Rc<Cell<bool>>,
-    /// The entry stands for the job's first task only.
+    /// Whether the entry stands for the job's first task only.
     pub first_task_only: bool,
 }
 
@@ -38,7 +39,8 @@
         }
     }
 
-    /// An entry for the job's first task, before all other jobs.
+    /// An entry for the job's first task only, with rank 0; the caller inserts it in
+    /// front of the order.
     pub fn first_task(entry: &OrderedJob, accepted_at: f64) -> OrderedJob {
         OrderedJob {
             precedence: Precedence {
@@ -56,24 +58,24 @@
 /// A job whose tasks may be preempted.
 #[derive(Debug)]
 pub(crate) struct PreemptionCandidate {
-    /// Factor by which preempting it is more expensive than preempting work of urgency `idle`
-    /// (see `preemption_cost`).
+    /// Factor by which preempting the job is more expensive than preempting work of urgency
+    /// `idle` (see `preemption_cost`).
     pub cost_factor: f64,
     /// Estimated remaining work, in CPU or GPU seconds.
     pub work_left: f64,
     pub job: Name,
 }
 
-/// The order of jobs, rebuilt from time to time.
+/// The order of jobs, rebuilt periodically and after jobs are added or removed.
 #[derive(Debug, Default)]
 pub struct JobOrder {
     /// Unfinished jobs by precedence, preceded by entries for prioritized first tasks.
     pub(crate) jobs: Vec<OrderedJob>,
     /// The unfinished jobs, cheapest to preempt first.
     pub(crate) preemption_candidates: Vec<PreemptionCandidate>,
-    /// Jobs were added or removed since the order was built.
+    /// Whether jobs were added or removed since the order was built.
     pub(crate) is_stale: bool,
-    /// When the order was built.
+    /// Time at which the order was built, in seconds of the leader's monotonic clock.
     pub(crate) refreshed_at: f64,
 }
 
@@ -89,8 +91,8 @@
         });
     }
 
-    /// Sorts the candidates: the cheapest first, then the most remaining work; names break
-    /// ties.
+    /// Sorts the candidates by cost factor, lowest first, then by remaining work, largest first;
+    /// names break ties.
     pub(crate) fn sort_preemption_candidates(&mut self) {
         self.preemption_candidates.sort_by(|a, b| {
             a.cost_factor
--- a/src/coordination/scheduler/order_refresh.rs
+++ b/src/coordination/scheduler/order_refresh.rs
@@ -9,22 +9,24 @@
 use crate::coordination::scheduler::preemption_cost::cost_factor;
 use crate::coordination::scheduler::state::Scheduler;
 
-/// How often per heartbeat interval the order is rebuilt if no job was added or removed.
+/// Number of rebuilds of the order per heartbeat interval if no job was added or removed.
 /// Remaining work and reachable objectives change slowly in comparison.
 const REFRESHES_PER_HEARTBEAT: f64 = 4.0;
 
-/// Bound on how often per heartbeat interval the order is rebuilt. Jobs that are added or
-/// removed in between are covered by the next rebuild.
+/// Maximum number of rebuilds of the order per heartbeat interval. Jobs that are added or removed
+/// between two rebuilds are taken into account by the second one.
 const MAX_REFRESHES_PER_HEARTBEAT: f64 = 20.0;
 
-/// Divisor of the fleet's CPUs that gives the CPUs available to prioritized first tasks. The
-/// bound matters when hundreds of jobs wait: the CPUs for one task of each would suffice for
-/// half the jobs of a class.
+/// The fleet's CPUs divided by this number are available to prioritized first tasks. The limit
+/// matters when hundreds of jobs wait: one task of each of them takes as many CPUs in total as half
+/// the jobs of a class need.
 const FIRST_TASKS_CPU_DIVISOR: f64 = 16.0;
 
-/// CPUs that are expected to become free per second from running tasks of one size.
+/// The rate at which placed tasks of one size are expected to free CPUs.
 struct ReleaseRate {
+    /// CPUs that one task uses.
     task_cpus: f64,
+    /// CPUs that become free per second.
     cpus_per_s: f64,
 }
 
@@ -69,7 +71,8 @@
         self.job_order = order;
     }
 
-    /// Jobs that belong in the order: neither finished nor complete.
+    /// Names of the jobs that belong in the order: jobs that are neither marked as finished nor
+    /// have all their tasks completed.
     fn jobs_to_order(&self) -> Vec<Name> {
         self.jobs
             .iter()
@@ -101,8 +104,8 @@
         });
     }
 
-    /// Records, for their class and team, the jobs that have met their first finishing
-    /// objective or can no longer meet it.
+    /// For each job that has met the first due objective for its completion, or can no longer
+    /// meet it, records the outcome for the job's class and team.
     fn record_outcomes(&mut self, now: f64) {
         let mut outcomes = Vec::new();
         for (name, job) in &self.jobs {
@@ -124,8 +127,9 @@
         }
     }
 
-    /// Whether the job met its first finishing objective. `None` if the outcome is recorded
-    /// already or still undecided, if the job has no such objective, or if it was cancelled.
+    /// Whether the job met the first due objective for its completion. `None` if the outcome is
+    /// already recorded or still undecided, if the job has no such objective, or if the job was
+    /// cancelled.
     fn new_outcome(&self, job: &Job, now: f64) -> Option<bool> {
         if job.outcome_recorded || job.finished && !job.is_complete() {
             return None;
@@ -137,8 +141,9 @@
         (left_s < self.predict(job)).then_some(false)
     }
 
-    /// Raises the rank of the first jobs of each underserved group, until their tasks require
-    /// the CPUs of the group's floor. Underserved groups share the floor's CPUs equally.
+    /// Raises the rank of the first jobs of each underserved group until the unfinished tasks of
+    /// the raised jobs require the CPUs of the group's floor. All underserved groups have equal
+    /// floors, which together are the policy's `floor_share` of the fleet's CPUs.
     fn apply_fair_share_floor(&mut self, order: &mut JobOrder) {
         for job in self.jobs.values_mut() {
             job.claims.underserved = false;
@@ -155,7 +160,8 @@
         }
     }
 
-    /// Raises the rank of the first jobs of the group until their tasks require `floor_cpus`.
+    /// Raises the rank of the first jobs of the group until the unfinished tasks of the raised
+    /// jobs require `floor_cpus` CPUs.
     fn raise_to_floor(&mut self, order: &mut JobOrder, group: &FairShareGroup, floor_cpus: f64) {
         let mut required_cpus = 0.0;
         for entry in &mut order.jobs {
@@ -177,8 +183,8 @@
 
     /// Puts the first tasks of jobs that have waited too long for their first start in front
     /// of all other jobs. Without this, smallest-first order, urgency and floors could starve
-    /// the largest jobs for as long as the load lasts. One task of each takes little capacity
-    /// from the other jobs.
+    /// the largest jobs for as long as the load lasts. One task of each such job takes little
+    /// capacity from the other jobs.
     fn prioritize_first_tasks(&self, order: &mut JobOrder, now: f64) {
         let begin_s = self.config.policy.begin_s;
         if begin_s <= 0.0 {
@@ -237,7 +243,8 @@
         }
     }
 
-    /// How fast running tasks are predicted to free CPUs as they end, by task size.
+    /// The rates at which placed tasks are predicted to free CPUs when they end, one rate per task
+    /// size.
     fn release_rates(&self) -> Vec<ReleaseRate> {
         let mut rates: Vec<ReleaseRate> = Vec::new();
         for job in self.jobs.values().filter(|job| !job.placed.is_empty()) {
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -1,6 +1,6 @@
 //! Placement of tasks on machines. For each task the scheduler samples suitable machines. The
-//! task starts at once on a sampled machine with enough free capacity; if there is none, it
-//! joins the shortest of the sampled queues.
+//! task starts at once on a sampled machine with enough free capacity. If no machine has enough,
+//! the task joins the shortest of the sampled queues.
 //!
 //! This follows the paper by Mitzenmacher and Dell'Amico, "The Supermarket Model with Known
 //! and Predicted Service Times": a sample of two machines (section 1), the queue with fewer
@@ -10,7 +10,7 @@
 //! capacity, and such machines are sampled first. `docs/design.md` lists the other
 //! similarities and differences.
 //!
-//! A pass runs whenever something may have changed, so it must not examine every machine or
+//! A pass runs whenever jobs or capacity may have changed, so it must not examine every machine or
 //! every task. Samples are drawn from the index of machines by free capacity. Jobs that cannot
 //! be placed are detected by comparing their requirements with cached results.
 
@@ -30,7 +30,8 @@
 enum TaskLimit {
     /// All waiting tasks.
     All,
-    /// One task, ahead of other jobs, because the job has waited too long for its first start.
+    /// One task. It is placed ahead of other jobs, because the job has waited too long for its
+    /// first start.
     First,
 }
 
@@ -38,6 +39,7 @@
 struct JobPlacement<'a> {
     name: &'a Name,
     spec: Rc<JobSpec>,
+    /// Index of the job's team in the settings; `None` if the settings have no such team.
     team: Option<usize>,
     /// The resources that one task requires.
     need: Resources,
@@ -45,21 +47,22 @@
     effort: Effort,
 }
 
-/// Where the next task of a job may be placed.
+/// Where the next task of a job may be placed, and whether it may start at once.
 struct PlacementOptions {
+    /// Indexes of the pools of machines on which the task may run.
     pools: Rc<[usize]>,
     /// The team's limit admits another task.
     within_limit: bool,
-    /// The team's limit admits another task, and no earlier search has shown that every
-    /// machine lacks the free capacity for it.
+    /// The team's limit admits another task, and no remembered search has shown that no machine
+    /// has enough free capacity for the task.
     may_start: bool,
 }
 
 impl Scheduler {
     /// Runs a pass over the jobs that may have become placeable since the last pass: jobs with
     /// newly waiting tasks, and jobs whose tasks fit into capacity that became free. Jobs that
-    /// could not be placed for another reason (the team's limit, no attempts to preempt) wait
-    /// for the next full pass, which follows within a heartbeat interval.
+    /// could not be placed for a reason other than capacity (the team's limit, or no attempts that
+    /// may be preempted) wait for the next full pass, which follows within a heartbeat interval.
     pub fn place_changed(&mut self, now: f64) {
         self.run_pass(now, PassKind::Changes);
     }
@@ -72,7 +75,8 @@
     fn run_pass(&mut self, now: f64, kind: PassKind) {
         self.now = now;
         if !self.fencing_complete() {
-            // The first pass after fencing treats all jobs as new, so it needs no changes.
+            // The first pass after fencing treats all jobs as new, so the recorded capacity
+            // changes are not needed.
             self.capacity_changes.grown.clear();
             return;
         }
@@ -89,8 +93,8 @@
         self.job_order.jobs = order;
     }
 
-    /// Places the jobs rank by rank. Within a rank, tasks with reserved capacity, for which
-    /// other attempts were preempted, start first.
+    /// Places the jobs rank by rank. Within a rank, tasks with reserved capacity start first
+    /// (capacity is reserved for a task if other attempts were preempted for it).
     fn place_in_order(
         &mut self,
         order: &[OrderedJob],
@@ -127,8 +131,8 @@
         }
     }
 
-    /// Places waiting tasks of one job, up to the limit, until none is left or the next one
-    /// cannot be placed.
+    /// Places waiting tasks of one job until the limit is reached, no task is left, or the next
+    /// task cannot be placed.
     fn place_job(
         &mut self,
         name: &Name,
@@ -166,7 +170,7 @@
     }
 
     /// Whether the job has a waiting task that should be placed. For a suspect job, whose tasks
-    /// failed on several machines, one placed task suffices to find out whether it still fails.
+    /// failed on several machines, one placed task suffices to find out whether tasks still fail.
     fn wants_another_task(&self, name: &Name) -> bool {
         self.jobs.get(name).is_some_and(|job| {
             let is_being_retried = job.is_suspect() && !job.placed.is_empty();
@@ -174,8 +178,8 @@
         })
     }
 
-    /// Starts or queues the job's next waiting task. Breaks if no further task of the job can
-    /// be placed in this pass.
+    /// Starts or queues the job's next waiting task. Returns `Break` if no further task of the
+    /// job can be placed in this pass.
     fn place_next_task(
         &mut self,
         request: &JobPlacement,
@@ -203,7 +207,7 @@
         self.preempt_or_queue(task, request, &options, pass, now)
     }
 
-    /// Where the job's next task may be placed; `None` if it cannot be placed.
+    /// Where the job's next task may be placed; `None` if this pass cannot place the task.
     fn placement_options(
         &mut self,
         request: &JobPlacement,
@@ -213,9 +217,9 @@
         let thorough = request.effort == Effort::Thorough;
         let usage = pass.usage.of(*team);
         let within_limit = usage.admits(self.team(*team), spec, 1.0);
-        let may_be_admitted =
+        let may_become_admissible =
             within_limit || thorough && self.team_has_less_urgent(*team, spec.urgency, pass);
-        if !may_be_admitted {
+        if !may_become_admissible {
             return None;
         }
         let pools = self.pools_for_job(request.name)?;
@@ -227,8 +231,8 @@
         })
     }
 
-    /// Starts the task on a sampled machine with enough free capacity. Returns false if there
-    /// is none.
+    /// Starts the task on a sampled machine with enough free capacity. Returns false if no
+    /// suitable machine has enough.
     fn start_on_free(
         &mut self,
         task: &TaskId,
@@ -250,9 +254,9 @@
         true
     }
 
-    /// Preempts other attempts for the task and reserves their capacity for it, or puts the
-    /// task into the shortest of the sampled queues. If neither is possible, the task keeps
-    /// waiting, and no further task of the job is placed in this pass.
+    /// Preempts other attempts and reserves their capacity for the task, or puts the task into
+    /// the shortest of the sampled queues. If neither is possible, the task keeps waiting, and
+    /// `Break` is returned: no further task of the job is placed in this pass.
     fn preempt_or_queue(
         &mut self,
         task: TaskId,
@@ -289,14 +293,21 @@
         pass: &mut PlacementPass,
         now: f64,
     ) {
-        tracing::debug!(job = %task.job, task = task.index, machine = %machine, term = self.term, "start");
+        tracing::debug!(
+            job = %task.job,
+            task = task.index,
+            machine = %machine,
+            term = self.term,
+            "starting task"
+        );
         let team = self.team_index(&spec.team);
         pass.usage.add(team, spec, 1.0);
         self.start_attempt(machine, task, now);
         self.update_capacity(machine);
     }
 
-    /// The pools in which a task of the job may start now.
+    /// Indexes of the pools in which a task of the job may start now, regardless of free
+    /// capacity; `None` if the job does not exist.
     pub(crate) fn pools_for_job(&mut self, name: &Name) -> Option<Rc<[usize]>> {
         let job = self.jobs.get(name)?;
         let spec = &job.spec;
@@ -317,18 +328,22 @@
         Some(pools)
     }
 
-    /// Whether the team has tasks of lower urgency on machines. The pass caches the answer.
+    /// Whether any task of the team with an urgency lower than `urgency` is placed. The pass
+    /// caches the result.
     fn team_has_less_urgent(
         &self,
         team: Option<usize>,
         urgency: Urgency,
         pass: &mut PlacementPass,
     ) -> bool {
-        *pass.less_urgent.entry((team, urgency)).or_insert_with(|| {
-            self.jobs
-                .values()
-                .any(|job| job.team == team && job.spec.urgency < urgency && !job.placed.is_empty())
-        })
+        *pass
+            .has_less_urgent_tasks
+            .entry((team, urgency))
+            .or_insert_with(|| {
+                self.jobs.values().any(|job| {
+                    job.team == team && job.spec.urgency < urgency && !job.placed.is_empty()
+                })
+            })
     }
 
     /// Whether tasks may start on the machine.
--- a/src/coordination/scheduler/placement_pass.rs
+++ b/src/coordination/scheduler/placement_pass.rs
@@ -1,5 +1,5 @@
-//! The state of one placement pass: which jobs it covers, how hard it tries to place them, and
-//! the results that it caches.
+//! The state of one placement pass: the jobs that the pass covers, the effort made to place each
+//! of them, and the results that the pass caches.
 
 use crate::coordination::scheduler::job::Names;
 use crate::coordination::scheduler::job_order::OrderedJob;
@@ -9,9 +9,9 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Bound on the jobs that a `Changes` pass retries with `Effort::Thorough` because capacity
-/// became free; the first jobs in the order of precedence are retried. Hundreds of other jobs
-/// may wait: these are placed on free capacity only until the next full pass.
+/// Maximum number of jobs that a `Changes` pass retries with `Effort::Thorough` because capacity
+/// became free. The jobs that come first in the order of precedence are retried. Until the next
+/// full pass, all other waiting jobs (there may be hundreds) are placed on free capacity only.
 const MAX_THOROUGH_RETRIES: usize = 8;
 
 /// Which jobs a pass tries to place.
@@ -23,7 +23,7 @@
     Changes,
 }
 
-/// How hard a pass tries to place a job's tasks.
+/// The means that a pass uses to place a job's tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Effort {
     /// Use free capacity only.
@@ -37,7 +37,8 @@
 pub(crate) struct CapacityChanges {
     /// Machines on which a queued task may start now.
     pub freed_machines: Names,
-    /// The free capacity of each machine on which it has grown since the last pass.
+    /// For each machine whose free capacity has grown since the last pass: its free capacity
+    /// after the growth.
     pub grown: Vec<Resources>,
 }
 
@@ -50,7 +51,7 @@
 }
 
 impl PassScope {
-    /// The scope of a pass, given the capacity changes since the last one.
+    /// The scope of a pass; `changes` are the capacity changes since the previous pass.
     pub fn new(kind: PassKind, changes: CapacityChanges) -> PassScope {
         PassScope {
             kind,
@@ -64,8 +65,8 @@
         &self.changes.freed_machines
     }
 
-    /// How hard to try to place this job; `None` if nothing has changed for it since the last
-    /// pass.
+    /// The effort to place this job with; `None` if the pass skips the job, because it has no new
+    /// tasks and its tasks fit into none of the capacity that became free.
     pub fn effort_for(&mut self, job: &OrderedJob) -> Option<Effort> {
         if self.kind == PassKind::Full || job.has_new_tasks.get() {
             return Some(Effort::Thorough);
@@ -89,13 +90,13 @@
     /// The team whose limit and guarantee apply.
     pub team: Option<usize>,
     pub urgency: Urgency,
-    /// Whether its job is within the team's guarantee.
+    /// Whether the task's job is within the team's guarantee.
     pub guaranteed: bool,
-    /// The pools of machines on which the task may run.
+    /// Indexes of the pools of machines on which the task may run.
     pub pools: Rc<[usize]>,
 }
 
-/// A kind of task for which no preemption was found that frees enough capacity.
+/// Requirements and resources of a task for which preemption cannot free enough capacity.
 #[derive(Debug)]
 struct Infeasible {
     requirements: TaskRequirements,
@@ -108,18 +109,18 @@
     /// Usage of teams, including the tasks started in this pass.
     pub usage: TeamUsage,
     infeasible: Vec<Infeasible>,
-    /// Whether `stopping_attempts` was pruned in this pass: attempts that have exited were
-    /// removed.
+    /// Whether exited attempts were already removed from `Scheduler::stopping_attempts` in this
+    /// pass.
     pub stops_pruned: bool,
     /// The usage that each team's stopping attempts will free, less the usage reserved by its
-    /// queued tasks. Computed when first needed; `None` if it is not up to date.
+    /// queued tasks, by team index. `None` if the value has not been computed or is stale.
     pub usage_being_freed: Option<HashMap<usize, Usage>>,
     /// Cached results of `Scheduler::team_has_less_urgent`.
-    pub less_urgent: HashMap<(Option<usize>, Urgency), bool>,
+    pub has_less_urgent_tasks: HashMap<(Option<usize>, Urgency), bool>,
 }
 
 impl PlacementPass {
-    /// A pass that begins with this usage of teams.
+    /// The state at the start of a pass, with the current usage of teams.
     pub fn new(usage: TeamUsage) -> PlacementPass {
         PlacementPass {
             usage,
@@ -127,7 +128,8 @@
         }
     }
 
-    /// Remembers that preemption cannot free enough capacity for such a task.
+    /// Remembers for the rest of the pass that preemption cannot free enough capacity for a task
+    /// with these requirements and resources.
     pub fn set_infeasible(&mut self, requirements: TaskRequirements, resources: Resources) {
         self.infeasible.push(Infeasible {
             requirements,
@@ -135,11 +137,12 @@
         });
     }
 
-    /// Whether preemption is known to be infeasible for such a task: it was infeasible for a
-    /// task with the same requirements that needs no more resources.
+    /// Whether preemption is known to be infeasible for a task with these requirements and
+    /// resources: in this pass it was infeasible for a task with the same requirements and equal
+    /// or smaller resource needs.
     pub fn is_infeasible(&self, requirements: &TaskRequirements, resources: &Resources) -> bool {
         self.infeasible
             .iter()
-            .any(|known| resources.fits(&known.resources) && known.requirements == *requirements)
+            .any(|entry| resources.fits(&entry.resources) && entry.requirements == *requirements)
     }
 }
--- a/src/coordination/scheduler/precedence.rs
+++ b/src/coordination/scheduler/precedence.rs
@@ -1,6 +1,6 @@
 //! Precedence among jobs, and the service-level objectives that determine it. Jobs are ranked by
-//! urgency and guarantee. Jobs that can no longer meet any of their objectives come after all
-//! others.
+//! urgency and guarantee. Sweeps that can no longer meet any of their objectives come after all
+//! other jobs.
 //!
 //! Within a rank the job with the smallest predicted remaining work comes first. This applies
 //! the paper's smallest predicted job first (Mitzenmacher, Dell'Amico, section 4.2) to jobs of
@@ -12,14 +12,14 @@
 use crate::protocol::job::Shape;
 use crate::protocol::settings::Objective;
 
-/// Rank of jobs that can no longer meet any of their objectives, behind all other ranks.
+/// Rank of sweeps that can no longer meet any of their objectives, behind all other ranks.
 pub(crate) const LATE_RANK: u8 = 5;
 
 /// Rank to which jobs within a fair-share floor are raised, directly behind `prod` and `high`.
 pub(crate) const FLOOR_RANK: u8 = 2;
 
-/// Offset of the keys of jobs without a reachable objective. It is larger than any predicted
-/// work, so these jobs come after all jobs with a reachable objective.
+/// Offset added to the sort keys of jobs without a reachable objective. The offset is larger than
+/// any predicted work, so within a rank these jobs come after all jobs with a reachable objective.
 const NO_OBJECTIVE_KEY_OFFSET: f64 = 1e12;
 
 /// The time since a job was accepted and the predicted run time of one of its tasks, in seconds.
@@ -29,8 +29,8 @@
     predicted_s: f64,
 }
 
-/// Seconds until the job can no longer meet the objective, negative if it is too late already;
-/// `None` if the objective does not apply to the job.
+/// Seconds until the job can no longer meet the objective; negative if the job can already no
+/// longer meet it; `None` if the objective does not apply to the job.
 fn time_left_s(objective: &Objective, job: &Job, times: JobTimes) -> Option<f64> {
     if objective.class.as_deref() != Some(job.spec.class.as_str()) {
         return None;
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Seconds until the first objective that the job can still meet is missed; `None` if it
-    /// can meet none.
+    /// Seconds until the job can no longer meet the most pressing of its reachable objectives,
+    /// which include the job's own deadline; `None` if no objective is reachable.
     pub(crate) fn slack_s(&self, job: &Job, now: f64) -> Option<f64> {
         let times = self.job_times(job, now);
         let JobTimes { age_s, predicted_s } = times;
@@ -74,8 +74,8 @@
             .min_by(f64::total_cmp)
     }
 
-    /// Seconds until each objective or deadline by which the job should be finished is due,
-    /// negative if it is past.
+    /// For the job's own deadline and each objective for the job's completion: the seconds until
+    /// the due time, negative if the due time has passed.
     pub(crate) fn due_times<'a>(
         &'a self,
         job: &'a Job,
@@ -92,9 +92,10 @@
             .chain(job.spec.deadline_s.map(|due_s| due_s - times.age_s))
     }
 
-    /// Whether preempting others for the job is still useful: it can meet an objective, or has
-    /// no objectives. Preemption is not postponed until an objective is close: that made short
-    /// jobs miss their deadlines and did not help other jobs (see `docs/measurements.md`).
+    /// Whether preempting other jobs for this job is still useful: the job can meet an objective,
+    /// or has no objectives. Preemption is not postponed until shortly before an objective is due:
+    /// postponing it made short jobs miss their deadlines and did not help other jobs (see
+    /// `docs/measurements.md`).
     pub(crate) fn has_reachable_objective(&self, job: &Job, now: f64) -> bool {
         let mut objectives = self.config.objectives.iter();
         let has_objective = job.spec.deadline_s.is_some()
@@ -126,9 +127,9 @@
             rank = rank.min(FLOOR_RANK);
         }
         // The job with the smallest predicted remaining work comes first: if not all jobs can
-        // finish in time, this lets the most of them do so. Jobs without a reachable objective
-        // come last. Their key is the acceptance time plus the predicted run time, so that small
-        // jobs come early and no job is starved for ever.
+        // finish in time, this order lets the largest number of jobs do so. Jobs without a
+        // reachable objective come last. Their key is the acceptance time plus the predicted
+        // run time, so that short jobs come early and no job starves.
         let key = if self.slack_s(job, now).is_some() {
             let tasks_left = f64::from(job.tasks_left());
             tasks_left * times.predicted_s * job.spec.cpus.max(job.spec.gpus)
--- a/src/coordination/scheduler/prediction.rs
+++ b/src/coordination/scheduler/prediction.rs
@@ -1,6 +1,6 @@
 //! Predicted run times of tasks. In the paper named in `placement`, the prediction comes with
-//! the job. Here it is the job's own estimate or, without one, learned from finished tasks of its
-//! class.
+//! the job. Here the prediction is the job's own estimate; if the job has none, the prediction is
+//! derived from the run times of finished tasks.
 
 use crate::coordination::scheduler::job::Job;
 use crate::coordination::scheduler::state::Scheduler;
@@ -8,8 +8,8 @@
 
 impl Scheduler {
     /// Predicted run time of a task in seconds: the job's estimate, else the recent median of
-    /// its class, else that of all classes, else the duration of a lease. For a service it is
-    /// always the estimate.
+    /// its class, else the recent median over all classes, else the duration of a worker's lease.
+    /// For a service, the prediction is always the estimate.
     pub fn predict(&self, job: &Job) -> f64 {
         if job.spec.estimate_s > 0.0 || job.spec.shape == Shape::Service {
             return job.spec.estimate_s;
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -1,6 +1,6 @@
 //! Preemption: stopping running attempts to free capacity for a task. Work of lower urgency may
-//! be stopped for work of higher urgency, and work on borrowed capacity for work within its
-//! team's guarantee. The attempts that lose the least work are stopped first.
+//! be stopped for work of higher urgency, and work on borrowed capacity may be stopped for work
+//! within the guarantee of its team. Attempts with the lowest cost are stopped first.
 //!
 //! For each task only a bounded number of machines is examined: first machines where attempts
 //! are already being stopped, then some of the machines that run the jobs that are cheapest to
@@ -22,22 +22,23 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Bound on the machines examined for one task: once this many are, no further victim job is
-/// considered.
+/// Number of machines examined for one task after which no further victim job is considered. A
+/// victim job is a job whose attempts may be stopped.
 const MAX_EXAMINED_MACHINES: usize = 32;
 
-/// Bound on the machines examined for one task because attempts are already being stopped
-/// there.
+/// Maximum number of machines with stopping attempts that are examined for one task.
 const MAX_STOPPING_MACHINES: usize = 8;
 
-/// Bound on the machines examined for one victim job, so that several victim jobs are compared.
+/// Maximum number of machines examined for one victim job, so that several victim jobs are
+/// compared.
 const MAX_MACHINES_PER_VICTIM: usize = 4;
 
-/// Upper bound of the random offset that selects the first task examined of a victim job.
+/// Exclusive upper bound of the random offset that selects the task of a victim job whose machine
+/// is examined first.
 const MAX_START_OFFSET: usize = 1 << 16;
 
-/// The work that stopping an attempt loses, in CPU or GPU seconds, and the grace period to stop
-/// it with, in seconds. `immediate` means that there is no time to write a checkpoint.
+/// The work lost by stopping an attempt, in CPU or GPU seconds, and the grace period for the stop,
+/// in seconds. If `immediate` is true, there is no time to write a checkpoint.
 pub(crate) fn stop_loss_and_grace(spec: &JobSpec, ran_s: f64, immediate: bool) -> (f64, f64) {
     let stop_mode = if immediate {
         StopMode::Immediate
@@ -52,8 +53,8 @@
 struct PreemptionRequest<'a> {
     job: &'a Job,
     zones: ZoneConstraint,
-    /// The team is at its limit, so only stopping the team's own work makes the task
-    /// admissible.
+    /// Whether the team is at its limit, so that its own work must be stopped before the
+    /// limit admits the task.
     over_limit: bool,
     usage: &'a TeamUsage,
     now: f64,
@@ -69,18 +70,20 @@
     }
 }
 
-/// An attempt to stop, and the grace period for it in seconds.
+/// A stop of an attempt that is planned but not yet ordered.
 #[derive(Debug)]
 struct PlannedStop {
     attempt: AttemptId,
+    /// Grace period in seconds; 0 to stop the attempt immediately.
     grace_s: f64,
 }
 
-/// An attempt that may be stopped, with the cost and the resources that stopping it frees.
+/// An attempt that may be stopped, with the cost of stopping it and the resources freed.
 struct Victim {
+    /// See `as_victim`.
     cost: f64,
     stop: PlannedStop,
-    frees: Resources,
+    freed_resources: Resources,
 }
 
 /// Attempts to stop on one machine so that a task fits there.
@@ -95,13 +98,15 @@
 /// The progress of a search for the cheapest plan.
 #[derive(Default)]
 struct PlanSearch {
+    /// Machines examined so far.
     examined: Vec<Name>,
+    /// The cheapest plan so far; `None` if no examined machine has a plan.
     best: Option<PreemptionPlan>,
 }
 
 impl PlanSearch {
-    /// Keeps the machine's plan if it is the cheapest so far. A machine that was examined
-    /// before is skipped.
+    /// Computes the machine's plan with `plan` and keeps the plan if it is the cheapest so far.
+    /// Machines that were examined before are skipped.
     fn examine(&mut self, machine: &Name, plan: impl FnOnce() -> Option<PreemptionPlan>) {
         if self.examined.contains(machine) {
             return;
@@ -123,7 +128,7 @@
 
 impl Scheduler {
     /// Stops attempts on a machine so that a task of the job will fit there, and returns
-    /// that machine; `None` if preemption is not allowed or cannot free enough capacity.
+    /// the machine's name; `None` if preemption is not allowed or cannot free enough capacity.
     pub(crate) fn preempt_for(
         &mut self,
         name: &str,
@@ -159,7 +164,8 @@
         Some(self.execute_plan(plan, name))
     }
 
-    /// Stops the attempts of the plan to free capacity for this job; returns the machine.
+    /// Stops the attempts of the plan to free capacity for the job `for_job`. Returns the name of
+    /// the machine on which the attempts are stopped.
     fn execute_plan(&mut self, plan: PreemptionPlan, for_job: &str) -> Name {
         let machine = plan.machine;
         for PlannedStop { attempt, grace_s } in plan.stops {
@@ -203,8 +209,9 @@
         }
     }
 
-    /// Whether the team's limit does not admit one more task. Attempts that are being stopped
-    /// count as free, and queued tasks with reserved capacity as used.
+    /// Whether the team's limit rules out one more task of the job. Attempts that are being
+    /// stopped do not count as usage; queued tasks with reserved capacity do. True if the team is
+    /// not in the settings.
     fn is_over_limit(&self, team: Option<usize>, spec: &JobSpec, pass: &mut PlacementPass) -> bool {
         let Some(limit) = self.team(team) else {
             return true;
@@ -226,7 +233,7 @@
     }
 
     /// The usage that each team's stopping attempts will free, less the usage reserved by its
-    /// queued tasks.
+    /// queued tasks, by team index.
     fn usage_being_freed(&self) -> HashMap<usize, Usage> {
         let mut sums: HashMap<usize, Usage> = HashMap::new();
         let stopped = self.stopping_attempts.iter().map(|(_, id)| (&id.task, 1.0));
@@ -247,7 +254,8 @@
         sums
     }
 
-    /// The cheapest plan found on a bounded number of machines.
+    /// The cheapest plan among the examined machines, whose number is bounded; `None` if none of
+    /// them has a plan.
     fn cheapest_preemption(
         &mut self,
         name: &str,
@@ -277,8 +285,8 @@
         search.best
     }
 
-    /// Examines machines that run tasks of the jobs that are cheapest to preempt, cheapest job
-    /// first.
+    /// Examines machines on which tasks of victim jobs are placed, beginning with the job that is
+    /// cheapest to preempt.
     fn search_victims(
         &self,
         request: &PreemptionRequest,
@@ -287,8 +295,8 @@
     ) {
         let mut last_cost_factor = 0.0;
         for candidate in &self.job_order.preemption_candidates {
-            // Once there is a plan, jobs with a higher cost factor than the last examined one
-            // are not examined.
+            // Once there is a plan, the search ends at the first job whose cost factor is higher
+            // than that of the last examined job.
             let too_expensive = search.best.is_some() && candidate.cost_factor > last_cost_factor;
             if search.examined.len() >= MAX_EXAMINED_MACHINES || too_expensive {
                 return;
@@ -309,8 +317,8 @@
         }
     }
 
-    /// The attempts to stop on this machine so that the requested task fits; `None` if the
-    /// task may not run there or too few attempts may be stopped.
+    /// A plan of the attempts to stop on this machine so that the requested task fits; `None` if
+    /// the task may not run there, or if stopping every permitted attempt is not enough.
     fn plan_on_machine(
         &self,
         machine_name: &Name,
@@ -351,8 +359,8 @@
         capacity
     }
 
-    /// The attempt as a victim, if it may be stopped for the request. Its cost is the work
-    /// lost plus its CPUs, times the cost factor of its job.
+    /// The attempt as a victim; `None` if the attempt may not be stopped for the request. The cost
+    /// is the sum of the lost work and the task's CPUs, multiplied by the cost factor of the job.
     fn as_victim(
         &self,
         request: &PreemptionRequest,
@@ -377,20 +385,21 @@
                 attempt: id.clone(),
                 grace_s: cost.grace_s,
             },
-            frees: attempt.resources,
+            freed_resources: attempt.resources,
         })
     }
 }
 
-/// Whether other attempts may be preempted for the job at all.
+/// Whether the job may have any other attempts preempted for its tasks.
 fn may_request_preemption(job: &Job) -> bool {
     let has_precedence = job.spec.urgency != Urgency::Idle || job.claims.guaranteed;
     has_precedence && job.claims.objective_reachable && job.claims.preemption_needed
 }
 
-/// Chooses victims in the given order, cheapest first, until the requested task fits into the
-/// capacity. If the team is at its limit, the victims must also free as many CPUs and GPUs as
-/// the task requires.
+/// Chooses victims, which are sorted by cost, until the requested task fits into the sum of
+/// `capacity` and the resources that they free. If the team is at its limit, the victims must also
+/// free as many CPUs and GPUs as the task requires. Returns `None` if all victims together are not
+/// enough.
 fn plan_stops(
     request: &PreemptionRequest,
     machine: &Name,
@@ -400,8 +409,8 @@
     let need = Resources::of_task(&request.job.spec);
     let mut freed = Resources::default();
     let is_enough = |capacity: &Resources, freed: &Resources| {
-        let frees_limit = freed.cpus >= need.cpus && freed.gpus >= need.gpus;
-        capacity.fits(&need) && (!request.over_limit || frees_limit)
+        let frees_team_usage = freed.cpus >= need.cpus && freed.gpus >= need.gpus;
+        capacity.fits(&need) && (!request.over_limit || frees_team_usage)
     };
     let mut plan = PreemptionPlan {
         cost: 0.0,
@@ -412,8 +421,8 @@
         if is_enough(&capacity, &freed) {
             break;
         }
-        capacity.add(&victim.frees);
-        freed.add(&victim.frees);
+        capacity.add(&victim.freed_resources);
+        freed.add(&victim.freed_resources);
         plan.cost += victim.cost;
         plan.stops.push(victim.stop);
     }
--- a/src/coordination/scheduler/preemption_cost.rs
+++ b/src/coordination/scheduler/preemption_cost.rs
@@ -6,11 +6,11 @@
 /// Lower bound on the weight of a task, for tasks that require hardly any CPU or GPU.
 const MIN_TASK_WEIGHT: f64 = 0.1;
 
-/// Ratio of the grace period to the expected time to write a checkpoint, since machines differ
-/// in speed.
+/// Ratio of the grace period to the expected time to write a checkpoint. The ratio is above 1
+/// because writing takes longer on slow machines.
 const GRACE_MARGIN: f64 = 1.5;
 
-/// Divisor of the cost factor of jobs that can no longer meet any objective.
+/// Divisor that reduces the cost factor of jobs that can no longer meet any objective.
 const LATE_JOB_DISCOUNT: f64 = 16.0;
 
 /// How attempts are stopped, depending on how soon their capacity is needed.
@@ -22,7 +22,7 @@
     Checkpoint,
 }
 
-/// The work that stopping an attempt loses, and the grace period to stop it with.
+/// The work lost by stopping an attempt, and the grace period for the stop.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct StopCost {
     /// Work lost, in CPU or GPU seconds.
@@ -32,8 +32,8 @@
 }
 
 /// The cost of stopping a task that has run for `ran_s` seconds. A task that supports
-/// checkpoints writes one before it stops, unless writing would take at least as long as the
-/// work that it would save, or the capacity is needed immediately.
+/// checkpoints writes a checkpoint before it stops, unless the capacity is needed immediately or
+/// writing the checkpoint would take at least as long as repeating the unsaved work.
 pub(crate) fn stop_cost(spec: &JobSpec, ran_s: f64, stop_mode: StopMode) -> StopCost {
     let weight = spec.cpus.max(spec.gpus).max(MIN_TASK_WEIGHT);
     if spec.checkpoint_s <= 0.0 {
@@ -56,8 +56,8 @@
 }
 
 /// Factor by which stopping work of this job is more expensive than stopping work of urgency
-/// `idle`. A guaranteed job may preempt any borrowed work, but should first preempt the least
-/// urgent work and jobs that miss all their objectives anyway.
+/// `idle`. A guaranteed job may preempt any borrowed work, but should first preempt the work of
+/// lowest urgency and jobs that can no longer meet any of their objectives.
 pub(crate) fn cost_factor(victim: &Job) -> f64 {
     let by_urgency = match victim.spec.urgency {
         Urgency::Idle => 1.0,
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -1,14 +1,15 @@
 //! The short queues of machines: adding and removing tasks, starting them when capacity becomes
-//! free, and removing those that have waited too long so that they are sampled again.
+//! free, and removing tasks that have been queued for too long, so that machines are sampled for
+//! them again.
 //!
 //! A place in a queue reserves no capacity. Queued tasks start in the order of precedence of
-//! their jobs, on their own machine or on whichever machine has free capacity first. When queue
-//! places did reserve capacity, the queues of a large fleet held more tasks than waited outside
-//! them. Free capacity then went to whichever task was queued for it, and the smallest job was
-//! served no better than the largest.
+//! their jobs, on their own machine or on whichever machine has free capacity first. In an
+//! earlier design, queue places reserved capacity. On a large fleet more tasks then waited in
+//! queues than outside them, free capacity went to whichever task was queued for it, and the
+//! smallest job was served no better than the largest.
 //!
 //! Tasks for which other attempts were preempted are the exception: the freed capacity is
-//! reserved for them, and they start only on that machine.
+//! reserved for them, and they start only on the machine whose queue they are in.
 
 use crate::coordination::scheduler::job::{Name, Names, TaskId};
 use crate::coordination::scheduler::machine::{Machine, QueueReason, QueuedTask};
@@ -17,13 +18,14 @@
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::job::JobSpec;
 
-/// How often per heartbeat interval queues are searched for expired tasks. The age limit is a
-/// multiple of the heartbeat interval, so this is frequent enough.
+/// Maximum number of times per heartbeat interval that queues are searched for expired tasks. The
+/// maximum time in a queue is a multiple of the heartbeat interval, so this is frequent enough.
 const EXPIRY_CHECKS_PER_HEARTBEAT: f64 = 4.0;
 
 impl Scheduler {
-    /// How long a task may stay in a queue, in seconds, before it is sampled again.
-    fn max_queue_age_s(&self) -> f64 {
+    /// Maximum time that a task stays in a queue, in seconds, before machines are sampled for it
+    /// again.
+    fn max_queue_time_s(&self) -> f64 {
         2.0 * (self.config.policy.age_reports * self.config.heartbeat_s)
     }
 
@@ -55,7 +57,7 @@
         self.update_capacity(machine_name);
     }
 
-    /// Removes a task from the queue that it is in, if any.
+    /// Removes a task from its machine's queue; does nothing if the task is not queued.
     pub(crate) fn dequeue(&mut self, task: &TaskId) {
         let job = self.jobs.get_mut(&task.job);
         let Some(machine_name) = job.and_then(|job| job.queued.remove(&task.index)) else {
@@ -67,7 +69,7 @@
         self.update_capacity(&machine_name);
     }
 
-    /// Empties a machine's queue. Its tasks then wait outside any queue.
+    /// Empties a machine's queue. The removed tasks then wait outside any queue.
     pub(crate) fn clear_queue(&mut self, machine_name: &str) {
         let Some(machine) = self.machines.get_mut(machine_name) else {
             return;
@@ -82,7 +84,8 @@
         self.update_capacity(machine_name);
     }
 
-    /// Removes tasks older than the age limit from the queues, so that they are sampled again.
+    /// Removes tasks that have been queued for longer than the maximum time, so that machines
+    /// are sampled for them again.
     /// The queue of a machine that is no longer usable is emptied immediately.
     pub(crate) fn expire_queued(&mut self, now: f64) {
         let interval_s = self.config.heartbeat_s / EXPIRY_CHECKS_PER_HEARTBEAT;
@@ -99,8 +102,8 @@
             if machine.queue.len() == expired.len() {
                 self.machines_with_queue.swap_remove(&name);
             } else {
-                // The team's limit may have become free for a task that has reserved
-                // capacity here, so the next pass tries to start it.
+                // A team's usage may have dropped below its limit. The current pass therefore
+                // tries to start tasks that have reserved capacity here.
                 self.capacity_changes.freed_machines.insert(name);
             }
             for task in expired {
@@ -112,18 +115,18 @@
         }
     }
 
-    /// The tasks to remove from the machine's queue, so that they are sampled again.
+    /// The tasks to remove from the machine's queue, so that machines are sampled for them again.
     fn expired_tasks(&self, machine: &Machine, now: f64) -> Vec<TaskId> {
-        let max_age_s = self.max_queue_age_s();
+        let max_time_s = self.max_queue_time_s();
         let is_unusable = !self.is_usable(machine, now);
-        // A task with reserved capacity keeps its place while the preempted attempts are
-        // still stopping, for example while they write checkpoints.
-        let is_preempting = machine
+        // A task with reserved capacity keeps its place in the queue while attempts on the
+        // machine are stopping, for example while they write checkpoints.
+        let has_stopping_attempts = machine
             .live_attempts()
             .any(|(_, attempt)| attempt.stop_grace_s.is_some());
         let is_expired = |queued: &&QueuedTask| {
             let keeps_place =
-                now - queued.since < max_age_s || queued.is_reserved() && is_preempting;
+                now - queued.since < max_time_s || queued.is_reserved() && has_stopping_attempts;
             is_unusable || !keeps_place
         };
         let expired = machine.queue.iter().filter(is_expired);
@@ -131,8 +134,8 @@
     }
 
     /// Starts queued tasks of the job on sampled machines with free capacity, until the team's
-    /// limit is reached or no machine has enough. Tasks with reserved capacity stay in their
-    /// queue.
+    /// limit is reached or no machine has enough free capacity. Tasks with reserved capacity stay
+    /// in their queue.
     pub(crate) fn start_queued_elsewhere(
         &mut self,
         name: &Name,
@@ -177,9 +180,10 @@
         })
     }
 
-    /// Starts queued tasks with reserved capacity, of this rank or a lower number, on machines
-    /// where capacity became free. They start by rank, then smallest prediction first (SPJF,
-    /// the paper's section 4.2).
+    /// On machines where capacity became free, starts the queued tasks that have reserved
+    /// capacity and a rank number of at most `rank`. On each machine, tasks with a lower rank
+    /// number start first, and within a rank those with the smallest predicted run time (SPJF,
+    /// section 4.2 of the paper).
     pub(crate) fn start_reserved(
         &mut self,
         rank: u8,
@@ -200,8 +204,8 @@
         }
     }
 
-    /// Starts the queued task on its machine, if it fits there and the team's limit and the
-    /// job's zone constraint admit it.
+    /// Starts the queued task on its machine if the machine has enough free capacity and the
+    /// team's limit and the job's zone constraint allow the start.
     fn start_reserved_task(
         &mut self,
         machine_name: &Name,
@@ -225,7 +229,8 @@
         }
     }
 
-    /// Whether the job's zone constraint allows a task on the machine.
+    /// Whether the job's zone constraint allows another task of the job on the machine. False if
+    /// the job or the machine does not exist.
     fn zone_allows(&self, job: &str, machine: &str) -> bool {
         let (Some(job), Some(machine)) = (self.jobs.get(job), self.machines.get(machine)) else {
             return false;
@@ -238,8 +243,8 @@
     }
 }
 
-/// Tasks in the machine's queue with reserved capacity, of this rank or a lower number, in the
-/// order in which they start.
+/// The tasks in the machine's queue that have reserved capacity and a rank number of at most
+/// `rank`, in the order in which they start.
 fn reserved_in_order(machine: &Machine, rank: u8) -> Vec<QueuedTask> {
     let mut reserved: Vec<QueuedTask> = machine
         .queue
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -6,8 +6,8 @@
 use crate::protocol::job::JobSpec;
 use crate::protocol::settings::Team;
 
-/// Whether the team's limit admits `tasks` more tasks of the job when the team already uses
-/// `used` CPUs and GPUs.
+/// Whether the team's limit admits `tasks` more tasks of the job. `used` is the team's current
+/// usage: CPUs, GPUs.
 pub fn within_limit(team: Option<&Team>, used: (f64, f64), spec: &JobSpec, tasks: f64) -> bool {
     let (cpus, gpus) = used;
     Usage { cpus, gpus }.admits(team, spec, tasks)
@@ -19,19 +19,20 @@
 }
 
 impl Scheduler {
-    /// Index of the team of this name in the settings.
+    /// Index in the settings of the team with this name; `None` if there is no such team.
     pub(crate) fn team_index(&self, name: &str) -> Option<usize> {
         self.config.teams.iter().position(|team| team.name == name)
     }
 
-    /// The team at this index in the settings.
+    /// The team at this index in the settings; `None` if there is no such team.
     pub(crate) fn team(&self, index: Option<usize>) -> Option<&Team> {
         index.and_then(|index| self.config.teams.get(index))
     }
 
-    /// The usage of teams, computed from all jobs, so that it cannot drift from them. It counts
-    /// every attempt that is or may be on a machine: whether its start was only sent, it is
-    /// fetching its image, running or writing a checkpoint, or its machine is silent.
+    /// Computes the usage of teams anew from all jobs, which corrects any drift of the usage
+    /// maintained between full passes. Every attempt that is or may be on a machine counts: an
+    /// attempt whose start was only sent, one that is fetching its image, running or writing a
+    /// checkpoint, and one whose machine is silent.
     pub fn count_usage(&self) -> TeamUsage {
         let mut usage = TeamUsage::default();
         for job in self.jobs.values().filter(|job| !job.placed.is_empty()) {
@@ -40,14 +41,15 @@
         usage
     }
 
-    /// The usage of teams as maintained between full passes; each full pass replaces it by
-    /// `count_usage`.
+    /// The usage of teams as maintained between full passes. Each full pass replaces this value
+    /// with the result of `count_usage`.
     pub fn usage(&self) -> &TeamUsage {
         &self.team_usage
     }
 
     /// Determines which jobs are guaranteed. A job is guaranteed if all of its tasks fit into
-    /// its team's guarantee together with those of the team's earlier unfinished jobs.
+    /// its team's guarantee together with all tasks of the team's unfinished jobs that were
+    /// accepted earlier.
     pub(crate) fn update_guarantees(&mut self) {
         if !self.config.teams.iter().any(has_guarantee) {
             return;
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Unfinished jobs, earliest accepted first.
+    /// Names of the unfinished jobs by acceptance time, earliest first.
     fn unfinished_by_acceptance(&self) -> Vec<Name> {
         let mut order: Vec<(f64, Name)> = self
             .jobs
--- a/src/coordination/scheduler/resources.rs
+++ b/src/coordination/scheduler/resources.rs
@@ -41,21 +41,21 @@
         }
     }
 
-    /// Whether `need` fits into this amount, up to rounding.
+    /// Whether `need` fits into this amount, up to `ROUNDING_TOLERANCE`.
     pub fn fits(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus + ROUNDING_TOLERANCE
             && need.gpus <= self.gpus + ROUNDING_TOLERANCE
             && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
-    /// Subtracts `other`; the result may be negative.
+    /// Subtracts `other` from this amount; the result may be negative.
     pub fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// Adds `other`.
+    /// Adds `other` to this amount.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
--- a/src/coordination/scheduler/run_time_predictor.rs
+++ b/src/coordination/scheduler/run_time_predictor.rs
@@ -4,19 +4,19 @@
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 
-/// Bound on the classes with their own distribution, at about 30 KB each. Users choose the names
-/// of classes, so their number is not limited otherwise. For further classes the distribution
-/// over all classes is used, so the bound need not grow with the fleet.
+/// Maximum number of distributions, including the one over all classes, at about 30 KB each. Users
+/// choose the names of classes, so the number of classes has no other limit. For classes without a
+/// distribution the one over all classes is used, so the maximum need not grow with the fleet.
 const MAX_CLASSES: usize = 256;
 
-/// Count of values after which a distribution is reset, so that old values lose their influence.
+/// Number of values above which a distribution is reset, so that old values lose their influence.
 const MAX_RECENT_VALUES: u64 = 500;
 
-/// Largest value that a distribution distinguishes: a day in milliseconds. Larger values are
-/// recorded as this one.
+/// Largest value that a distribution records: a day in milliseconds. Larger values are recorded as
+/// this value.
 const MAX_HISTOGRAM_VALUE: u64 = 86_400_000;
 
-/// Significant decimal digits that a distribution keeps of its values.
+/// Number of significant decimal digits to which a distribution records values.
 const PRECISION_DIGITS: u8 = 2;
 
 /// Name of the distribution over all classes.
@@ -27,7 +27,7 @@
 pub struct ClassHistograms(HashMap<String, Histogram<u32>>);
 
 impl ClassHistograms {
-    /// Adds a value to the distribution of the class and to that of all classes.
+    /// Adds a value to the distribution of the class and to the distribution over all classes.
     fn add(&mut self, class: &str, value: f64) {
         for class in [class, ALL_CLASSES] {
             let Some(histogram) = self.find_or_add(class) else {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The distribution of the class, added if it is new; `None` if there are too many classes
-    /// already.
+    /// The distribution of the class, added if there is none yet; `None` if it would have to be
+    /// added and the maximum number of distributions is reached.
     fn find_or_add(&mut self, class: &str) -> Option<&mut Histogram<u32>> {
         if !self.0.contains_key(class) {
             if self.0.len() >= MAX_CLASSES {
@@ -82,7 +82,8 @@
 }
 
 impl RunTimePredictor {
-    /// Records how long a task of the class ran. An estimate of 0 means that there is none.
+    /// Records how long a task of the class ran. An `estimate_s` of 0 means that the job has no
+    /// estimate.
     pub(crate) fn record_run(&mut self, class: &str, run_s: f64, estimate_s: f64) {
         self.run_ms.add(class, run_s * 1000.0);
         if estimate_s > 0.0 {
@@ -90,13 +91,13 @@
         }
     }
 
-    /// Records how long a job of the class waited for its first task.
+    /// Records how long a job of the class waited until its first task was seen running.
     pub(crate) fn record_wait(&mut self, class: &str, wait_s: f64) {
         self.wait_ms.add(class, wait_s * 1000.0);
     }
 
-    /// Recent median run time of tasks of the class, in seconds, or of all classes if the class
-    /// has no values.
+    /// Recent median run time of tasks of the class, in seconds, or the recent median over all
+    /// classes if the class has no values; `None` if no run time is recorded.
     pub(crate) fn median_s(&self, class: &str) -> Option<f64> {
         let histogram = self.run_ms.of(class);
         let histogram = histogram.or_else(|| self.run_ms.of(ALL_CLASSES))?;
--- a/src/coordination/scheduler/sampling.rs
+++ b/src/coordination/scheduler/sampling.rs
@@ -9,8 +9,8 @@
 use crate::protocol::job::JobSpec;
 use rand::Rng;
 
-/// Random draws per machine of a sample. Candidates are selected by free CPUs alone, and most
-/// of them also have enough memory, so a few draws suffice.
+/// Maximum number of random draws per machine of a sample. Most machines with enough free CPUs
+/// also have enough memory, so a few draws suffice.
 const DRAWS_PER_PICK: usize = 4;
 
 /// What to do if none of the drawn candidates is accepted.
@@ -23,9 +23,10 @@
 }
 
 impl Scheduler {
-    /// Samples machines with enough free capacity and returns the best of the sample. Machines
-    /// that have the job's image are sampled first, and others only if none of these is
-    /// suitable. See `best_candidate` for how machines are compared.
+    /// Samples machines with enough free capacity and returns the best of the sample; `None` if
+    /// no machine is suitable. Machines that have the job's image are sampled first, and other
+    /// machines only if no machine with the image is suitable. See `best_candidate` for how
+    /// machines are compared.
     pub(crate) fn sample_with_capacity(
         &mut self,
         spec: &JobSpec,
@@ -53,7 +54,8 @@
                 let machine = scheduler.machines.get(name)?;
                 let fits = machine.free_capacity.fits(&need);
                 any_fits |= fits;
-                // A machine refuses to start a task while it still remembers an attempt of it.
+                // A machine refuses to start a task while it remembers an earlier attempt of the
+                // task.
                 let accepts = scheduler.is_usable(machine, now) && !machine.has_attempt_of(task);
                 (fits && accepts).then(|| name.clone())
             },
@@ -98,9 +100,9 @@
         picks
     }
 
-    /// The best of the sampled machines: one that has the image, then the one with the
-    /// shorter queue, then the one with the fewest free CPUs. The tighter fit leaves whole
-    /// machines to large tasks.
+    /// The best of the sampled machines; `None` if the sample is empty. Machines with the job's
+    /// image are preferred, then machines with a shorter queue, then machines with fewer free
+    /// CPUs. Preferring fewer free CPUs keeps whole machines free for large tasks.
     fn best_candidate(&self, picks: Vec<Name>, spec: &JobSpec) -> Option<Name> {
         picks.into_iter().min_by(|a, b| {
             let (a, b) = (&self.machines[a], &self.machines[b]);
@@ -112,8 +114,9 @@
     }
 
     /// Samples machines whose queue is not full, and returns the one with the fewest queued
-    /// tasks. The count of tasks is robust where predictions are poor (the paper's section
-    /// 4.2).
+    /// tasks; `None` if there is no suitable machine. Queues are compared by their number of
+    /// tasks, because this works well even if run times are predicted poorly (section 4.2 of
+    /// the paper).
     pub(crate) fn sample_queues(
         &mut self,
         task: &TaskId,
@@ -138,10 +141,10 @@
         })
     }
 
-    /// Draws a sample of distinct machines from `count` candidates. `accept` returns the
-    /// machine of the candidate with this index, or `None` if the machine is not suitable.
-    /// Machines on which a task of the job failed are left out, unless there are no others
-    /// (see `machines_to_avoid`).
+    /// Draws a sample of distinct machines from `count` candidates. `accept` takes the index of a
+    /// candidate and returns the name of its machine, or `None` if the machine is not suitable.
+    /// Machines on which a task of the job failed are left out, as far as
+    /// `machines_to_avoid` allows.
     fn sample(
         &mut self,
         count: usize,
@@ -182,8 +185,9 @@
         picks
     }
 
-    /// Machines on which tasks of the job failed. `None` if there are none, or if they are at
-    /// least as many as the usable machines of the pools.
+    /// Machines on which tasks of the job failed. `None` if there are no such machines, or if
+    /// their number reaches the number of usable machines in the pools, since avoiding all of
+    /// them might then leave no machine.
     fn machines_to_avoid(&self, task: &TaskId, pools: &[usize]) -> Option<&Names> {
         let failed_on = self.jobs.get(&task.job).map(|job| &job.failed_on)?;
         if failed_on.is_empty() {
--- a/src/coordination/scheduler/zone_constraint.rs
+++ b/src/coordination/scheduler/zone_constraint.rs
@@ -1,5 +1,5 @@
-//! Zone constraints: in which zones another task of a job may start, given the zones where its
-//! placed tasks are or may be. The tasks of a job may have to be in one zone, or spread over
+//! Zone constraints: the zones in which another task of a job may start, which depend on the zones
+//! of the job's placed tasks. The tasks of a job may have to be in one zone, or spread over
 //! several.
 
 use crate::coordination::scheduler::job::Job;
@@ -17,11 +17,12 @@
 /// The zones in which another task of a job may start. The default allows any.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ZoneConstraint {
-    /// The only zone allowed, for a job whose tasks must be in one zone.
+    /// The only zone allowed, for a job whose tasks must be in one zone; `None` if the job has no
+    /// such constraint or if no zone has a machine that it may use.
     only_zone: Option<String>,
     /// The job's placed tasks by zone.
     placed: Vec<ZoneCount>,
-    /// Bound on the job's tasks in any one zone, for a job that must be spread.
+    /// Maximum number of the job's tasks in any one zone; `None` if the job need not be spread.
     max_per_zone: Option<u32>,
 }
 
@@ -29,14 +30,14 @@
     /// Whether another task of the job may start in this zone.
     pub fn allows(&self, zone: &str) -> bool {
         if let Some(only_zone) = &self.only_zone {
-            // Because of an outdated heartbeat, a task may seem to be in a zone where it no
-            // longer is. If the placed tasks seem to be in different zones, the right one is
-            // unknown, so no task may start in any zone. (After a takeover, a machine that was
-            // proven empty does not block placement. An old heartbeat of such a machine arrived
-            // first, and tasks of a one-zone job were started in its zone, beside attempts that
-            // no longer existed.)
-            let any_elsewhere = self.placed.iter().any(|count| count.zone != *only_zone);
-            if zone != only_zone || any_elsewhere {
+            // An outdated heartbeat may report a task in a zone where the task no longer is. If
+            // the placed tasks seem to be in different zones, the right zone is unknown, so no
+            // task may start in any zone. This can happen after a takeover: a machine that was
+            // proven empty does not block placement, so a delayed heartbeat from it can be the
+            // first one received and make exited attempts look as if they were running in its
+            // zone.
+            let any_in_other_zone = self.placed.iter().any(|count| count.zone != *only_zone);
+            if zone != only_zone || any_in_other_zone {
                 return false;
             }
         }
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Counts the job's placed tasks by zone, in the order in which the zones are found.
+    /// Counts the job's placed tasks by zone, in the order of the first placed task in each
+    /// zone.
     fn placed_by_zone(&self, job: &Job) -> Vec<ZoneCount> {
         let mut counts: Vec<ZoneCount> = Vec::new();
         let machines = job.placed.values();
@@ -85,10 +87,10 @@
         counts
     }
 
-    /// The zone with the most free CPUs for the job, in which all of its tasks will run. Only
-    /// machines that a task fits on count. (Before, free CPUs of machines without free memory
-    /// counted too. Such a zone could be chosen again and again, and the job waited for ever
-    /// while another zone had capacity.)
+    /// The zone with the largest sum of free CPUs on machines that a task of the job fits on;
+    /// `None` if no zone has a machine that the job may use. Machines without enough free memory
+    /// must not count: otherwise a zone without room for the task could be chosen again and
+    /// again, and the job would wait for ever while another zone has capacity.
     fn zone_with_most_capacity(&self, spec: &JobSpec) -> Option<String> {
         let mut free_cpus: Vec<(&str, f64)> = Vec::new();
         for pool in self.capacity_index.pools_for(spec, &self.types, |_| true) {
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -1,5 +1,5 @@
-//! Tests of fair share: which groups are underserved, that queue places reserve no capacity, and
-//! how often and for which jobs tasks are preempted.
+//! Tests of underserved groups, of queue places, which reserve no capacity, and of the conditions
+//! and the maximum number of preemptions.
 
 mod common;
 
@@ -53,15 +53,17 @@
 
 /// The attempts, as a heartbeat reports them while they run.
 fn reported_running(started: &[StartedAttempt]) -> Vec<ReportedTask<'_>> {
-    let seen = started.iter();
-    seen.map(|(task, attempt)| (task.as_str(), *attempt, Phase::Running, None))
+    let attempts = started.iter();
+    attempts
+        .map(|(task, attempt)| (task.as_str(), *attempt, Phase::Running, None))
         .collect()
 }
 
 /// The attempts, as a heartbeat reports them after their exit.
 fn reported_exited(started: &[StartedAttempt], cause: Cause) -> Vec<ReportedTask<'_>> {
-    let seen = started.iter();
-    seen.map(|(task, attempt)| (task.as_str(), *attempt, Phase::Exited, Some(cause)))
+    let attempts = started.iter();
+    attempts
+        .map(|(task, attempt)| (task.as_str(), *attempt, Phase::Exited, Some(cause)))
         .collect()
 }
 
@@ -80,8 +82,8 @@
     }
 }
 
-/// A group becomes underserved when its jobs miss too many objectives, and stays so until
-/// enough of them meet theirs again.
+/// A group becomes underserved when too many of its jobs miss their objectives, and stays
+/// underserved until enough of its jobs meet their objectives again.
 #[test]
 fn a_group_is_underserved_until_it_recovers() {
     // Name of the case, the outcomes of a class in order (objective met, count), and whether the
@@ -107,15 +109,15 @@
         assert_eq!(
             underserved.contains(&&class),
             expected,
-            "{name}: {}",
+            "{name}: a fraction of {} met the objective",
             fair.fraction_met(&class)
         );
         assert!(!underserved.contains(&&other), "{name}");
     }
 }
 
-/// Guards against memory that grows without bound with the number of classes: users choose their
-/// names.
+/// Guards against unbounded memory use: users choose the names of classes, so the number of
+/// classes is not limited.
 #[test]
 fn classes_beyond_the_bound_are_not_tracked() {
     let mut fair = FairShare::default();
@@ -128,8 +130,8 @@
 }
 
 /// Guards against a class that stays starved after a takeover. The new leader has recorded no
-/// outcomes, but it knows the ages of the jobs, so the class must be underserved from its first
-/// pass on.
+/// outcomes, but it knows the ages of the jobs, so the class must be underserved from the new
+/// leader's first pass on.
 #[test]
 fn a_class_that_starved_before_a_takeover_is_underserved_at_once() {
     for (age_s, expected) in [(10.0, false), (90.0, true)] {
@@ -145,17 +147,17 @@
         assert_eq!(
             scheduler.fair_share.underserved().contains(&&class),
             expected,
-            "{age_s}"
+            "jobs of age {age_s} s"
         );
     }
 }
 
 /// Guards against queue places that reserve capacity: on a large fleet the queues then held more
-/// tasks than waited outside them, and the smallest job fared like the largest (simulated points
-/// by their deadlines: 0.49 and 0.40).
+/// tasks than waited outside them, and the smallest job was served no better than the largest
+/// (simulated points by their deadlines: 0.49 and 0.40).
 #[test]
 fn a_place_in_a_queue_reserves_no_capacity() {
-    for small_on_m1 in [true, false] {
+    for frees_m1 in [true, false] {
         let mut scheduler = unlimited_scheduler(&["m1", "m2"]);
         for id in ["m1", "m2"] {
             heartbeat(&mut scheduler, id, 1, &[], 0.0);
@@ -178,16 +180,20 @@
         add(&mut scheduler, small, 0.5);
         scheduler.place_all(0.8);
         // On whichever machine capacity becomes free, the small job starts next.
-        let at = usize::from(!small_on_m1);
-        let done = reported_exited(&started[at], Cause::Done);
-        let next = heartbeat(&mut scheduler, ["m1", "m2"][at], 3, &done, 1.2).starts;
+        let index = usize::from(!frees_m1);
+        let done = reported_exited(&started[index], Cause::Done);
+        let next = heartbeat(&mut scheduler, ["m1", "m2"][index], 3, &done, 1.2).starts;
         let names: Vec<&str> = next.iter().map(|(task, _)| task.as_str()).collect();
-        assert_eq!(names, ["run-3/0"], "{small_on_m1}");
+        assert_eq!(
+            names,
+            ["run-3/0"],
+            "capacity on m1 becomes free: {frees_m1}"
+        );
     }
 }
 
 /// Guards against a task that is preempted again and again (43 times on one simulated day), and
-/// against a bound that protects tasks that were never preempted.
+/// against a limit that also protects tasks that were never preempted.
 #[test]
 fn no_task_is_preempted_more_often_than_the_policy_allows() {
     for max_stops in [1, 3] {
@@ -208,16 +214,16 @@
             add(&mut scheduler, spec(&id, "t", Urgency::High, 1, 8.0), now);
             scheduler.place_all(now);
             let seq = 10 * round + 10;
-            let shown = reported_running(&started);
-            let stops = heartbeat(&mut scheduler, "m1", seq, &shown, now + 0.1).stops;
+            let running = reported_running(&started);
+            let stops = heartbeat(&mut scheduler, "m1", seq, &running, now + 0.1).stops;
             if stops == 0 {
                 break;
             }
             stopped += stops as u32;
             // The preempted task exits, the urgent one runs to its end, and the preempted task
             // starts again.
-            let gone = reported_exited(&started[..1], Cause::Stopped);
-            let urgent = heartbeat(&mut scheduler, "m1", seq + 1, &gone, now + 0.2).starts;
+            let exited = reported_exited(&started[..1], Cause::Stopped);
+            let urgent = heartbeat(&mut scheduler, "m1", seq + 1, &exited, now + 0.2).starts;
             assert_eq!(urgent[0].0, format!("{id}/0"));
             let done = reported_exited(&urgent[..1], Cause::Done);
             started = heartbeat(&mut scheduler, "m1", seq + 2, &done, now + 0.3).starts;
@@ -232,7 +238,8 @@
 /// predicted to end and free enough capacity within a fraction of its slack.
 #[test]
 fn no_preemption_if_capacity_becomes_free_in_time() {
-    // Estimated run time of the running tasks, objective of the waiting job, expected stops.
+    // Estimated run time of the running tasks and objective of the waiting job, both in seconds,
+    // and the expected number of stops.
     for (estimate_s, within_s, stops) in [(4.0, 200.0, 0), (400.0, 200.0, 1), (4.0, 21.0, 1)] {
         let mut scheduler = unlimited_scheduler(&["m1"]);
         scheduler.config.objectives = vec![finished_within("urgent", within_s)];
@@ -247,13 +254,16 @@
         add(&mut scheduler, urgent, 1.0);
         scheduler.place_all(1.5);
         let reply = heartbeat(&mut scheduler, "m1", 3, &reported_running(&started), 2.0);
-        assert_eq!(reply.stops, stops, "{estimate_s} {within_s}");
+        assert_eq!(
+            reply.stops, stops,
+            "estimate {estimate_s} s, objective {within_s} s"
+        );
     }
 }
 
-/// The operators' settings are refused if a value is out of range, and the error names the field.
+/// A policy with a value out of range is refused, and the error names the field.
 #[test]
-fn errors_in_settings_name_the_field() {
+fn errors_in_a_policy_name_the_field() {
     for (text, field) in [
         ("((floor-share . 0.9))", "floor-share"),
         ("((patience . -0.1))", "patience"),
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -36,7 +36,7 @@
 fn heartbeat_reply(scheduler: &mut Scheduler, report: &Report, now: f64) -> (u64, Vec<Command>) {
     match scheduler.handle_heartbeat(report, now) {
         HeartbeatReply::Commands(reply) => (reply.token, reply.commands),
-        other => panic!("{other:?}"),
+        other => panic!("expected commands, got {other:?}"),
     }
 }
 
@@ -105,20 +105,22 @@
     assert!(heartbeat(&mut scheduler, &report("m1", 1, 1, 4, &[]), 1.0).is_empty());
     assert!(heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 2.0).is_empty());
     assert!(!scheduler.fencing_complete());
-    let seen = [("run-1/0", 9, Phase::Running, None)];
-    assert!(heartbeat(&mut scheduler, &report("m2", 1, 7, 5, &seen), 3.0).is_empty());
+    let reported = [("run-1/0", 9, Phase::Running, None)];
+    assert!(heartbeat(&mut scheduler, &report("m2", 1, 7, 5, &reported), 3.0).is_empty());
     assert!(scheduler.fencing_complete());
     // The task runs on m2, so m1 gets no start.
     assert!(heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &[]), 4.0).is_empty());
     assert_eq!(task_counts(&scheduler, "run-1"), Some((0, 1)));
 }
 
-/// Guards against treating a silent machine as empty too early. Silence alone proves nothing.
-/// Only when a full lease has passed since the last possible reply is the machine empty.
+/// Guards against treating a silent machine as empty too early. A machine that sends no heartbeats
+/// may still run tasks. It is certainly empty only when a full lease has passed since the last
+/// time at which a former leader may have replied to it.
 #[test]
 fn a_silent_machine_counts_as_empty_only_after_its_lease() {
-    // Time since which former leaders are silent, current time, whether fencing is complete.
-    for (silent_since, at, complete) in [
+    // Time since which former leaders have not replied to workers, current time, and whether
+    // fencing is complete.
+    for (silent_since, now, complete) in [
         (None, 1000.0, false),
         (Some(0.0), 9.0, false),
         (Some(0.0), 10.2, true),
@@ -127,17 +129,18 @@
     ] {
         let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
         scheduler.fence.former_leaders_silent_since = silent_since;
-        scheduler.tick(at, at);
+        scheduler.tick(now, now);
         assert_eq!(
             scheduler.fencing_complete(),
             complete,
-            "former leaders silent since {silent_since:?}, at {at}"
+            "former leaders silent since {silent_since:?}, now {now}"
         );
     }
 }
 
 /// Guards against answering a session whose tasks already count as lost: the reply would renew
-/// its lease, and its tasks would run on beside their new attempts.
+/// the session's lease, and the old attempts would keep running beside new attempts of the same
+/// tasks.
 #[test]
 fn an_expired_session_is_never_answered_again() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
@@ -153,9 +156,9 @@
     ));
 }
 
-/// Guards against two attempts of a task under two leaders: a former leader without contact to
-/// the state service considers a machine expired that a new leader keeps alive, and starts its
-/// tasks elsewhere. (Found by the simulation.)
+/// Guards against two attempts of a task under two leaders. Without contact to the state service,
+/// a former leader would consider a machine expired although a new leader renews the machine's
+/// lease, and would start the machine's tasks elsewhere. (Found by the simulation.)
 #[test]
 fn no_machine_expires_without_contact_to_the_state_service() {
     // Time of the last confirmed leadership, and whether the machine expires.
@@ -166,14 +169,14 @@
         assert_eq!(
             scheduler.wanted_machine_record().is_empty(),
             expired,
-            "{confirmed_at}"
+            "leadership confirmed at {confirmed_at}"
         );
     }
 }
 
 /// Guards against expiring a machine too early after a takeover. Until the machine has seen the
-/// new term, a reply of the former leader may renew its lease, even after the new leader has
-/// answered it.
+/// new term, a reply of the former leader may renew the machine's lease, even after the new leader
+/// has answered the machine.
 #[test]
 fn the_lease_counts_from_the_first_heartbeat_under_the_new_term() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
@@ -203,27 +206,30 @@
     // The heartbeat does not report the attempt, so the reply starts the same attempt again.
     let again = heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.5);
     assert_eq!(started_by(&again), vec![(task.clone(), attempt)]);
-    // The attempt failed. The worker must not forget it while the direct call may still arrive
-    // late and start it once more.
+    // The attempt failed. The worker must not forget the attempt while the direct call may still
+    // arrive late and start the attempt again.
     let started = (task, attempt);
     let failed = reported_exited(&started, Cause::Error);
     let reply = heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &failed), 2.0);
-    assert!(!has_forget(&reply), "{reply:?}");
-    // The late call is refused once the machine has seen a higher token. The machine gets such
-    // a token of its own, which needs no write to the state service.
+    assert!(
+        !has_forget(&reply),
+        "unexpected command to forget: {reply:?}"
+    );
+    // The machine refuses the late call once it has received a higher token. The scheduler raises
+    // the token of this machine alone, which needs no write to the state service.
     let late = 2.0 + CANCEL_S / 8.0;
     heartbeat(&mut scheduler, &report("m1", 1, 4, 5, &failed), late);
     assert!(!scheduler.raise_overdue_tokens(late));
     let (token, _) = heartbeat_reply(&mut scheduler, &report("m1", 1, 5, 5, &failed), late + 0.5);
     assert_eq!(token, 6);
     let reply = heartbeat(&mut scheduler, &report("m1", 1, 6, 6, &failed), late + 1.0);
-    assert!(has_forget(&reply), "{reply:?}");
+    assert!(has_forget(&reply), "no command to forget: {reply:?}");
 }
 
-/// Guards against cancelled tasks that run on and tasks that run twice: a worker that has
-/// forgotten an attempt starts it once more if a copy of the direct call that started it arrives
-/// late. Therefore a command to forget an attempt carries a higher token than that call, and is
-/// not sent while another call is in flight.
+/// Guards against cancelled tasks that keep running and tasks that run twice: a worker that has
+/// forgotten an attempt starts the attempt again if a copy of the direct call with its start
+/// arrives late. Therefore a command to forget an attempt carries a higher token than the direct
+/// call, and the command is not sent while another direct call is in flight.
 #[test]
 fn a_late_copy_of_a_direct_start_is_refused_once_the_task_is_forgotten() {
     let mut scheduler = fenced_scheduler(unlimited_team());
@@ -246,14 +252,18 @@
         };
         scheduler.direct_call_finished(&name, &call, CallResult::Executed(next()), now + 0.5);
         if other_call {
-            // Another call is in flight. The machine would refuse it after seeing a higher token.
+            // Another call is in flight. The machine would refuse that call after receiving a
+            // higher token.
             let other = standard_job(&format!("run-{}", n + 1), 1, 1.0);
             add(&mut scheduler, other, now);
             scheduler.place_all(now + 0.6);
             let due = scheduler.next_direct_call(&name, now + 0.6);
             let (_, call) = due.expect("a direct call");
-            let early = heartbeat_reply(&mut scheduler, &next(), now + 0.7);
-            assert!(early.0 == call.token && early.1.is_empty(), "{early:?}");
+            let early_reply = heartbeat_reply(&mut scheduler, &next(), now + 0.7);
+            assert!(
+                early_reply.0 == call.token && early_reply.1.is_empty(),
+                "unexpected reply while a call is in flight: {early_reply:?}"
+            );
             scheduler.finish_job(&format!("run-{}", n + 1));
             scheduler.direct_call_finished(&name, &call, CallResult::NotSent, now + 1.0);
         }
@@ -268,15 +278,15 @@
         seq += 1;
         heartbeat(&mut scheduler, &report("m1", 1, seq, token, &[]), now + 3.0);
     }
-    // A heartbeat with a token of the machine's own does not indicate another leader. One with a
-    // token beyond the range of the term does, and the next term is above all these tokens.
+    // A heartbeat with a token within the term's range does not indicate another leader. A
+    // heartbeat with a token beyond the range does, and the next term is above the range.
     let reply = scheduler.handle_heartbeat(&report("m1", 1, 99, 5 + TOKENS_PER_TERM, &[]), 50.0);
     assert!(matches!(reply, HeartbeatReply::Superseded));
     assert!(TermCounter::after_taking(5).term + 1 == 5 + TOKENS_PER_TERM);
 }
 
-/// Guards against a machine whose attempts can no longer be forgotten: once it has used up all
-/// tokens of a term, a higher term must be written.
+/// Guards against a machine whose attempts can no longer be forgotten: once all tokens of a term are
+/// used up for the machine, a higher term must be written.
 #[test]
 fn a_machine_that_used_up_its_tokens_needs_a_higher_term() {
     let mut scheduler = fenced_scheduler(unlimited_team());
@@ -308,7 +318,7 @@
         );
         assert!(
             commands.len() == 1 && new_token > token,
-            "{n}: {commands:?}"
+            "round {n}: unexpected commands {commands:?}"
         );
         token = new_token;
         seq += 1;
@@ -317,7 +327,7 @@
     }
     assert!(
         raised == 1 && token > 5 + TOKENS_PER_TERM,
-        "{raised} {token}"
+        "raised: {raised}, token: {token}"
     );
 }
 
@@ -334,7 +344,7 @@
         assert_eq!(
             task_counts(&scheduler, "run-1"),
             Some((0, 1)),
-            "({session}, {seq})"
+            "session {session}, sequence number {seq}"
         );
     }
     let malformed = [
@@ -356,7 +366,7 @@
     assert_eq!(
         task_counts(&scheduler, "run-1"),
         Some((0, 0)),
-        "not counted before it is saved"
+        "a completion must not count before it is saved"
     );
     scheduler.completions_written("run-1", &CompletedTasks::from_text("1", 2), 2);
     let reply = heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &done), 2.0);
@@ -372,8 +382,8 @@
     let started = started_by(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.0));
     assert_eq!(started.len(), 3);
     scheduler.finish_job("run-1");
-    let shown = reported_running(&started);
-    let reply = heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &shown), 2.0);
+    let reported = reported_running(&started);
+    let reply = heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &reported), 2.0);
     assert_eq!(count_stops(&reply), 3);
     assert!(started_by(&reply).is_empty());
     heartbeat(&mut scheduler, &report("m1", 1, 4, 5, &[]), 3.0);
@@ -381,22 +391,25 @@
     assert!(scheduler.jobs.is_empty());
 }
 
-/// Every attempt that is or may be on a machine counts against its team's limit.
+/// An attempt counts against its team's limit as long as the attempt is or may be on a machine.
 #[test]
 fn a_team_stays_within_its_limit() {
     let mut scheduler = fenced_scheduler(vec![team("t", 0.0, 6.0)]);
     add(&mut scheduler, standard_job("run-1", 9, 2.0), 0.0);
     let started = started_by(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 1.0));
     assert_eq!(started.len(), 3);
-    for (max, used, tasks, fits) in [
+    // Limit of the team and its usage, both in CPUs; number of additional tasks of 2 CPUs; and
+    // whether the limit admits them.
+    for (cpus_max, used_cpus, tasks, is_admitted) in [
         (0.0, 1e6, 5.0, true),
         (6.0, 4.0, 1.0, true),
         (6.0, 4.5, 1.0, false),
         (6.0, 0.0, 4.0, false),
     ] {
-        let team = team("t", 0.0, max);
+        let team = team("t", 0.0, cpus_max);
         let spec = spec("run-1", "t", Urgency::Idle, 9, 2.0);
-        assert_eq!(within_limit(Some(&team), (used, 0.0), &spec, tasks), fits);
+        let admits = within_limit(Some(&team), (used_cpus, 0.0), &spec, tasks);
+        assert_eq!(admits, is_admitted);
     }
 }
 
@@ -407,8 +420,8 @@
 fn preemption_depends_on_urgency_guarantee_and_limit() {
     use Urgency::{High, Idle, Prod, Standard};
     let cases = [
-        // Running job: team, urgency. Waiting job: team, urgency. Limit of team a in CPUs.
-        // Whether the running job is preempted.
+        // Team and urgency of the running job; team and urgency of the waiting job; limit of team
+        // `a` in CPUs (0 for none); and whether the running job is preempted.
         ("a", Idle, "b", Standard, 0.0, true),
         ("a", Standard, "b", Standard, 0.0, false),
         ("a", High, "b", Standard, 0.0, false),
@@ -443,8 +456,8 @@
             1.0,
         );
         scheduler.place_all(1.5);
-        let shown = reported_running(&started);
-        let reply = heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &shown), 2.0);
+        let reported = reported_running(&started);
+        let reply = heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &reported), 2.0);
         assert_eq!(
             count_stops(&reply),
             usize::from(preempted),
@@ -474,8 +487,8 @@
     assert_eq!(next[0].0, "run-3/0");
 }
 
-/// Tasks of a one-zone job are all in one zone. Of a spread job, at most half of the tasks,
-/// rounded up, are in any one zone.
+/// Tasks of a one-zone job are all in one zone. For a spread job, the maximum in any one zone
+/// is half of the tasks, rounded up.
 #[test]
 fn zone_constraints_limit_where_tasks_start() {
     for (one_zone, spread, tasks, expected_starts) in [(true, false, 4, 4), (false, true, 5, 3)] {
@@ -494,7 +507,7 @@
     }
 }
 
-/// A machine on which tasks of several jobs fail is drained.
+/// A machine on which tasks of several jobs have failed is drained.
 #[test]
 fn a_faulty_machine_is_drained() {
     let mut scheduler = fenced_scheduler(unlimited_team());
@@ -526,8 +539,9 @@
         incarnation: 7,
         until_ms,
     };
-    // Current incarnation of its host, if known; end of the leader's time and current time, in
-    // milliseconds; and how many former leaders are not known to be silent.
+    // Current incarnation of the former leader's host, if known; end of the former leader's time
+    // and current time, both in milliseconds; and the number of former leaders that may still
+    // reply to workers.
     for (alive, until_ms, now_ms, expected) in [
         (Some(7), 5000, 1000, 1),
         (Some(8), 5000, 1000, 0),
@@ -539,7 +553,7 @@
         assert_eq!(
             unfenced_leaders(&former_leaders, |_| alive, now_ms, 1000).len(),
             expected,
-            "{alive:?} {now_ms}"
+            "incarnation {alive:?}, end {until_ms} ms, now {now_ms} ms"
         );
     }
 }
@@ -561,11 +575,11 @@
     let started = started_by(&heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 3.0));
     let attempt = |job: &str| started.iter().find(|s| s.0 == job).unwrap().1;
     let (first, fourth) = (attempt("run-1/0"), attempt("run-4/0"));
-    let shown = [
+    let reported = [
         ("run-1/0", first, Phase::Running, None),
         ("run-4/0", fourth, Phase::Exited, Some(Cause::Unknown)),
     ];
-    heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &shown), 40.0);
+    heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &reported), 40.0);
     let text = scheduler.overview(40.0);
     for (job, state, reason) in [
         ("run-1", "ok", "all tasks are on machines"),
@@ -591,7 +605,7 @@
 /// Guards against two failures after a takeover: a few dead machines that block placement for a
 /// whole lease, and a network partition that makes the scheduler replace the whole fleet.
 #[test]
-fn few_silent_machines_are_given_up_but_not_many() {
+fn few_silent_machines_are_presumed_dead_but_not_many() {
     for (silent, presumed_dead) in [(1, 1), (2, 2), (3, 0), (16, 0)] {
         let names: Vec<String> = (0..16).map(|i| format!("m{i}")).collect();
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -599,7 +613,7 @@
         for name in &names[silent..] {
             heartbeat(&mut scheduler, &report(name, 1, 1, 5, &[]), 0.5);
         }
-        // A missing heartbeat is not enough to presume a machine dead; unanswered calls are.
+        // A machine is presumed dead after unanswered calls, not after a missing heartbeat alone.
         scheduler.tick(2.0, 0.0);
         assert!(scheduler.machines_presumed_dead(2.4).is_empty());
         probe_unanswered(&mut scheduler, &names[..silent], 2.5);
@@ -609,7 +623,7 @@
         assert_eq!(
             scheduler.machines_presumed_dead(3.8).len(),
             presumed_dead,
-            "{silent} silent"
+            "{silent} silent machines"
         );
     }
 }
@@ -618,9 +632,10 @@
 /// than an eighth of the machines died (this happened at a fleet site), and against returning the
 /// machines of a partitioned zone to the cloud.
 #[test]
-fn while_placement_is_blocked_a_silent_quarter_is_given_up_later() {
-    // Silent machines of 16, how many of them are in zone b, which has five machines, and how
-    // many are presumed dead after a tenth of a lease and after a quarter of a lease.
+fn while_placement_is_blocked_a_silent_quarter_is_presumed_dead_later() {
+    // Number of silent machines among 16; number of silent machines in zone b, which has five
+    // machines; and the numbers of machines presumed dead after a tenth of a lease and after a
+    // quarter of a lease.
     for (silent, zone_b, early, late) in [
         (2, 0, 2, 2),
         (4, 0, 0, 4),
@@ -648,10 +663,10 @@
         probe_unanswered(&mut scheduler, &names, 1.3);
         for (now, presumed_dead) in [(2.3, early), (3.0, early), (3.8, late)] {
             scheduler.tick(now, 0.0);
-            let found = scheduler.machines_presumed_dead(now).len();
+            let count = scheduler.machines_presumed_dead(now).len();
             assert_eq!(
-                found, presumed_dead,
-                "{silent} silent, {zone_b} in b, at {now}"
+                count, presumed_dead,
+                "{silent} silent machines, {zone_b} of them in zone b, at {now}"
             );
         }
         // Once placement has begun, the scheduler waits for silent machines.
@@ -660,9 +675,9 @@
     }
 }
 
-/// Guards against expiring too early a session that became known from the reply to a direct call:
-/// its lease runs from its own beginning, not from the last reply to the previous session. (Found
-/// by the simulation.)
+/// Guards against expiring a session too early if the scheduler learns of the session from the
+/// reply to a direct call. The lease runs from the beginning of the session, not from the last
+/// reply to the previous session. (Found by the simulation.)
 #[test]
 fn a_new_session_has_a_lease_of_its_own() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
@@ -678,20 +693,20 @@
         CallResult::Rejected(report("m1", 2, 2, 5, &[])),
         9.5,
     );
-    for (at, listed) in [(11.5, true), (19.5, true), (19.7, false)] {
-        scheduler.tick(at, at);
+    for (now, listed) in [(11.5, true), (19.5, true), (19.7, false)] {
+        scheduler.tick(now, now);
         assert_eq!(
             !scheduler.wanted_machine_record().is_empty(),
             listed,
-            "{at}"
+            "at {now} s"
         );
     }
 }
 
-/// Guards against returning a machine to the cloud that has just booted and could not see the
-/// leader's term yet. (Found in the log of an incident.)
+/// Guards against returning a machine to the cloud that has just booted and has not yet received
+/// the leader's term. (Found in the log of an incident.)
 #[test]
-fn a_machine_that_has_just_booted_is_not_given_up() {
+fn a_machine_that_has_just_booted_is_not_presumed_dead() {
     let mut scheduler = scheduler(unlimited_team(), 5, &[]);
     heartbeat(&mut scheduler, &report("m1", 1, 1, 0, &[]), 100.0);
     scheduler.machine_record_written(&[machine("m1", "a", false)]);
@@ -725,20 +740,23 @@
             scheduler.reconcile_live_jobs(&Default::default(), revision);
         }
         let is_live = scheduler.jobs.get("run-1").is_some_and(|j| !j.finished);
-        assert_eq!(is_live, live_after, "{watched} {version} {listed_at:?}");
+        assert_eq!(
+            is_live, live_after,
+            "watched {watched}, version {version}, listed at {listed_at:?}"
+        );
     }
 }
 
 /// Guards against running a task twice. Heartbeats of different ages reported the task on two
 /// machines. The attempt reported first ended with its session, and a third attempt was started
-/// while the other one was still running. (Found by the simulation as `ran_twice`.)
+/// while the second attempt was still running. (Found by the simulation as `ran_twice`.)
 #[test]
 fn a_task_reported_on_two_machines_restarts_after_both_attempts_end() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1", "m2", "m3"]);
     add(&mut scheduler, standard_job("run-1", 1, 2.0), 0.0);
-    let shown = |attempt| [("run-1/0", attempt, Phase::Running, None)];
-    heartbeat(&mut scheduler, &report("m1", 1, 1, 5, &shown(7)), 1.0);
-    heartbeat(&mut scheduler, &report("m2", 1, 1, 5, &shown(8)), 1.1);
+    let reported = |attempt| [("run-1/0", attempt, Phase::Running, None)];
+    heartbeat(&mut scheduler, &report("m1", 1, 1, 5, &reported(7)), 1.0);
+    heartbeat(&mut scheduler, &report("m2", 1, 1, 5, &reported(8)), 1.1);
     heartbeat(&mut scheduler, &report("m3", 1, 1, 5, &[]), 1.2);
     assert_eq!(
         scheduler.usage().cpus(),
@@ -753,18 +771,18 @@
     }
     assert!(started.is_empty() && scheduler.outbox.iter().all(|n| **n == *"m2"));
     assert_eq!(scheduler.usage().cpus(), 2.0);
-    let gone = [("run-1/0", 8, Phase::Exited, Some(Cause::Stopped))];
-    heartbeat(&mut scheduler, &report("m2", 1, 2, 5, &gone), 3.0);
+    let exited = [("run-1/0", 8, Phase::Exited, Some(Cause::Stopped))];
+    heartbeat(&mut scheduler, &report("m2", 1, 2, 5, &exited), 3.0);
     scheduler.place_all(3.0);
     let placed = scheduler.jobs.get("run-1").and_then(|j| j.placed.get(&0));
     assert!(placed.is_some_and(|(_, attempt)| *attempt > 8));
 }
 
 /// Guards against losing saved completions: a write whose reply was lost may be executed after a
-/// newer one, and must not revert it. Each write therefore compares the version that the previous
-/// one left. (The chunks of a large job used to compare the version of the job's record, which
-/// does not change. After a takeover, tasks that their workers had forgotten would have run once
-/// more.)
+/// newer write, and must not revert the newer write. Each write is therefore conditional on the
+/// record version that the previous write produced. (The writes of a large job's chunks used to be
+/// conditional on the version of the job's record, which does not change. After a takeover, tasks
+/// that their workers had forgotten would have run again.)
 #[test]
 fn a_late_completion_write_replaces_nothing() {
     for (tasks, chunked) in [(20, false), (300, true)] {
@@ -774,24 +792,25 @@
         let key = records::live_key("run-1");
         let added = store
             .apply(&Txn::default().put(&key, &record))
-            .expect("new");
+            .expect("the record is new");
         scheduler.add_job(record, added, CompletedTasks::default());
         let mut budget = TokenBucket::new(100.0, 100.0, 0.0);
         let mut batches = Vec::new();
         for (n, index) in [3, 150 % tasks].into_iter().enumerate() {
-            let job = scheduler.jobs.get_mut("run-1").expect("known");
+            let job = scheduler.jobs.get_mut("run-1").expect("the job exists");
             job.set_completed(index);
             scheduler.unsaved_jobs.insert("run-1".into());
-            let at = 100.0 * n as f64;
-            scheduler.tick(at, at);
-            let batch = completion_batch::plan(&scheduler, 32, 128, &mut budget, at).expect("due");
+            let now = 100.0 * n as f64;
+            scheduler.tick(now, now);
+            let batch = completion_batch::plan(&scheduler, 32, 128, &mut budget, now)
+                .expect("a batch is due");
             assert_eq!(batch.completions[0].chunked, chunked);
             batches.push(batch);
             if n == 0 {
                 // The reply is lost, so the leader retries later with all completions it then has.
                 continue;
             }
-            let version = store.apply(&batches[n].txn).expect("written");
+            let version = store.apply(&batches[n].txn).expect("the write is executed");
             let completed = batches[n].completions[0].completed.clone();
             scheduler.completions_written("run-1", &completed, version);
         }
@@ -802,8 +821,8 @@
 }
 
 /// Guards against a one-zone job that waits for ever while another zone has capacity. It must be
-/// placed in a zone where its tasks fit, not in the zone with the most free CPUs, since these are
-/// useless on machines without free memory.
+/// placed in a zone where its tasks fit. The zone with the largest number of free CPUs may be the
+/// wrong one, since free CPUs are useless on machines without free memory.
 #[test]
 fn a_one_zone_job_is_placed_where_its_tasks_fit() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -12,28 +12,28 @@
 /// A heartbeat of a machine in this zone that reports these tasks (name, attempt number) as
 /// running.
 fn report_running(machine: &str, zone: &str, seq: u64, tasks: &[(&str, u64)]) -> Report {
-    let shown: Vec<_> = tasks
+    let reported: Vec<_> = tasks
         .iter()
         .map(|(task, attempt)| (*task, *attempt, Phase::Running, None))
         .collect();
     Report {
         zone: zone.into(),
-        ..report(machine, 1, seq, 5, &shown)
+        ..report(machine, 1, seq, 5, &reported)
     }
 }
 
-/// Runs a placement pass and returns the machines on which it starts tasks by direct calls.
+/// Runs a placement pass and returns the machines to which a direct call with a start is due.
 fn machines_with_starts(scheduler: &mut Scheduler, now: f64) -> Vec<String> {
     scheduler.place_all(now);
-    let mut found = Vec::new();
+    let mut machines = Vec::new();
     for machine in ["m-a", "m-b", "m-c"] {
         let call = scheduler.next_direct_call(&machine.into(), now);
         let commands = call.map(|(_, call)| call.commands).unwrap_or_default();
         if commands.iter().any(|c| matches!(c, Command::Start { .. })) {
-            found.push(machine.to_string());
+            machines.push(machine.to_string());
         }
     }
-    found
+    machines
 }
 
 /// Guards against starting tasks in the wrong zone because of an outdated heartbeat. While the
@@ -66,7 +66,10 @@
         Vec::<String>::new()
     );
     scheduler.handle_heartbeat(&report_running("m-a", "a", 2, &[]), 2.0);
-    let found = machines_with_starts(&mut scheduler, 2.1);
-    assert!(!found.is_empty(), "no task starts");
-    assert!(!found.contains(&"m-a".into()), "{found:?}");
+    let machines = machines_with_starts(&mut scheduler, 2.1);
+    assert!(!machines.is_empty(), "no task was started");
+    assert!(
+        !machines.contains(&"m-a".into()),
+        "tasks started on {machines:?}"
+    );
 }
