--- a/src/coordination/scheduler/fair_share.rs
+++ b/src/coordination/scheduler/fair_share.rs
@@ -2,8 +2,8 @@
 //! objectives, and determines which of these groups are underserved.
 //!
 //! Urgency, guarantees and smallest-first order can each starve the same class for as long as
-//! the load lasts. For each class and team, the fraction of recent jobs that met their first
-//! finishing objective is therefore tracked as a moving average. A group whose fraction falls
+//! the load lasts. For each class and team, a moving average therefore tracks the fraction of
+//! recent jobs that met the earliest objective for their completion. A group whose fraction falls
 //! below a threshold is underserved until it recovers, and gets a floor: a share of the fleet's
 //! CPUs for its smallest jobs. Jobs within the floor start before all jobs except `prod` and
 //! `high`, and borrowed work may not preempt them.
@@ -71,7 +71,7 @@
 }
 
 impl FairShare {
-    /// Records whether a job of the group met the first due objective for its completion.
+    /// Records whether a job of the group met the earliest objective for its completion.
     pub fn record_outcome(&mut self, group: &FairShareGroup, met: bool) {
         if let Some(stats) = self.groups.get_mut(group) {
             stats.record(met);
--- a/src/coordination/scheduler/order_refresh.rs
+++ b/src/coordination/scheduler/order_refresh.rs
@@ -10,7 +10,7 @@
 use crate::coordination::scheduler::state::Scheduler;
 
 /// Number of rebuilds of the order per heartbeat interval if no job was added or removed.
-/// Remaining work and reachable objectives change slowly in comparison.
+/// This is often enough, because remaining work and reachable objectives change slowly.
 const REFRESHES_PER_HEARTBEAT: f64 = 4.0;
 
 /// Maximum number of rebuilds of the order per heartbeat interval. Jobs that are added or removed
@@ -104,7 +104,7 @@
         });
     }
 
-    /// For each job that has met the first due objective for its completion, or can no longer
+    /// For each job that has met the earliest objective for its completion, or can no longer
     /// meet it, records the outcome for the job's class and team.
     fn record_outcomes(&mut self, now: f64) {
         let mut outcomes = Vec::new();
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Whether the job met the first due objective for its completion. `None` if the outcome is
+    /// Whether the job met the earliest objective for its completion. `None` if the outcome is
     /// already recorded or still undecided, if the job has no such objective, or if the job was
     /// cancelled.
     fn new_outcome(&self, job: &Job, now: f64) -> Option<bool> {
@@ -221,10 +221,10 @@
             .sum()
     }
 
-    /// Determines which jobs need preemption: those for which running tasks are not expected to
-    /// end and free enough capacity within a fraction of the job's slack, set by the policy's
-    /// `patience`. For the other jobs preemption would lose work without helping any job to
-    /// meet its objective.
+    /// Determines which jobs need preemption. A job needs preemption if running tasks are not
+    /// expected to end and free enough CPUs within a fraction of the job's slack. The fraction is
+    /// the policy's `patience`. For other jobs, preemption would lose work without helping any
+    /// job to meet its objective.
     fn update_preemption_need(&mut self, order: &JobOrder, now: f64) {
         let rates = self.release_rates();
         let mut cpus_ahead = 0.0;
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -51,10 +51,10 @@
 struct PlacementOptions {
     /// Indexes of the pools of machines on which the task may run.
     pools: Rc<[usize]>,
-    /// The team's limit admits another task.
+    /// Whether the team's limit admits another task.
     within_limit: bool,
-    /// The team's limit admits another task, and no remembered search has shown that no machine
-    /// has enough free capacity for the task.
+    /// Whether the team's limit admits another task and, as far as the index remembers, some
+    /// machine has enough free capacity for the task.
     may_start: bool,
 }
 
@@ -284,7 +284,7 @@
         ControlFlow::Break(())
     }
 
-    /// Starts the task on the machine and adds it to the usage of the pass.
+    /// Starts the task on the machine and adds the task's resources to the team usage of the pass.
     pub(crate) fn start_task(
         &mut self,
         machine: &Name,
--- a/src/coordination/scheduler/precedence.rs
+++ b/src/coordination/scheduler/precedence.rs
@@ -2,9 +2,9 @@
 //! urgency and guarantee. Sweeps that can no longer meet any of their objectives come after all
 //! other jobs.
 //!
-//! Within a rank the job with the smallest predicted remaining work comes first. This applies
-//! the paper's smallest predicted job first (Mitzenmacher, Dell'Amico, section 4.2) to jobs of
-//! many tasks.
+//! Within a rank the job with the smallest predicted remaining work comes first. This order
+//! applies the rule "smallest predicted job first" (section 4.2 of the paper by Mitzenmacher and
+//! Dell'Amico that `placement` names) to jobs of many tasks.
 
 use crate::coordination::scheduler::job::Job;
 use crate::coordination::scheduler::job_order::Precedence;
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -46,21 +46,23 @@
         StopMode::Checkpoint
     };
     let cost = stop_cost(spec, ran_s, stop_mode);
-    (cost.lost, cost.grace_s)
+    (cost.lost_work, cost.grace_s)
 }
 
 /// A request to free capacity for one task of a job.
 struct PreemptionRequest<'a> {
     job: &'a Job,
     zones: ZoneConstraint,
-    /// Whether the team is at its limit, so that its own work must be stopped before the
-    /// limit admits the task.
+    /// Whether the team is at its limit, so that some of the team's own work must be stopped
+    /// before the limit admits the task.
     over_limit: bool,
     usage: &'a TeamUsage,
     now: f64,
 }
 
 impl PreemptionRequest<'_> {
+    /// How attempts are stopped for this request: immediately if the job is of at least `High`
+    /// urgency or is guaranteed.
     fn stop_mode(&self) -> StopMode {
         if self.job.spec.urgency >= Urgency::High || self.job.claims.guaranteed {
             StopMode::Immediate
@@ -199,7 +201,7 @@
     }
 
     /// Whether a task of `victim` may be stopped for the request. If the requesting team is at
-    /// its limit, only less urgent work of the same team may be stopped.
+    /// its limit, only work of the same team with a lower urgency may be stopped.
     fn is_valid_victim(&self, request: &PreemptionRequest, victim: &Job) -> bool {
         let job = request.job;
         if request.over_limit {
@@ -380,7 +382,7 @@
             .map_or(0.0, |since| request.now - since);
         let cost = stop_cost(&victim.spec, ran_s, request.stop_mode());
         Some(Victim {
-            cost: (cost.lost + victim.spec.cpus) * cost_factor(victim),
+            cost: (cost.lost_work + victim.spec.cpus) * cost_factor(victim),
             stop: PlannedStop {
                 attempt: id.clone(),
                 grace_s: cost.grace_s,
--- a/src/coordination/scheduler/preemption_cost.rs
+++ b/src/coordination/scheduler/preemption_cost.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct StopCost {
     /// Work lost, in CPU or GPU seconds.
-    pub lost: f64,
+    pub lost_work: f64,
     /// Grace period in seconds; 0 to stop the attempt immediately.
     pub grace_s: f64,
 }
@@ -38,19 +38,19 @@
     let weight = spec.cpus.max(spec.gpus).max(MIN_TASK_WEIGHT);
     if spec.checkpoint_s <= 0.0 {
         return StopCost {
-            lost: ran_s * weight,
+            lost_work: ran_s * weight,
             grace_s: 0.0,
         };
     }
     let unsaved_s = ran_s % spec.checkpoint_s;
     if stop_mode == StopMode::Immediate || unsaved_s <= spec.save_s {
         return StopCost {
-            lost: unsaved_s * weight,
+            lost_work: unsaved_s * weight,
             grace_s: 0.0,
         };
     }
     StopCost {
-        lost: spec.save_s * weight,
+        lost_work: spec.save_s * weight,
         grace_s: spec.save_s * GRACE_MARGIN,
     }
 }
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -3,10 +3,11 @@
 //! them again.
 //!
 //! A place in a queue reserves no capacity. Queued tasks start in the order of precedence of
-//! their jobs, on their own machine or on whichever machine has free capacity first. In an
-//! earlier design, queue places reserved capacity. On a large fleet more tasks then waited in
-//! queues than outside them, free capacity went to whichever task was queued for it, and the
-//! smallest job was served no better than the largest.
+//! their jobs. A queued task starts on the suitable machine that is the first to have free
+//! capacity, which need not be the machine whose queue the task is in. In an earlier design, queue
+//! places reserved capacity. On a large fleet more tasks then waited in queues than outside them,
+//! free capacity went to whichever task was queued for it, and the smallest job was served no
+//! better than the largest.
 //!
 //! Tasks for which other attempts were preempted are the exception: the freed capacity is
 //! reserved for them, and they start only on the machine whose queue they are in.
@@ -19,7 +20,7 @@
 use crate::protocol::job::JobSpec;
 
 /// Maximum number of times per heartbeat interval that queues are searched for expired tasks. The
-/// maximum time in a queue is a multiple of the heartbeat interval, so this is frequent enough.
+/// maximum time in a queue is a multiple of the heartbeat interval, so this rate suffices.
 const EXPIRY_CHECKS_PER_HEARTBEAT: f64 = 4.0;
 
 impl Scheduler {
@@ -85,8 +86,8 @@
     }
 
     /// Removes tasks that have been queued for longer than the maximum time, so that machines
-    /// are sampled for them again.
-    /// The queue of a machine that is no longer usable is emptied immediately.
+    /// are sampled for them again. The queue of a machine that is no longer usable is emptied
+    /// regardless of the time.
     pub(crate) fn expire_queued(&mut self, now: f64) {
         let interval_s = self.config.heartbeat_s / EXPIRY_CHECKS_PER_HEARTBEAT;
         if now - self.queues_checked_at < interval_s {
--- a/tests/fair.rs
+++ b/tests/fair.rs
@@ -12,10 +12,10 @@
 use foxspur::protocol::settings::Objective;
 use foxspur::protocol::worker::{Cause, Command, Phase};
 
-/// A task as a heartbeat reports it: name, attempt number, phase, cause of its exit.
+/// A task as a heartbeat reports it: its name, attempt number, phase and cause of exit, if any.
 type ReportedTask<'a> = (&'a str, u64, Phase, Option<Cause>);
 
-/// A task name and the number of an attempt of that task.
+/// An attempt that a command starts: the name of the task and the number of the attempt.
 type StartedAttempt = (String, u64);
 
 /// The commands in the reply to a heartbeat.
@@ -72,7 +72,7 @@
     scheduler(vec![team("t", 0.0, 0.0)], 5, machines)
 }
 
-/// The objective that jobs of a class finish within this many seconds.
+/// The objective that jobs of the class finish within `within_s` seconds.
 fn finished_within(class: &str, within_s: f64) -> Objective {
     Objective {
         kind: "finished".into(),
@@ -235,7 +235,7 @@
 }
 
 /// Guards against needless preemption: a job does not preempt others if running tasks are
-/// predicted to end and free enough capacity within a fraction of its slack.
+/// predicted to end and free enough capacity within a fraction of the job's slack.
 #[test]
 fn no_preemption_if_capacity_becomes_free_in_time() {
     // Estimated run time of the running tasks and objective of the waiting job, both in seconds,
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -20,10 +20,10 @@
 use foxspur::transport::token_bucket::TokenBucket;
 use foxspur_testbed::store::Store;
 
-/// A task as a heartbeat reports it: name, attempt number, phase, cause of its exit.
+/// A task as a heartbeat reports it: its name, attempt number, phase and cause of exit, if any.
 type ReportedTask<'a> = (&'a str, u64, Phase, Option<Cause>);
 
-/// A task name and the number of an attempt of that task.
+/// An attempt that a command starts: the name of the task and the number of the attempt.
 type StartedAttempt = (String, u64);
 
 /// The counts of completed and running tasks of a job.
@@ -45,7 +45,7 @@
     heartbeat_reply(scheduler, report, now).1
 }
 
-/// The attempts that the commands start.
+/// The attempts started by the commands.
 fn started_by(commands: &[Command]) -> Vec<StartedAttempt> {
     let start = |c: &Command| match c {
         Command::Start { task, attempt } => Some((task.clone(), *attempt)),
@@ -101,7 +101,8 @@
 fn nothing_starts_before_every_machine_is_fenced() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1", "m2"]);
     add(&mut scheduler, standard_job("run-1", 1, 1.0), 0.0);
-    // The reply to the first heartbeat only tells the machine the new term.
+    // The first heartbeat still carries the old term, so the reply only tells the machine the new
+    // term.
     assert!(heartbeat(&mut scheduler, &report("m1", 1, 1, 4, &[]), 1.0).is_empty());
     assert!(heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 2.0).is_empty());
     assert!(!scheduler.fencing_complete());
@@ -285,8 +286,8 @@
     assert!(TermCounter::after_taking(5).term + 1 == 5 + TOKENS_PER_TERM);
 }
 
-/// Guards against a machine whose attempts can no longer be forgotten: once all tokens of a term are
-/// used up for the machine, a higher term must be written.
+/// Guards against a machine whose attempts can no longer be forgotten: once all tokens of a term
+/// are used up for the machine, a higher term must be written.
 #[test]
 fn a_machine_that_used_up_its_tokens_needs_a_higher_term() {
     let mut scheduler = fenced_scheduler(unlimited_team());
@@ -530,8 +531,8 @@
     assert_eq!(status, MachineStatus::Draining);
 }
 
-/// A former leader counts as silent once its host has another incarnation, or once its time has
-/// ended by any clock within the drift bound.
+/// A former leader no longer replies to workers once its host has another incarnation, or once its
+/// time has ended according to every clock within the drift bound.
 #[test]
 fn a_former_leader_is_silent_after_a_restart_or_the_end_of_its_time() {
     let former_leader = |until_ms| FormerLeader {
