--- a/src/coordination/scheduler/active_drain.rs
+++ b/src/coordination/scheduler/active_drain.rs
@@ -3,7 +3,7 @@
 
 use crate::protocol::admin::{Drain, Rest};
 
-/// The drain of a machine that the leader carries out.
+/// A drain of a machine, as carried out by the leader.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ActiveDrain {
     /// The drain's record in the state service.
--- a/src/coordination/scheduler/capacity_index.rs
+++ b/src/coordination/scheduler/capacity_index.rs
@@ -97,7 +97,7 @@
 struct IndexEntry {
     pool: usize,
     free_cpus: f64,
-    /// Position in the pool's list of short queues, if the machine is in that list.
+    /// Position in the pool's `short_queue` list; `None` if the machine's queue is full.
     short_queue_position: Option<usize>,
 }
 
@@ -117,7 +117,7 @@
     /// Changes whenever a pool gets its first machine or loses its last one.
     pub(crate) version: u64,
     /// Requirements for which an exhaustive search found no machine. An entry stays valid until
-    /// the free capacity of some machine grows so that the task fits (see `capacity_grew`).
+    /// the free capacity of some machine grows enough for the requirements (see `capacity_grew`).
     exhausted: Vec<ExhaustedRequirements>,
 }
 
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -39,8 +39,8 @@
         }
     }
 
-    /// An entry for the job's first task only, with rank 0; the caller inserts it in
-    /// front of the order.
+    /// An entry for the job's first task only, with rank 0; the caller inserts the
+    /// entry in front of the order.
     pub fn first_task(entry: &OrderedJob, accepted_at: f64) -> OrderedJob {
         OrderedJob {
             precedence: Precedence {
--- a/src/coordination/scheduler/run_time_predictor.rs
+++ b/src/coordination/scheduler/run_time_predictor.rs
@@ -1,5 +1,5 @@
-//! Statistics by job class: run times of tasks, the error of their estimates, and how long jobs
-//! wait for their first task to run.
+//! Statistics by job class: run times of tasks, ratios of run times to estimates, and the time
+//! that jobs wait until their first task runs.
 
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
@@ -75,7 +75,7 @@
 pub struct RunTimePredictor {
     /// Run times of tasks, in milliseconds.
     pub run_ms: ClassHistograms,
-    /// Run times divided by their estimates, in thousandths.
+    /// Run times of tasks divided by the estimates of their jobs, in thousandths.
     pub ratio: ClassHistograms,
     /// Times from a job's acceptance until its first task was seen running, in milliseconds.
     pub wait_ms: ClassHistograms,
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -808,7 +808,7 @@
             assert_eq!(batch.completions[0].chunked, chunked);
             batches.push(batch);
             if n == 0 {
-                // The reply is lost, so the leader retries later with all completions it then has.
+                // The reply is lost, so the leader retries with all completions known by then.
                 continue;
             }
             let version = store.apply(&batches[n].txn).expect("the write is executed");
@@ -821,9 +821,9 @@
     }
 }
 
-/// Guards against a one-zone job that waits for ever while another zone has capacity. It must be
-/// placed in a zone where its tasks fit. The zone with the largest number of free CPUs may be the
-/// wrong one, since free CPUs are useless on machines without free memory.
+/// Guards against a one-zone job that waits for ever while another zone has capacity. The job
+/// must be placed in a zone where its tasks fit. The zone with the largest number of free CPUs may
+/// not be such a zone, since free CPUs are useless on machines without free memory.
 #[test]
 fn a_one_zone_job_is_placed_where_its_tasks_fit() {
     let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
@@ -835,8 +835,8 @@
         (first, heartbeat(scheduler, &two, now))
     };
     heartbeat_both(&mut scheduler, 1, 1.0);
-    // One job takes nearly all memory of zone a and few of its CPUs, another one many CPUs of
-    // zone b.
+    // The first job takes nearly all memory of zone a but few of its CPUs. The second job takes
+    // many CPUs of zone b.
     for (id, cpus, memory_gb, zone) in [("run-1", 1.0, 31.5, "a"), ("run-2", 5.0, 1.0, "b")] {
         let mut job = spec(id, "t", Urgency::High, 1, cpus);
         (job.memory_gb, job.zone) = (memory_gb, Some(zone.into()));
