--- a/crates/report/src/bound.rs
+++ b/crates/report/src/bound.rs
@@ -1,43 +1,51 @@
-//! An upper bound of what any scheduler could have done with a day's arrivals and machines:
-//! relaxed so that it can be computed, and never reached in full.
+//! An upper bound on the proportion of jobs that any scheduler could have done in time, given the
+//! arrivals and machines of a day. The problem is relaxed so that the bound can be computed; no
+//! scheduler reaches it in full.
 //!
-//! What is relaxed: the fleet is one pool of CPUs (no machine sizes, memory, zones,
-//! images or boots beyond what the log counts as in use), a job may be split and
-//! resumed at no cost, its tasks run as long as their user estimated, the future is
-//! known, a part of a job counts as that part of a job done, and the seconds of a
-//! takeover count as served. What is kept: arrivals, CPUs over time with all that was
-//! lost, the teams' limits, and that a job cannot use more CPUs than its tasks have
-//! or end before a task's run time is over.
+//! Relaxed:
+//! - The fleet is one pool of CPUs. Machine sizes, memory, zones, images and boots are ignored,
+//!   except that only machines that the log counts as in use have capacity.
+//! - A job may be split, and stopped and resumed at no cost.
+//! - Tasks run as long as their user estimated.
+//! - The future is known.
+//! - A part of a job counts as the same part of a done job.
+//! - The seconds of a leader change count as usable.
 //!
-//! Work is sent from jobs through their team's limit into slots of time that the
-//! job may use. The work that can be served of a set of jobs is then a flow, so
-//! taking the jobs in the order of their work and pushing what goes maximises the
-//! number of jobs done (a greedy choice is the best one over a polymatroid).
+//! Kept:
+//! - The arrivals.
+//! - The CPUs over time, including all losses.
+//! - The CPU limits of the teams.
+//! - A job cannot use more CPUs than its tasks have, or end before the run time of a task is over.
+//!
+//! Work flows from jobs, through the limit of their team, into the time slots that the job may
+//! use. The work of a set of jobs that can be served is therefore a maximum flow. Adding the jobs
+//! in the order of their work, smallest first, and serving as much of each as possible maximizes
+//! the number of jobs done (the greedy choice is optimal over a polymatroid).
 
 use crate::flow::{EdgeId, Network};
 use std::collections::BTreeMap;
 
-/// Length of a slot, in seconds.
+/// Length of a time slot.
 const SLOT_S: f64 = 5.0;
-/// Proportions are searched to this resolution, finer than the classes' counts tell apart.
+/// Resolution of the search for a proportion: finer than one job in the count of a class.
 const RESOLUTION: f64 = 1.0 / 64.0;
-/// A job is served if this part of its work is; the rest is rounding.
-const SERVED: f64 = 0.999;
+/// A job counts as served if at least this part of its work is served; the rest is rounding.
+const MIN_SERVED_PART: f64 = 0.999;
 
-/// A job to be served.
+/// A job, as input of the bound.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
-    /// Its team.
+    /// Team of the job.
     pub team: String,
-    /// When it is submitted, in seconds of the day.
+    /// When the job is submitted, in seconds of the day.
     pub from_s: f64,
-    /// When it is due, in seconds of the day.
+    /// When the job is due, in seconds of the day.
     pub due_s: f64,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
-    /// CPUs of a task.
+    /// CPUs of one task.
     pub cpus: f64,
-    /// Run time of a task, in seconds.
+    /// Run time of one task, in seconds.
     pub run_s: f64,
 }
 
@@ -47,29 +55,29 @@
         f64::from(self.tasks) * self.cpus * self.run_s
     }
 
-    /// Whether any fleet could serve it in time.
-    fn possible(&self) -> bool {
+    /// Whether a fleet of unlimited size could serve the job in time.
+    fn is_feasible(&self) -> bool {
         self.due_s - self.from_s >= self.run_s && self.work() > 0.0
     }
 }
 
-/// The capacity that there was.
+/// The capacity of a day.
 #[derive(Debug, Clone, Default)]
 pub struct Fleet {
-    /// CPUs from each time on, in order.
+    /// The CPUs of the fleet, each with the time from which they apply, in order of time.
     pub cpus: Vec<(f64, f64)>,
-    /// The most CPUs that a team may use; a team that is not here may use all.
+    /// The most CPUs that each team may use. A team without an entry has no limit.
     pub limits: BTreeMap<String, f64>,
 }
 
 impl Fleet {
-    /// CPU seconds between two times.
+    /// The CPU seconds between two times.
     fn cpu_seconds(&self, from_s: f64, to_s: f64) -> f64 {
         let mut sum = 0.0;
         for (index, (start_s, cpus)) in self.cpus.iter().enumerate() {
-            let next = self.cpus.get(index + 1);
-            let end_s = next.map_or(f64::INFINITY, |(start_s, _)| *start_s);
-            // Before the first record there is what it tells.
+            let next_record = self.cpus.get(index + 1);
+            let end_s = next_record.map_or(f64::INFINITY, |(start_s, _)| *start_s);
+            // The first record also applies to the time before it.
             let start_s = if index == 0 {
                 f64::NEG_INFINITY
             } else {
@@ -81,8 +89,10 @@
     }
 }
 
-/// The flow network of a set of jobs: from the source over jobs (and slots of teams with a
-/// limit) into slots of time, and to the sink. Jobs are supplied one after the other.
+/// The flow network of a set of jobs. Edges lead from the source to the jobs, from each job to the
+/// time slots that it may use, and from the time slots to the sink. Jobs of a team with a limit
+/// reach the time slots through slots of that team. At first the edges from the source have no
+/// capacity; `serve` adds it job by job.
 struct JobNetwork {
     network: Network,
     source: usize,
@@ -111,7 +121,7 @@
         built
     }
 
-    /// A node for each slot until then, with the fleet's capacity in it.
+    /// Adds a node for each time slot until `end_s`, with the capacity of the fleet in that slot.
     fn add_slots(&mut self, end_s: f64, fleet: &Fleet) -> Vec<usize> {
         let count = (end_s / SLOT_S).ceil().max(0.0) as usize;
         let mut add = |slot: usize| {
@@ -125,7 +135,8 @@
         (0..count).map(&mut add).collect()
     }
 
-    /// A team with a limit has slots of its own in front of those of all.
+    /// Adds a node for each time slot of each team with a limit, in front of the slots of the
+    /// fleet.
     fn add_team_slots<'f>(
         &mut self,
         slots: &[usize],
@@ -139,13 +150,13 @@
                 self.network.add_edge(node, slot, capacity);
                 node
             };
-            let own: Vec<usize> = slots.iter().map(&mut add).collect();
-            teams.insert(team.as_str(), own);
+            let team_slots: Vec<usize> = slots.iter().map(&mut add).collect();
+            teams.insert(team.as_str(), team_slots);
         }
         teams
     }
 
-    /// A node for the job, without supply, with edges to the slots that it may use.
+    /// Adds a node for a job without supply, and edges to the slots that the job may use.
     fn add_job(&mut self, job: &Job, slots: &[usize]) {
         let node = self.network.add_node();
         self.supply
@@ -161,7 +172,7 @@
         }
     }
 
-    /// Serves as much as possible of one job's work; the part of it.
+    /// Serves as much as possible of the work of one job. Returns the part of the work served.
     fn serve(&mut self, job: usize, work: f64) -> f64 {
         let wanted = work.ceil().max(1.0) as u64;
         self.network.add_capacity(self.supply[job], wanted);
@@ -170,17 +181,17 @@
     }
 }
 
-/// Possible jobs by their work, smallest first.
-fn smallest_first<'a>(jobs: impl Iterator<Item = &'a Job>) -> Vec<&'a Job> {
-    let mut jobs: Vec<&Job> = jobs.filter(|job| job.possible()).collect();
+/// The feasible jobs in the order of their work, smallest first.
+fn feasible_smallest_first<'a>(jobs: impl Iterator<Item = &'a Job>) -> Vec<&'a Job> {
+    let mut jobs: Vec<&Job> = jobs.filter(|job| job.is_feasible()).collect();
     jobs.sort_by(|a, b| a.work().total_cmp(&b.work()));
     jobs
 }
 
-/// The largest proportion of these jobs that could have been done in time if the fleet had
+/// Upper bound of the proportion of these jobs that could have been done in time if the fleet had
 /// served nothing else.
 pub fn alone(jobs: &[Job], fleet: &Fleet) -> f64 {
-    let order = smallest_first(jobs.iter());
+    let order = feasible_smallest_first(jobs.iter());
     let mut network = JobNetwork::new(&order, fleet);
     let served: f64 = (0..order.len())
         .map(|index| network.serve(index, order[index].work()))
@@ -188,43 +199,43 @@
     served / jobs.len().max(1) as f64
 }
 
-/// The largest proportion that each group could have had at the same time, if each is served
-/// the same proportion and the smallest jobs of each are served. (Others than the smallest may
-/// go together better by a little, so this is a plan, and a bound only nearly.)
+/// The largest proportion of jobs that could have been done in time in every group at once, if the
+/// same proportion of each group is served, smallest jobs first. Other jobs than the smallest may
+/// fit together slightly better, so this is not an exact upper bound.
 pub fn together(groups: &[Vec<Job>], fleet: &Fleet) -> f64 {
-    let (mut fits, mut too_much) = (0.0, 1.0 + RESOLUTION);
-    while too_much - fits > RESOLUTION {
-        let proportion: f64 = (fits + too_much) / 2.0;
+    let (mut feasible, mut infeasible) = (0.0, 1.0 + RESOLUTION);
+    while infeasible - feasible > RESOLUTION {
+        let proportion: f64 = (feasible + infeasible) / 2.0;
         if fits_together(groups, proportion, fleet) {
-            fits = proportion;
+            feasible = proportion;
         } else {
-            too_much = proportion;
+            infeasible = proportion;
         }
     }
-    // In whole jobs, of the group that this rounds down most.
-    let whole = |jobs: &Vec<Job>| count_of(jobs, fits) as f64 / jobs.len() as f64;
+    // Each group is rounded down to whole jobs; the smallest resulting proportion counts.
+    let whole_jobs = |jobs: &Vec<Job>| count_of(jobs, feasible) as f64 / jobs.len() as f64;
     let groups = groups.iter().filter(|jobs| !jobs.is_empty());
-    groups.map(whole).min_by(f64::total_cmp).unwrap_or(1.0)
+    groups.map(whole_jobs).min_by(f64::total_cmp).unwrap_or(1.0)
 }
 
-/// This proportion of the jobs, in whole jobs.
+/// The number of jobs in this proportion of them, rounded down.
 fn count_of(jobs: &[Job], proportion: f64) -> usize {
     (proportion.min(1.0) * jobs.len() as f64).floor() as usize
 }
 
-/// Whether this proportion of each group can be served at the same time.
+/// Whether this proportion of every group can be served at the same time.
 fn fits_together(groups: &[Vec<Job>], proportion: f64, fleet: &Fleet) -> bool {
     let mut chosen = Vec::new();
     for jobs in groups {
         let count = count_of(jobs, proportion);
-        let smallest = smallest_first(jobs.iter()).into_iter().take(count);
+        let smallest = feasible_smallest_first(jobs.iter()).into_iter().take(count);
         let before = chosen.len();
         chosen.extend(smallest);
-        // Jobs that no fleet could serve are not among them.
+        // Jobs that are not feasible were left out.
         if chosen.len() - before < count {
             return false;
         }
     }
     let mut network = JobNetwork::new(&chosen, fleet);
-    (0..chosen.len()).all(|index| network.serve(index, chosen[index].work()) > SERVED)
+    (0..chosen.len()).all(|index| network.serve(index, chosen[index].work()) > MIN_SERVED_PART)
 }
--- a/crates/report/src/count.rs
+++ b/crates/report/src/count.rs
@@ -1,59 +1,60 @@
-//! Counts a day's log by class and by team.
+//! Counts the events of a day's log by class and by team.
 
 use crate::log::{Accepted, Event};
 use crate::objectives::Objective;
 use std::collections::{BTreeMap, HashMap};
 
-/// A job and what became of it. Times are seconds from the start of the run.
+/// A job and its outcome. Times are in seconds since the start of the run.
 #[derive(Debug, Clone)]
 pub struct JobEnd {
-    /// When it was accepted.
+    /// When the job was accepted.
     pub at_s: f64,
-    /// The job as it was accepted.
+    /// The properties of the job at its acceptance.
     pub spec: Accepted,
-    /// When it was done.
+    /// When the job was done, if it was.
     pub done_s: Option<f64>,
-    /// Whether it was cancelled.
+    /// Whether the job was cancelled.
     pub cancelled: bool,
 }
 
-/// Of the jobs that an objective applies to, those that met it.
+/// How many jobs met an objective.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Met {
-    /// Jobs that met it.
+    /// Jobs that met the objective.
     pub met: u32,
-    /// Jobs that it applies to.
+    /// Jobs that the objective applies to.
     pub of: u32,
 }
 
 /// The counts of one class or team.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Counts {
-    /// Jobs accepted and not cancelled.
+    /// Jobs that were accepted and not cancelled.
     pub jobs: u32,
-    /// Their tasks.
+    /// Tasks of these jobs.
     pub tasks: u64,
-    /// Starts of their tasks that the log tells of: those of a former leader are not among
-    /// them.
+    /// Starts of tasks of the jobs that are done, as the leader that finished the job logged them.
+    /// Starts by former leaders are not included.
     pub starts: u64,
     /// Jobs done.
     pub done: u32,
-    /// By objective, in the order of the class's objectives; of a team there is one count, by
+    /// For a class, one count for each of its objectives, in their order. For a team, one count by
     /// the strictest objective of each job.
     pub in_time: Vec<Met>,
-    /// Preemptions of their tasks.
+    /// Preemptions of tasks of these jobs.
     pub stopped: u64,
     /// The most preemptions of one task.
     pub stopped_most: u32,
     /// Tasks that were lost with their machine.
     pub lost: u64,
-    /// The longest time for which tasks of one job waited and none of them started, in seconds.
+    /// The longest time, in seconds, during which tasks of one job waited and none started. A job
+    /// that is not done counts with the time from its acceptance to the end of the run.
     pub passed_s: f64,
 }
 
 impl Counts {
-    /// The smallest proportion that met an objective; `None` without one.
-    pub fn least(&self) -> Option<f64> {
+    /// The smallest proportion of jobs that met an objective; `None` if no objective applies.
+    pub fn smallest_proportion(&self) -> Option<f64> {
         let counted = self.in_time.iter().filter(|met| met.of > 0);
         counted
             .map(|met| f64::from(met.met) / f64::from(met.of))
@@ -61,14 +62,14 @@
     }
 }
 
-/// A day as the log tells it.
+/// The jobs, fleet and counts of a day, according to the log.
 #[derive(Debug, Default)]
 pub struct Day {
     /// All accepted jobs, by id.
     pub jobs: BTreeMap<String, JobEnd>,
-    /// When a task of each job first ran.
+    /// When a task of each job first ran, by job id.
     pub begun: BTreeMap<String, f64>,
-    /// CPUs of the machines in use, from each time on.
+    /// The total CPUs of the machines in use, each with the time from which it applies.
     pub load: Vec<(f64, f64)>,
     /// Counts by class.
     pub classes: BTreeMap<String, Counts>,
@@ -76,27 +77,27 @@
     pub teams: BTreeMap<String, Counts>,
 }
 
-/// What the log tells of the tasks of one job.
+/// Counts of the tasks of one job.
 #[derive(Debug, Clone, Default)]
 struct TaskCounts {
     starts: u32,
     passed_s: f64,
     /// Preemptions, by task.
-    stops: HashMap<String, u32>,
+    preemptions: HashMap<String, u32>,
     lost: u64,
 }
 
 impl TaskCounts {
     fn stopped(&self) -> u64 {
-        self.stops.values().copied().map(u64::from).sum()
+        self.preemptions.values().copied().map(u64::from).sum()
     }
 
     fn stopped_most(&self) -> u32 {
-        self.stops.values().copied().max().unwrap_or(0)
+        self.preemptions.values().copied().max().unwrap_or(0)
     }
 }
 
-/// Counts a log that ends at `ends_s`, by the objectives of each class.
+/// Counts a log that ends at `ends_s`, with the objectives of each class.
 pub fn count(
     events: &[(f64, Event)],
     objectives: &BTreeMap<String, Vec<Objective>>,
@@ -132,7 +133,7 @@
 }
 
 impl Day {
-    /// Takes in one event; what it tells of tasks goes into `tasks`, by job.
+    /// Adds one event. Counts of tasks are added to `tasks`, by job.
     fn add(&mut self, at_s: f64, event: &Event, tasks: &mut HashMap<String, TaskCounts>) {
         match event {
             Event::Accepted(spec) => {
@@ -164,7 +165,7 @@
             }
             Event::Stopped(task) => {
                 let of_job = tasks.entry(job_of(task).into()).or_default();
-                *of_job.stops.entry(task.clone()).or_default() += 1;
+                *of_job.preemptions.entry(task.clone()).or_default() += 1;
             }
             Event::Lost(lost) => {
                 for task in lost {
@@ -177,19 +178,19 @@
 }
 
 impl JobEnd {
-    /// Whether it is done within so many seconds.
+    /// Whether the job is done within `due_s` seconds from its acceptance.
     fn done_within(&self, due_s: f64) -> bool {
         self.done_s
             .is_some_and(|done_s| done_s - self.at_s <= due_s)
     }
 
-    /// Whether it meets an objective, if that applies.
+    /// Whether the job meets an objective; none if the objective does not apply.
     fn meets(&self, objective: &Objective) -> Option<bool> {
         let due_s = objective.due_s(self.spec.due_s)?;
         Some(self.done_within(due_s))
     }
 
-    /// Whether it meets the strictest of the objectives that apply.
+    /// Whether the job meets the strictest objective that applies; none if none applies.
     fn meets_strictest(&self, objectives: &[Objective]) -> Option<bool> {
         let due = objectives.iter().filter_map(|o| o.due_s(self.spec.due_s));
         let strictest_s = due.min_by(f64::total_cmp)?;
@@ -198,7 +199,8 @@
 }
 
 impl Counts {
-    /// Adds a job, and for each objective whether it met it, if that applies.
+    /// Adds a job. `met` states for each objective whether the job met it, or none if the objective
+    /// does not apply.
     fn add(&mut self, job: &JobEnd, met: &[Option<bool>], tasks: &TaskCounts, ends_s: f64) {
         let passed_s = match job.done_s {
             Some(_) => tasks.passed_s,
--- a/crates/report/src/flow.rs
+++ b/crates/report/src/flow.rs
@@ -1,20 +1,20 @@
-//! The maximum flow through a network that grows: Dinic's algorithm (blocking flows along
-//! shortest paths). Additional capacity is used on top of the present flow, which may be
-//! rerouted but is never lowered.
+//! Incremental maximum flow by Dinic's algorithm (blocking flows along shortest paths). After
+//! capacity is added, the flow is augmented from its current value. It may be rerouted, but its
+//! value never decreases.
 
 use std::collections::VecDeque;
 
-/// An edge in the list of its first node.
+/// An edge, stored in the list of the node that it leaves.
 #[derive(Debug, Clone)]
 struct Edge {
     to: usize,
     /// Residual capacity.
-    left: u64,
-    /// Index of its reverse in the list of `to`.
+    residual: u64,
+    /// Index of the reverse edge in the list of `to`.
     reverse: usize,
 }
 
-/// Names an edge of a network.
+/// Identifies an edge of a network.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EdgeId {
     from: usize,
@@ -28,100 +28,105 @@
 }
 
 impl Network {
-    /// Adds a node; its number.
+    /// Adds a node. Returns its number.
     pub fn add_node(&mut self) -> usize {
         self.edges.push(Vec::new());
         self.edges.len() - 1
     }
 
-    /// Adds an edge of this capacity.
+    /// Adds an edge with this capacity.
     pub fn add_edge(&mut self, from: usize, to: usize, capacity: u64) -> EdgeId {
         let (index, reverse) = (self.edges[from].len(), self.edges[to].len());
         self.edges[from].push(Edge {
             to,
-            left: capacity,
+            residual: capacity,
             reverse,
         });
         self.edges[to].push(Edge {
             to: from,
-            left: 0,
+            residual: 0,
             reverse: index,
         });
         EdgeId { from, index }
     }
 
-    /// Adds to an edge's capacity.
-    pub fn add_capacity(&mut self, edge: EdgeId, more: u64) {
-        self.edges[edge.from][edge.index].left += more;
+    /// Increases the capacity of an edge.
+    pub fn add_capacity(&mut self, edge: EdgeId, increase: u64) {
+        self.edges[edge.from][edge.index].residual += increase;
     }
 
-    /// An edge's residual capacity.
+    /// The residual capacity of an edge.
     pub fn residual(&self, edge: EdgeId) -> u64 {
-        self.edges[edge.from][edge.index].left
+        self.edges[edge.from][edge.index].residual
     }
 
-    /// Augments the flow from `source` to `sink` to its maximum; by how much.
+    /// Augments the flow from `source` to `sink` to its maximum. Returns the increase.
     pub fn augment(&mut self, source: usize, sink: usize) -> u64 {
-        let mut sum = 0;
+        let mut increase = 0;
         loop {
-            let level = self.levels(source);
-            if level[sink].is_none() {
-                return sum;
+            let levels = self.levels(source);
+            if levels[sink].is_none() {
+                return increase;
             }
-            let mut next = vec![0; self.edges.len()];
+            let mut next_edges = vec![0; self.edges.len()];
             loop {
-                let pushed = self.push_along(source, sink, u64::MAX, &level, &mut next);
+                let pushed = self.push_along(source, sink, u64::MAX, &levels, &mut next_edges);
                 if pushed == 0 {
                     break;
                 }
-                sum += pushed;
+                increase += pushed;
             }
         }
     }
 
-    /// Distance of each node from the source over edges with residual capacity.
+    /// The distance of each node from the source over edges with residual capacity; none if the node
+    /// cannot be reached.
     fn levels(&self, source: usize) -> Vec<Option<usize>> {
-        let mut level = vec![None; self.edges.len()];
-        level[source] = Some(0);
+        let mut levels = vec![None; self.edges.len()];
+        levels[source] = Some(0);
         let mut queue = VecDeque::from([(source, 0)]);
         while let Some((node, depth)) = queue.pop_front() {
             for edge in &self.edges[node] {
-                if edge.left > 0 && level[edge.to].is_none() {
-                    level[edge.to] = Some(depth + 1);
+                if edge.residual > 0 && levels[edge.to].is_none() {
+                    levels[edge.to] = Some(depth + 1);
                     queue.push_back((edge.to, depth + 1));
                 }
             }
         }
-        level
+        levels
     }
 
-    /// Pushes flow along one shortest path, `most` at most; how much. `next` is the edge at
-    /// which each node goes on. Paths are as long as the network is deep, a few nodes here, so
-    /// the recursion is shallow.
+    /// Pushes at most `limit` flow from `node` to `sink` along one shortest path. Returns the flow
+    /// pushed. `next_edges` holds for each node the index of the first edge that is not exhausted.
+    /// The recursion is as deep as a path is long, which is a few nodes here.
     fn push_along(
         &mut self,
         node: usize,
         sink: usize,
-        most: u64,
-        level: &[Option<usize>],
-        next: &mut [usize],
+        limit: u64,
+        levels: &[Option<usize>],
+        next_edges: &mut [usize],
     ) -> u64 {
         if node == sink {
-            return most;
+            return limit;
         }
-        while next[node] < self.edges[node].len() {
-            let index = next[node];
-            let Edge { to, left, reverse } = self.edges[node][index];
-            let deeper = matches!((level[node], level[to]), (Some(a), Some(b)) if b == a + 1);
-            if left > 0 && deeper {
-                let pushed = self.push_along(to, sink, most.min(left), level, next);
+        while next_edges[node] < self.edges[node].len() {
+            let index = next_edges[node];
+            let Edge {
+                to,
+                residual,
+                reverse,
+            } = self.edges[node][index];
+            let deeper = matches!((levels[node], levels[to]), (Some(a), Some(b)) if b == a + 1);
+            if residual > 0 && deeper {
+                let pushed = self.push_along(to, sink, limit.min(residual), levels, next_edges);
                 if pushed > 0 {
-                    self.edges[node][index].left -= pushed;
-                    self.edges[to][reverse].left += pushed;
+                    self.edges[node][index].residual -= pushed;
+                    self.edges[to][reverse].residual += pushed;
                     return pushed;
                 }
             }
-            next[node] += 1;
+            next_edges[node] += 1;
         }
         0
     }
--- a/crates/report/src/largest.rs
+++ b/crates/report/src/largest.rs
@@ -1,36 +1,38 @@
-//! The largest jobs of each class: what a scheduler that prefers small ones serves last. A day
-//! fails if less than half of them is served, and they too should begin within four minutes.
+//! Counts of the largest jobs of each class, which a scheduler that prefers small jobs serves last.
+//! A day fails if less than half of them are done. Their first tasks should run within four
+//! minutes.
 
 use crate::count::{Day, JobEnd};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// In how many seconds a job's first task should run.
-pub const BEGIN_S: f64 = 240.0;
-/// Of each class one in so many jobs is looked at.
-const PARTS: [usize; 2] = [10, 4];
+/// Seconds from acceptance within which the first task of a job should run.
+pub const FIRST_START_LIMIT_S: f64 = 240.0;
+/// Of each class, the largest tenth and the largest quarter are counted.
+const DIVISORS: [usize; 2] = [10, 4];
 
-/// The largest jobs of a class, by one measure.
+/// Counts of the largest jobs of a class by one measure of size.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Largest {
-    /// The class.
+    /// Name of the class.
     pub class: String,
-    /// The measure of size.
+    /// Name of the measure of size.
     pub by: &'static str,
-    /// One in so many of the class's jobs.
+    /// The jobs counted are the largest `1/part` of the class.
     pub part: usize,
-    /// How many jobs these are.
+    /// Number of jobs counted.
     pub jobs: usize,
-    /// How many of them are done.
+    /// Number of these jobs that are done.
     pub done: usize,
-    /// Of how many a task ran within four minutes.
+    /// Number of these jobs of which a task ran within [`FIRST_START_LIMIT_S`].
     pub begun: usize,
-    /// The longest time until one did, in seconds (to the day's end, where none did).
+    /// The longest time from acceptance until a first task ran, in seconds. A job of which no task
+    /// ran counts until the end of the run.
     pub longest_s: f64,
 }
 
 impl Largest {
-    /// Whether less than half is served.
+    /// Whether less than half of the jobs are done.
     pub fn under_half(&self) -> bool {
         2 * self.done < self.jobs
     }
@@ -51,7 +53,7 @@
         }
     }
 
-    /// CPU seconds are by the user's estimate.
+    /// The size of a job. CPU seconds are computed from the user's estimate of the run time.
     fn of(self, job: &JobEnd) -> f64 {
         let tasks = f64::from(job.spec.tasks);
         match self {
@@ -61,32 +63,33 @@
     }
 }
 
-/// A job that counts, and how long it waited until a task of it ran.
-struct Waited<'a> {
+/// A job, and how long it waited until its first task ran.
+struct WaitedJob<'a> {
     id: &'a str,
     job: &'a JobEnd,
     waited_s: f64,
 }
 
-/// The largest tenth and quarter of each class by tasks and by CPU seconds, one job at least.
-/// Jobs that were cancelled are not counted, nor those that arrived too late to tell.
+/// Counts the largest tenth and quarter of each class by tasks and by CPU seconds, at least one job
+/// each. Cancelled jobs are left out, and so are jobs that were accepted less than
+/// [`FIRST_START_LIMIT_S`] before the end of the run.
 pub fn largest(day: &Day, ends_s: f64) -> Vec<Largest> {
-    let mut classes: BTreeMap<&str, Vec<Waited>> = BTreeMap::new();
+    let mut classes: BTreeMap<&str, Vec<WaitedJob>> = BTreeMap::new();
     for (id, job) in &day.jobs {
-        if job.cancelled || job.at_s + BEGIN_S > ends_s {
+        if job.cancelled || job.at_s + FIRST_START_LIMIT_S > ends_s {
             continue;
         }
-        let begun = day.begun.get(id).copied().or(job.done_s);
-        let waited_s = begun.unwrap_or(ends_s) - job.at_s;
+        let begun_s = day.begun.get(id).copied().or(job.done_s);
+        let waited_s = begun_s.unwrap_or(ends_s) - job.at_s;
         let jobs = classes.entry(&job.spec.class).or_default();
-        jobs.push(Waited { id, job, waited_s });
+        jobs.push(WaitedJob { id, job, waited_s });
     }
     let mut found = Vec::new();
     for (class, mut jobs) in classes {
         for measure in [Measure::Tasks, Measure::CpuSeconds] {
-            let size = |waited: &Waited| measure.of(waited.job);
+            let size = |waited: &WaitedJob| measure.of(waited.job);
             jobs.sort_by(|a, b| size(b).total_cmp(&size(a)).then(a.id.cmp(b.id)));
-            for part in PARTS {
+            for part in DIVISORS {
                 let largest = &jobs[..jobs.len().div_ceil(part)];
                 found.push(sum_up(class, measure, part, largest));
             }
@@ -95,7 +98,7 @@
     found
 }
 
-fn sum_up(class: &str, measure: Measure, part: usize, jobs: &[Waited]) -> Largest {
+fn sum_up(class: &str, measure: Measure, part: usize, jobs: &[WaitedJob]) -> Largest {
     let waits = jobs.iter().map(|waited| waited.waited_s);
     Largest {
         class: class.to_string(),
@@ -105,7 +108,7 @@
         done: jobs.iter().filter(|w| w.job.done_s.is_some()).count(),
         begun: waits
             .clone()
-            .filter(|waited_s| *waited_s <= BEGIN_S)
+            .filter(|waited_s| *waited_s <= FIRST_START_LIMIT_S)
             .count(),
         longest_s: waits.fold(0.0, f64::max),
     }
--- a/crates/report/src/log.rs
+++ b/crates/report/src/log.rs
@@ -1,69 +1,69 @@
-//! Reads the controllers' log: lines of a time in seconds, a host, a level, a message and
-//! fields, as `LOG_LEVEL=info` prints them behind a time and a name. Only lines of level INFO
-//! with the messages of [`Event`] count.
+//! Reads the log of the controllers. A line has a time in seconds, a host name, and then the level,
+//! message and fields that a controller prints with `LOG_LEVEL=info`. Only lines of level INFO
+//! whose messages belong to an [`Event`] are read.
 
 use std::collections::BTreeMap;
 
-/// A job as it was accepted.
+/// The properties of a job at its acceptance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Accepted {
-    /// Its id.
+    /// Id of the job.
     pub job: String,
-    /// Its class.
+    /// Class of the job.
     pub class: String,
-    /// Its team.
+    /// Team of the job.
     pub team: String,
-    /// How many tasks it has.
+    /// Number of tasks.
     pub tasks: u32,
     /// CPUs of one task.
     pub cpus: f64,
-    /// Its user's estimate of a task's run time, in seconds.
+    /// The user's estimate of the run time of one task, in seconds.
     pub estimate_s: f64,
     /// Deadline in seconds from submission; 0 for none.
     pub due_s: f64,
 }
 
-/// What a line tells.
+/// The event that a line of the log records.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A job is accepted.
     Accepted(Accepted),
     /// A job is done.
     Done {
-        /// Its id.
+        /// Id of the job.
         job: String,
-        /// How often its tasks were started by this leader.
+        /// How often the current leader started tasks of the job.
         starts: u32,
-        /// The longest time for which tasks of it waited and none of them started, in seconds.
+        /// The longest time, in seconds, during which tasks of the job waited and none started.
         passed_s: f64,
     },
     /// A job is cancelled.
     Cancelled(String),
-    /// A task of the job ran for the first time.
+    /// For the first time a task of the job runs.
     Begun(String),
-    /// A task (`job/index`) was preempted.
+    /// A task (`job/index`) is preempted.
     Stopped(String),
-    /// Tasks that were lost with their machine.
+    /// Tasks are lost with their machine.
     Lost(Vec<String>),
-    /// CPUs of the machines in use.
+    /// The total CPUs of the machines in use.
     Load(f64),
 }
 
-/// A line with a known message whose fields cannot be read.
+/// A line with a known message has a field that is missing or invalid.
 #[derive(Debug, thiserror::Error, PartialEq)]
-#[error("line {line}: {message}: field {field} is missing or no number")]
+#[error("line {line}: {message}: field {field} is missing or not a number")]
 pub struct Unreadable {
     /// Number of the line, from 1.
     pub line: usize,
-    /// Its message.
+    /// Message of the line.
     pub message: &'static str,
-    /// The first field that cannot be read.
+    /// The first field that is missing or invalid.
     pub field: &'static str,
 }
 
-/// A line of the log, of level INFO.
+/// A line of the log with level INFO.
 struct Line<'a> {
-    /// From 1.
+    /// Number of the line, from 1.
     number: usize,
     at_s: f64,
     message: String,
@@ -71,7 +71,7 @@
 }
 
 impl<'a> Line<'a> {
-    /// Splits a line, if it is one of the log and of level INFO.
+    /// Parses a line. Returns none for text that is not a log line of level INFO.
     fn parse(number: usize, text: &'a str) -> Option<Line<'a>> {
         let (time, rest) = text.trim_start().split_once(' ')?;
         let at_s = time.parse().ok()?;
@@ -85,7 +85,7 @@
         })
     }
 
-    /// What it tells, if its message is known.
+    /// The event of the line, if its message is known.
     fn event(&self) -> Result<Option<Event>, Unreadable> {
         let event = match self.message.as_str() {
             "accepted" => Event::Accepted(self.accepted()?),
@@ -140,21 +140,23 @@
     }
 }
 
-/// Message and fields of what stands behind the level: words with `=` are fields, the others
-/// make up the message.
+/// Splits the text after the level into message and fields. Words that contain `=` are fields,
+/// the other words make up the message.
 fn message_and_fields(text: &str) -> (String, BTreeMap<&str, &str>) {
     let mut message = Vec::new();
     let mut fields = BTreeMap::new();
-    let mut left = text.trim();
-    while !left.is_empty() {
-        let end = left.find(' ').unwrap_or(left.len());
-        let word = &left[..end];
+    let mut remaining = text.trim();
+    while !remaining.is_empty() {
+        let word_end = remaining.find(' ').unwrap_or(remaining.len());
+        let word = &remaining[..word_end];
         match word.split_once('=') {
             Some((key, value)) if value.starts_with('"') => {
-                let from = key.len() + 2;
-                let close = left[from..].find('"').map_or(left.len(), |at| from + at);
-                fields.insert(key, &left[from..close]);
-                left = left.get(close + 1..).unwrap_or("").trim_start();
+                let value_start = key.len() + 2;
+                let value_end = remaining[value_start..]
+                    .find('"')
+                    .map_or(remaining.len(), |offset| value_start + offset);
+                fields.insert(key, &remaining[value_start..value_end]);
+                remaining = remaining.get(value_end + 1..).unwrap_or("").trim_start();
                 continue;
             }
             Some((key, value)) => {
@@ -162,17 +164,18 @@
             }
             None => message.push(word),
         }
-        left = left[end..].trim_start();
+        remaining = remaining[word_end..].trim_start();
     }
     (message.join(" "), fields)
 }
 
-/// Reads a whole log: events with their times in seconds. Lines with other messages are passed
-/// over.
+/// Reads a whole log. Returns its events with their times in seconds. Lines without a known
+/// message are ignored.
 ///
 /// # Errors
 ///
-/// A line with a known message whose fields cannot be read: a count without it would be wrong.
+/// If a line with a known message has a field that is missing or invalid, since counts without
+/// that line would be wrong.
 pub fn read(text: &str) -> Result<Vec<(f64, Event)>, Unreadable> {
     let mut events = Vec::new();
     for (index, line) in text.lines().enumerate() {
--- a/crates/report/src/markdown.rs
+++ b/crates/report/src/markdown.rs
@@ -1,20 +1,20 @@
-//! A day's table as Markdown.
+//! Formats the table of a day as Markdown.
 
 use crate::largest::Largest;
 use crate::table::{Row, Table};
 use std::fmt::Write;
 
-/// The whole table, and below it what is under half.
+/// Formats the table, followed by the classes and teams that are under half.
 pub fn markdown(table: &Table) -> String {
     let mut out = format!("day {}, seed {}\n\n", table.day, table.seed);
-    out.push_str(&rows(table));
-    out.push_str(&largest(&table.largest));
+    out.push_str(&format_rows(table));
+    out.push_str(&format_largest(&table.largest));
     let _ = writeln!(
         out,
         "\nEach class could have had {:.2} by its first aim at the same time.",
         table.together
     );
-    for (what, names) in [
+    for (label, names) in [
         ("LESS THAN HALF SERVED", table.failed()),
         (
             "LESS THAN HALF OF THE LARGEST SERVED",
@@ -24,13 +24,13 @@
         ("teams under half in time", table.short_teams()),
     ] {
         if !names.is_empty() {
-            let _ = writeln!(out, "{what}: {}", names.join(", "));
+            let _ = writeln!(out, "{label}: {}", names.join(", "));
         }
     }
     out
 }
 
-/// Stands behind a figure that is under half.
+/// The mark after a proportion that is under half.
 fn mark(under_half: bool) -> &'static str {
     if under_half {
         " **under half**"
@@ -39,16 +39,16 @@
     }
 }
 
-fn rows(table: &Table) -> String {
+fn format_rows(table: &Table) -> String {
     let mut out = String::from("| class or team | aim | jobs | tasks | starts | done | in time | bound | stopped (one task) | lost | passed over |\n");
     out.push_str("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
     for row in table.classes.iter().chain(&table.teams) {
-        let _ = writeln!(out, "{}", line(row));
+        let _ = writeln!(out, "{}", format_row(row));
     }
     out
 }
 
-fn line(row: &Row) -> String {
+fn format_row(row: &Row) -> String {
     format!(
         "| {} | {} | {} | {} | {} | {} | {:.3}{} | {:.2} | {} ({}) | {} | {:.0} s |",
         row.name,
@@ -67,7 +67,7 @@
     )
 }
 
-fn largest(found: &[Largest]) -> String {
+fn format_largest(found: &[Largest]) -> String {
     let mut out = String::from("\n| largest of | by | part | jobs | done | begun in 240 s | longest until begun |\n| --- | --- | --- | --- | --- | --- | --- |\n");
     for largest in found {
         let _ = writeln!(
--- a/crates/report/src/objectives.rs
+++ b/crates/report/src/objectives.rs
@@ -1,30 +1,30 @@
-//! The report of a day's run as far as it is needed: the service-level objectives, and what
-//! was reached of each.
+//! The parts of a day's report that this crate uses: the service-level objectives and the
+//! proportion that met each of them.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// An objective as the report has it, of any kind.
+/// An entry of the report for an objective of any kind.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Target {
-    /// `deadline` and `finished` are objectives of this crate; others are passed over.
+    /// Kind of the objective. Kinds other than `deadline` and `finished` are ignored.
     pub kind: String,
-    /// The class of jobs that it is for.
+    /// The class of jobs that the objective applies to.
     pub class: Option<String>,
-    /// Multiple of the deadline, for objectives of that kind.
+    /// Multiple of the deadline, for objectives of kind `deadline`; 1 if it is missing.
     pub times: Option<f64>,
-    /// Seconds from submission.
+    /// Seconds from submission, for objectives of kind `finished`.
     pub within_s: Option<f64>,
-    /// The proportion reached, for objectives that are proportions.
+    /// The proportion of jobs that met the objective, if the objective is a proportion.
     pub value: Option<f64>,
 }
 
-/// What a class came to, in jobs and tasks.
+/// Counts of the jobs and tasks of a class.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ClassReport {
     /// Jobs submitted.
     pub jobs: u64,
-    /// Their tasks.
+    /// Tasks of these jobs.
     pub tasks: u64,
     /// Starts of tasks.
     pub started: u64,
@@ -46,22 +46,22 @@
     pub ends_s: f64,
     /// All objectives.
     pub targets: Vec<Target>,
-    /// By class.
+    /// Counts by class.
     pub classes: BTreeMap<String, ClassReport>,
 }
 
-/// An objective for the end of a class's jobs.
+/// An objective for the completion time of jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Objective {
-    /// Done by so many times its deadline.
+    /// A job is done within this multiple of its deadline.
     Deadline(f64),
-    /// Done within so many seconds.
+    /// A job is done within this many seconds.
     Finished(f64),
 }
 
 impl Objective {
-    /// When a job with this deadline is due, in seconds from submission; `None` without a
-    /// deadline to go by.
+    /// When a job with this deadline is due, in seconds from submission. A deadline of 0 means that
+    /// the job has none; then an objective by the deadline returns `None`.
     pub fn due_s(&self, deadline_s: f64) -> Option<f64> {
         match self {
             Objective::Deadline(times) if deadline_s > 0.0 => Some(times * deadline_s),
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Its name in tables.
+    /// The name of the objective in tables.
     pub fn name(&self) -> String {
         match self {
             Objective::Deadline(times) => format!("{times}x deadline"),
@@ -80,7 +80,7 @@
 }
 
 impl Target {
-    /// The objective for the end of jobs, if it is one.
+    /// The completion-time objective of this entry, if its kind is one.
     fn objective(&self) -> Option<Objective> {
         match self.kind.as_str() {
             "deadline" => Some(Objective::Deadline(self.times.unwrap_or(1.0))),
@@ -90,7 +90,7 @@
     }
 }
 
-/// An objective and the proportion of jobs that met it by the report.
+/// An objective and the proportion of jobs that met it according to the report.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reported {
     /// The objective.
@@ -100,12 +100,12 @@
 }
 
 impl Report {
-    /// The objectives for the end of jobs of each class, with what was reached.
+    /// The completion-time objectives of each class, with the reported proportions.
     pub fn objectives(&self) -> BTreeMap<String, Vec<Reported>> {
         let mut by_class: BTreeMap<String, Vec<Reported>> = BTreeMap::new();
         for target in &self.targets {
-            let parts = (target.objective(), &target.class, target.value);
-            if let (Some(objective), Some(class), Some(proportion)) = parts {
+            let fields = (target.objective(), &target.class, target.value);
+            if let (Some(objective), Some(class), Some(proportion)) = fields {
                 let reported = Reported {
                     objective,
                     proportion,
--- a/crates/report/src/table.rs
+++ b/crates/report/src/table.rs
@@ -1,5 +1,5 @@
-//! A day's counts beside its bounds, as a table of classes and teams. Printed as JSON or by
-//! [`crate::markdown`].
+//! A table of the counts and bounds of each class and team for a day. It is printed as JSON or
+//! formatted by [`crate::markdown`].
 
 use crate::bound::{alone, together, Fleet, Job};
 use crate::count::{Counts, Day, Met};
@@ -8,29 +8,30 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A class or team is under half by an objective if a smaller proportion met it.
-const HALF: f64 = 0.5;
+/// The smallest proportion of jobs that must meet an objective.
+const MIN_PROPORTION: f64 = 0.5;
 
-/// One class by one objective, or one team by the strictest objectives of its jobs.
+/// The results of a class for one objective, or of a team for the strictest objective of each of
+/// its jobs.
 #[derive(Debug, Clone, Serialize)]
 pub struct Row {
-    /// The class or team.
+    /// Name of the class or team.
     pub name: String,
     /// Name of the objective.
     pub aim: String,
-    /// Jobs accepted and not cancelled.
+    /// Jobs that were accepted and not cancelled.
     pub jobs: u32,
-    /// Their tasks.
+    /// Tasks of these jobs.
     pub tasks: u64,
-    /// Starts of their tasks.
+    /// Starts of these tasks.
     pub starts: u64,
     /// Jobs done.
     pub done: u32,
-    /// The proportion done in time by the log.
+    /// The proportion done in time according to the log.
     pub share: f64,
-    /// The proportion done in time by the report, for classes.
+    /// The proportion done in time according to the report; none for teams.
     pub reported: Option<f64>,
-    /// The most that could have been, with the fleet for this alone.
+    /// Upper bound of the proportion if the fleet had served only this class or team.
     pub alone: f64,
     /// Preemptions of tasks.
     pub stopped: u64,
@@ -38,38 +39,38 @@
     pub stopped_most: u32,
     /// Tasks that were lost with their machine.
     pub lost: u64,
-    /// The longest time for which one job waited and nothing of it started, in seconds.
+    /// The longest time, in seconds, during which tasks of one job waited and none started.
     pub passed_s: f64,
 }
 
-/// All of a day.
+/// The results of a day.
 #[derive(Debug, Clone, Serialize)]
 pub struct Table {
     /// Name of the day.
     pub day: String,
     /// Seed of its arrivals.
     pub seed: u64,
-    /// Classes, by each of their objectives.
+    /// The rows of the classes, one for each objective of a class.
     pub classes: Vec<Row>,
-    /// Teams.
+    /// The rows of the teams.
     pub teams: Vec<Row>,
-    /// The proportion of each class that could have been served at once by its strictest
-    /// objective.
+    /// The proportion that all classes could have had at the same time, each by the strictest
+    /// objective of its jobs.
     pub together: f64,
     /// The largest jobs of each class.
     pub largest: Vec<Largest>,
 }
 
 impl Row {
-    /// The proportion done in time, by the report if it has one.
+    /// The proportion done in time, from the report if it states one, else from the log.
     pub(crate) fn in_time(&self) -> f64 {
         self.reported.unwrap_or(self.share)
     }
 
-    /// Whether less than half met this one objective. Whether a class failed is told by all
-    /// its rows together.
+    /// Whether less than half met this objective. A class fails only if this is true of all its
+    /// rows.
     pub(crate) fn under_half(&self) -> bool {
-        self.in_time() < HALF
+        self.in_time() < MIN_PROPORTION
     }
 
     fn new(name: &str, aim: String, counts: &Counts, met: Met, alone: f64) -> Row {
@@ -91,7 +92,7 @@
     }
 }
 
-/// What the rows of a table are made from.
+/// The data from which the rows of a table are computed.
 struct Tabulator<'a> {
     day: &'a Day,
     objectives: BTreeMap<String, Vec<Reported>>,
@@ -99,8 +100,9 @@
 }
 
 impl Tabulator<'_> {
-    /// Jobs of a class or team as the bound sees them; `due_s` gives the due time of a job of
-    /// this class with this deadline.
+    /// The jobs for which `belongs`, called with class and team, is true, as input of the bound.
+    /// `due_s`, called with class and deadline, returns when a job is due in seconds from its
+    /// acceptance; jobs without a due time are left out.
     fn jobs(
         &self,
         belongs: impl Fn(&str, &str) -> bool,
@@ -122,14 +124,15 @@
         jobs.collect()
     }
 
-    /// When a job of this class with this deadline is due by the strictest objective.
-    fn strictest(&self, class: &str, deadline_s: f64) -> Option<f64> {
+    /// When a job of this class with this deadline is due by the strictest objective, in seconds
+    /// from its acceptance.
+    fn strictest_due_s(&self, class: &str, deadline_s: f64) -> Option<f64> {
         let own = self.objectives.get(class)?.iter();
         let due = own.filter_map(|reported| reported.objective.due_s(deadline_s));
         due.min_by(f64::total_cmp)
     }
 
-    /// A class by each of its objectives.
+    /// The rows of a class, one for each of its objectives.
     fn class_rows(&self, class: &str, counts: &Counts) -> Vec<Row> {
         let own = self.objectives.get(class).into_iter().flatten();
         let row = |(index, reported): (usize, &Reported)| {
@@ -147,16 +150,16 @@
     }
 
     fn team_row(&self, team: &str, counts: &Counts) -> Row {
-        let due_s = |class: &str, deadline_s| self.strictest(class, deadline_s);
+        let due_s = |class: &str, deadline_s| self.strictest_due_s(class, deadline_s);
         let jobs = self.jobs(|_, of| of == team, due_s);
         let met = counts.in_time.first().copied().unwrap_or_default();
         let bound = alone(&jobs, &self.fleet);
         Row::new(team, "first aims".into(), counts, met, bound)
     }
 
-    /// The proportion of all classes that could have been served at once.
+    /// The proportion that all classes could have had at the same time.
     fn together(&self) -> f64 {
-        let due_s = |class: &str, deadline_s| self.strictest(class, deadline_s);
+        let due_s = |class: &str, deadline_s| self.strictest_due_s(class, deadline_s);
         let classes = self.day.classes.keys();
         let groups = classes.map(|class| self.jobs(|of, _| of == class, due_s));
         let groups: Vec<Vec<Job>> = groups.filter(|jobs| !jobs.is_empty()).collect();
@@ -164,8 +167,8 @@
     }
 }
 
-/// Makes the table of a day, with the fleet's CPUs as the log has them and these limits of
-/// teams.
+/// Computes the table of a day. The bounds use the CPUs of the fleet from the log and the given CPU
+/// limits by team.
 pub fn table(report: &Report, day: &Day, limits: &BTreeMap<String, f64>) -> Table {
     let tabulator = Tabulator {
         day,
@@ -192,12 +195,12 @@
 }
 
 impl Table {
-    /// Classes of which less than half is served by every objective: the day fails.
+    /// Classes of which less than half met every objective. If there are any, the day fails.
     pub fn failed(&self) -> Vec<&str> {
-        self.by_class(|rows| rows.iter().all(|r| r.under_half()))
+        self.select_classes(|rows| rows.iter().all(|r| r.under_half()))
     }
 
-    /// Classes of whose largest jobs less than half is served: the day fails.
+    /// Classes of whose largest jobs less than half are done. If there are any, the day fails.
     pub fn failed_largest(&self) -> Vec<&str> {
         let under = self.largest.iter().filter(|l| l.under_half());
         let mut classes: Vec<&str> = under.map(|l| l.class.as_str()).collect();
@@ -205,24 +208,25 @@
         classes
     }
 
-    /// Classes of which less than half is served by some objective, but not by all.
+    /// Classes of which less than half met some of the objectives, but not all of them.
     pub fn late(&self) -> Vec<&str> {
-        self.by_class(|rows| {
+        self.select_classes(|rows| {
             let under = rows.iter().filter(|r| r.under_half()).count();
             under > 0 && under < rows.len()
         })
     }
 
-    fn by_class(&self, pick: impl Fn(&[&Row]) -> bool) -> Vec<&str> {
+    /// Names of the classes for whose rows `selects` is true.
+    fn select_classes(&self, selects: impl Fn(&[&Row]) -> bool) -> Vec<&str> {
         let mut classes: BTreeMap<&str, Vec<&Row>> = BTreeMap::new();
         for row in &self.classes {
             classes.entry(&row.name).or_default().push(row);
         }
-        let picked = classes.into_iter().filter(|(_, rows)| pick(rows));
-        picked.map(|(class, _)| class).collect()
+        let selected = classes.into_iter().filter(|(_, rows)| selects(rows));
+        selected.map(|(class, _)| class).collect()
     }
 
-    /// Teams of which less than half is served in time.
+    /// Teams of which less than half of the jobs are done in time.
     pub fn short_teams(&self) -> Vec<&str> {
         let short = self.teams.iter().filter(|r| r.under_half());
         short.map(|r| r.name.as_str()).collect()
--- a/crates/report/tests/report.rs
+++ b/crates/report/tests/report.rs
@@ -1,4 +1,4 @@
-//! Logs and their counts, tables of days, and the bound against schedules that exist.
+//! Tests of reading and counting logs, of the tables of days, and of the upper bound.
 
 use foxspur_report::bound::{alone, together, Fleet, Job};
 use foxspur_report::count::{count, Met};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 const LOG: &str = r#"
-note: nothing of ours
+note: not a line of the log
     1.0000 a  INFO accepted job=j1 class=c team=t tasks=2 cpus=4 estimate_s=10 due_s=30
     1.5000 a  INFO accepted job=j2 class=c team=u tasks=1 cpus=4 estimate_s=10 due_s=30
     2.0000 a  INFO accepted job=j3 class=c team=u tasks=1 cpus=4 estimate_s=10 due_s=30
@@ -22,6 +22,8 @@
    21.0000 a  WARN done job=j2 starts=1 passed_s=0
 "#;
 
+/// Guards against events that are counted for the wrong class, team or objective: the log has a
+/// cancelled job, a job whose end is not logged at INFO, preemptions and lost tasks.
 #[test]
 fn a_log_is_counted_by_class_and_team() {
     let events = read(LOG).unwrap();
@@ -31,19 +33,21 @@
     )]);
     let day = count(&events, &objectives, 100.0);
     let c = &day.classes["c"];
-    // The cancelled job counts nowhere; the one without an end waits until the day's end.
+    // The cancelled job is not counted. The job that is not done waits until the end of the run.
     assert_eq!((c.jobs, c.tasks, c.done, c.starts), (2, 3, 1, 5));
     assert_eq!(c.in_time, [Met { met: 1, of: 2 }, Met { met: 0, of: 2 }]);
     assert_eq!((c.stopped, c.stopped_most, c.lost), (2, 2, 2));
-    assert_eq!((c.passed_s, c.least()), (98.5, Some(0.0)));
+    assert_eq!((c.passed_s, c.smallest_proportion()), (98.5, Some(0.0)));
     let (t, u) = (&day.teams["t"], &day.teams["u"]);
     assert_eq!((t.jobs, t.in_time[0]), (1, Met { met: 0, of: 1 }));
     assert_eq!((u.jobs, u.in_time[0]), (1, Met { met: 0, of: 1 }));
     assert_eq!(day.load, [(2.0, 8.0)]);
 }
 
+/// Guards against wrong counts because a line with a known message but unreadable fields is
+/// ignored. Lines with other messages are ignored.
 #[test]
-fn a_line_of_ours_that_does_not_read_is_an_error() {
+fn a_known_message_with_unreadable_fields_is_an_error() {
     let cases = [
         (
             "1.0 a INFO accepted job=j class=c tasks=2",
@@ -58,12 +62,12 @@
         ("1.0 a INFO load cpus=NaN", "load", "cpus"),
     ];
     for (line, message, field) in cases {
-        let line_at = Unreadable {
+        let error = Unreadable {
             line: 1,
             message,
             field,
         };
-        assert_eq!(read(line), Err(line_at), "{line}");
+        assert_eq!(read(line), Err(error), "{line}");
     }
     assert_eq!(
         read("x\n 1.0 a INFO other job=j").unwrap(),
@@ -71,6 +75,8 @@
     );
 }
 
+/// Guards against a class that fails because of one missed objective: it fails only if less than
+/// half of its jobs met each objective, and is late if some objectives are missed.
 #[test]
 fn a_class_fails_by_all_its_objectives_and_is_late_by_some() {
     let report = |first: f64, second: f64| -> Report {
@@ -109,8 +115,9 @@
     }
 }
 
+/// Guards against a wrong bound on small inputs whose exact bound is known.
 #[test]
-fn bounds_of_days_that_are_plain() {
+fn simple_inputs_have_their_exact_bound() {
     let fleet = Fleet {
         cpus: vec![(0.0, 10.0)],
         limits: BTreeMap::new(),
@@ -140,7 +147,7 @@
         let found = alone(&jobs, fleet);
         assert!((found - expected).abs() < 0.02, "{name}: {found}");
     }
-    // Two classes, each of which alone has all.
+    // Two groups, each of which would be served in full alone.
     let groups = vec![
         vec![job(0.0, 10.0, 10, 5.0); 4],
         vec![job(0.0, 10.0, 10, 5.0); 4],
@@ -149,8 +156,8 @@
 }
 
 proptest! {
-    /// A bound must not be below what some schedule reaches: here first come, first served,
-    /// one task a CPU.
+    /// Guards against a bound below the result of an existing schedule: here first come, first
+    /// served, with one task per CPU.
     #[test]
     fn no_schedule_beats_the_bound(
         jobs in prop::collection::vec((0.0..60.0f64, 1u32..8, 5.0..20.0f64, 1.0..4.0f64), 1..12),
@@ -158,52 +165,53 @@
     ) {
         let jobs: Vec<Job> = jobs
             .into_iter()
-            .map(|(from, tasks, run, slack)| job(from, from + run * slack, tasks, run))
+            .map(|(from_s, tasks, run_s, slack)| job(from_s, from_s + run_s * slack, tasks, run_s))
             .collect();
-        let mut free = vec![0.0f64; cpus];
+        let mut free_from_s = vec![0.0f64; cpus];
         let mut order: Vec<&Job> = jobs.iter().collect();
         order.sort_by(|a, b| a.from_s.total_cmp(&b.from_s));
         let mut met = 0;
         for job in order {
-            let mut end = 0.0f64;
+            let mut end_s = 0.0f64;
             for _ in 0..job.tasks {
-                free.sort_by(f64::total_cmp);
-                free[0] = free[0].max(job.from_s) + job.run_s;
-                end = end.max(free[0]);
+                free_from_s.sort_by(f64::total_cmp);
+                free_from_s[0] = free_from_s[0].max(job.from_s) + job.run_s;
+                end_s = end_s.max(free_from_s[0]);
             }
-            met += u32::from(end <= job.due_s);
+            met += u32::from(end_s <= job.due_s);
         }
         let fleet = Fleet { cpus: vec![(0.0, cpus as f64)], limits: BTreeMap::new() };
         let bound = alone(&jobs, &fleet);
         prop_assert!(bound + 1e-9 >= f64::from(met) / jobs.len() as f64);
     }
 
-    /// More machines never lower the bound, nor does a later due time.
+    /// Guards against a bound that decreases with more CPUs or with later due times.
     #[test]
-    fn more_is_never_worse(
+    fn more_cpus_or_time_never_lower_the_bound(
         jobs in prop::collection::vec((0.0..60.0f64, 1u32..8, 5.0..20.0f64, 1.0..4.0f64), 1..12),
         cpus in 1.0..10.0f64,
     ) {
-        let made: Vec<Job> = jobs.iter().map(|(f, t, r, s)| job(*f, f + r * s, *t, *r)).collect();
+        let original: Vec<Job> = jobs.iter().map(|(f, t, r, s)| job(*f, f + r * s, *t, *r)).collect();
         let later: Vec<Job> = jobs.iter().map(|(f, t, r, s)| job(*f, f + r * (s + 1.0), *t, *r)).collect();
         let fleet = |cpus| Fleet { cpus: vec![(0.0, cpus)], limits: BTreeMap::new() };
-        let base = alone(&made, &fleet(cpus));
-        prop_assert!(alone(&made, &fleet(cpus + 1.0)) + 1e-6 >= base);
+        let base = alone(&original, &fleet(cpus));
+        prop_assert!(alone(&original, &fleet(cpus + 1.0)) + 1e-6 >= base);
         prop_assert!(alone(&later, &fleet(cpus)) + 1e-2 >= base);
     }
 }
 
-/// The largest of a class by either measure, begun in time or not: a job without a
-/// `begun` counts from its end, one without either waits until the day's end.
+/// Guards against wrong counts of the largest jobs of a class by either measure. A job without a
+/// `begun` line counts as begun when it is done, and a job with neither waits until the end of the
+/// run. Cancelled jobs and jobs that were accepted too late are left out.
 #[test]
 fn the_largest_jobs_are_counted_by_tasks_and_by_work() {
     use foxspur_report::largest::largest;
     let mut log = String::new();
-    for n in 1..=8 {
+    for number in 1..=8 {
         // The fewer tasks, the longer they run: j1 is the largest by work.
-        let s = 1000 / (n * n);
+        let estimate_s = 1000 / (number * number);
         log += &format!(
-            "1.0 a INFO accepted job=j{n} class=c team=t tasks={n} cpus=1 estimate_s={s} due_s=0\n"
+            "1.0 a INFO accepted job=j{number} class=c team=t tasks={number} cpus=1 estimate_s={estimate_s} due_s=0\n"
         );
     }
     log += "1.0 a INFO accepted job=j9 class=c team=t tasks=99 cpus=1 estimate_s=9 due_s=0\n";
--- a/crates/testbed/src/balancer.rs
+++ b/crates/testbed/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The load balancer: it carries each connection to a healthy controller with few open ones,
-//! and can cut or delay the answers.
+//! The load balancer: it forwards each connection to the healthy controller with the fewest open
+//! connections, and can cut or delay answers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -13,32 +13,36 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The most controllers tried for one connection.
 const MAX_TRIES: usize = 3;
-/// Answers are carried in pieces of at most so many bytes.
-const PIECE_BYTES: usize = 4096;
+/// Answers are forwarded in pieces of at most this size.
+const MAX_PIECE_BYTES: usize = 4096;
 
-/// Faults that are injected into connections; clones share them.
+/// Faults that are injected into connections. Clones share them.
 #[derive(Clone, Default)]
 pub struct ConnectionFaults {
-    /// Of a thousand pieces of answers, how many are cut, with their connection.
+    /// How many of a thousand pieces of answers are cut. A cut closes the connection.
     cut_per_thousand: Arc<AtomicU64>,
     /// Delay of each piece, in milliseconds.
     delay_ms: Arc<AtomicU64>,
-    /// The next answer is cut after so many bytes, less one; 0 for none.
-    reset: Arc<AtomicUsize>,
+    /// One more than the number of bytes after which the next piece of an answer is cut; 0 if no
+    /// reset is pending.
+    reset_after_plus_one: Arc<AtomicUsize>,
+    /// How many connections were cut so far.
     cuts: Arc<AtomicUsize>,
 }
 
 impl ConnectionFaults {
-    /// From now on cuts so many answers of a thousand, and delays each piece.
+    /// From now on cuts `cut_per_thousand` of a thousand pieces of answers, and delays each piece
+    /// by `delay_ms`.
     pub fn set(&self, cut_per_thousand: u64, delay_ms: u64) {
         self.cut_per_thousand
             .store(cut_per_thousand, Ordering::Relaxed);
         self.delay_ms.store(delay_ms, Ordering::Relaxed);
     }
 
-    /// Cuts the next answer after just this many bytes.
+    /// Cuts the next piece of an answer after this many bytes.
     pub fn reset_after(&self, bytes: usize) {
-        self.reset.store(bytes + 1, Ordering::Relaxed);
+        self.reset_after_plus_one
+            .store(bytes + 1, Ordering::Relaxed);
     }
 
     /// How many connections were cut so far.
@@ -53,14 +57,14 @@
         }
     }
 
-    /// After how many bytes a piece of an answer is cut, if it is: anywhere in it, or before
-    /// its first byte.
-    fn cut_within(&self, piece_bytes: usize) -> Option<usize> {
+    /// Decides whether a piece of an answer is cut. Returns the number of bytes before the cut. A
+    /// random cut is at any position, including before the first byte.
+    fn cut_position(&self, piece_bytes: usize) -> Option<usize> {
         let cut = rand::random_range(0..1000) < self.cut_per_thousand.load(Ordering::Relaxed);
-        match (self.reset.swap(0, Ordering::Relaxed), cut) {
+        match (self.reset_after_plus_one.swap(0, Ordering::Relaxed), cut) {
             (0, false) => None,
             (0, true) => Some(rand::random_range(0..piece_bytes)),
-            (reset, _) => Some((reset - 1).min(piece_bytes)),
+            (plus_one, _) => Some((plus_one - 1).min(piece_bytes)),
         }
     }
 }
@@ -72,7 +76,7 @@
     open_connections: AtomicUsize,
 }
 
-/// Serves at `listener` until the runtime ends.
+/// Forwards the connections that `listener` accepts, until the runtime ends.
 pub fn run(listener: TcpListener, backends: Vec<SocketAddr>, faults: ConnectionFaults) {
     let backends = backends.into_iter().map(|addr| Backend {
         addr,
@@ -88,7 +92,7 @@
         while let Ok((user, _)) = listener.accept().await {
             let (backends, faults) = (backends.clone(), faults.clone());
             tokio::spawn(async move {
-                let _ = carry(user, &backends, &faults).await;
+                let _ = forward(user, &backends, &faults).await;
             });
         }
     });
@@ -103,7 +107,7 @@
     }
 }
 
-/// `GET /up` on a connection of its own.
+/// Sends `GET /up` on a new connection. Returns none unless the answer has status 200.
 async fn probe(addr: SocketAddr) -> Option<()> {
     let mut stream = TcpStream::connect(addr).await.ok()?;
     let request = format!("GET /up HTTP/1.1\r\nhost: {addr}\r\nconnection: close\r\n\r\n");
@@ -113,46 +117,47 @@
     (&head[9..] == b"200").then_some(())
 }
 
-/// Carries one connection to the healthy backend with the fewest open ones that accepts it.
-async fn carry(user: TcpStream, backends: &[Backend], faults: &ConnectionFaults) -> Option<()> {
-    let mut order: Vec<&Backend> = backends.iter().collect();
-    order.retain(|backend| backend.healthy.load(Ordering::Relaxed));
-    order.sort_by_key(|backend| backend.open_connections.load(Ordering::Relaxed));
-    for backend in order.into_iter().take(MAX_TRIES) {
+/// Forwards one connection. Healthy backends are tried in the candidates of their open connections,
+/// fewest first, until one accepts it.
+async fn forward(user: TcpStream, backends: &[Backend], faults: &ConnectionFaults) -> Option<()> {
+    let mut candidates: Vec<&Backend> = backends.iter().collect();
+    candidates.retain(|backend| backend.healthy.load(Ordering::Relaxed));
+    candidates.sort_by_key(|backend| backend.open_connections.load(Ordering::Relaxed));
+    for backend in candidates.into_iter().take(MAX_TRIES) {
         let connect = TcpStream::connect(backend.addr);
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, connect).await;
         let Ok(Ok(stream)) = connected else {
             continue;
         };
         backend.open_connections.fetch_add(1, Ordering::Relaxed);
-        let ended = exchange(user, stream, faults).await;
+        let result = exchange(user, stream, faults).await;
         backend.open_connections.fetch_sub(1, Ordering::Relaxed);
-        return ended;
+        return result;
     }
     None
 }
 
-/// Carries bytes both ways until the backend ends or the answer is cut.
+/// Copies bytes in both directions until the backend closes the connection or the answer is cut.
 async fn exchange(user: TcpStream, backend: TcpStream, faults: &ConnectionFaults) -> Option<()> {
     let (mut from_user, mut to_user) = user.into_split();
     let (mut from_backend, mut to_backend) = backend.into_split();
     let requests = async {
         let _ = tokio::io::copy(&mut from_user, &mut to_backend).await;
         let _ = to_backend.shutdown().await;
-        // The answers end by themselves.
+        // The end of the answers ends the exchange, not the end of the requests.
         std::future::pending::<()>().await;
     };
     let answers = async {
-        let mut piece = [0; PIECE_BYTES];
+        let mut piece = [0; MAX_PIECE_BYTES];
         loop {
             let bytes = from_backend.read(&mut piece).await.ok()?;
             if bytes == 0 {
                 return Some(());
             }
             faults.delay().await;
-            let cut = faults.cut_within(bytes);
-            let carried = cut.unwrap_or(bytes);
-            to_user.write_all(&piece[..carried]).await.ok()?;
+            let cut = faults.cut_position(bytes);
+            let forwarded = cut.unwrap_or(bytes);
+            to_user.write_all(&piece[..forwarded]).await.ok()?;
             if cut.is_some() {
                 faults.cuts.fetch_add(1, Ordering::Relaxed);
                 return None;
@@ -161,6 +166,6 @@
     };
     tokio::select! {
         () = requests => None,
-        ended = answers => ended,
+        result = answers => result,
     }
 }
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -1,27 +1,30 @@
-//! The history checker: it holds a recorded history against the rules of the protocol.
+//! The history checker: it checks a recorded history against the rules of the protocol.
 //!
-//! Rules, by the word that begins the sentence of a violation: `ran_twice` (a task runs on at
-//! most one machine at a time), `quota` (no team uses more than its limit), `ran_cancelled` (a
-//! cancelled job's tasks end in time), `went_back` (answers are monotonic), `two jobs of one
-//! key` (submissions are idempotent), `forgotten` (polls are answered), `nothing_ran`.
+//! The message of a violation begins with the name of the rule:
+//! - `ran_twice`: a task runs on at most one machine at a time.
+//! - `quota`: no team uses more CPUs than its limit.
+//! - `ran_cancelled`: the tasks of a cancelled job end in time.
+//! - `went_back`: answers about a job are monotonic.
+//! - `two jobs of one key`: submissions are idempotent.
+//! - `forgotten`: polls are answered.
+//! - `nothing_ran`: at least one task is completed.
 
 use crate::history::{Entry, Event, Status};
 use std::collections::{BTreeMap, HashMap};
 
-/// For how many seconds polls of a job may stay without an answer once no fault is injected
-/// any more.
-pub const FORGOTTEN_S: f64 = 75.0;
+/// The longest time for which polls of a job may stay unanswered after the last fault.
+pub const MAX_UNANSWERED_S: f64 = 75.0;
 
-/// How long a task of a cancelled job may take to end after its time, in seconds.
+/// How long after the cancellation limit a task of a cancelled job may still end.
 const CANCEL_TOLERANCE_S: f64 = 0.5;
-/// Slack for sums of CPUs, which are not whole numbers.
+/// Tolerance for rounding errors in sums of CPUs.
 const CPU_TOLERANCE: f64 = 1e-6;
 
-/// Checks a history; each violation of a rule in a sentence, none if all rules hold.
+/// Checks a history. Returns one message for each violation of a rule.
 pub fn check(entries: &[Entry]) -> Vec<String> {
     let mut checker = Checker::default();
     for entry in entries {
-        checker.step(entry);
+        checker.check_entry(entry);
     }
     let mut violations = checker.violations;
     violations.extend(unanswered_polls(entries));
@@ -40,34 +43,36 @@
     machine: &'a str,
 }
 
-/// What a running attempt uses.
+/// The CPUs that a running attempt uses of its team's limit.
 struct Usage<'a> {
     team: &'a str,
     cpus: f64,
 }
 
-/// The state of the rules that are checked event by event.
+/// The state of those rules that are checked entry by entry.
 #[derive(Default)]
 struct Checker<'a> {
     violations: Vec<String>,
-    /// Attempts that run, by task, in the order of their starts.
+    /// Running attempts by task, in the order in which they started.
     running: HashMap<&'a str, Vec<Attempt<'a>>>,
     usage: HashMap<Attempt<'a>, Usage<'a>>,
-    /// CPUs that each team uses, and the most it may use.
+    /// CPUs in use, by team.
     used_cpus: HashMap<&'a str, f64>,
+    /// The most CPUs that each team may use; 0 for no limit.
     cpu_limits: HashMap<&'a str, f64>,
-    /// For how many seconds tasks of a cancelled job may stay; no limit until it is known.
+    /// For how many seconds tasks of a cancelled job may keep running. No limit applies until the
+    /// history states one.
     cancel_s: Option<f64>,
-    /// When each job was cancelled.
+    /// When each job was cancelled, in seconds of the history.
     cancelled_at: HashMap<&'a str, f64>,
-    /// The terminal status that users were told, by job.
+    /// The first terminal status that a user was told, by job.
     terminal: HashMap<&'a str, &'a str>,
     job_of_key: HashMap<&'a str, &'a str>,
     any_task_done: bool,
 }
 
 impl<'a> Checker<'a> {
-    fn step(&mut self, entry: &'a Entry) {
+    fn check_entry(&mut self, entry: &'a Entry) {
         let at = entry.at;
         match &entry.event {
             Event::Rules {
@@ -91,7 +96,7 @@
                     number,
                     machine,
                 };
-                self.started(attempt, Usage { team, cpus: *cpus }, at);
+                self.attempt_started(attempt, Usage { team, cpus: *cpus }, at);
             }
             Event::Off {
                 task,
@@ -106,17 +111,17 @@
                     machine,
                 };
                 self.any_task_done |= done;
-                self.ended(attempt, at);
+                self.attempt_ended(attempt, at);
             }
             Event::Cancelled { job } => {
                 self.cancelled_at.entry(job).or_insert(at);
             }
-            Event::Told { key, job, what } => self.told(key, job, what),
+            Event::Told { key, job, what } => self.user_told(key, job, what),
             Event::Fault { .. } | Event::Asked { .. } | Event::Looked { .. } => {}
         }
     }
 
-    fn started(&mut self, attempt: Attempt<'a>, usage: Usage<'a>, at: f64) {
+    fn attempt_started(&mut self, attempt: Attempt<'a>, usage: Usage<'a>, at: f64) {
         let Attempt {
             task,
             number,
@@ -149,7 +154,7 @@
         }
     }
 
-    fn ended(&mut self, attempt: Attempt<'a>, at: f64) {
+    fn attempt_ended(&mut self, attempt: Attempt<'a>, at: f64) {
         let task = attempt.task;
         if let Some(running) = self.running.get_mut(task) {
             running.retain(|other| *other != attempt);
@@ -163,7 +168,7 @@
         }
     }
 
-    /// Whether the task's job was cancelled so long ago that nothing of it may run.
+    /// Whether the task's job was cancelled longer ago than its tasks may keep running.
     fn is_overdue(&self, task: &str, at: f64, tolerance_s: f64) -> bool {
         let job = task.rsplit_once('/').map_or("", |(job, _)| job);
         let Some(cancelled_at) = self.cancelled_at.get(job) else {
@@ -173,7 +178,7 @@
         at - cancelled_at > cancel_s + tolerance_s
     }
 
-    fn told(&mut self, key: &'a str, job: &'a str, what: &'a str) {
+    fn user_told(&mut self, key: &'a str, job: &'a str, what: &'a str) {
         let other = self.job_of_key.insert(key, job);
         if let Some(other) = other.filter(|other| *other != job) {
             let violation = format!("two jobs of one key: {key} is {other} and {job}");
@@ -182,23 +187,23 @@
         if !matches!(what, "done" | "withdrawn") {
             return;
         }
-        let known = *self.terminal.entry(job).or_insert(what);
-        if known != what {
-            let violation = format!("went_back: {job} is {known}, then {what}");
+        let first = *self.terminal.entry(job).or_insert(what);
+        if first != what {
+            let violation = format!("went_back: {job} is {first}, then {what}");
             self.violations.push(violation);
         }
     }
 }
 
-/// Jobs whose polls had no answer for too long after the last fault. Each job is judged by
-/// itself: that polls of others are answered is no excuse.
+/// Finds jobs whose polls stayed unanswered for too long after the last fault. Each job is checked
+/// separately, so answered polls of other jobs do not hide a job without answers.
 fn unanswered_polls(entries: &[Entry]) -> Vec<String> {
     let faults = entries
         .iter()
         .filter(|entry| matches!(entry.event, Event::Fault { .. }));
     let last_fault = faults.map(|e| e.at).fold(f64::NEG_INFINITY, f64::max);
     let mut unanswered_since: BTreeMap<&str, f64> = BTreeMap::new();
-    let mut forgotten: Vec<&str> = Vec::new();
+    let mut unanswered_jobs: Vec<&str> = Vec::new();
     for Entry { at, event } in entries.iter().filter(|e| e.at >= last_fault) {
         let Event::Asked { job, answered } = event else {
             continue;
@@ -208,25 +213,26 @@
             continue;
         }
         let since = *unanswered_since.entry(job).or_insert(*at);
-        if at - since > FORGOTTEN_S && !forgotten.contains(&job.as_str()) {
-            forgotten.push(job);
+        if at - since > MAX_UNANSWERED_S && !unanswered_jobs.contains(&job.as_str()) {
+            unanswered_jobs.push(job);
         }
     }
-    let violation = |job: &&str| format!("forgotten: {job} had no answer for {FORGOTTEN_S} s");
-    forgotten.iter().map(violation).collect()
+    let violation = |job: &&str| format!("forgotten: {job} had no answer for {MAX_UNANSWERED_S} s");
+    unanswered_jobs.iter().map(violation).collect()
 }
 
-/// An answer about a job.
+/// An answer about the status of a job.
 struct Answer {
     asked_at: f64,
     answered_at: f64,
     status: Status,
 }
 
-/// The job that an entry is an answer about, and the answer.
+/// The job and the answer that an entry records, if it records one.
 fn answer(entry: &Entry) -> Option<(&str, Answer)> {
-    // When users asked is known of probes only: the other answers are compared with those to
-    // later questions, not with earlier ones.
+    // The time of the request is recorded for probes only. Other answers therefore count as
+    // requested before all others: probes sent after them are compared with them, but they are
+    // not compared with earlier answers.
     let (job, asked_at, status) = match &entry.event {
         Event::Looked { job, begun, status } => (job, *begun, *status),
         Event::Cancelled { job } => (job, f64::NEG_INFINITY, Status::Withdrawn),
@@ -241,7 +247,7 @@
     Some((job, answer))
 }
 
-/// Answers to probes that are older than an answer that came before their question.
+/// Finds answers to probes that contradict an answer received before the probe was sent.
 fn stale_answers(entries: &[Entry]) -> Vec<String> {
     let mut by_job: BTreeMap<&str, Vec<Answer>> = BTreeMap::new();
     for (job, answer) in entries.iter().filter_map(answer) {
@@ -250,9 +256,9 @@
     let mut violations = Vec::new();
     for (job, answers) in by_job {
         for later in &answers {
-            let mut before = answers.iter().filter(|a| a.answered_at < later.asked_at);
-            let newer = before.find(|early| !early.status.allows(later.status));
-            if let Some(Answer { status: early, .. }) = newer {
+            let mut earlier = answers.iter().filter(|a| a.answered_at < later.asked_at);
+            let contradicted = earlier.find(|early| !early.status.allows(later.status));
+            if let Some(Answer { status: early, .. }) = contradicted {
                 let later = later.status;
                 violations.push(format!("went_back: {job} is {early:?}, then {later:?}"));
             }
--- a/crates/testbed/src/cloud.rs
+++ b/crates/testbed/src/cloud.rs
@@ -1,4 +1,5 @@
-//! The cloud's HTTP interface: machine types, launching, terminating and listing machines.
+//! The HTTP interface of the simulated cloud: it lists machine types, and launches, terminates
+//! and lists machines.
 
 use crate::machines::{LaunchRefusal, Machines};
 use actix_web::{web, HttpResponse};
@@ -59,7 +60,7 @@
 
 #[derive(Deserialize)]
 struct Range {
-    /// The list goes on after this name.
+    /// The last name on the previous page.
     since: Option<String>,
     limit: Option<usize>,
 }
@@ -69,9 +70,9 @@
         return outage;
     }
     let mut listed = machines.list(range.since.as_deref());
-    let page = range.limit.unwrap_or(MAX_PAGE).min(MAX_PAGE);
-    let more = listed.len() > page;
-    listed.truncate(page);
+    let page_size = range.limit.unwrap_or(MAX_PAGE).min(MAX_PAGE);
+    let more = listed.len() > page_size;
+    listed.truncate(page_size);
     HttpResponse::Ok().json(Page {
         machines: listed,
         more,
--- a/crates/testbed/src/commands/check.rs
+++ b/crates/testbed/src/commands/check.rs
@@ -1,17 +1,17 @@
-//! `check`: judges a recorded history.
+//! `check`: checks a recorded history.
 
-use super::{judge, read_entries, read_file};
+use super::{check_and_print, read_entries, read_file};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// JSON lines, as `up --history` writes them.
+    /// History file of JSON lines, as `up --history` writes it.
     file: PathBuf,
 }
 
 pub fn run(args: &Args) -> Result<ExitCode, String> {
     let text = read_file(&args.file)?;
     let entries = read_entries(&text).map_err(|e| format!("{}: {e}", args.file.display()))?;
-    Ok(judge(&entries))
+    Ok(check_and_print(&entries))
 }
--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -1,6 +1,8 @@
 //! `load`: generates load against a test cluster in another process.
 
-use super::{judge, print_summary, read_entries, read_site, to_text, write_entries, SETTLE};
+use super::{
+    check_and_print, print_summary, read_entries, read_site, to_text, write_entries, SETTLE,
+};
 use foxspur_client::{Client, Outbox, Settings};
 use foxspur_testbed::history::{Entry, History};
 use foxspur_testbed::load::{Arrivals, LoadCounters, LoadGenerator, Upload};
@@ -12,20 +14,20 @@
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// Base URL of the front, as `up` prints it.
+    /// Base URL of the load balancer, as `up` prints it under `front`.
     #[arg(long)]
     front: String,
-    /// Base URL of the control address, as `up` prints it.
+    /// Base URL of the control API, as `up` prints it under `control`.
     #[arg(long)]
     control: String,
-    /// The testbed's site, if it is not the default one.
+    /// Site file of the testbed; the built-in site by default.
     #[arg(long)]
     site: Option<PathBuf>,
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[arg(long, default_value_t = 100)]
     jobs: u64,
-    /// Where to write both histories together, as JSON lines.
+    /// Where to write the combined history of the testbed and this load, as JSON lines.
     #[arg(long)]
     history: Option<PathBuf>,
 }
@@ -35,7 +37,7 @@
     actix_web::rt::System::new().block_on(load(args, site))
 }
 
-/// Generates the load and judges what both processes saw.
+/// Generates the load and checks the combined history of both processes.
 async fn load(args: Args, site: Site) -> Result<ExitCode, String> {
     let http = reqwest::Client::builder().no_proxy().build();
     let http = http.map_err(to_text)?;
@@ -47,7 +49,7 @@
         client: &client,
         site: &site,
         history: &history,
-        upload: upload_to(&http, &args.control),
+        upload: uploader(&http, &args.control),
         counters: &counters,
     };
     let arrivals = Arrivals {
@@ -58,15 +60,16 @@
     generator.run(arrivals).await;
     print_summary(&counters.counts(), 0);
     let mut entries = fetch_entries(&http, &args.control).await?;
-    append(&mut entries, history.entries());
+    append_shifted(&mut entries, history.entries());
     if let Some(path) = args.history {
         write_entries(&path, &entries)?;
     }
-    Ok(judge(&entries))
+    Ok(check_and_print(&entries))
 }
 
-/// Uploads job descriptions to the control address, without waiting for the answers.
-fn upload_to(http: &reqwest::Client, control: &str) -> Upload {
+/// Makes a function that uploads job descriptions to the control API without waiting for the
+/// answers.
+fn uploader(http: &reqwest::Client, control: &str) -> Upload {
     let (http, url) = (http.clone(), format!("{control}/jobs"));
     Arc::new(move |id, spec| {
         let spec = JobSpec { id, ..spec };
@@ -82,13 +85,13 @@
     read_entries(&text)
 }
 
-/// Appends a history of another clock. The two began at different times: what users were told
-/// comes after everything else, which is when it was known.
-fn append(entries: &mut Vec<Entry>, users: Vec<Entry>) {
+/// Appends the entries of the users, whose history has a different start time. They are shifted
+/// behind all other entries, so that no answer comes before the events that it depends on.
+fn append_shifted(entries: &mut Vec<Entry>, user_entries: Vec<Entry>) {
     let last = entries.last().map_or(0.0, |entry| entry.at);
-    let later = |entry: Entry| Entry {
+    let shift = |entry: Entry| Entry {
         at: last + entry.at,
         ..entry
     };
-    entries.extend(users.into_iter().map(later));
+    entries.extend(user_entries.into_iter().map(shift));
 }
--- a/crates/testbed/src/commands/mod.rs
+++ b/crates/testbed/src/commands/mod.rs
@@ -1,4 +1,5 @@
-//! The commands, and what they share: reading sites, files of histories, printing results.
+//! The subcommands, and their shared functions: reading sites, reading and writing histories,
+//! printing results.
 
 pub mod check;
 pub mod load;
@@ -12,15 +13,15 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// How long each job of a load is waited for.
+/// How long to wait for each step of a job.
 const SETTLE: Duration = Duration::from_secs(120);
 
-/// Any error as the text that is printed.
+/// Converts an error to its message.
 fn to_text(error: impl std::fmt::Display) -> String {
     error.to_string()
 }
 
-/// Reads a site file; the default site if none is given.
+/// Reads a site file, or the default site if no path is given.
 fn read_site(path: Option<&Path>) -> Result<Site, String> {
     match path {
         Some(path) => Site::parse(&read_file(path)?),
@@ -32,7 +33,7 @@
     std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// Reads a history of JSON lines.
+/// Parses a history from JSON lines.
 fn read_entries(text: &str) -> Result<Vec<Entry>, String> {
     let read = |(index, line): (usize, &str)| {
         serde_json::from_str(line).map_err(|e| format!("line {}: {e}", index + 1))
@@ -51,21 +52,24 @@
     Ok(())
 }
 
-/// Prints what came of a load.
+/// Prints the counts and latencies of a load.
 fn print_summary(counts: &Counts, cuts: usize) {
     println!(
         "jobs    {} submitted, {} accepted, {} done, {} withdrawn, {} refused",
         counts.submitted, counts.accepted, counts.done, counts.withdrawn, counts.refused
     );
-    for (what, times) in [("accept", &counts.accept_ms), ("done", &counts.done_ms)] {
-        let (p50, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
-        println!("{what:7} p50 {p50} ms, p99 {p99} ms");
+    for (name, latencies) in [("accept", &counts.accept_ms), ("done", &counts.done_ms)] {
+        let (p50, p99) = (
+            latencies.value_at_quantile(0.5),
+            latencies.value_at_quantile(0.99),
+        );
+        println!("{name:7} p50 {p50} ms, p99 {p99} ms");
     }
     println!("cuts    {cuts} connections cut");
 }
 
-/// Checks a history and prints the violations.
-fn judge(entries: &[Entry]) -> ExitCode {
+/// Checks a history and prints the violations. Fails if there are any.
+fn check_and_print(entries: &[Entry]) -> ExitCode {
     let violations = foxspur_testbed::checker::check(entries);
     for violation in &violations {
         println!("BROKEN  {violation}");
--- a/crates/testbed/src/commands/up.rs
+++ b/crates/testbed/src/commands/up.rs
@@ -1,11 +1,11 @@
 //! `up`: starts a test cluster and generates load with faults.
 
-use super::{judge, print_summary, read_site, to_text, write_entries, SETTLE};
+use super::{check_and_print, print_summary, read_site, to_text, write_entries, SETTLE};
 use foxspur_client::{Client, Outbox, Settings};
 use foxspur_testbed::fault::Fault;
 use foxspur_testbed::load::{Arrivals, LoadCounters, LoadGenerator};
 use foxspur_testbed::site::Site;
-use foxspur_testbed::testbed::{program_beside_us, Testbed};
+use foxspur_testbed::testbed::{foxspur_in_own_directory, Testbed};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,10 +14,10 @@
 
 #[derive(clap::Args)]
 pub struct Args {
-    /// A site in TOML; there is a small one by default.
+    /// Site file in TOML; a small built-in site by default.
     #[arg(long)]
     site: Option<PathBuf>,
-    /// Decides arrivals.
+    /// Seed of the arrivals.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// How many jobs arrive.
@@ -25,19 +25,19 @@
     jobs: u64,
     /// Faults: WHAT[:AMOUNT]@AT[/EVERY], such as kill@5/10 or pause:3@8, of
     /// kill, kill-all, pause, refuse, refuse-owner, state, cloud, die, hang, cut, reset, delay,
-    /// deaf, late-reports, late-commands, island, blink.
+    /// deaf, late-reports, late-commands, lost-answers, close-looks, island, blink.
     #[arg(long = "fault", default_values_t = [String::from("cut:200@1"), "kill@8/12".into(), "die@12".into()])]
     faults: Vec<String>,
-    /// No faults at all.
+    /// Inject no faults.
     #[arg(long)]
     calm: bool,
-    /// Play no load: stay up until Ctrl-C, for `load` from another terminal.
+    /// Generate no load and stay up until Ctrl-C, for `load` from another terminal.
     #[arg(long)]
     hold: bool,
     /// Where to write the history, as JSON lines.
     #[arg(long)]
     history: Option<PathBuf>,
-    /// The controller's program; built with cargo if it is not given.
+    /// Path of the controller program; by default it is built with cargo.
     #[arg(long)]
     foxspur: Option<PathBuf>,
 }
@@ -55,12 +55,12 @@
 pub fn run(args: Args) -> Result<ExitCode, String> {
     let site = read_site(args.site.as_deref())?;
     let faults = args.faults()?;
-    let program = program(args.foxspur.as_deref())?;
+    let program = controller_program(args.foxspur.as_deref())?;
     actix_web::rt::System::new().block_on(up(args, site, faults, &program))
 }
 
-/// The controller's program, built if need be.
-fn program(given: Option<&Path>) -> Result<PathBuf, String> {
+/// The path of the controller program. Builds the program if no path is given.
+fn controller_program(given: Option<&Path>) -> Result<PathBuf, String> {
     if let Some(path) = given {
         return Ok(path.to_path_buf());
     }
@@ -74,10 +74,15 @@
     match build.status() {
         Ok(status) if status.success() => {}
         Ok(status) => return Err(format!("cargo build ended with {status}")),
-        Err(e) => return Err(format!("cargo build: {e}; name a program with --foxspur")),
+        Err(e) => {
+            return Err(format!(
+                "cargo build: {e}; give the path of the program with --foxspur"
+            ))
+        }
     }
-    program_beside_us()
-        .ok_or_else(|| "no foxspur beside this program; name one with --foxspur".into())
+    foxspur_in_own_directory().ok_or_else(|| {
+        "no foxspur in the directory of this program; give its path with --foxspur".into()
+    })
 }
 
 async fn up(
@@ -107,18 +112,18 @@
     };
     let finished = generate_load(&testbed, &client, arrivals, &counters).await;
     if !finished {
-        println!("ended   by Ctrl-C; what is open stays open");
+        println!("ended   by Ctrl-C; unfinished jobs stay open");
     }
-    let ended = testbed.ended().await;
+    let stopped = testbed.logs_of_stopped_controllers().await;
     testbed.down().await;
     print_summary(&counters.counts(), testbed.connection_faults.cuts());
     let entries = testbed.history.entries();
     if let Some(path) = args.history {
         write_entries(&path, &entries)?;
     }
-    print_ended(&ended);
+    print_stopped(&stopped);
     match finished {
-        true => Ok(judge(&entries)),
+        true => Ok(check_and_print(&entries)),
         false => Ok(ExitCode::SUCCESS),
     }
 }
@@ -138,14 +143,14 @@
     println!("operate export FOXSPUR_AT={}", admins.join(","));
 }
 
-/// Stays up with faults but no load, until Ctrl-C.
+/// Injects faults without a load until Ctrl-C.
 async fn hold(testbed: &Testbed, faults: &[Fault]) {
     testbed.schedule(faults, f64::MAX);
     let _ = tokio::signal::ctrl_c().await;
     testbed.down().await;
 }
 
-/// Generates the load and shows its progress; false if Ctrl-C ended it.
+/// Generates the load and shows its progress. Returns false if Ctrl-C ended it.
 async fn generate_load(
     testbed: &Testbed,
     client: &Client,
@@ -185,14 +190,14 @@
     }
 }
 
-/// Prints the logs of controllers that are not running. One that was killed a moment ago is
-/// on its way back.
-fn print_ended(ended: &[String]) {
-    if ended.len() > 1 {
+/// Prints the logs of controllers that are not running, if there are at least two. A single one
+/// may have been killed by the last fault and not yet restarted.
+fn print_stopped(logs: &[String]) {
+    if logs.len() > 1 {
         println!(
             "ENDED   {} controllers are not running:\n{}",
-            ended.len(),
-            ended.join("\n")
+            logs.len(),
+            logs.join("\n")
         );
     }
 }
--- a/crates/testbed/src/control_api.rs
+++ b/crates/testbed/src/control_api.rs
@@ -1,4 +1,4 @@
-//! The test cluster's own HTTP interface, for a load generator in another process.
+//! The control API of the test cluster, for a load generator in another process.
 
 use crate::machines::Machines;
 use actix_web::{web, HttpResponse};
@@ -7,7 +7,7 @@
 
 type Data = web::Data<Machines>;
 
-/// Routes to upload job descriptions and to read the history.
+/// The routes that accept job descriptions and serve the history.
 pub fn routes(config: &mut web::ServiceConfig) {
     config
         .route("/jobs", web::post().to(upload))
@@ -21,7 +21,7 @@
     HttpResponse::Ok().json(json!({}))
 }
 
-/// The history so far, as JSON lines.
+/// Returns the history so far as JSON lines.
 async fn history(machines: Data) -> HttpResponse {
     let entries = machines.history().entries();
     let lines = entries.iter().filter_map(|e| serde_json::to_string(e).ok());
--- a/crates/testbed/src/controllers.rs
+++ b/crates/testbed/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Real controller processes, killed, paused and started again.
+//! Real controller processes that can be killed, paused and restarted.
 
 use crate::site::Site;
 use serde::Serialize;
@@ -8,27 +8,27 @@
 use tokio::process::{Child, Command};
 use toml::Value;
 
-/// How far the controllers' clocks may be apart, in milliseconds.
+/// The largest difference between the controllers' clocks, as their settings state it.
 const CLOCK_BOUND_MS: f64 = 5.0;
-/// How many lines of a log are shown of a controller that ended.
+/// How many last lines of a log are shown for a controller that is not running.
 const LOG_TAIL_LINES: usize = 5;
 
-/// Where one controller listens, and where it reaches the others and the state service.
+/// The addresses at which one controller listens and those that it connects to.
 #[derive(Debug, Clone)]
 pub struct Endpoints {
-    /// Its host name.
+    /// Host name of the controller.
     pub name: String,
-    /// Its zone.
+    /// Zone of the controller.
     pub zone: String,
-    /// Where it serves users and workers.
+    /// Address at which it serves users and workers.
     pub front: SocketAddr,
-    /// Where it listens for other controllers.
+    /// Address at which it listens for other controllers.
     pub mesh: SocketAddr,
-    /// Where it reaches each controller, by index.
+    /// Addresses of the links to each controller, by controller index.
     pub links: Vec<SocketAddr>,
-    /// Where it serves operators.
+    /// Address at which it serves operators.
     pub admin: SocketAddr,
-    /// Where it reaches the state service.
+    /// Address of its server of the state service.
     pub state: SocketAddr,
 }
 
@@ -41,7 +41,7 @@
     child: Option<Child>,
 }
 
-/// A TOML table.
+/// Makes a TOML table.
 fn table<const N: usize>(pairs: [(&str, Value); N]) -> Value {
     let pairs = pairs.into_iter().map(|(key, value)| (key.into(), value));
     Value::Table(pairs.collect())
@@ -51,15 +51,15 @@
     Value::String(value.to_string())
 }
 
-/// A part of the site as it stands.
-fn part(part: impl Serialize) -> Value {
-    Value::try_from(part).unwrap_or(Value::Boolean(false))
+/// Converts a section of the site to TOML without changes.
+fn section(section: impl Serialize) -> Value {
+    Value::try_from(section).unwrap_or(Value::Boolean(false))
 }
 
-/// A controller's settings file, as the deploy guide describes it.
+/// The text of a controller's settings file, as the deploy guide describes the format.
 fn settings(site: &Site, endpoints: &[Endpoints], index: usize, cloud: SocketAddr) -> String {
     let own = &endpoints[index];
-    let all = table([
+    let settings = table([
         ("host_name", text(&own.name)),
         ("site", text(&own.zone)),
         ("front", text(own.front)),
@@ -71,10 +71,10 @@
         ),
         ("cluster", cluster(site, endpoints.len())),
     ]);
-    toml::to_string(&all).unwrap_or_default()
+    toml::to_string(&settings).unwrap_or_default()
 }
 
-/// The other controllers, each behind the link that leads to it.
+/// The other controllers, each with the address of the link to it.
 fn peers(endpoints: &[Endpoints], own: &Endpoints) -> Value {
     let others = endpoints
         .iter()
@@ -92,20 +92,20 @@
 
 fn cluster(site: &Site, controllers: usize) -> Value {
     let zones = site.zones.iter().map(text);
-    let teams = site.teams.iter().map(part);
+    let teams = site.teams.iter().map(section);
     table([
         ("nodes", Value::Integer(controllers as i64)),
         ("zones", Value::Array(zones.collect())),
         ("time_bound_ms", CLOCK_BOUND_MS.into()),
         ("teams", Value::Array(teams.collect())),
-        ("workers", part(&site.workers)),
-        ("state", part(&site.state)),
-        ("cloud", part(&site.cloud)),
+        ("workers", section(&site.workers)),
+        ("state", section(&site.state)),
+        ("cloud", section(&site.cloud)),
         ("quota", quota()),
     ])
 }
 
-/// The resources that a controller may use.
+/// The resource limits of a controller.
 fn quota() -> Value {
     table([
         ("cpu", 1.0.into()),
@@ -115,7 +115,7 @@
 }
 
 impl Controller {
-    /// Writes the settings of the controller `index` into `dir`; nothing is started yet.
+    /// Writes the settings and the policy of the controller `index` to `dir`, without starting it.
     ///
     /// # Errors
     ///
@@ -144,7 +144,7 @@
         Ok(controller)
     }
 
-    /// Starts the process; its log is appended to one file.
+    /// Starts the process. Its log is appended to the same file at each start.
     ///
     /// # Errors
     ///
@@ -183,12 +183,12 @@
         }
     }
 
-    /// Stops the process where it is.
+    /// Suspends the process (SIGSTOP).
     pub async fn pause(&self) {
         self.signal("-STOP").await;
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a suspended process (SIGCONT).
     pub async fn resume(&self) {
         self.signal("-CONT").await;
     }
@@ -201,7 +201,7 @@
         let _ = kill.arg(signal).arg(pid.to_string()).status().await;
     }
 
-    /// The last lines of its log.
+    /// The last lines of the log.
     pub fn log_tail(&self) -> String {
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = log.lines().collect();
--- a/crates/testbed/src/fault.rs
+++ b/crates/testbed/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that can be injected, and how a schedule of them is written on the command line.
+//! The faults that can be injected, and their syntax on the command line.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,47 +6,52 @@
 /// The shortest time between two repetitions of a fault.
 const MIN_INTERVAL_S: f64 = 0.1;
 
-/// What is injected. The meaning of a fault's amount depends on its kind: seconds, unless
-/// stated otherwise.
+/// The kind of a fault. The amount of a fault is its duration in seconds unless its kind states
+/// otherwise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKind {
-    /// One controller is killed; it is back after the site's restart time.
+    /// One controller is killed, and started again after the site's restart time. The amount is
+    /// unused.
     Kill,
-    /// All controllers are killed; they are back after the site's restart time.
+    /// All controllers are killed, and started again after the site's restart time. The amount is
+    /// unused.
     KillAll,
-    /// One controller is stopped where it is, and goes on after so many seconds.
+    /// The process of one controller is suspended (SIGSTOP).
     Pause,
-    /// The state service refuses one controller.
+    /// The state service refuses the requests of one controller.
     Refuse,
-    /// The state service refuses the leader.
+    /// The state service refuses the requests of the leader of the first shard.
     RefuseLeader,
     /// The state service is unavailable.
     StateOutage,
-    /// The cloud's interface is unavailable.
+    /// The interface of the cloud is unavailable.
     CloudOutage,
-    /// A machine dies; no amount.
+    /// One machine dies for good. The amount is unused.
     MachineDeath,
-    /// A machine stands still.
+    /// One machine hangs.
     MachineHang,
-    /// The load balancer cuts so many of a thousand answers.
+    /// The load balancer cuts some pieces of answers. The amount is their number per thousand. The
+    /// fault lasts until the next `CutAnswers` or `DelayAnswers`.
     CutAnswers,
-    /// The load balancer cuts the next answer after so many bytes.
+    /// The load balancer cuts the next answer. The amount is the number of bytes before the cut.
     ResetAnswer,
-    /// The load balancer delays each piece of an answer by so many milliseconds.
+    /// The load balancer delays each piece of an answer. The amount is the delay in milliseconds.
+    /// The fault lasts until the next `CutAnswers` or `DelayAnswers`.
     DelayAnswers,
-    /// A machine's heartbeats arrive while it receives nothing.
-    MachineDeaf,
-    /// Copies of heartbeats follow, up to three leases later.
+    /// One machine receives nothing, while its heartbeats still arrive.
+    MachineInboundLoss,
+    /// Copies of some heartbeats arrive up to three lease times late.
     DuplicateHeartbeats,
-    /// Copies of direct calls follow, up to three leases later.
+    /// Copies of some direct calls arrive up to three lease times late.
     DuplicateDirectCalls,
-    /// The state service loses the answers of one transaction in four.
+    /// The state service loses the answer to one transaction in four.
     LostAnswers,
-    /// Users ask every controller as soon as one was told anything.
+    /// Whenever a user is told something about a job, every controller is asked about that job.
     ConsistencyProbe,
-    /// One controller loses the state service and the other controllers, not its workers.
+    /// One controller is cut off from the state service and the other controllers, but not from
+    /// the workers.
     Isolate,
-    /// One controller is killed and is back at once.
+    /// One controller is killed and started again almost at once. The amount is unused.
     QuickRestart,
 }
 
@@ -65,7 +70,7 @@
         FaultKind::CutAnswers,
         FaultKind::ResetAnswer,
         FaultKind::DelayAnswers,
-        FaultKind::MachineDeaf,
+        FaultKind::MachineInboundLoss,
         FaultKind::DuplicateHeartbeats,
         FaultKind::DuplicateDirectCalls,
         FaultKind::LostAnswers,
@@ -74,7 +79,7 @@
         FaultKind::QuickRestart,
     ];
 
-    /// Its name on the command line and in the history.
+    /// The name on the command line and in the history.
     pub fn name(self) -> &'static str {
         match self {
             FaultKind::Kill => "kill",
@@ -89,7 +94,7 @@
             FaultKind::CutAnswers => "cut",
             FaultKind::ResetAnswer => "reset",
             FaultKind::DelayAnswers => "delay",
-            FaultKind::MachineDeaf => "deaf",
+            FaultKind::MachineInboundLoss => "deaf",
             FaultKind::DuplicateHeartbeats => "late-reports",
             FaultKind::DuplicateDirectCalls => "late-commands",
             FaultKind::LostAnswers => "lost-answers",
@@ -113,50 +118,50 @@
 /// A fault and when it is injected.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fault {
-    /// What is injected.
+    /// The kind.
     pub kind: FaultKind,
-    /// How much of it, in the unit of its kind; 0 if it is not given.
+    /// The amount, in the unit of the kind; 0 if none is given.
     pub amount: f64,
-    /// When, in seconds from the start.
+    /// When the fault is injected, in seconds from the start.
     pub at_s: f64,
-    /// Whether it is repeated, and after how many seconds.
+    /// Interval of its repetitions, in seconds; none if it is injected once.
     pub every_s: Option<f64>,
 }
 
 impl fmt::Display for Fault {
-    /// The fault without its times, as the history names it.
+    /// Writes kind and amount without the times, as the history records them.
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{} {}", self.kind, self.amount)
     }
 }
 
-/// Why a text is not a fault.
+/// Why a text cannot be parsed as a fault.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ParseFaultError {
-    /// A part is missing, or a number is none or out of range.
-    #[error("fault {text}: not of the form WHAT[:AMOUNT]@AT[/EVERY]")]
+    /// A part is missing, or a number is malformed or out of range.
+    #[error("fault {text}: expected the form WHAT[:AMOUNT]@AT[/EVERY]")]
     Malformed {
         /// The whole text.
         text: String,
     },
-    /// No fault has this name.
-    #[error("fault {text}: {name} is none of {}", names())]
+    /// There is no fault of this name.
+    #[error("fault {text}: unknown fault {name}; expected one of {}", all_names())]
     UnknownKind {
         /// The whole text.
         text: String,
-        /// What stands where the name of a fault should.
+        /// The unknown name.
         name: String,
     },
 }
 
-fn names() -> String {
+fn all_names() -> String {
     FaultKind::ALL.map(FaultKind::name).join(", ")
 }
 
 impl FromStr for Fault {
     type Err = ParseFaultError;
 
-    /// Reads `WHAT[:AMOUNT]@AT[/EVERY]`, such as `pause:3@10/20`.
+    /// Parses `WHAT[:AMOUNT]@AT[/EVERY]`, such as `pause:3@10/20`.
     fn from_str(text: &str) -> Result<Fault, ParseFaultError> {
         let malformed = || ParseFaultError::Malformed { text: text.into() };
         let (what, when) = text.split_once('@').ok_or_else(malformed)?;
@@ -170,7 +175,7 @@
             name: name.into(),
         };
         let kind = FaultKind::from_name(name).ok_or_else(unknown)?;
-        let number = |text: &str| not_negative(text).ok_or_else(malformed);
+        let number = |text: &str| parse_non_negative(text).ok_or_else(malformed);
         let every_s = every.map(number).transpose()?;
         if every_s.is_some_and(|every_s| every_s < MIN_INTERVAL_S) {
             return Err(malformed());
@@ -184,7 +189,7 @@
     }
 }
 
-fn not_negative(text: &str) -> Option<f64> {
+fn parse_non_negative(text: &str) -> Option<f64> {
     let number: f64 = text.parse().ok()?;
     (number.is_finite() && number >= 0.0).then_some(number)
 }
--- a/crates/testbed/src/fault_injection.rs
+++ b/crates/testbed/src/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Fault injection: carries out faults against the running test cluster, and their schedule.
+//! Injection of faults into the running test cluster, at once or by a schedule.
 
 use crate::fault::{Fault, FaultKind};
 use crate::history::Event;
@@ -9,13 +9,13 @@
 
 /// The key of the first shard's leader.
 const LEADER_KEY: &str = "fx/a/share/0";
-/// The field of its value that names the leader.
+/// The field of that key's value that names the leader.
 const LEADER_FIELD: &str = "owner";
-/// After how many seconds a quick restart is over.
-const QUICK_RESTART_S: f64 = 0.1;
+/// Seconds between the kill and the start of a quick restart.
+const QUICK_RESTART_DELAY_S: f64 = 0.1;
 
 impl Testbed {
-    /// Injects a fault now, and ends it in its time. The history records it.
+    /// Injects a fault now and records it in the history. The fault ends after its duration.
     pub async fn inject(&self, fault: &Fault) {
         let controller = rand::random_range(0..self.controller_count());
         let mut what = fault.to_string();
@@ -24,13 +24,13 @@
                 let machine = self.machines.inject(machine_fault);
                 what += &format!(" {machine:?}");
             }
-            None => self.inject_elsewhere(fault, controller).await,
+            None => self.inject_cluster_fault(fault, controller).await,
         }
         tracing::info!(%what, controller, "fault");
         self.history.add(Event::Fault { what });
     }
 
-    /// Injects these faults at their times, until `until_s` seconds from the start.
+    /// Injects faults at their times, until `until_s` seconds of the history.
     pub fn schedule(&self, faults: &[Fault], until_s: f64) {
         for fault in faults {
             let (testbed, fault) = (self.clone(), fault.clone());
@@ -55,69 +55,72 @@
         match fault.kind {
             FaultKind::MachineDeath => Some(MachineFault::Die),
             FaultKind::MachineHang => Some(MachineFault::Hang(fault.amount)),
-            FaultKind::MachineDeaf => Some(MachineFault::Deaf(fault.amount)),
+            FaultKind::MachineInboundLoss => Some(MachineFault::LoseInbound(fault.amount)),
             _ => None,
         }
     }
 
-    /// Injects a fault into controllers, services or connections. `one` is the controller
-    /// that faults of one controller hit.
-    async fn inject_elsewhere(&self, fault: &Fault, one: usize) {
-        let s = fault.amount;
+    /// Injects a fault into controllers, services or connections. `target` is the index of the
+    /// controller for faults that affect one controller.
+    async fn inject_cluster_fault(&self, fault: &Fault, target: usize) {
+        let amount = fault.amount;
         let restart_s = self.site.restart_s;
         match fault.kind {
-            FaultKind::Kill => self.restart(one..one + 1, restart_s).await,
+            FaultKind::Kill => self.restart(target..target + 1, restart_s).await,
             FaultKind::KillAll => self.restart(0..self.controller_count(), restart_s).await,
-            FaultKind::QuickRestart => self.restart(one..one + 1, QUICK_RESTART_S).await,
-            FaultKind::Pause => self.pause(one, s).await,
+            FaultKind::QuickRestart => {
+                self.restart(target..target + 1, QUICK_RESTART_DELAY_S)
+                    .await
+            }
+            FaultKind::Pause => self.pause(target, amount).await,
             FaultKind::Isolate => {
-                self.state.refuse(one, s);
-                self.links.cut(one, s);
+                self.state.refuse(target, amount);
+                self.links.cut(target, amount);
             }
-            FaultKind::Refuse => self.state.refuse(one, s),
-            FaultKind::RefuseLeader => self.state.refuse(self.leader().unwrap_or(one), s),
-            FaultKind::StateOutage => self.state.make_unavailable(s),
-            FaultKind::LostAnswers => self.state.lose_answers(s),
-            FaultKind::CloudOutage => self.machines.make_cloud_unavailable(s),
-            FaultKind::DuplicateHeartbeats => self.machines.duplicate_heartbeats(s),
-            FaultKind::DuplicateDirectCalls => self.machines.duplicate_direct_calls(s),
+            FaultKind::Refuse => self.state.refuse(target, amount),
+            FaultKind::RefuseLeader => self.state.refuse(self.leader().unwrap_or(target), amount),
+            FaultKind::StateOutage => self.state.make_unavailable(amount),
+            FaultKind::LostAnswers => self.state.lose_answers(amount),
+            FaultKind::CloudOutage => self.machines.make_cloud_unavailable(amount),
+            FaultKind::DuplicateHeartbeats => self.machines.duplicate_heartbeats(amount),
+            FaultKind::DuplicateDirectCalls => self.machines.duplicate_direct_calls(amount),
             FaultKind::ConsistencyProbe => {
-                let until_s = self.history.now() + s;
-                self.consistency_probe.run_until(until_s);
+                let until_s = self.history.now() + amount;
+                self.consistency_probe.enable_until(until_s);
             }
-            FaultKind::CutAnswers => self.connection_faults.set(s as u64, 0),
-            FaultKind::DelayAnswers => self.connection_faults.set(0, s as u64),
-            FaultKind::ResetAnswer => self.connection_faults.reset_after(s as usize),
-            // Injected into machines.
-            FaultKind::MachineDeath | FaultKind::MachineHang | FaultKind::MachineDeaf => {}
+            FaultKind::CutAnswers => self.connection_faults.set(amount as u64, 0),
+            FaultKind::DelayAnswers => self.connection_faults.set(0, amount as u64),
+            FaultKind::ResetAnswer => self.connection_faults.reset_after(amount as usize),
+            // Handled in `machine_fault`.
+            FaultKind::MachineDeath | FaultKind::MachineHang | FaultKind::MachineInboundLoss => {}
         }
     }
 
-    /// The index of the controller that leads the first shard, as the state service has it.
+    /// The index of the controller that leads the first shard according to the state service.
     fn leader(&self) -> Option<usize> {
-        let name = self.state.text(LEADER_KEY, LEADER_FIELD)?;
+        let name = self.state.string_field(LEADER_KEY, LEADER_FIELD)?;
         controller_index(&name)
     }
 
-    async fn pause(&self, controller: usize, s: f64) {
+    async fn pause(&self, controller: usize, duration_s: f64) {
         self.controllers.lock().await[controller].pause().await;
         let testbed = self.clone();
         actix_web::rt::spawn(async move {
-            tokio::time::sleep(Duration::from_secs_f64(s)).await;
+            tokio::time::sleep(Duration::from_secs_f64(duration_s)).await;
             testbed.controllers.lock().await[controller].resume().await;
         });
     }
 
-    async fn restart(&self, range: Range<usize>, after_s: f64) {
+    async fn restart(&self, indices: Range<usize>, delay_s: f64) {
         let mut controllers = self.controllers.lock().await;
-        for controller in &mut controllers[range.clone()] {
+        for controller in &mut controllers[indices.clone()] {
             controller.kill().await;
         }
         drop(controllers);
         let testbed = self.clone();
         actix_web::rt::spawn(async move {
-            tokio::time::sleep(Duration::from_secs_f64(after_s)).await;
-            for controller in &mut testbed.controllers.lock().await[range] {
+            tokio::time::sleep(Duration::from_secs_f64(delay_s)).await;
+            for controller in &mut testbed.controllers.lock().await[indices] {
                 if !controller.is_running() {
                     let _ = controller.start();
                 }
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,23 +1,23 @@
-//! The history of a run: what the stand-ins and users saw, and when. [`crate::checker`] holds
-//! it against the rules of the protocol.
+//! The history of a run: the events that the simulated services and the users observed, with
+//! their times. [`crate::checker`] checks it against the rules of the protocol.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Instant;
 
-/// The status of a job as an answer gives it. No answer may rank lower than one that came
-/// before its question.
+/// The status of a job in an answer. An answer must not rank lower than any answer that was
+/// received before its request was sent.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// There is no such job.
+    /// The job does not exist.
     Unknown,
-    /// It waits or runs.
+    /// The job waits or runs.
     Accepted,
-    /// All its tasks are completed.
+    /// All tasks of the job are completed.
     Done,
-    /// It is cancelled.
+    /// The job is cancelled.
     Withdrawn,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Whether a later answer may give the other status.
+    /// Whether a later answer may have the status `later`.
     pub(crate) fn allows(self, later: Status) -> bool {
         match self {
             Status::Done | Status::Withdrawn => later == self,
@@ -41,7 +41,7 @@
     }
 }
 
-/// One thing that happened.
+/// One recorded event.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
@@ -69,7 +69,7 @@
         machine: String,
         /// The team of the job.
         team: String,
-        /// CPUs that it uses.
+        /// CPUs that the attempt uses.
         cpus: f64,
     },
     /// An attempt of a task ends on a machine.
@@ -80,7 +80,7 @@
         attempt: u64,
         /// The machine's name.
         machine: String,
-        /// Whether it is completed.
+        /// Whether the task is completed.
         done: bool,
     },
     /// A user polled a job that was accepted.
@@ -94,38 +94,38 @@
     Looked {
         /// The job's id.
         job: String,
-        /// When it was asked, in seconds of the history.
+        /// When the probe was sent, in seconds of the history.
         begun: f64,
-        /// What it answered.
+        /// The status in the answer.
         status: Status,
     },
     /// A fault was injected.
     Fault {
-        /// Its kind and amount.
+        /// The name and amount of the fault; for machine faults also the machine.
         what: String,
     },
     /// Limits that apply from now on.
     Rules {
         /// A team.
         team: String,
-        /// The most CPUs that it may use; 0 for no limit.
+        /// The most CPUs that the team may use; 0 for no limit.
         cpus_max: f64,
-        /// For how many seconds a cancelled job's tasks may stay.
+        /// For how many seconds the tasks of a cancelled job may keep running.
         cancel_s: f64,
     },
 }
 
-/// An event and when it was.
+/// An event and its time.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// In seconds from the start.
+    /// Seconds since the history began.
     pub at: f64,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// A history being recorded; clones share it.
+/// A history being recorded. Clones share the entries.
 #[derive(Clone)]
 pub struct History {
     start: Instant,
@@ -160,17 +160,18 @@
         entries.push(Entry { at, event });
     }
 
-    /// Everything that was recorded so far.
+    /// All entries recorded so far.
     pub fn entries(&self) -> Vec<Entry> {
         self.lock().clone()
     }
 
-    /// What was recorded after the first `seen` entries.
+    /// The entries recorded after the first `seen` entries.
     pub fn entries_from(&self, seen: usize) -> Vec<Entry> {
         self.lock().get(seen..).unwrap_or_default().to_vec()
     }
 
-    /// Jobs that a user was told are accepted, or known; each once, in order of their ids.
+    /// Ids of the jobs about which a user received any answer but `refused`, sorted and without
+    /// duplicates.
     pub fn accepted(&self) -> Vec<String> {
         let entries = self.lock();
         let jobs = entries.iter().filter_map(|entry| match &entry.event {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,8 @@
 //! A test cluster on loopback.
 //!
-//! Stand-ins for everything that foxspur talks to (the state service, the cloud with its
-//! workers, the load balancer), written against the published protocol; real controller
-//! processes; fault injection; a load generator that goes through the client library; and a
-//! checker that judges the recorded history.
+//! It consists of simulated services written against the published protocol (the state service,
+//! the cloud with its workers, the load balancer), real controller processes, fault injection, a
+//! load generator that uses the client library, and a checker of the recorded history.
 
 pub mod balancer;
 pub mod checker;
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -1,5 +1,5 @@
-//! Network links from each controller to each other one, so that one can be partitioned from
-//! all others while its workers still reach it.
+//! Network links from each controller to each other controller. With them a controller can be
+//! partitioned from all others while its workers still reach it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,32 +7,33 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How often an open connection looks whether its link is cut.
+/// How often an open connection checks whether its link is cut.
 const CUT_POLL: Duration = Duration::from_millis(50);
-/// How long a new connection over a cut link stays silent.
+/// How long a new connection over a cut link stays open without an answer.
 const CUT_SILENCE: Duration = Duration::from_secs(2);
 
 /// The link from one controller to another.
 #[derive(Debug, Clone, Copy)]
 pub struct Link {
-    /// Index of the controller that opens connections.
+    /// Index of the controller that opens the connections.
     pub from: usize,
-    /// Index of the controller that accepts them.
+    /// Index of the controller that accepts the connections.
     pub to: usize,
-    /// Where that one listens.
+    /// Address at which the accepting controller listens.
     pub target: SocketAddr,
 }
 
-/// Which controllers are cut off, and until when; clones share it.
+/// The links between all controllers, with the controllers that are cut off at present. Clones
+/// share them.
 #[derive(Clone)]
 pub struct Links {
     start: Instant,
-    /// By controller, in milliseconds from `start`.
+    /// Until when each controller is cut off, by index, in milliseconds since `start`.
     cut_until_ms: Arc<Vec<AtomicU64>>,
 }
 
 impl Links {
-    /// Links of so many controllers; none is cut.
+    /// Creates the links of this many controllers. No link is cut.
     pub fn new(controllers: usize) -> Links {
         Links {
             start: Instant::now(),
@@ -44,20 +45,20 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    /// Cuts a controller off from the others, for so many seconds.
-    pub fn cut(&self, controller: usize, s: f64) {
-        let until = self.now_ms() + (s * 1000.0) as u64;
+    /// Cuts a controller off from all others for a time.
+    pub fn cut(&self, controller: usize, duration_s: f64) {
+        let until = self.now_ms() + (duration_s * 1000.0) as u64;
         self.cut_until_ms[controller].store(until, Ordering::Relaxed);
     }
 
     fn is_cut(&self, link: Link) -> bool {
         let now = self.now_ms();
-        let cut = |n: usize| now < self.cut_until_ms[n].load(Ordering::Relaxed);
+        let cut = |controller: usize| now < self.cut_until_ms[controller].load(Ordering::Relaxed);
         cut(link.from) || cut(link.to)
     }
 
-    /// Carries the connections that `listener` accepts over a link.
-    pub fn carry(&self, listener: TcpListener, link: Link) {
+    /// Forwards the connections that `listener` accepts over a link.
+    pub fn forward(&self, listener: TcpListener, link: Link) {
         let links = self.clone();
         tokio::spawn(async move {
             while let Ok((connection, _)) = listener.accept().await {
@@ -75,14 +76,14 @@
 
     async fn exchange(&self, mut connection: TcpStream, link: Link) -> std::io::Result<()> {
         let mut target = TcpStream::connect(link.target).await?;
-        let both = tokio::io::copy_bidirectional(&mut connection, &mut target);
+        let copy = tokio::io::copy_bidirectional(&mut connection, &mut target);
         let cut = async {
             while !self.is_cut(link) {
                 tokio::time::sleep(CUT_POLL).await;
             }
         };
         tokio::select! {
-            ended = both => ended.map(|_| ()),
+            result = copy => result.map(|_| ()),
             () = cut => Ok(()),
         }
     }
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,5 +1,5 @@
-//! The load generator: an open loop of seeded arrivals through the client library. Each job
-//! is followed to its terminal status.
+//! The load generator: submits jobs through the client library in an open loop with seeded
+//! arrivals, and follows each job to its terminal status.
 
 use crate::history::{Event, History};
 use crate::site::Site;
@@ -13,20 +13,20 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// The longest time that a histogram tells from others, in milliseconds.
+/// The longest latency that the histograms record.
 const MAX_LATENCY_MS: u64 = 3_600_000;
-/// How long one submission waits for the answer.
+/// How long one submission waits for an answer.
 const SUBMIT_TIMEOUT: Duration = Duration::from_secs(10);
 /// Backoff before a submission without an answer is repeated.
 const SUBMIT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Counts of a running load; clones share them.
+/// Counts of a running load. Clones share them.
 #[derive(Clone, Default)]
 pub struct LoadCounters {
     inner: Arc<Mutex<Counts>>,
 }
 
-/// Counts of jobs, and latencies in milliseconds from their submission.
+/// Counts of jobs, and latencies in milliseconds from submission.
 #[derive(Clone, Debug)]
 pub struct Counts {
     /// Jobs submitted.
@@ -39,15 +39,15 @@
     pub withdrawn: u64,
     /// Jobs that were refused.
     pub refused: u64,
-    /// Latency of acceptance.
+    /// Latency until acceptance.
     pub accept_ms: Histogram<u64>,
-    /// Latency of completion.
+    /// Latency until completion.
     pub done_ms: Histogram<u64>,
 }
 
 impl Default for Counts {
     fn default() -> Self {
-        let empty =
+        let empty_histogram =
             || Histogram::new_with_max(MAX_LATENCY_MS, 2).unwrap_or_else(|_| unreachable!());
         Counts {
             submitted: 0,
@@ -55,8 +55,8 @@
             done: 0,
             withdrawn: 0,
             refused: 0,
-            accept_ms: empty(),
-            done_ms: empty(),
+            accept_ms: empty_histogram(),
+            done_ms: empty_histogram(),
         }
     }
 }
@@ -80,22 +80,22 @@
     }
 }
 
-/// Arrivals of a load.
+/// Parameters of the arrivals of a load.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrivals {
-    /// Decides the times and the jobs.
+    /// Seed of the arrival times and the random job properties.
     pub seed: u64,
     /// How many jobs arrive.
     pub jobs: u64,
-    /// How long each job is waited for.
+    /// How long to wait for each step of a job.
     pub settle: Duration,
 }
 
-/// A random job of the site's load.
+/// Makes a random job as described by the load section of the site.
 ///
 /// # Panics
 ///
-/// If `key` is no valid key.
+/// If `key` is not a valid key.
 pub fn work(site: &Site, key: &str, rng: &mut StdRng) -> Work {
     let team = &site.teams[rng.random_range(0..site.teams.len())];
     let spec = JobSpec {
@@ -128,32 +128,32 @@
     Work { key, spec }
 }
 
-/// Makes the description of a job, given by its id, known to the machines.
+/// Uploads the description of the job with this id to the machines.
 pub type Upload = Arc<dyn Fn(String, JobSpec) + Send + Sync>;
 
-/// Where a load goes and what it records.
+/// The connections and records of a load.
 pub struct LoadGenerator<'a> {
-    /// Submits the jobs.
+    /// The client that submits the jobs.
     pub client: &'a Client,
-    /// Its load section describes the jobs.
+    /// The site whose load section describes the jobs.
     pub site: &'a Site,
-    /// What users are told.
+    /// The history in which the answers to users are recorded.
     pub history: &'a History,
-    /// Called before a job's first task starts.
+    /// Uploads each job's description before its first task starts.
     pub upload: Upload,
-    /// What came of the load so far.
+    /// Counts of the load so far.
     pub counters: &'a LoadCounters,
 }
 
 impl LoadGenerator<'_> {
-    /// Generates all arrivals and waits for the end of each job.
+    /// Generates all arrivals and waits until each job has ended or its waiting time is over.
     pub async fn run(&self, arrivals: Arrivals) {
         let load = &self.site.load;
         let mut rng = StdRng::seed_from_u64(arrivals.seed);
         let mut users = JoinSet::new();
         let mut next = Instant::now();
         for number in 0..arrivals.jobs {
-            // Exponential gaps: independent arrivals.
+            // Exponentially distributed gaps make the arrivals independent of each other.
             let gap_s = -(1.0 - rng.random::<f64>()).ln() / load.jobs_per_s;
             next += Duration::from_secs_f64(gap_s);
             tokio::time::sleep_until(next).await;
@@ -168,7 +168,7 @@
                 upload: self.upload.clone(),
                 counters: self.counters.clone(),
                 settle: arrivals.settle,
-                began: Instant::now(),
+                started_at: Instant::now(),
             };
             users.spawn(user.run());
         }
@@ -176,18 +176,18 @@
     }
 }
 
-/// A user with one job.
+/// A simulated user with one job.
 struct User {
     client: Client,
     work: Work,
-    /// How long after its acceptance the job is cancelled, if at all.
+    /// Delay from acceptance to cancellation; none if the job is not cancelled.
     cancels_after: Option<Duration>,
     history: History,
     upload: Upload,
     counters: LoadCounters,
-    /// How long each step is waited for.
+    /// How long to wait for each step.
     settle: Duration,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl User {
@@ -208,12 +208,14 @@
         self.await_outcome(id).await;
     }
 
-    /// Submits the job, with the same key until there is an answer; its id once it is
-    /// accepted.
+    /// Submits the job, and repeats the submission with the same key until there is an answer.
+    /// Returns the id of an accepted job, and none if the job is refused or there is no answer in
+    /// time.
     async fn submit(&self) -> Option<JobId> {
         loop {
             let batch = vec![self.work.clone()];
-            // The description must be there before the first task starts.
+            // The description must be uploaded before the first task starts. A submission with no
+            // waiting time assigns the job its id.
             let first = self.client.submit(batch.clone(), Duration::ZERO).await;
             if let Some(Ok(told)) = first.ok().and_then(|mut answers| answers.pop()) {
                 (self.upload)(told.id().to_string(), self.work.spec.clone());
@@ -228,12 +230,12 @@
                     self.record(id, "known");
                     return Some(id);
                 }
-                Some(Ok(Submitted::Refused(id, why))) => {
-                    self.record(id, &format!("refused {}", why.status));
+                Some(Ok(Submitted::Refused(id, refusal))) => {
+                    self.record(id, &format!("refused {}", refusal.status));
                     self.counters.add(|counts| counts.refused += 1);
                     return None;
                 }
-                _ if self.began.elapsed() > self.settle => return None,
+                _ if self.started_at.elapsed() > self.settle => return None,
                 _ => tokio::time::sleep(SUBMIT_BACKOFF).await,
             }
         }
@@ -266,10 +268,10 @@
     }
 
     fn elapsed_ms(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Records what the user was told.
+    /// Records an answer to the user.
     fn record(&self, id: JobId, what: &str) {
         self.history.add(Event::Told {
             key: self.work.key.to_string(),
--- a/crates/testbed/src/machines/faults.rs
+++ b/crates/testbed/src/machines/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection into machines, their messages and the cloud's interface.
+//! Fault injection into machines, their messages and the HTTP interface of the cloud.
 
 use super::machine::Machine;
 use super::Machines;
@@ -7,71 +7,72 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The share of messages that are duplicated while duplicates are injected.
+/// The proportion of messages that are duplicated while duplicates are injected.
 const DUPLICATED_SHARE: f64 = 0.25;
 
-/// What happens to a machine.
+/// A fault of one machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum MachineFault {
-    /// It dies and stays dead.
+    /// The machine dies for good.
     Die,
-    /// It stands still for so many seconds.
+    /// The machine hangs for this many seconds.
     Hang(f64),
-    /// For so many seconds its heartbeats arrive while it receives nothing.
-    Deaf(f64),
+    /// For this many seconds the machine receives nothing, while its heartbeats still arrive.
+    LoseInbound(f64),
 }
 
 impl Machines {
-    /// Injects a fault into a machine that is up, drawn at random; its name, if there is one.
+    /// Injects a fault into a random machine that is up. Returns its name, or none if no machine
+    /// is up.
     pub fn inject(&self, fault: MachineFault) -> Option<String> {
         let now = self.history.now();
         let mut pool = self.lock();
         let up = pool.machines.values_mut().filter(|m| m.is_up(now));
         let mut up: Vec<&mut Machine> = up.collect();
-        let drawn = (!up.is_empty()).then(|| rand::rng().random_range(0..up.len()))?;
-        let machine = &mut up[drawn];
+        let index = (!up.is_empty()).then(|| rand::rng().random_range(0..up.len()))?;
+        let machine = &mut up[index];
         match fault {
             MachineFault::Die => {
                 machine.dead = true;
                 machine.drop_tasks(&self.history);
             }
-            MachineFault::Hang(s) => machine.hung_until = now + s,
-            MachineFault::Deaf(s) => machine.deaf_until = now + s,
+            MachineFault::Hang(duration_s) => machine.hung_until = now + duration_s,
+            MachineFault::LoseInbound(duration_s) => machine.inbound_lost_until = now + duration_s,
         }
         Some(machine.name.clone())
     }
 
-    /// The cloud's interface answers nothing but errors for so many seconds.
-    pub fn make_cloud_unavailable(&self, s: f64) {
-        self.lock().cloud_away_until = self.history.now() + s;
+    /// Makes the interface of the cloud answer with errors only for a time.
+    pub fn make_cloud_unavailable(&self, duration_s: f64) {
+        self.lock().cloud_unavailable_until = self.history.now() + duration_s;
     }
 
     pub(crate) fn cloud_is_unavailable(&self) -> bool {
-        self.history.now() < self.lock().cloud_away_until
+        self.history.now() < self.lock().cloud_unavailable_until
     }
 
-    /// For so many seconds late copies of some heartbeats are sent.
-    pub fn duplicate_heartbeats(&self, s: f64) {
-        self.lock().duplicate_heartbeats_until = self.history.now() + s;
+    /// Sends delayed copies of some heartbeats for a time.
+    pub fn duplicate_heartbeats(&self, duration_s: f64) {
+        self.lock().duplicate_heartbeats_until = self.history.now() + duration_s;
     }
 
-    /// For so many seconds late copies of some direct calls are carried out.
-    pub fn duplicate_direct_calls(&self, s: f64) {
-        self.lock().duplicate_calls_until = self.history.now() + s;
+    /// Executes delayed copies of some direct calls for a time.
+    pub fn duplicate_direct_calls(&self, duration_s: f64) {
+        self.lock().duplicate_calls_until = self.history.now() + duration_s;
     }
 
-    /// Whether a message is duplicated, while duplicates are injected.
+    /// Decides at random whether a message is duplicated while duplicates are injected.
     pub(super) fn draw_duplicate() -> bool {
         rand::random_bool(DUPLICATED_SHARE)
     }
 
-    /// How late a copy arrives: after a second to three leases.
+    /// The delay of a copy: from one second to three lease times.
     fn duplicate_delay(&self) -> Duration {
         let latest_s = 3.0 * self.site.workers.lease_s;
         Duration::from_secs_f64(rand::rng().random_range(1.0..latest_s))
     }
 
-    /// Sends a late copy of a heartbeat to some controller; its answer is ignored.
+    /// Sends a delayed copy of a heartbeat to a random controller. The answer is ignored.
     pub(super) fn send_late_copy(&self, heartbeat: &str) {
         let delay = self.duplicate_delay();
         let controller = rand::rng().random_range(0..self.controllers.len());
@@ -82,7 +83,8 @@
         });
     }
 
-    /// A copy of a direct call may arrive late, carried out or not; its answer is ignored.
+    /// While duplicates are injected, delivers delayed copies of some direct calls. The worker may
+    /// execute or reject a copy; the result is ignored.
     pub(crate) fn maybe_duplicate_call(&self, addr: SocketAddr, direct: &Direct) {
         let now = self.history.now();
         if now >= self.lock().duplicate_calls_until || !Self::draw_duplicate() {
--- a/crates/testbed/src/machines/heartbeat.rs
+++ b/crates/testbed/src/machines/heartbeat.rs
@@ -1,26 +1,26 @@
-//! A worker's loop: it sends heartbeats until its machine is terminated, follows redirects to
-//! the leader, and carries out the commands in the answers.
+//! The loop of a worker: it sends heartbeats until its machine is terminated, follows redirects
+//! to the leader, and executes the commands in the answers.
 
 use super::{Machines, Pool};
 use foxspur_wire::worker::{Redirect, Reply, Report};
 use rand::Rng;
 use std::time::Duration;
 
-/// How often a worker looks whether its next heartbeat is due.
+/// How often a worker checks whether its next heartbeat is due.
 const TICK: Duration = Duration::from_millis(20);
-/// How long a worker waits for an answer.
+/// How long a worker waits for the answer to a heartbeat.
 const TIMEOUT_S: f64 = 4.0;
-/// Backoff before another controller is tried.
+/// Backoff before the next controller is tried.
 const RETRY_BACKOFF: Duration = Duration::from_secs(1);
 
-/// What a worker does at a tick.
+/// The action of a worker at one tick.
 enum Step {
-    /// Its machine is terminated.
-    Ended,
+    /// The machine is terminated.
+    Exit,
     Idle,
     Send {
         report: Report,
-        duplicated: bool,
+        send_copy: bool,
     },
 }
 
@@ -35,21 +35,21 @@
     machines: Machines,
     /// The machine's name.
     name: String,
-    /// Index of the controller that gets the next heartbeat.
+    /// Index of the controller to which the next heartbeat is sent.
     controller: usize,
-    /// When the next one is due, in seconds of the history.
-    next: f64,
+    /// When the next heartbeat is due, in seconds of the history.
+    next_due: f64,
 }
 
 impl HeartbeatLoop {
-    /// The loop of a machine, which begins with a controller drawn at random.
+    /// Creates the loop of a machine. The first controller is drawn at random.
     pub fn new(machines: Machines, name: String) -> HeartbeatLoop {
         let controller = rand::rng().random_range(0..machines.controllers.len());
         HeartbeatLoop {
             machines,
             name,
             controller,
-            next: 0.0,
+            next_due: 0.0,
         }
     }
 
@@ -59,9 +59,9 @@
             actix_web::rt::time::sleep(TICK).await;
             let now = self.machines.history.now();
             match self.step(now) {
-                Step::Ended => return,
+                Step::Exit => return,
                 Step::Idle => {}
-                Step::Send { report, duplicated } => self.send(report, duplicated, now).await,
+                Step::Send { report, send_copy } => self.send(report, send_copy, now).await,
             }
         }
     }
@@ -69,34 +69,34 @@
     fn step(&self, now: f64) -> Step {
         let workers = &self.machines.site.workers;
         let mut pool = self.machines.lock();
-        let duplicates = now < pool.duplicate_heartbeats_until;
+        let inject_copies = now < pool.duplicate_heartbeats_until;
         let Some(machine) = pool.machines.get_mut(&self.name) else {
-            return Step::Ended;
+            return Step::Exit;
         };
         if !machine.can_work(now) {
             return Step::Idle;
         }
         machine.advance(now, workers.lease_s, &self.machines.history);
-        if !machine.heartbeat_due(now, self.next, workers.report_s) {
+        if !machine.heartbeat_due(now, self.next_due, workers.report_s) {
             return Step::Idle;
         }
         Step::Send {
             report: machine.heartbeat(),
-            duplicated: duplicates && Machines::draw_duplicate(),
+            send_copy: inject_copies && Machines::draw_duplicate(),
         }
     }
 
-    async fn send(&mut self, report: Report, duplicated: bool, now: f64) {
+    async fn send(&mut self, report: Report, send_copy: bool, now: f64) {
         let interval_s = self.machines.site.workers.report_s;
-        self.next = now + interval_s * rand::rng().random_range(0.75..1.25);
+        self.next_due = now + interval_s * rand::rng().random_range(0.75..1.25);
         let session = report.session;
         let body = serde_json::to_string(&report).unwrap_or_default();
-        if duplicated {
+        if send_copy {
             self.machines.send_late_copy(&body);
         }
         let mut answer = self.exchange(body).await;
-        if self.is_deaf() {
-            self.wait_in_vain(now).await;
+        if self.loses_inbound() {
+            self.wait_for_timeout(now).await;
             answer = None;
         }
         match answer {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Sends a heartbeat and reads its answer, if there is one in time.
+    /// Sends a heartbeat. Returns the answer, or none on an error or timeout.
     async fn exchange(&self, body: String) -> Option<Answer> {
         let request = self.machines.heartbeat_request(self.controller, body);
         let response = request.send().await.ok()?;
@@ -115,18 +115,18 @@
         Some(Answer { status, body })
     }
 
-    fn is_deaf(&self) -> bool {
+    fn loses_inbound(&self) -> bool {
         let now = self.machines.history.now();
         let pool = self.machines.lock();
         let machine = pool.machines.get(&self.name);
-        machine.is_some_and(|m| now < m.deaf_until)
+        machine.is_some_and(|m| now < m.inbound_lost_until)
     }
 
-    /// The answer to a heartbeat sent at `sent_at` is lost: waits until its timeout.
-    async fn wait_in_vain(&self, sent_at: f64) {
+    /// Waits until the timeout of a heartbeat sent at `sent_at`, whose answer is lost.
+    async fn wait_for_timeout(&self, sent_at: f64) {
         let waited_s = self.machines.history.now() - sent_at;
-        let rest_s = (TIMEOUT_S - waited_s).max(0.0);
-        actix_web::rt::time::sleep(Duration::from_secs_f64(rest_s)).await;
+        let remaining_s = (TIMEOUT_S - waited_s).max(0.0);
+        actix_web::rt::time::sleep(Duration::from_secs_f64(remaining_s)).await;
     }
 
     fn accept_reply(&self, body: &[u8], session: u64, sent_at: f64) {
@@ -140,16 +140,17 @@
         }
     }
 
-    /// Goes to the controller that the answer names, or to the next one.
+    /// Switches to the controller that the answer names, or to the next one if the answer names no
+    /// other known controller.
     async fn follow_redirect(&mut self, body: &[u8]) {
         let redirect: Option<Redirect> = serde_json::from_slice(body).ok();
         let leader = redirect.and_then(|redirect| redirect.to);
         let mut controllers = self.machines.controllers.iter();
-        let known = leader.and_then(|name| controllers.position(|c| c.name == name));
-        match known.filter(|known| *known != self.controller) {
-            Some(known) => {
-                self.controller = known;
-                self.next = 0.0;
+        let index = leader.and_then(|name| controllers.position(|c| c.name == name));
+        match index.filter(|index| *index != self.controller) {
+            Some(index) => {
+                self.controller = index;
+                self.next_due = 0.0;
             }
             None => self.try_next_controller().await,
         }
@@ -158,7 +159,7 @@
     async fn try_next_controller(&mut self) {
         self.controller = (self.controller + 1) % self.machines.controllers.len();
         actix_web::rt::time::sleep(RETRY_BACKOFF).await;
-        self.next = 0.0;
+        self.next_due = 0.0;
     }
 }
 
--- a/crates/testbed/src/machines/machine.rs
+++ b/crates/testbed/src/machines/machine.rs
@@ -1,7 +1,7 @@
 //! One machine with its worker: lease, fencing token, session, and the tasks on it.
 //!
-//! A worker accepts commands only with a token that is not older than the newest it has seen,
-//! and for its present session. When its lease expires it stops all tasks and begins a new
+//! A worker accepts commands only for its current session and with a token that is not older
+//! than the newest token it has seen. When its lease expires, it stops all tasks and begins a new
 //! session.
 
 use crate::history::{Event, History};
@@ -12,56 +12,56 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// Slack for sums of CPUs, which are not whole numbers.
+/// Tolerance for rounding errors in sums of CPUs.
 const CPU_TOLERANCE: f64 = 1e-6;
 
-/// A task and the number of its attempt.
+/// The id of a task and the number of an attempt.
 type AttemptKey = (String, u64);
 
-/// Descriptions of the jobs that users uploaded, by id.
+/// Uploaded descriptions of jobs, by job id.
 pub(super) type JobSpecs = HashMap<String, JobSpec>;
 
 /// An attempt of a task on a machine.
-struct Task {
+struct TaskAttempt {
     phase: Phase,
     cause: Option<Cause>,
-    /// When it ends by itself, in seconds of the history.
+    /// When the attempt completes, in seconds of the history.
     ends_at: f64,
     cpus: f64,
 }
 
-impl Task {
+impl TaskAttempt {
     fn is_running(&self) -> bool {
         self.phase == Phase::Running
     }
 }
 
-/// What the cloud knows of a machine that it launches.
+/// Parameters of the launch of a machine.
 pub(super) struct Launch<'a> {
     pub name: String,
     pub kind: &'a MachineType,
     pub zone: &'a str,
     pub spot: bool,
-    /// Where its worker listens.
+    /// Address at which the worker listens.
     pub addr: SocketAddr,
     pub now: f64,
-    /// When it has booted.
+    /// When the machine has booted, in seconds of the history.
     pub up_at: f64,
 }
 
-/// What came of a direct call.
+/// Result of a direct call.
 pub(crate) enum DirectCall {
-    /// Token and session matched: the commands were carried out.
+    /// Token and session were valid and the commands were executed.
     Executed(Report),
-    /// Token or session are not the worker's.
+    /// The token was too old or the session was not the current one.
     Rejected(Report),
-    /// The machine hangs: the call is carried out when it goes on.
+    /// The machine hangs. The call is repeated until the machine resumes.
     Hanging,
-    /// Nobody answers at this address.
+    /// No machine answers at this address.
     Unreachable,
 }
 
-/// A machine. All times are seconds of the history.
+/// A machine and its worker. All times are in seconds of the history.
 pub(super) struct Machine {
     pub name: String,
     kind: MachineType,
@@ -72,15 +72,15 @@
     pub addr: SocketAddr,
     pub dead: bool,
     pub hung_until: f64,
-    /// Until then its heartbeats arrive, but it receives neither answers nor commands.
-    pub deaf_until: f64,
+    /// Until this time its heartbeats arrive, but it receives neither answers nor commands.
+    pub inbound_lost_until: f64,
     pub session: u64,
     heartbeat_number: u64,
     token: u64,
     lease_renewed_at: f64,
     /// Whether a task changed since the last heartbeat.
     changed: bool,
-    tasks: BTreeMap<AttemptKey, Task>,
+    tasks: BTreeMap<AttemptKey, TaskAttempt>,
 }
 
 impl Machine {
@@ -95,7 +95,7 @@
             addr: launch.addr,
             dead: false,
             hung_until: 0.0,
-            deaf_until: 0.0,
+            inbound_lost_until: 0.0,
             session: 1,
             heartbeat_number: 0,
             token: 0,
@@ -115,7 +115,7 @@
         self.up_at <= now && !self.dead
     }
 
-    /// Its entry in the cloud's list; nothing until the list shows it.
+    /// Its entry in the cloud's list, or none while the list does not show it yet.
     pub fn listed(&self, now: f64, list_lag_s: f64) -> Option<Listed> {
         let age_s = now - self.launched_at;
         let state = match (self.dead, now < self.up_at) {
@@ -133,7 +133,8 @@
         })
     }
 
-    /// Whether its worker can do anything at present. A lease does not run while it boots.
+    /// Whether the worker runs at present. While the machine boots, this also renews the lease, so
+    /// that the lease starts when the boot is complete.
     pub fn can_work(&mut self, now: f64) -> bool {
         let booting = now < self.up_at;
         if booting {
@@ -142,7 +143,7 @@
         !self.dead && !booting && now >= self.hung_until
     }
 
-    /// All tasks are gone, without a report.
+    /// Removes all tasks without reporting them to a controller.
     pub fn drop_tasks(&mut self, history: &History) {
         for (key, task) in std::mem::take(&mut self.tasks) {
             if task.is_running() {
@@ -151,7 +152,8 @@
         }
     }
 
-    /// Time passes: the lease may expire, and tasks end.
+    /// Advances the worker to `now`: ends the session if the lease has expired, and completes the
+    /// tasks that are due.
     pub fn advance(&mut self, now: f64, lease_s: f64, history: &History) {
         if now - self.lease_renewed_at > lease_s {
             self.drop_tasks(history);
@@ -159,29 +161,29 @@
             self.lease_renewed_at = now;
             self.changed = true;
         }
-        let ended = |task: &Task| task.is_running() && task.ends_at <= now;
-        let ended: Vec<AttemptKey> = (self.tasks.iter())
-            .filter(|(_, task)| ended(task))
+        let is_due = |task: &TaskAttempt| task.is_running() && task.ends_at <= now;
+        let due: Vec<AttemptKey> = (self.tasks.iter())
+            .filter(|(_, task)| is_due(task))
             .map(|(key, _)| key.clone())
             .collect();
-        for key in ended {
+        for key in due {
             self.exit(&key, Cause::Done, history);
         }
     }
 
-    /// Whether a heartbeat is due: at `next`, or a little earlier after a change.
+    /// Whether a heartbeat is due: at `next`, or up to 0.75 intervals earlier after a change.
     pub fn heartbeat_due(&self, now: f64, next: f64, interval_s: f64) -> bool {
         now >= next || (self.changed && now > next - 0.75 * interval_s)
     }
 
-    /// A heartbeat with everything that changed.
+    /// The next heartbeat. Marks all changes as reported.
     pub fn heartbeat(&mut self) -> Report {
         self.changed = false;
         self.report()
     }
 
-    /// Takes the answer to a heartbeat sent at `sent_at` in `session`. Answers with an older
-    /// token, or to an earlier session, are ignored.
+    /// Handles the answer to a heartbeat that was sent at `sent_at` in `session`. Answers with an
+    /// older token or to an earlier session are ignored.
     pub fn accept_reply(
         &mut self,
         reply: &Reply,
@@ -199,7 +201,7 @@
         self.execute(&reply.commands, jobs, history);
     }
 
-    /// A direct call arrives.
+    /// Handles a direct call.
     pub fn accept_direct_call(
         &mut self,
         direct: &Direct,
@@ -208,7 +210,7 @@
         history: &History,
     ) -> DirectCall {
         let now = history.now();
-        if now < self.deaf_until {
+        if now < self.inbound_lost_until {
             return DirectCall::Unreachable;
         }
         if now < self.hung_until {
@@ -253,13 +255,13 @@
                 Command::Start { task, attempt } => self.start(task, *attempt, jobs, history),
                 Command::Stop { task, attempt, .. } => {
                     let key = (task.clone(), *attempt);
-                    if self.tasks.get(&key).is_some_and(Task::is_running) {
+                    if self.tasks.get(&key).is_some_and(TaskAttempt::is_running) {
                         self.exit(&key, Cause::Stopped, history);
                     }
                 }
                 Command::Forget { task, attempt } => {
                     let key = (task.clone(), *attempt);
-                    let exited = |task: &Task| task.phase == Phase::Exited;
+                    let exited = |task: &TaskAttempt| task.phase == Phase::Exited;
                     if self.tasks.get(&key).is_some_and(exited) {
                         self.tasks.remove(&key);
                     }
@@ -268,7 +270,7 @@
         }
     }
 
-    /// Starts an attempt, or records why it cannot start; a repeated command does nothing.
+    /// Starts an attempt, or records why it cannot start. A repeated command has no effect.
     fn start(&mut self, task: &str, attempt: u64, jobs: &JobSpecs, history: &History) {
         let key = (task.to_string(), attempt);
         if self.tasks.contains_key(&key) {
@@ -290,7 +292,7 @@
                 cpus,
             });
         }
-        let state = Task {
+        let state = TaskAttempt {
             phase: refusal.map_or(Phase::Running, |_| Phase::Exited),
             cause: refusal,
             ends_at: history.now() + run_s,
@@ -303,8 +305,11 @@
         let Some(spec) = job else {
             return Some(Cause::Unknown);
         };
-        let mut running = self.tasks.iter().filter(|(_, state)| state.is_running());
-        let used_cpus: f64 = running.clone().map(|(_, state)| state.cpus).sum();
+        let mut running = self
+            .tasks
+            .iter()
+            .filter(|(_, attempt)| attempt.is_running());
+        let used_cpus: f64 = running.clone().map(|(_, attempt)| attempt.cpus).sum();
         if running.any(|((name, _), _)| name == task) {
             return Some(Cause::Busy);
         }
--- a/crates/testbed/src/machines/mod.rs
+++ b/crates/testbed/src/machines/mod.rs
@@ -1,8 +1,8 @@
-//! The machines of the test cluster, as their cloud and their workers see them.
+//! The simulated machines of the test cluster and their workers.
 //!
-//! `machine` is one machine, `heartbeat` its worker's loop, `faults` what is injected into
-//! them. The cloud's HTTP interface is in [`crate::cloud`], that of the workers in
-//! `worker_api`.
+//! `machine` holds the state of one machine, `heartbeat` the loop of its worker, `faults` the
+//! fault injection. The HTTP interface of the cloud is in [`crate::cloud`], that of the workers
+//! in `worker_api`.
 
 mod faults;
 mod heartbeat;
@@ -23,40 +23,42 @@
 pub use faults::MachineFault;
 pub(crate) use machine::DirectCall;
 
-/// The most machines of one launch request.
+/// The most machines that one request launches.
 const MAX_LAUNCH: u32 = 50;
 
-/// A controller as workers reach it.
+/// A controller to which workers send heartbeats.
 pub struct ControllerUrl {
-    /// Its host name, by which redirects name it.
+    /// Host name, which redirects refer to.
     pub name: String,
-    /// Base URL of its front server.
+    /// Base URL of the server for users and workers.
     pub url: String,
 }
 
-/// Why the cloud launches nothing.
+/// Why the cloud launches no machine.
 pub(crate) enum LaunchRefusal {
     NoSuchType,
     NoCapacity,
 }
 
-/// State that all clones of [`Machines`] share. All times are seconds of the history.
+/// State that all clones of [`Machines`] share. All times are in seconds of the history.
 struct Pool {
     machines: BTreeMap<String, Machine>,
-    /// Names of the machines that each launch request gave: repeating one launches nothing.
+    /// Names of the machines that each launch request launched, by request id. A repeated request
+    /// launches no more machines.
     launched: HashMap<String, Vec<String>>,
-    /// Addresses at which a worker server listens for no machine yet.
+    /// Addresses of worker servers that no machine uses at present.
     free_addrs: Vec<SocketAddr>,
+    /// Number in the name of the machine launched last.
     last_number: u32,
-    cloud_away_until: f64,
-    /// Until then some heartbeats are sent twice, the copy late.
+    cloud_unavailable_until: f64,
+    /// Until this time, delayed copies of some heartbeats are sent.
     duplicate_heartbeats_until: f64,
-    /// Until then some direct calls are carried out twice, the copy late.
+    /// Until this time, delayed copies of some direct calls are executed.
     duplicate_calls_until: f64,
     jobs: JobSpecs,
 }
 
-/// All machines; clones share them.
+/// All machines. Clones share them.
 #[derive(Clone)]
 pub struct Machines {
     site: Arc<Site>,
@@ -67,8 +69,8 @@
 }
 
 impl Machines {
-    /// Machines that send heartbeats to `controllers`; their workers listen at `addrs`, one
-    /// machine at each. Launches the machines that the site has at its start.
+    /// Launches the machines that the site has at the start. Workers send heartbeats to
+    /// `controllers`; each worker listens at one address of `addrs`.
     pub fn new(
         site: Arc<Site>,
         history: History,
@@ -81,7 +83,7 @@
             launched: HashMap::new(),
             free_addrs: addrs,
             last_number: 0,
-            cloud_away_until: 0.0,
+            cloud_unavailable_until: 0.0,
             duplicate_heartbeats_until: 0.0,
             duplicate_calls_until: 0.0,
             jobs: HashMap::new(),
@@ -107,7 +109,7 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Stores a job's description, which workers read when a task of it starts.
+    /// Stores the description of a job. Workers read it when a task of the job starts.
     pub fn upload(&self, id: String, spec: JobSpec) {
         self.lock().jobs.insert(id, spec);
     }
@@ -116,13 +118,13 @@
         &self.history
     }
 
-    /// The machine types of the cloud.
+    /// The machine types that the cloud offers.
     pub(crate) fn types(&self) -> &[MachineType] {
         &self.site.types
     }
 
-    /// Launches machines; the names of those there is capacity for. A repeated request has
-    /// the first one's result.
+    /// Launches as many of the requested machines as there is capacity for and returns their
+    /// names. A repeated request returns the result of the first one.
     pub(crate) fn launch(&self, rental: &Rental) -> Result<Vec<String>, LaunchRefusal> {
         if let Some(names) = self.lock().launched.get(&rental.request) {
             return Ok(names.clone());
@@ -130,8 +132,10 @@
         let mut types = self.site.types.iter();
         let kind = types.find(|kind| kind.name == rental.kind);
         let kind = kind.ok_or(LaunchRefusal::NoSuchType)?;
-        let one = |_| self.launch_one(kind, &rental.zone, rental.spot, kind.boot_s);
-        let names: Vec<String> = (0..rental.count.min(MAX_LAUNCH)).map_while(one).collect();
+        let launch = |_| self.launch_one(kind, &rental.zone, rental.spot, kind.boot_s);
+        let names: Vec<String> = (0..rental.count.min(MAX_LAUNCH))
+            .map_while(launch)
+            .collect();
         if names.is_empty() {
             return Err(LaunchRefusal::NoCapacity);
         }
@@ -150,8 +154,8 @@
     ) -> Option<String> {
         let now = self.history.now();
         let mut pool = self.lock();
-        let same = pool.machines.values().filter(|m| m.is_of(kind, zone, spot));
-        if same.count() >= self.site.capacity as usize {
+        let same_pool = pool.machines.values().filter(|m| m.is_of(kind, zone, spot));
+        if same_pool.count() >= self.site.capacity as usize {
             return None;
         }
         let addr = pool.free_addrs.pop()?;
@@ -173,19 +177,19 @@
         Some(name)
     }
 
-    /// Terminates machines; unknown names are passed over.
+    /// Terminates machines. Unknown names are ignored.
     pub(crate) fn terminate(&self, names: &[String]) {
         let mut pool = self.lock();
         for name in names {
-            if let Some(mut gone) = pool.machines.remove(name) {
-                gone.drop_tasks(&self.history);
-                pool.free_addrs.push(gone.addr);
+            if let Some(mut machine) = pool.machines.remove(name) {
+                machine.drop_tasks(&self.history);
+                pool.free_addrs.push(machine.addr);
             }
         }
     }
 
-    /// The cloud's list in order of names, after the name `since`. New machines are missing
-    /// from it for a while.
+    /// The cloud's list of machines whose names sort after `since`, in order of names. A new
+    /// machine does not appear until the site's `list_lag_s` is over.
     pub(crate) fn list(&self, since: Option<&str>) -> Vec<Listed> {
         let now = self.history.now();
         let list_lag_s = self.site.cloud.list_lag_s;
@@ -195,7 +199,7 @@
         machines.filter_map(|m| m.listed(now, list_lag_s)).collect()
     }
 
-    /// A direct call arrives at a worker's address.
+    /// Handles a direct call that arrives at a worker's address.
     pub(crate) fn direct_call(&self, addr: SocketAddr, direct: &Direct) -> DirectCall {
         let now = self.history.now();
         let mut pool = self.lock();
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -6,7 +6,7 @@
 use commands::{check, load, up};
 use std::process::ExitCode;
 
-/// Stand-ins for all that foxspur meets, and real controllers, on loopback.
+/// Runs real foxspur controllers against simulated services on loopback.
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
@@ -16,29 +16,29 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Brings the testbed up, plays a load with faults, says what came of it.
+    /// Starts a testbed, generates load with faults, and prints and checks the results.
     Up(up::Args),
-    /// Plays a load against a testbed that `up --hold` keeps up.
+    /// Generates load against a testbed started with `up --hold`.
     Load(load::Args),
-    /// Judges a history by the rules.
+    /// Checks a recorded history against the rules.
     Check(check::Args),
 }
 
-/// The exit code if a command could not be carried out.
-const EXIT_FAILED: u8 = 2;
+/// The exit code of a command that failed with an error.
+const EXIT_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
     tracing_subscriber::fmt()
         .with_env_filter(tracing_subscriber::EnvFilter::from_default_env())
         .with_writer(std::io::stderr)
         .init();
-    let ended = match Cli::parse().command {
+    let result = match Cli::parse().command {
         Command::Check(args) => check::run(&args),
         Command::Load(args) => load::run(args),
         Command::Up(args) => up::run(args),
     };
-    ended.unwrap_or_else(|why| {
-        eprintln!("foxspur-testbed: {why}");
-        ExitCode::from(EXIT_FAILED)
+    result.unwrap_or_else(|error| {
+        eprintln!("foxspur-testbed: {error}");
+        ExitCode::from(EXIT_ERROR)
     })
 }
--- a/crates/testbed/src/server.rs
+++ b/crates/testbed/src/server.rs
@@ -5,32 +5,33 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, Ordering};
 
-/// The local address that a connection came to; data of each connection.
+/// The local address at which a connection was accepted. Stored with each connection.
 #[derive(Clone, Copy)]
 pub(crate) struct LocalAddr(pub SocketAddr);
 
-/// Loopback address of this testbed alone, where the system has more than one: testbeds that
-/// run beside each other must not be given the port of a controller that was just killed.
-/// (Two tests shared a port, and controllers of one wrote to the state service of the other.)
-pub(crate) fn own_address() -> Ipv4Addr {
-    static TESTBEDS: AtomicU8 = AtomicU8::new(1);
-    let testbed = TESTBEDS.fetch_add(1, Ordering::Relaxed);
+/// A loopback address that only this testbed uses, or 127.0.0.1 where the system has no other.
+/// With a shared address, a testbed can bind the port of a controller that another testbed has
+/// just killed. In two tests that shared a port this way, controllers of one test wrote to the
+/// state service of the other.
+pub(crate) fn own_loopback_address() -> Ipv4Addr {
+    static NEXT_TESTBED_NUMBER: AtomicU8 = AtomicU8::new(1);
+    let testbed_number = NEXT_TESTBED_NUMBER.fetch_add(1, Ordering::Relaxed);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let own = Ipv4Addr::new(127, high | 1, low, testbed.max(1));
+    let own = Ipv4Addr::new(127, high | 1, low, testbed_number.max(1));
     match TcpListener::bind((own, 0)) {
         Ok(_) => own,
         Err(_) => Ipv4Addr::LOCALHOST,
     }
 }
 
-/// A listener on any free port of the address.
+/// Opens a listener on a free port of the address.
 pub(crate) fn listen_on(address: Ipv4Addr) -> std::io::Result<TcpListener> {
     let listener = TcpListener::bind((address, 0))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Starts an HTTP server on this thread's runtime; it stops with the runtime.
+/// Starts an HTTP server on this thread's runtime. The server stops when the runtime ends.
 pub(crate) fn serve<T: Send + Sync + 'static>(
     state: T,
     routes: fn(&mut web::ServiceConfig),
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -1,29 +1,30 @@
-//! The site file in TOML: what the test cluster consists of.
+//! The site file: the configuration of the test cluster in TOML.
 
 use foxspur_wire::cloud::MachineType;
 use serde::{Deserialize, Serialize};
 
-/// Size, limits and times of a test cluster; the controllers get them in their settings.
+/// Sizes, limits and times of a test cluster. Those that the controllers need are written to
+/// their settings.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Site {
-    /// How many controllers there are, spread over the zones in turn.
+    /// Number of controllers. They are assigned to the zones in turn.
     pub controllers: usize,
-    /// The zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// After how many seconds a controller that was killed is back.
+    /// After how many seconds a killed controller is started again.
     pub restart_s: f64,
-    /// The most machines of each type, zone and price model (on demand or spot). A worker
-    /// listens for each of them from the start, which takes a port and a file descriptor.
+    /// The most machines of each type, zone and price model (on demand or spot). A listener is
+    /// opened for each of them at the start, which takes a port and a file descriptor.
     pub capacity: u32,
-    /// Machines up at the start: on demand, of the first type, spread over its zones. At
-    /// most `capacity` in each zone.
+    /// Number of machines that are up at the start. They are on-demand machines of the first type,
+    /// assigned to its zones in turn, at most `capacity` in each zone.
     pub machines: u32,
-    /// Times of workers.
+    /// Intervals and time limits of workers.
     pub workers: Workers,
     /// Limits of the state service.
     pub state: State,
-    /// Limits of the cloud's interface.
+    /// Limits of the cloud's HTTP interface.
     pub cloud: Cloud,
     /// Teams and their quotas.
     pub teams: Vec<Team>,
@@ -33,15 +34,15 @@
     pub load: Load,
 }
 
-/// Times of workers.
+/// Intervals and time limits of workers.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Workers {
-    /// Seconds between two heartbeats of one.
+    /// Seconds between two heartbeats of a worker.
     pub report_s: f64,
     /// Seconds from a heartbeat until the worker's lease expires.
     pub lease_s: f64,
-    /// Seconds within which a cancelled job's tasks must be gone.
+    /// Seconds within which the tasks of a cancelled job must end.
     pub cancel_s: f64,
 }
 
@@ -49,23 +50,23 @@
 #[derive(Deserialize, Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct State {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Written keys a second.
+    /// Written keys per second.
     pub write_rps: f64,
     /// The largest value, in kilobytes.
     pub value_kb: f64,
-    /// The most operations of one transaction.
+    /// The most operations in one transaction.
     pub txn_ops: usize,
 }
 
-/// Limits of the cloud's interface.
+/// Limits of the cloud's HTTP interface.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Cloud {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// For how many seconds the list does not show a new machine.
+    /// For how many seconds a new machine is missing from the list.
     pub list_lag_s: f64,
 }
 
@@ -73,19 +74,19 @@
 #[derive(Deserialize, Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// CPUs that it is guaranteed.
+    /// CPUs that the team is guaranteed.
     pub cpus: f64,
-    /// The most CPUs that it may use; 0 for no limit.
+    /// The most CPUs that the team may use; 0 for no limit.
     pub cpus_max: f64,
 }
 
-/// The generated load: an open loop, so that a slow service does not get fewer arrivals.
+/// The generated load. It is an open loop, so a slow service does not get fewer arrivals.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Mean arrivals a second.
+    /// Mean number of arrivals per second.
     pub jobs_per_s: f64,
     /// The most tasks of a job.
     pub tasks: u32,
@@ -95,20 +96,20 @@
     pub run_s: f64,
     /// The proportion of jobs that their users cancel, from 0 to 1.
     pub cancelled: f64,
-    /// How many seconds after its acceptance a job is cancelled.
+    /// Seconds from the acceptance of a job to its cancellation.
     #[serde(default)]
     pub cancel_after_s: f64,
 }
 
-/// A small site with short times, used where none is given.
+/// The default site: small, with short times.
 pub const DEFAULT: &str = include_str!("../site.toml");
 
 impl Site {
-    /// Reads and checks a site.
+    /// Parses and validates a site.
     ///
     /// # Errors
     ///
-    /// Names the first field that is unknown, missing or out of range.
+    /// If a field is unknown, missing or out of range. The message names the first such field.
     pub fn parse(text: &str) -> Result<Site, String> {
         let site: Site = toml::from_str(text).map_err(|e| format!("site: {e}"))?;
         for (field, valid) in [
@@ -126,7 +127,7 @@
             ("load.cancelled", (0.0..=1.0).contains(&site.load.cancelled)),
         ] {
             if !valid {
-                return Err(format!("site: {field} cannot be that"));
+                return Err(format!("site: invalid value of {field}"));
             }
         }
         Ok(site)
--- a/crates/testbed/src/state.rs
+++ b/crates/testbed/src/state.rs
@@ -1,5 +1,5 @@
-//! The state service's HTTP interface: rate limits, and injected faults (outages, refusals of
-//! one controller, lost answers).
+//! The HTTP interface of the simulated state service, with rate limits and injected faults
+//! (outages, refusals of one controller, lost answers).
 
 use crate::store::{Refusal, Store};
 use actix_web::{web, HttpResponse};
@@ -10,67 +10,70 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// One in so many transactions has no answer while answers are lost.
-const LOST_EVERY: u64 = 4;
-/// How long a lost answer keeps its connection: longer than any controller waits.
+/// While answers are lost, one transaction out of this many gets no answer.
+const TRANSACTIONS_PER_LOST_ANSWER: u64 = 4;
+/// How long a connection with a lost answer stays open: longer than any controller waits.
 const LOST_ANSWER_HOLD: Duration = Duration::from_secs(20);
-/// Bursts of so many seconds' worth of requests are allowed.
+/// One second may use up this many seconds' worth of the rate limits.
 const BURST_S: f64 = 2.0;
 /// The most keys on one page of a list.
 const MAX_PAGE: usize = 1000;
 /// The longest time that a watch stays open without a change.
 const MAX_WATCH_MS: u64 = 60_000;
-/// How often an open watch looks for changes.
+/// How often an open watch checks for changes.
 const WATCH_POLL: Duration = Duration::from_millis(10);
 
-/// The service as one controller reaches it; clones share the data.
+/// The state service as one controller sees it. Clones share the data.
 #[derive(Clone)]
 pub struct StateService {
-    /// Index of the controller.
+    /// Index of this controller.
     controller: usize,
     start: Instant,
-    /// The most requests and writes a second.
+    /// Rate limits.
     limits: Rates,
     inner: Arc<Mutex<Inner>>,
 }
 
-/// Requests and written keys a second.
+/// Requests and written keys per second.
 #[derive(Clone, Copy, Default)]
 struct Rates {
     requests: f64,
     writes: f64,
 }
 
-/// What all controllers share. All times are seconds from the start of the service.
+/// The data that all controllers share. All times are in seconds since the service started.
 #[derive(Default)]
 struct Inner {
     store: Store,
-    /// The present second, and what was requested in it.
+    /// The second that `used` counts.
     second: u64,
-    spent: Rates,
+    /// Requests and written keys in that second.
+    used: Rates,
     unavailable_until: f64,
     was_unavailable: bool,
-    /// Until when each controller is refused.
+    /// Until when requests of each controller are refused, by controller index.
     refused_until: HashMap<usize, f64>,
-    /// Until when answers of transactions are lost.
+    /// Until when some answers to transactions are lost.
     answers_lost_until: f64,
+    /// How many answers were lost so far.
     answers_lost: usize,
 }
 
 /// The query of a list or watch.
 #[derive(Deserialize)]
 pub struct Range {
-    /// The prefix of the keys.
+    /// Prefix of the keys.
     #[serde(default)]
     under: String,
-    /// A key to list on after, or a revision to watch from.
+    /// For a list, the last key of the previous page; for a watch, a revision: only later changes
+    /// are returned.
     since: Option<String>,
     limit: Option<usize>,
     wait_ms: Option<u64>,
 }
 
 impl StateService {
-    /// An empty service with limits of requests and written keys a second.
+    /// Creates an empty service with limits on requests and written keys per second.
     pub fn new(rps: f64, write_rps: f64) -> StateService {
         StateService {
             controller: 0,
@@ -87,45 +90,46 @@
         self.start.elapsed().as_secs_f64()
     }
 
-    /// How many keys there are under a prefix.
+    /// The number of keys with this prefix.
     pub fn count(&self, prefix: &str) -> usize {
         self.lock().store.list(prefix).len()
     }
 
-    /// A string in the value of a key.
-    pub fn text(&self, key: &str, field: &str) -> Option<String> {
+    /// A string field in the value of a key.
+    pub fn string_field(&self, key: &str, field: &str) -> Option<String> {
         let entry = self.lock().store.get(key)?;
         let value: serde_json::Value = serde_json::from_str(entry.value.get()).ok()?;
         Some(value.get(field)?.as_str()?.to_string())
     }
 
-    /// Unavailable to all, for so many seconds.
-    pub fn make_unavailable(&self, s: f64) {
-        let until = self.now() + s;
+    /// Makes the service unavailable to all controllers for a time.
+    pub fn make_unavailable(&self, duration_s: f64) {
+        let until = self.now() + duration_s;
         self.lock().unavailable_until = until;
     }
 
-    /// For so many seconds transactions are carried out and some of their answers lost.
-    pub fn lose_answers(&self, s: f64) {
-        let until = self.now() + s;
+    /// Loses some answers to transactions for a time. The transactions are still applied.
+    pub fn lose_answers(&self, duration_s: f64) {
+        let until = self.now() + duration_s;
         self.lock().answers_lost_until = until;
     }
 
-    /// How many answers of transactions were lost.
+    /// How many answers to transactions were lost.
     pub fn answers_lost(&self) -> usize {
         self.lock().answers_lost
     }
 
-    /// Whether the answer of the transaction carried out just now is lost.
+    /// Whether the answer to the transaction that made this revision is lost; counts it if so.
     fn loses_answer(&self, revision: u64) -> bool {
         let now = self.now();
         let mut inner = self.lock();
-        let lost = now < inner.answers_lost_until && revision.is_multiple_of(LOST_EVERY);
+        let lost =
+            now < inner.answers_lost_until && revision.is_multiple_of(TRANSACTIONS_PER_LOST_ANSWER);
         inner.answers_lost += usize::from(lost);
         lost
     }
 
-    /// The same service as another controller reaches it.
+    /// The same service as another controller sees it.
     pub fn for_controller(&self, controller: usize) -> StateService {
         StateService {
             controller,
@@ -133,9 +137,9 @@
         }
     }
 
-    /// Refuses one controller alone, for so many seconds.
-    pub fn refuse(&self, controller: usize, s: f64) {
-        let until = self.now() + s;
+    /// Refuses the requests of one controller for a time.
+    pub fn refuse(&self, controller: usize, duration_s: f64) {
+        let until = self.now() + duration_s;
         self.lock().refused_until.insert(controller, until);
     }
 
@@ -145,8 +149,9 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// The data, unless the service is unavailable or refuses this controller.
-    fn open(&self) -> Option<MutexGuard<'_, Inner>> {
+    /// Locks the data and expires leases. Returns nothing while the service is unavailable or
+    /// refuses this controller.
+    fn lock_if_available(&self) -> Option<MutexGuard<'_, Inner>> {
         let now = self.now();
         let mut inner = self.lock();
         let unavailable = now < inner.unavailable_until;
@@ -163,18 +168,18 @@
         (!refused).then_some(inner)
     }
 
-    /// Admits a request with so many writes.
+    /// Counts a request that writes `writes` keys and admits it if the rate limits allow it.
     fn admit(&self, writes: usize) -> Result<MutexGuard<'_, Inner>, Rejection> {
-        let mut inner = self.open().ok_or(Rejection::Unavailable)?;
+        let mut inner = self.lock_if_available().ok_or(Rejection::Unavailable)?;
         let second = self.now() as u64;
         if inner.second != second {
             inner.second = second;
-            inner.spent = Rates::default();
+            inner.used = Rates::default();
         }
-        inner.spent.requests += 1.0;
-        inner.spent.writes += writes as f64;
-        let too_many_requests = inner.spent.requests > BURST_S * self.limits.requests;
-        let too_many_writes = inner.spent.writes > BURST_S * self.limits.writes;
+        inner.used.requests += 1.0;
+        inner.used.writes += writes as f64;
+        let too_many_requests = inner.used.requests > BURST_S * self.limits.requests;
+        let too_many_writes = inner.used.writes > BURST_S * self.limits.writes;
         if too_many_requests || too_many_writes {
             return Err(Rejection::TooMany);
         }
@@ -182,7 +187,7 @@
     }
 }
 
-/// Why a request is not executed.
+/// Why a request is rejected.
 enum Rejection {
     Unavailable,
     TooMany,
@@ -216,7 +221,7 @@
     }
 }
 
-/// Lists keys, a page at a time.
+/// Returns one page of the list of keys.
 async fn list(service: Data, range: web::Query<Range>) -> HttpResponse {
     match service.admit(0) {
         Err(rejection) => rejection.into(),
@@ -224,9 +229,9 @@
             let after = |e: &Entry| range.since.as_ref().is_none_or(|s| e.key > *s);
             let mut items: Vec<Entry> = inner.store.list(&range.under);
             items.retain(after);
-            let page = range.limit.unwrap_or(MAX_PAGE).min(MAX_PAGE);
-            let more = items.len() > page;
-            items.truncate(page);
+            let page_size = range.limit.unwrap_or(MAX_PAGE).min(MAX_PAGE);
+            let more = items.len() > page_size;
+            items.truncate(page_size);
             HttpResponse::Ok().json(Listing {
                 items,
                 more,
@@ -262,12 +267,12 @@
 }
 
 /// Grants a lease.
-async fn grant(service: Data, ask: web::Json<LeaseRequest>) -> HttpResponse {
+async fn grant(service: Data, request: web::Json<LeaseRequest>) -> HttpResponse {
     let now = service.now();
     match service.admit(0) {
         Err(rejection) => rejection.into(),
         Ok(mut inner) => {
-            let lease = inner.store.grant(ask.ttl_ms as f64 / 1000.0, now);
+            let lease = inner.store.grant(request.ttl_ms as f64 / 1000.0, now);
             HttpResponse::Ok().json(Lease { lease })
         }
     }
@@ -296,7 +301,7 @@
     }
 }
 
-/// A watch: waits for changes after the revision `since`.
+/// Waits for changes after the revision `since` and returns them.
 async fn watch(service: Data, range: web::Query<Range>) -> HttpResponse {
     let since = range.since.as_ref();
     let since: u64 = since.and_then(|text| text.parse().ok()).unwrap_or(0);
@@ -304,12 +309,12 @@
         return rejection.into();
     }
     let wait_ms = range.wait_ms.unwrap_or(0).min(MAX_WATCH_MS);
-    let until = service.now() + wait_ms as f64 / 1000.0;
+    let waits_until = service.now() + wait_ms as f64 / 1000.0;
     loop {
-        // In an outage open watches stay open.
-        if let Some(inner) = service.open() {
+        // An outage does not close open watches.
+        if let Some(inner) = service.lock_if_available() {
             let events = changes_after(&inner.store, since, &range.under);
-            if !events.is_empty() || service.now() >= until {
+            if !events.is_empty() || service.now() >= waits_until {
                 let revision = inner.store.revision;
                 return HttpResponse::Ok().json(News { revision, events });
             }
@@ -318,7 +323,7 @@
     }
 }
 
-/// Changes of keys under a prefix after a revision, oldest first.
+/// Changes of keys with this prefix after a revision, oldest first.
 fn changes_after(store: &Store, since: u64, prefix: &str) -> Vec<Event> {
     let newest_first = store.log.iter().rev();
     let mut events: Vec<Event> = newest_first
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store.rs
@@ -1,40 +1,40 @@
-//! The data of the state service: a key-value store with versions, transactions with
-//! compare-and-swap conditions, leases, and the log of changes that a watch reads. All times
-//! are passed in.
+//! The data of the simulated state service: a key-value store with versions, transactions with
+//! compare-and-swap conditions, leases, and the log of changes that a watch reads. The caller
+//! passes in the current time.
 
 use foxspur_wire::state::{Change, Entry, Txn};
 use serde_json::value::RawValue;
 use std::collections::BTreeMap;
 
-/// A value and the lease that deletes it.
+/// A value and the lease that it is attached to, if any.
 struct Value {
     value: Box<RawValue>,
     version: u64,
     lease: Option<u64>,
 }
 
-/// One change of the history: revision, key, and the value unless deleted.
+/// One entry of the log of changes: revision, key, and the new value, or none for a deletion.
 pub type Logged = (u64, String, Option<Box<RawValue>>);
 
 /// Why a transaction is not applied.
 #[derive(Debug, PartialEq)]
 pub enum Refusal {
-    /// Keys whose versions are not those of its conditions.
+    /// Keys whose versions differ from those in the conditions.
     Conflict(Vec<String>),
-    /// A change names a lease that is not held.
+    /// A change names a lease that does not exist.
     NoLease,
 }
 
-/// A lease: keys attached to it are deleted when it ends.
+/// A lease. Keys attached to it are deleted when it ends.
 struct Lease {
     ttl_s: f64,
     expires_at: f64,
 }
 
-/// The store.
+/// A key-value store with leases.
 #[derive(Default)]
 pub struct Store {
-    /// Number of the last change; also the version of the keys that it wrote.
+    /// Number of the last revision; also the version of the keys written in it.
     pub revision: u64,
     keys: BTreeMap<String, Value>,
     leases: BTreeMap<u64, Lease>,
@@ -69,14 +69,14 @@
         }
     }
 
-    /// After an outage every lease has its full time again.
+    /// Extends every lease by its full time, as the service does after an outage.
     pub fn full_time(&mut self, now: f64) {
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.ttl_s;
         }
     }
 
-    /// Grants a lease of so many seconds; its id.
+    /// Grants a lease that expires after `ttl_s` seconds. Returns its id.
     pub fn grant(&mut self, ttl_s: f64, now: f64) -> u64 {
         self.last_lease += 1;
         let expires_at = now + ttl_s;
@@ -85,7 +85,7 @@
         self.last_lease
     }
 
-    /// Gives a lease its full time again; false if it is not held.
+    /// Extends a lease by its full time. Returns false if it does not exist.
     pub fn extend(&mut self, lease: u64, now: f64) -> bool {
         let Some(lease) = self.leases.get_mut(&lease) else {
             return false;
@@ -94,7 +94,7 @@
         true
     }
 
-    /// The revision that wrote a key; 0 if there is none.
+    /// The revision that wrote a key; 0 if the key does not exist.
     pub fn version(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |v| v.version)
     }
@@ -109,19 +109,23 @@
         })
     }
 
-    /// All keys under a prefix, in their order.
+    /// All entries whose keys have this prefix, in the order of their keys.
     pub fn list(&self, prefix: &str) -> Vec<Entry> {
         let keys = self.keys.keys().filter(|k| k.starts_with(prefix));
         keys.filter_map(|k| self.get(k)).collect()
     }
 
-    /// Applies a transaction as a whole, or not at all; the revision that it makes.
+    /// Applies all changes of a transaction or none of them. Returns the new revision.
     ///
     /// # Errors
     ///
-    /// If a lease is not held, or a condition fails.
+    /// If a lease does not exist or a condition fails.
     pub fn apply(&mut self, txn: &Txn) -> Result<u64, Refusal> {
-        if !txn.changes.iter().all(|change| self.holds_lease_of(change)) {
+        if !txn
+            .changes
+            .iter()
+            .all(|change| self.named_lease_exists(change))
+        {
             return Err(Refusal::NoLease);
         }
         let failed: Vec<String> = (txn.conds.iter())
@@ -138,15 +142,15 @@
         Ok(self.revision)
     }
 
-    /// Whether the lease that a change names is held, if it names one.
-    fn holds_lease_of(&self, change: &Change) -> bool {
+    /// Whether the lease that a change names exists. True if it names none.
+    fn named_lease_exists(&self, change: &Change) -> bool {
         match change {
             Change::Put { lease, .. } => lease.is_none_or(|id| self.leases.contains_key(&id)),
             Change::Delete { .. } => true,
         }
     }
 
-    /// Writes one change at the present revision.
+    /// Applies one change at the current revision.
     fn write(&mut self, change: &Change) {
         let version = self.revision;
         let (key, written) = match change {
--- a/crates/testbed/src/testbed.rs
+++ b/crates/testbed/src/testbed.rs
@@ -1,4 +1,4 @@
-//! The test cluster: stand-ins for the services, and real controllers that use them.
+//! The test cluster: simulated services, and real controllers that use them.
 
 use crate::balancer::{self, ConnectionFaults};
 use crate::consistency_probe::ConsistencyProbe;
@@ -6,7 +6,7 @@
 use crate::history::{Event, History};
 use crate::links::{Link, Links};
 use crate::machines::{ControllerUrl, Machines};
-use crate::server::{listen_on, own_address, serve};
+use crate::server::{listen_on, own_loopback_address, serve};
 use crate::site::Site;
 use crate::state::{self, StateService};
 use crate::{cloud, control_api, user_polls, worker_api};
@@ -15,34 +15,34 @@
 use std::sync::Arc;
 use tokio::sync::Mutex;
 
-/// Controllers are named by this prefix and their index.
+/// The name of a controller is this prefix followed by its index.
 const CONTROLLER_PREFIX: &str = "berth-";
 
-/// The index of a controller, by its name.
+/// The index of the controller with this name.
 pub(crate) fn controller_index(name: &str) -> Option<usize> {
     name.strip_prefix(CONTROLLER_PREFIX)?.parse().ok()
 }
 
-/// A running test cluster; clones share it.
+/// A running test cluster. Clones refer to the same cluster.
 #[derive(Clone)]
 pub struct Testbed {
-    /// What it consists of.
+    /// The configuration of the cluster.
     pub site: Arc<Site>,
-    /// What its stand-ins and users see.
+    /// Events that the simulated services and the users observe.
     pub history: History,
     /// The cloud with its machines.
     pub machines: Machines,
     /// The state service.
     pub state: StateService,
-    /// What the load balancer does to connections.
+    /// Faults that the load balancer injects into connections.
     pub connection_faults: ConnectionFaults,
-    /// Where job descriptions are uploaded and the history is read.
+    /// Address of the control API, which accepts job descriptions and serves the history.
     pub control: SocketAddr,
-    /// The load balancer's address.
+    /// Address of the load balancer.
     pub front: SocketAddr,
-    /// The controllers' own front addresses.
+    /// Addresses at which the controllers serve users and workers, by controller index.
     pub fronts: Vec<SocketAddr>,
-    /// Where the controllers answer operators.
+    /// Addresses at which the controllers serve operators, by controller index.
     pub admins: Vec<SocketAddr>,
     pub(crate) links: Links,
     pub(crate) consistency_probe: ConsistencyProbe,
@@ -50,8 +50,9 @@
 }
 
 impl Testbed {
-    /// Starts everything; settings and logs of the controllers, which run `program`, go into
-    /// `dir`. Must be called in an actix runtime, and lasts as long as that.
+    /// Starts the simulated services and the controllers. The controllers run `program`; their
+    /// settings and logs are written to `dir`. Must be called in an actix runtime; the simulated
+    /// services stop when that runtime ends.
     ///
     /// # Errors
     ///
@@ -61,25 +62,29 @@
         let history = History::default();
         record_rules(&site, &history);
         let state = StateService::new(site.state.rps, site.state.write_rps);
-        let address = own_address();
-        let cloud = listen_on(address)?;
-        let cloud_addr = cloud.local_addr()?;
-        let (mut endpoints, reserved) = reserve_endpoints(address, &site, &state)?;
+        let address = own_loopback_address();
+        let cloud_listener = listen_on(address)?;
+        let cloud_addr = cloud_listener.local_addr()?;
+        let (mut endpoints, reserved_ports) = reserve_endpoints(address, &site, &state)?;
         let links = connect_controllers(address, &mut endpoints)?;
         let worker_listeners = listen_for_workers(address, &site)?;
         let machines = start_machines(&site, &history, &endpoints, &worker_listeners)?;
-        serve(machines.clone(), cloud::routes, vec![cloud])?;
+        serve(machines.clone(), cloud::routes, vec![cloud_listener])?;
         serve(machines.clone(), worker_api::routes, worker_listeners)?;
-        let control = listen_on(address)?;
-        let control_addr = control.local_addr()?;
-        serve(machines.clone(), control_api::routes, vec![control])?;
-        let balancer = tokio::net::TcpListener::from_std(listen_on(address)?)?;
-        let front = balancer.local_addr()?;
-        drop(reserved);
+        let control_listener = listen_on(address)?;
+        let control_addr = control_listener.local_addr()?;
+        serve(
+            machines.clone(),
+            control_api::routes,
+            vec![control_listener],
+        )?;
+        let balancer_listener = tokio::net::TcpListener::from_std(listen_on(address)?)?;
+        let front = balancer_listener.local_addr()?;
+        drop(reserved_ports);
         let controllers = start_controllers(program, dir, &site, &endpoints, cloud_addr)?;
         let fronts: Vec<SocketAddr> = endpoints.iter().map(|e| e.front).collect();
         let connection_faults = ConnectionFaults::default();
-        balancer::run(balancer, fronts.clone(), connection_faults.clone());
+        balancer::run(balancer_listener, fronts.clone(), connection_faults.clone());
         let consistency_probe = ConsistencyProbe::default();
         let probe = consistency_probe.clone();
         actix_web::rt::spawn(probe.run(history.clone(), fronts.clone()));
@@ -104,17 +109,18 @@
         self.fronts.len()
     }
 
-    /// Controllers that are not running though nobody killed them: the end of each one's
-    /// log. Call it with no fault under way.
-    pub async fn ended(&self) -> Vec<String> {
+    /// For each controller whose process is not running, the last lines of its log. A controller
+    /// that a fault has killed and not yet restarted is included, so call this when no fault is
+    /// active.
+    pub async fn logs_of_stopped_controllers(&self) -> Vec<String> {
         let mut controllers = self.controllers.lock().await;
-        let ended = controllers
+        let logs = controllers
             .iter_mut()
             .filter_map(|c| (!c.is_running()).then(|| c.log_tail()));
-        ended.collect()
+        logs.collect()
     }
 
-    /// Ends all controllers.
+    /// Kills all controllers, paused ones included.
     pub async fn down(&self) {
         for controller in self.controllers.lock().await.iter_mut() {
             controller.resume().await;
@@ -134,8 +140,9 @@
     }
 }
 
-/// Endpoints of all controllers, each with a server of the state service for it alone. The
-/// listeners returned hold the controllers' own ports until all others are taken.
+/// Chooses the endpoints of all controllers and starts one server of the state service for each
+/// controller. The returned listeners reserve the controllers' own ports until all other ports of
+/// the testbed are bound.
 fn reserve_endpoints(
     address: Ipv4Addr,
     site: &Site,
@@ -144,7 +151,7 @@
     let (mut endpoints, mut reserved) = (Vec::new(), Vec::new());
     for index in 0..site.controllers {
         let state_listener = listen_on(address)?;
-        let mut reserve = || {
+        let mut reserve_port = || {
             let listener = listen_on(address)?;
             let addr = listener.local_addr();
             reserved.push(listener);
@@ -153,19 +160,20 @@
         endpoints.push(Endpoints {
             name: format!("{CONTROLLER_PREFIX}{index}"),
             zone: site.zones[index % site.zones.len()].clone(),
-            front: reserve()?,
-            mesh: reserve()?,
+            front: reserve_port()?,
+            mesh: reserve_port()?,
             links: Vec::new(),
-            admin: reserve()?,
+            admin: reserve_port()?,
             state: state_listener.local_addr()?,
         });
-        let view = state.for_controller(index);
-        serve(view, state::routes, vec![state_listener])?;
+        let controller_state = state.for_controller(index);
+        serve(controller_state, state::routes, vec![state_listener])?;
     }
     Ok((endpoints, reserved))
 }
 
-/// Puts a link between each two controllers, and its address into their endpoints.
+/// Creates a link for each ordered pair of controllers and adds its address to the endpoints of
+/// the controller that connects through it.
 fn connect_controllers(address: Ipv4Addr, endpoints: &mut [Endpoints]) -> std::io::Result<Links> {
     let links = Links::new(endpoints.len());
     for from in 0..endpoints.len() {
@@ -174,13 +182,13 @@
             endpoints[from].links.push(listener.local_addr()?);
             let listener = tokio::net::TcpListener::from_std(listener)?;
             let target = endpoints[to].mesh;
-            links.carry(listener, Link { from, to, target });
+            links.forward(listener, Link { from, to, target });
         }
     }
     Ok(links)
 }
 
-/// One listener for each machine that there is capacity for, on demand and spot.
+/// Opens one listener for each machine that the cloud has capacity for, on demand and spot.
 fn listen_for_workers(address: Ipv4Addr, site: &Site) -> std::io::Result<Vec<TcpListener>> {
     let pools = 2 * site.types.len() * site.zones.len();
     let count = pools * site.capacity as usize;
@@ -223,9 +231,10 @@
     Ok(controllers)
 }
 
-/// The controller's program, if it lies beside this one, as cargo puts it.
-pub fn program_beside_us() -> Option<PathBuf> {
-    let ours = std::env::current_exe().ok()?;
-    let path = ours.parent()?.join("foxspur");
+/// The path of the `foxspur` program in the directory of the running program, where cargo puts
+/// it, if it exists.
+pub fn foxspur_in_own_directory() -> Option<PathBuf> {
+    let own_path = std::env::current_exe().ok()?;
+    let path = own_path.parent()?.join("foxspur");
     path.exists().then_some(path)
 }
