--- a/crates/testbed/src/user_polls.rs
+++ b/crates/testbed/src/user_polls.rs
@@ -1,5 +1,5 @@
-//! Users that poll the status of their jobs. The history checker holds their polls against
-//! the rule that no accepted job stays without an answer.
+//! Simulated users that poll the status of their jobs. The history checker uses the polls to check
+//! that no accepted job stays without answers.
 
 use crate::history::{Event, History};
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 const INTERVAL: Duration = Duration::from_secs(5);
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Polls accepted jobs, drawn at random, at intervals; each over a connection of its own.
-/// Runs as long as the runtime.
+/// Polls accepted jobs at intervals, each over a new connection. If there are more than
+/// [`MAX_JOBS_PER_ROUND`], a round polls a random selection. Runs until the runtime ends.
 pub(crate) async fn run(history: History, front: SocketAddr) {
     let builder = reqwest::Client::builder().no_proxy();
     let Ok(client) = builder.pool_max_idle_per_host(0).build() else {
--- a/crates/testbed/src/worker_api.rs
+++ b/crates/testbed/src/worker_api.rs
@@ -1,5 +1,5 @@
-//! The workers' HTTP interface for direct calls. One server listens at the addresses of all
-//! machines; the address that a call came to says which machine it is for.
+//! The HTTP interface of the workers for direct calls. One server listens at the addresses of all
+//! machines. The address at which a call arrives identifies its machine.
 
 use crate::machines::{DirectCall, Machines};
 use crate::server::LocalAddr;
@@ -7,9 +7,9 @@
 use foxspur_wire::worker::Direct;
 use std::time::Duration;
 
-/// How often a hanging machine is tried again.
+/// How often a call to a hanging machine is tried again.
 const HANG_POLL: Duration = Duration::from_millis(20);
-/// How long an unreachable machine stays silent: longer than any caller waits.
+/// How long a call to an unreachable machine stays unanswered: longer than any caller waits.
 const UNREACHABLE_SILENCE: Duration = Duration::from_secs(10);
 
 /// The workers' routes.
@@ -30,7 +30,7 @@
         match machines.direct_call(addr, &direct) {
             DirectCall::Executed(report) => return HttpResponse::Ok().json(report),
             DirectCall::Rejected(report) => return HttpResponse::Conflict().json(report),
-            // Executed when it goes on, if token and session still match.
+            // The call is executed once the machine resumes, if token and session are still valid.
             DirectCall::Hanging => actix_web::rt::time::sleep(HANG_POLL).await,
             DirectCall::Unreachable => {
                 actix_web::rt::time::sleep(UNREACHABLE_SILENCE).await;
--- a/crates/testbed/tests/history.rs
+++ b/crates/testbed/tests/history.rs
@@ -1,12 +1,11 @@
-//! The checker finds what it is there for, and faults and sites name what is
-//! wrong with them.
+//! Tests of the history checker, and of the parsers of faults and site files.
 
 use foxspur_testbed::checker::check;
 use foxspur_testbed::fault::Fault;
 use foxspur_testbed::history::{Entry, Event};
 use foxspur_testbed::site::{Site, DEFAULT};
 
-fn on(task: &str, attempt: u64, machine: &str) -> Event {
+fn started(task: &str, attempt: u64, machine: &str) -> Event {
     Event::On {
         task: task.into(),
         attempt,
@@ -16,7 +15,7 @@
     }
 }
 
-fn off(task: &str, attempt: u64, machine: &str) -> Event {
+fn completed(task: &str, attempt: u64, machine: &str) -> Event {
     Event::Off {
         task: task.into(),
         attempt,
@@ -33,8 +32,9 @@
     }
 }
 
+/// Guards against a checker that misses the violation of a rule or reports one where there is none.
 #[test]
-fn each_rule_is_found_broken() {
+fn a_violation_of_each_rule_is_found() {
     let limits = Event::Rules {
         team: "t".into(),
         cpus_max: 3.0,
@@ -43,20 +43,20 @@
     let cancelled = || Event::Cancelled {
         job: "run-1".into(),
     };
-    let run = || {
+    let one_task = || {
         vec![
-            (1.0, on("run-1/0", 1, "m1")),
-            (2.0, off("run-1/0", 1, "m1")),
+            (1.0, started("run-1/0", 1, "m1")),
+            (2.0, completed("run-1/0", 1, "m1")),
         ]
     };
-    // What happens besides one task that runs, and the rule that it breaks.
+    // Events in addition to those of one completed task, and the rule that they violate, if any.
     let cases: [(Vec<(f64, Event)>, &str); 8] = [
         (vec![], ""),
-        (vec![(1.5, on("run-1/0", 2, "m2"))], "ran_twice"),
-        (vec![(1.5, on("run-2/0", 2, "m2"))], "quota"),
-        (vec![(2.5, on("run-2/0", 2, "m2"))], ""),
+        (vec![(1.5, started("run-1/0", 2, "m2"))], "ran_twice"),
+        (vec![(1.5, started("run-2/0", 2, "m2"))], "quota"),
+        (vec![(2.5, started("run-2/0", 2, "m2"))], ""),
         (
-            vec![(2.5, cancelled()), (8.0, on("run-1/1", 2, "m2"))],
+            vec![(2.5, cancelled()), (8.0, started("run-1/1", 2, "m2"))],
             "ran_cancelled",
         ),
         (
@@ -81,30 +81,34 @@
             "",
         ),
     ];
-    for (more, rule) in cases {
+    for (extra, rule) in cases {
         let mut all = vec![(0.0, limits.clone())];
-        all.extend(run());
-        all.extend(more.clone());
+        all.extend(one_task());
+        all.extend(extra.clone());
         all.sort_by(|a, b| a.0.total_cmp(&b.0));
         let entries: Vec<Entry> = all
             .into_iter()
             .map(|(at, event)| Entry { at, event })
             .collect();
-        let broken = check(&entries);
+        let violations = check(&entries);
         match rule {
-            "" => assert!(broken.is_empty(), "{more:?}: {broken:?}"),
+            "" => assert!(violations.is_empty(), "{extra:?}: {violations:?}"),
             rule => assert!(
-                broken.iter().any(|b| b.starts_with(rule)),
-                "{rule}: {broken:?}"
+                violations
+                    .iter()
+                    .any(|violation| violation.starts_with(rule)),
+                "{rule}: {violations:?}"
             ),
         }
     }
     assert!(check(&[])[0].starts_with("nothing_ran"));
 }
 
+/// Guards against invalid faults or site files that are accepted, and against errors of site files
+/// that do not name the invalid field.
 #[test]
-fn faults_and_sites_name_what_is_wrong() {
-    for (text, good) in [
+fn invalid_faults_and_sites_are_rejected() {
+    for (text, valid) in [
         ("kill@5", true),
         ("pause:3@8/20", true),
         ("pause@x", false),
@@ -113,7 +117,7 @@
         ("kill@5/0", false),
         ("cut:-1@5", false),
     ] {
-        assert_eq!(text.parse::<Fault>().is_ok(), good, "{text}");
+        assert_eq!(text.parse::<Fault>().is_ok(), valid, "{text}");
     }
     assert!(Site::parse(DEFAULT).is_ok());
     for (from, to, field) in [
@@ -127,10 +131,11 @@
     }
 }
 
-/// Guards against counting by averages: of two jobs the one without an answer is found,
-/// from the last fault on, and not before its time is over.
+/// Guards against judging polls by the average over all jobs. Of two polled jobs one gets no
+/// answers. It must be reported although the other one is answered, but only once its polls have
+/// been unanswered for too long since the last fault.
 #[test]
-fn a_job_without_answers_is_forgotten_however_others_fare() {
+fn a_job_without_answers_is_reported_even_if_others_are_answered() {
     let asked = |at: f64, job: &str, answered: bool| Entry {
         at,
         event: Event::Asked {
@@ -138,8 +143,9 @@
             answered,
         },
     };
-    // Asked every 5 s until then; the last fault; the job's one answer; forgotten.
-    for (until, fault, answer, lost) in [
+    // The job is polled every 5 s until `until`. `fault_at` is the time of the last fault and
+    // `answered_at` that of the only answer. `expected` states whether the job is reported.
+    for (until, fault_at, answered_at, expected) in [
         (70.0, 0.0, None, false),
         (85.0, 0.0, None, true),
         (85.0, 40.0, None, false),
@@ -148,9 +154,8 @@
     ] {
         let mut entries = vec![Entry {
             at: 0.0,
-            event: off("run-1/0", 1, "m"),
+            event: completed("run-1/0", 1, "m"),
         }];
-        let fault_at = fault;
         let mut at = 0.0;
         while at <= until {
             if at == fault_at {
@@ -160,23 +165,30 @@
                     event: Event::Fault { what },
                 });
             }
-            entries.push(asked(at, "run-1", answer == Some(at)));
+            entries.push(asked(at, "run-1", answered_at == Some(at)));
             entries.push(asked(at, "run-2", true));
             at += 5.0;
         }
-        let broken = check(&entries);
-        let found = broken.iter().any(|b| b.starts_with("forgotten: run-1"));
-        assert_eq!(found, lost, "{until} {fault} {answer:?}: {broken:?}");
-        assert!(!broken.iter().any(|b| b.contains("run-2")));
+        let violations = check(&entries);
+        let found = violations
+            .iter()
+            .any(|violation| violation.starts_with("forgotten: run-1"));
+        assert_eq!(
+            found, expected,
+            "{until} {fault_at} {answered_at:?}: {violations:?}"
+        );
+        assert!(!violations
+            .iter()
+            .any(|violation| violation.contains("run-2")));
     }
 }
 
-/// An answer to a question that came after a newer answer is found, whatever it says; one
-/// that was under way is not.
+/// Guards against a checker that misses an answer that contradicts one received before its request
+/// was sent, or that reports an answer whose request was already in progress then.
 #[test]
-fn answers_that_go_back_are_found() {
+fn contradicting_answers_are_found() {
     use foxspur_testbed::history::Status::{self, Accepted, Done, Unknown, Withdrawn};
-    let look = |begun: f64, at: f64, status: Status| Entry {
+    let probe = |begun: f64, at: f64, status: Status| Entry {
         at,
         event: Event::Looked {
             job: "run-1".into(),
@@ -184,7 +196,7 @@
             status,
         },
     };
-    for (early, late, begun, found) in [
+    for (early, late, begun, expected) in [
         (Accepted, Unknown, 2.1, true),
         (Accepted, Unknown, 1.9, false),
         (Withdrawn, Accepted, 2.1, true),
@@ -193,9 +205,14 @@
         (Accepted, Done, 2.1, false),
         (Done, Done, 2.1, false),
     ] {
-        let history = [look(1.0, 2.0, early), look(begun, 3.0, late)];
-        let broken = check(&history);
-        let went_back = broken.iter().any(|b| b.starts_with("went_back"));
-        assert_eq!(went_back, found, "{early:?}, then {late:?}: {broken:?}");
+        let history = [probe(1.0, 2.0, early), probe(begun, 3.0, late)];
+        let violations = check(&history);
+        let went_back = violations
+            .iter()
+            .any(|violation| violation.starts_with("went_back"));
+        assert_eq!(
+            went_back, expected,
+            "{early:?}, then {late:?}: {violations:?}"
+        );
     }
 }
--- a/tests/imports.rs
+++ b/tests/imports.rs
@@ -1,5 +1,5 @@
-//! Which module may import which: layers import downwards only, and no modules import each
-//! other in a circle.
+//! Checks of the imports between modules: a layer imports only itself and lower layers, and there
+//! are no import cycles.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
     "app",
 ];
 
-/// The modules that each module imports, by their paths below the crate.
+/// The modules that each module imports. Modules are given by their paths in the crate.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
 fn rust_files(dir: &Path, found: &mut Vec<PathBuf>) {
@@ -29,13 +29,13 @@
     }
 }
 
-/// The path of the module that a file holds, below the crate.
-fn module_of(file: &Path, src: &Path) -> Vec<String> {
-    let below = file
+/// The path in the crate of the module in a file.
+fn module_path(file: &Path, src: &Path) -> Vec<String> {
+    let relative = file
         .strip_prefix(src)
-        .expect("below src")
+        .expect("a file in src")
         .with_extension("");
-    let mut parts: Vec<String> = below
+    let mut parts: Vec<String> = relative
         .iter()
         .map(|p| p.to_string_lossy().into_owned())
         .collect();
@@ -45,28 +45,28 @@
     parts
 }
 
-/// The source without comments, so that links in them are no imports.
-fn code_of(file: &Path) -> String {
+/// The source of a file without comments, so that links in comments do not count as imports.
+fn code_without_comments(file: &Path) -> String {
     let text = std::fs::read_to_string(file).expect("text");
     let code = text.lines().map(|l| l.split("//").next().unwrap_or(""));
     code.collect::<Vec<_>>().join("\n")
 }
 
-/// All paths of a `use` tree, without its braces.
-fn paths_of(tree: &str) -> Vec<String> {
+/// Expands a `use` tree into its paths.
+fn expand_use_tree(tree: &str) -> Vec<String> {
     let Some((prefix, rest)) = tree.split_once('{') else {
         let path = tree.split(" as ").next().unwrap_or("");
         return vec![path.split_whitespace().collect()];
     };
     let inner = rest.rsplit_once('}').map_or(rest, |(inner, _)| inner);
     let (mut depth, mut start, mut branches) = (0, 0, Vec::new());
-    for (at, letter) in inner.char_indices() {
-        match letter {
+    for (index, character) in inner.char_indices() {
+        match character {
             '{' => depth += 1,
             '}' => depth -= 1,
             ',' if depth == 0 => {
-                branches.push(&inner[start..at]);
-                start = at + 1;
+                branches.push(&inner[start..index]);
+                start = index + 1;
             }
             _ => {}
         }
@@ -74,12 +74,12 @@
     branches.push(&inner[start..]);
     let branches = branches.into_iter().filter(|b| !b.trim().is_empty());
     branches
-        .flat_map(|b| paths_of(&format!("{}{}", prefix.trim(), b.trim())))
+        .flat_map(|b| expand_use_tree(&format!("{}{}", prefix.trim(), b.trim())))
         .collect()
 }
 
-/// The module below the crate that a path leads to, if it is one of ours.
-fn target_of(path: &str, from: &[String], known: &BTreeSet<String>) -> Option<String> {
+/// The module of this crate that a path refers to, if it refers to one.
+fn target_module(path: &str, from: &[String], known: &BTreeSet<String>) -> Option<String> {
     let mut rest: Vec<&str> = path.split("::").collect();
     let mut parts: Vec<String> = match rest.remove(0) {
         "crate" => Vec::new(),
@@ -94,41 +94,41 @@
     (!parts.is_empty()).then(|| parts.join("::"))
 }
 
-/// Reads the imports of all modules of the controller. What a module imports of its own
-/// submodules, to export it again, does not count.
+/// Reads the imports of all modules of the controller. Imports from a module's own submodules,
+/// which re-export items, do not count.
 fn imports() -> Imports {
     let src = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut files = Vec::new();
     rust_files(&src, &mut files);
-    let modules: Vec<Vec<String>> = files.iter().map(|f| module_of(f, &src)).collect();
+    let modules: Vec<Vec<String>> = files.iter().map(|f| module_path(f, &src)).collect();
     let known: BTreeSet<String> = modules.iter().map(|m| m.join("::")).collect();
     let mut imports = Imports::new();
     for (file, module) in files.iter().zip(&modules) {
         let name = module.join("::");
-        let code = code_of(file);
+        let code = code_without_comments(file);
         let uses = code
             .split("use ")
             .skip(1)
             .filter_map(|u| u.split(';').next());
         let targets = uses
-            .flat_map(paths_of)
-            .filter_map(|p| target_of(&p, module, &known))
+            .flat_map(expand_use_tree)
+            .filter_map(|p| target_module(&p, module, &known))
             .filter(|t| *t != name && !t.starts_with(&format!("{name}::")));
         imports.insert(name.clone(), targets.collect());
     }
     imports
 }
 
-/// Whether `to` is imported by `from`, directly or through others.
+/// Whether `from` imports `to`, directly or through other modules.
 fn reaches(imports: &Imports, from: &str, to: &str) -> bool {
-    let mut seen: BTreeSet<&str> = BTreeSet::new();
-    let mut next: Vec<&str> = imports[from].iter().map(String::as_str).collect();
-    while let Some(module) = next.pop() {
+    let mut visited: BTreeSet<&str> = BTreeSet::new();
+    let mut pending: Vec<&str> = imports[from].iter().map(String::as_str).collect();
+    while let Some(module) = pending.pop() {
         if module == to {
             return true;
         }
-        if seen.insert(module) {
-            next.extend(
+        if visited.insert(module) {
+            pending.extend(
                 imports
                     .get(module)
                     .into_iter()
@@ -140,50 +140,50 @@
     false
 }
 
-/// Guards against a lower layer that depends on a higher one.
+/// Guards against a module that imports a module of a higher layer.
 #[test]
 fn layers_import_downwards_only() {
-    let layer = |module: &str| {
+    let layer_index = |module: &str| {
         let top = module.split("::").next().unwrap_or("");
         LAYERS.iter().position(|l| *l == top)
     };
     let mut checked = 0;
     for (module, targets) in imports() {
         for target in targets {
-            if let (Some(from), Some(to)) = (layer(&module), layer(&target)) {
+            if let (Some(from), Some(to)) = (layer_index(&module), layer_index(&target)) {
                 assert!(to <= from, "{module} imports {target}");
                 checked += 1;
             }
         }
     }
-    assert!(checked > 100, "only {checked} imports read");
+    assert!(checked > 100, "only {checked} imports found");
 }
 
-/// Guards against modules that can only be understood together.
+/// Guards against import cycles, whose modules can only be understood together.
 #[test]
-fn no_modules_import_each_other_in_a_circle() {
+fn imports_have_no_cycles() {
     let imports = imports();
-    assert!(imports.len() > 60, "only {} modules read", imports.len());
+    assert!(imports.len() > 60, "only {} modules found", imports.len());
     for module in imports.keys() {
         assert!(
             !reaches(&imports, module, module),
-            "{module} imports itself through others"
+            "{module} imports itself through other modules"
         );
     }
 }
 
-/// Guards against a scheduler that depends on who leads, on loops or on outside services: a
-/// plan of a drain plays it alone.
+/// Guards against a scheduler that depends on leadership, background loops or external services:
+/// the planning of a drain runs the scheduler without them.
 #[test]
 fn the_scheduler_imports_no_other_part_of_coordination() {
     for (module, targets) in imports() {
         if !module.starts_with("coordination::scheduler") {
             continue;
         }
-        let part = |t: &String| {
+        let is_other_part = |t: &String| {
             t.starts_with("coordination::") && !t.starts_with("coordination::scheduler")
         };
-        let others: Vec<String> = targets.into_iter().filter(part).collect();
+        let others: Vec<String> = targets.into_iter().filter(is_other_part).collect();
         let allowed = others.iter().all(|t| t == "coordination::recent");
         assert!(allowed, "{module} imports {others:?}");
     }
