--- a/crates/report/src/flow.rs
+++ b/crates/report/src/flow.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// The distance of each node from the source over edges with residual capacity; none if the node
-    /// cannot be reached.
+    /// The distance of each node from the source over edges with residual capacity; none for an
+    /// unreachable node.
     fn levels(&self, source: usize) -> Vec<Option<usize>> {
         let mut levels = vec![None; self.edges.len()];
         levels[source] = Some(0);
--- a/crates/testbed/src/fault_injection.rs
+++ b/crates/testbed/src/fault_injection.rs
@@ -12,7 +12,7 @@
 /// The field of that key's value that names the leader.
 const LEADER_FIELD: &str = "owner";
 /// Seconds between the kill and the start of a quick restart.
-const QUICK_RESTART_DELAY_S: f64 = 0.1;
+const QUICK_RESTART_S: f64 = 0.1;
 
 impl Testbed {
     /// Injects a fault now and records it in the history. The fault ends after its duration.
@@ -68,10 +68,7 @@
         match fault.kind {
             FaultKind::Kill => self.restart(target..target + 1, restart_s).await,
             FaultKind::KillAll => self.restart(0..self.controller_count(), restart_s).await,
-            FaultKind::QuickRestart => {
-                self.restart(target..target + 1, QUICK_RESTART_DELAY_S)
-                    .await
-            }
+            FaultKind::QuickRestart => self.restart(target..target + 1, QUICK_RESTART_S).await,
             FaultKind::Pause => self.pause(target, amount).await,
             FaultKind::Isolate => {
                 self.state.refuse(target, amount);
--- a/tests/testbed.rs
+++ b/tests/testbed.rs
@@ -166,7 +166,8 @@
         assert_eq!(counts.accepted, jobs, "{counts:?}");
         assert_eq!(counts.done + counts.withdrawn, jobs, "{counts:?}");
         assert_eq!(client.len(), Ok((jobs as _, 0)));
-        // The records in the state service are checked too, not only what the client library reports.
+        // The records in the state service are checked too, not only the reports of the client
+        // library.
         let (live, terminal) = (
             testbed.state.count("fx/live/"),
             testbed.state.count("fx/fin/"),
