--- a/crates/testbed/src/balancer.rs
+++ b/crates/testbed/src/balancer.rs
@@ -117,7 +117,7 @@
     (&head[9..] == b"200").then_some(())
 }
 
-/// Forwards one connection. Healthy backends are tried in the candidates of their open connections,
+/// Forwards one connection. Healthy backends are tried in the order of their open connections,
 /// fewest first, until one accepts it.
 async fn forward(user: TcpStream, backends: &[Backend], faults: &ConnectionFaults) -> Option<()> {
     let mut candidates: Vec<&Backend> = backends.iter().collect();
