--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -1,19 +1,20 @@
 //! Drains: operators cordon machines, and the leader gracefully evicts the tasks on them.
 //!
-//! A drain is a record in the state service. It is written before the leader acts on it. At
-//! each tick the scheduler compares the record with the attempts on the machine and evicts
-//! what is due.
+//! A drain is a record in the state service, which is written before the leader acts on the
+//! drain. At each tick the scheduler compares the record with the attempts on the machine and
+//! evicts the attempts that are due for eviction.
 //!
 //! - No new task starts on a cordoned machine once the leader knows the drain record. A new
 //!   leader reads the drain records before it places any task.
-//! - An attempt that ends in time may finish. Any other is evicted unless there is a reason
-//!   to keep it (see `eviction`). Those that lose the least work are evicted first, and at
-//!   most a quarter of the machine's attempts are being stopped at a time. All are stopped at
-//!   once when the deadline has passed and the operator ordered a stop.
-//! - The machine is *drained* once it is proven empty, by the same proofs as in fencing, and
-//!   the proof is recorded. The proof holds as long as the drain record exists, because no
-//!   leader starts anything on the machine. A drained machine that is then switched off
-//!   delays no takeover and is not returned to the cloud.
+//! - An attempt that is expected to end before the drain's deadline may finish. Any other attempt
+//!   is evicted unless there is a reason to keep it (see `eviction`). Attempts that lose the least
+//!   work are evicted first, and at most a quarter of the machine's attempts, rounded up, are
+//!   being stopped at a time. All attempts are stopped at once when the deadline has passed, if
+//!   the operator ordered this.
+//! - The machine is *drained* once it is proven empty, by the same proofs as in fencing, and the
+//!   proof is recorded. The proof holds as long as the drain record exists, because until then no
+//!   leader starts a task on the machine. If a drained machine is switched off, it delays no
+//!   takeover and is not returned to the cloud.
 
 use super::eviction::{decide, AttemptOutlook, DrainDecision, Relocation, StopCost};
 use crate::coordination::scheduler::active_drain::ActiveDrain;
@@ -26,10 +27,13 @@
 use crate::protocol::job::{JobSpec, Shape};
 use std::collections::HashMap;
 
-/// At most one in this many live attempts of a machine is being stopped at a time. Later
-/// evictions are decided with the capacity that is left after the earlier ones are placed.
+/// The number of attempts of a machine that are being stopped at a time is at most the number of
+/// its live attempts divided by this number, rounded up. The limit spreads evictions over time:
+/// later evictions are decided with the capacity that is left on other machines after the tasks
+/// evicted earlier are placed.
 const EVICTION_DIVISOR: usize = 4;
-/// Lower bound for the speed at which a machine fetches images, in GB/s.
+/// Lower bound for the speed at which a machine fetches images, in GB/s, which guards against a
+/// division by zero.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 /// An attempt that is to be evicted.
@@ -45,7 +49,8 @@
         active_drain.is_some_and(|active| active.drain.drained.is_some())
     }
 
-    /// Applies the complete set of drain records, each with its version, by machine name.
+    /// Replaces the drains with the complete set of drain records. The map holds each record with
+    /// its version, under the machine's name.
     pub fn set_drains(&mut self, records: &HashMap<String, (Drain, u64)>) {
         let ended: Vec<Name> = self
             .drains
@@ -89,9 +94,9 @@
         self.placement_due = true;
     }
 
-    /// Cordons the machine: no new task starts on it from now on. Attempts whose start was sent
-    /// to it but that it has not reported are stopped, because a repeated start command could
-    /// otherwise start them later.
+    /// Cordons the machine: no new task starts on it from now on. Attempts that the machine has not
+    /// reported are stopped even if their start command was sent, because a repetition of the
+    /// command could otherwise start them later.
     fn cordon(&mut self, host: &str) {
         let Some((name, _)) = self.machines.get_key_value(host) else {
             return;
@@ -116,8 +121,8 @@
         self.placement_due = true;
     }
 
-    /// The facts on which the decision about an attempt is based. `None` if the job has
-    /// finished: its attempts are being stopped anyway.
+    /// The facts on which the decision about an attempt is based. `None` if the attempt's job has
+    /// finished, because the attempts of such a job are being stopped anyway.
     fn attempt_outlook(
         &self,
         machine: &Machine,
@@ -131,8 +136,8 @@
         let ran_s = attempt.running_since.map_or(0.0, |t| now - t);
         let predicted_s = self.predict(job);
         let (lost_cpu_s, grace_s) = stop_loss_and_grace(spec, ran_s, false);
-        // On another machine the attempt fetches its image and repeats the work done since its
-        // last checkpoint.
+        // On another machine the task must fetch its image and repeat the work that this attempt
+        // has done since its last checkpoint.
         let remaining_s = (predicted_s - checkpointed_s(spec, ran_s)).max(0.0);
         Some(AttemptOutlook {
             runs_indefinitely: spec.shape == Shape::Service,
@@ -150,7 +155,8 @@
         })
     }
 
-    /// How long fetching the job's image takes on a machine of the same type, in seconds.
+    /// Time to fetch the job's image on a machine of the same type as `machine`, in seconds; 0 if
+    /// the type is unknown.
     fn image_fetch_s(&self, machine: &Machine, spec: &JobSpec) -> f64 {
         let machine_type = self.types.get(&machine.info.kind);
         machine_type.map_or(0.0, |t| {
@@ -178,7 +184,8 @@
         }
     }
 
-    /// The decision for each live attempt on the machine that is not being stopped already.
+    /// The decisions about the machine's live attempts, without attempts that are already being
+    /// stopped and without attempts of finished jobs.
     fn drain_decisions(
         &self,
         machine: &Machine,
@@ -194,7 +201,7 @@
             .collect()
     }
 
-    /// Stops the attempts that are due for eviction on all draining machines.
+    /// Stops the attempts that are due for eviction, on all machines with a drain.
     pub(crate) fn advance_drains(&mut self) {
         if self.drains.is_empty() || !self.fence.open {
             return;
@@ -208,7 +215,7 @@
         }
     }
 
-    /// The attempts to evict from the machine now; those that lose the least work come first.
+    /// The attempts to evict from the machine now, sorted by the work that is lost, least first.
     fn due_evictions(&self, name: &Name) -> Vec<Eviction> {
         let (Some(machine), Some(active_drain)) = (self.machines.get(name), self.drains.get(name))
         else {
@@ -244,7 +251,8 @@
         evictions
     }
 
-    /// The proof that the machine is cordoned and empty; `None` if there is no proof yet.
+    /// The proof that the machine is empty; `None` if there is no proof yet or the machine is not
+    /// cordoned.
     fn proof_of_emptiness(&self, machine: &Machine) -> Option<Proof> {
         if !machine.cordoned || !machine.attempts.is_empty() || machine.unknown_attempts > 0 {
             return None;
@@ -256,8 +264,9 @@
         }
     }
 
-    /// Drains whose machine is proven empty although the record does not say so yet, at most
-    /// `max_drains`: the record to write and the version that it replaces.
+    /// Finds drains whose machine is proven empty although the drain record does not say so yet.
+    /// Returns at most `max_drains` of them, each as the drain record to write and the version of
+    /// the record that it replaces.
     pub fn proven_drains(&self, now_ms: u64, max_drains: usize) -> Vec<(Drain, u64)> {
         if !self.fence.open {
             return Vec::new();
@@ -276,14 +285,15 @@
             let drain = active_drain.drain.clone();
             Some((Drain { drained, ..drain }, active_drain.version))
         });
-        // An empty order name marks a record that could not be read. It is not overwritten.
+        // An empty order name marks a drain record that could not be parsed. Such a record is not
+        // overwritten.
         proven
             .filter(|(drain, _)| !drain.order.is_empty())
             .take(max_drains)
             .collect()
     }
 
-    /// All drains with their progress, sorted by machine name.
+    /// The drains and their progress, as rows of the operators' view, sorted by machine name.
     pub fn drain_rows(&self, now: f64) -> Vec<DrainRow> {
         let mut rows: Vec<DrainRow> = self
             .drains
@@ -294,6 +304,7 @@
         rows
     }
 
+    /// The row for the drain of this machine.
     fn drain_row(&self, name: &Name, active_drain: &ActiveDrain, now: f64) -> DrainRow {
         let machine = self.machines.get(name);
         let tasks = machine.map_or(0, |m| m.live_attempts().count() as u32);
@@ -319,8 +330,8 @@
         }
     }
 
-    /// Seconds until the job's next two objectives are due, nearest first. The nearest one
-    /// alone is not enough, because it often cannot be met any more.
+    /// Seconds until the job's next two objectives are due, nearest first. The nearest objective
+    /// alone is not enough, because often it can no longer be met.
     fn next_due_times(&self, job: &Job, now: f64) -> [Option<f64>; 2] {
         let mut due_times: Vec<f64> = self.due_times(job, now).filter(|d| *d > 0.0).collect();
         due_times.sort_by(f64::total_cmp);
@@ -328,7 +339,8 @@
     }
 }
 
-/// Run time that is saved by the last checkpoint, in seconds.
+/// The part of an attempt's run time that its last checkpoint has saved, in seconds. `ran_s` is the
+/// time for which the attempt has run.
 fn checkpointed_s(spec: &JobSpec, ran_s: f64) -> f64 {
     if spec.checkpoint_s > 0.0 {
         ran_s - ran_s % spec.checkpoint_s
--- a/src/coordination/fleet/eviction.rs
+++ b/src/coordination/fleet/eviction.rs
@@ -1,68 +1,69 @@
-//! Decides for each attempt on a draining machine whether it is evicted. Pure functions.
+//! Pure functions that decide for each attempt on a draining machine whether it is evicted.
 //!
-//! An attempt that ends by itself before the deadline may finish. Any other attempt is evicted,
-//! unless it would then miss a service-level objective that it meets by staying, or no other
-//! machine can run it.
+//! An attempt that is expected to end by itself before the drain's deadline may finish. Any other
+//! attempt is evicted, unless no other machine can run the task, or the job would miss a
+//! service-level objective on another machine that it meets if the attempt stays.
 
 use crate::protocol::admin::Rest;
 
-/// What is done about an attempt on a draining machine.
+/// The decision about an attempt on a draining machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DrainDecision {
-    /// It may finish: it is expected to end by itself in time.
+    /// The attempt may finish: it is expected to end by itself before the drain's deadline.
     LetFinish,
-    /// It is stopped, and its task runs on another machine.
+    /// The attempt is stopped at this cost, and its task runs on another machine if one can run it.
     Evict(StopCost),
-    /// It stays for now, for this reason.
+    /// The attempt stays for now, for the reason in this text.
     Keep(&'static str),
 }
 
-/// What stopping an attempt costs.
+/// The cost of stopping an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StopCost {
     /// Work that is lost, in CPU seconds.
     pub lost_cpu_s: f64,
-    /// Grace period for saving a checkpoint, in seconds.
+    /// Grace period in which the attempt can save a checkpoint, in seconds.
     pub grace_s: f64,
 }
 
-/// Whether an attempt can run on another machine.
+/// Whether the task of an attempt can run on another machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Relocation {
-    /// No other machine may run it.
+    /// No other machine may run the task.
     NotAllowed,
-    /// Another machine may run it, but none has room now.
+    /// Another machine may run the task, but no such machine has room for it now.
     NoRoom,
-    /// Another machine may run it and has room for it now.
+    /// Another machine may run the task and has room for it now.
     Possible,
 }
 
 /// The facts on which the decision about an attempt is based. Times are in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptOutlook {
-    /// Whether it is a service replica, which never ends by itself.
+    /// Whether the attempt is a service replica, which never ends by itself.
     pub runs_indefinitely: bool,
-    /// How long it has run.
+    /// Time for which the attempt has run.
     pub ran_s: f64,
-    /// How long it is predicted to run in all.
+    /// Predicted total run time of the attempt.
     pub predicted_s: f64,
-    /// Cost of stopping it now.
+    /// Cost of stopping the attempt now.
     pub stop_cost: StopCost,
-    /// How long its task would take on another machine, from the stop until its end.
+    /// Time from stopping the attempt now until the attempt's task would end on another machine.
     pub rerun_s: f64,
-    /// Time until its next objectives are due, nearest first.
+    /// Time until the next two objectives of the attempt's job are due, nearest first; `None` if
+    /// there is no such objective.
     pub due_in_s: [Option<f64>; 2],
-    /// Time until the drain's deadline; negative after it. `None` without a deadline.
+    /// Time until the drain's deadline; negative after the deadline, `None` if the drain has none.
     pub until_deadline_s: Option<f64>,
-    /// What is done about it at the deadline if it still runs.
+    /// Whether the attempt is stopped at the drain's deadline if it still runs then.
     pub at_deadline: Rest,
-    /// Whether it can run on another machine.
+    /// Whether the attempt's task can run on another machine.
     pub relocation: Relocation,
 }
 
 impl AttemptOutlook {
-    /// How long the attempt is expected to run on this machine from now on. An attempt that has
-    /// run longer than predicted is expected to take as long again as it has run.
+    /// Expected time until the attempt ends if it stays on this machine, in seconds. An attempt
+    /// that has run longer than predicted is expected to run for as long again as it already has.
     fn remaining_s(&self) -> f64 {
         if self.ran_s < self.predicted_s {
             self.predicted_s - self.ran_s
@@ -71,17 +72,21 @@
         }
     }
 
+    /// Whether the drain's deadline has passed and the drain orders that attempts be stopped at its
+    /// deadline.
     fn must_stop_now(&self) -> bool {
         let past_deadline = self.until_deadline_s.is_some_and(|left| left <= 0.0);
         past_deadline && self.at_deadline == Rest::Stop
     }
 
+    /// Whether the attempt is expected to end by itself before the drain's deadline.
     fn ends_in_time(&self) -> bool {
         let remaining_s = self.remaining_s();
         !self.runs_indefinitely && self.until_deadline_s.is_none_or(|left| remaining_s <= left)
     }
 
-    /// Whether the attempt meets an objective by staying and misses it on another machine.
+    /// Whether there is an objective that the attempt meets if it stays, but that its task would
+    /// miss on another machine.
     fn objective_needs_stay(&self) -> bool {
         let remaining_s = self.remaining_s();
         let met_only_by_staying = |due_in_s: &f64| {
@@ -91,7 +96,7 @@
     }
 }
 
-/// Decides what is done about an attempt on a draining machine.
+/// Decides whether an attempt on a draining machine is evicted, may finish or is kept.
 pub fn decide(outlook: &AttemptOutlook) -> DrainDecision {
     if outlook.must_stop_now() {
         return DrainDecision::Evict(outlook.stop_cost);
--- a/src/coordination/fleet/fleet_state.rs
+++ b/src/coordination/fleet/fleet_state.rs
@@ -6,24 +6,28 @@
 use crate::storage::records::MachineInfo;
 use std::collections::{BTreeSet, HashMap};
 
-/// Most machines that are returned in one call.
+/// Maximum number of machines that one call returns to the cloud.
 const MAX_RETURN_BATCH: usize = 100;
-/// A booting machine that has not reported after this many times the boot time of its type no
-/// longer counts as capacity to come.
-const COUNTED_FOR_BOOT_TIMES: f64 = 2.0;
-/// Factor by which the pause grows each time an offer is sold out again.
+/// A booting machine counts as future capacity for at most this multiple of the boot time of its
+/// type.
+const MAX_COUNTED_BOOT_TIMES: f64 = 2.0;
+/// Factor by which the pause before the next request of an offer grows each time the offer is sold
+/// out again.
 const SOLD_OUT_BACKOFF: f64 = 1.5;
-/// Upper bound of the pause, as a multiple of the first pause.
+/// Upper bound of the pause before the next request of a sold-out offer, as a multiple of the first
+/// pause.
 const MAX_SOLD_OUT_PAUSES: f64 = 4.0;
 
-/// A machine that was rented and has not reported yet.
+/// A rented machine that has not sent a heartbeat yet.
 struct BootingMachine {
     info: MachineInfo,
+    /// When the machine began to boot, in seconds of [`crate::coordination::node::Node::now`].
     booting_since: f64,
 }
 
 /// When to request a sold-out offer again.
 struct SoldOut {
+    /// When the pause ends, in seconds of [`crate::coordination::node::Node::now`].
     retry_at: f64,
     pause_s: f64,
 }
@@ -31,18 +35,23 @@
 /// The state that the fleet manager keeps between rounds.
 #[derive(Default)]
 pub(super) struct FleetState {
+    /// Booting machines by name.
     booting: HashMap<String, BootingMachine>,
+    /// Offers that were sold out when they were last requested.
     sold_out: HashMap<Offer, SoldOut>,
-    /// Machines to return, until the cloud has confirmed their return.
+    /// Names of the machines to return. Each stays here until the cloud has confirmed its return.
     pending_returns: BTreeSet<String>,
     /// Number of the last rental request. A number is never used twice.
     last_request_number: u64,
+    /// When the cloud's list was received, in seconds of [`crate::coordination::node::Node::now`].
     listed_at: f64,
+    /// The cloud's list of machines.
     cloud_list: Vec<Listed>,
 }
 
 impl FleetState {
-    /// Clears the state when a new term begins. The numbering of rental requests continues.
+    /// Clears the state, for the beginning of a new term. The numbering of rental requests
+    /// continues.
     pub(super) fn reset(&mut self) {
         *self = FleetState {
             last_request_number: self.last_request_number,
@@ -61,13 +70,14 @@
         self.cloud_list = list;
     }
 
-    /// The cloud's list of machines, without machines returned since it was received.
+    /// The cloud's list of machines, without the machines that were returned after the list was
+    /// received.
     pub(super) fn cloud_list(&self) -> &[Listed] {
         &self.cloud_list
     }
 
-    /// Adds the listed machines that are booting and have not reported, whichever controller rented
-    /// them.
+    /// Adds the machines of the cloud's list that are booting and have not sent a heartbeat yet.
+    /// The list also holds machines that other controllers rented.
     pub(super) fn add_listed_booting(&mut self, scheduler: &Scheduler, now: f64) {
         for listed in &self.cloud_list {
             let known = scheduler.machines.contains_key(listed.id.as_str());
@@ -109,31 +119,31 @@
         );
     }
 
-    /// Removes the booting machines that have reported or take too long.
+    /// Removes booting machines that have sent a heartbeat or have been booting for too long.
     pub(super) fn prune_booting(&mut self, scheduler: &Scheduler, now: f64) {
         self.booting.retain(|id, machine| {
-            let max_boot_s = COUNTED_FOR_BOOT_TIMES * boot_s(&scheduler.types, &machine.info.kind);
+            let max_boot_s = MAX_COUNTED_BOOT_TIMES * boot_s(&scheduler.types, &machine.info.kind);
             !scheduler.machines.contains_key(id.as_str())
                 && now - machine.booting_since < max_boot_s
         });
     }
 
-    /// Rented machines that have not reported yet.
+    /// Rented machines that have not sent a heartbeat yet.
     pub(super) fn booting(&self) -> impl Iterator<Item = &MachineInfo> {
         self.booting.values().map(|machine| &machine.info)
     }
 
-    /// Adds machines to be returned to the cloud.
+    /// Adds machines, by name, to those to return to the cloud.
     pub(super) fn request_return(&mut self, machines: impl IntoIterator<Item = String>) {
         self.pending_returns.extend(machines);
     }
 
-    /// All machines whose return is not confirmed yet.
+    /// Names of the machines whose return the cloud has not confirmed yet.
     pub(super) fn pending_returns(&self) -> impl Iterator<Item = &String> {
         self.pending_returns.iter()
     }
 
-    /// The machines to return in the next call.
+    /// Names of the machines to return in the next call.
     pub(super) fn next_return_batch(&self) -> Vec<String> {
         let batch = self.pending_returns.iter().take(MAX_RETURN_BATCH);
         batch.cloned().collect()
@@ -154,15 +164,17 @@
         self.last_request_number
     }
 
-    /// Whether the offer may be requested now; false during the pause after it was sold out.
+    /// Whether the offer may be requested now. Returns false during the pause after the offer was
+    /// sold out.
     pub(super) fn is_available(&self, offer: &Offer, now: f64) -> bool {
         self.sold_out
             .get(offer)
             .is_none_or(|sold_out| now >= sold_out.retry_at)
     }
 
-    /// Notes that the cloud provided fewer machines of the offer than were requested. The offer is
-    /// requested again after `first_pause_s`; the pause grows each time it is sold out again.
+    /// Records that the cloud provided fewer machines of the offer than were requested. The offer
+    /// may be requested again after a pause: `first_pause_s` the first time, and longer each time
+    /// the offer is sold out again.
     pub(super) fn record_sold_out(&mut self, offer: &Offer, first_pause_s: f64, now: f64) {
         let max_pause_s = first_pause_s * MAX_SOLD_OUT_PAUSES;
         let pause_s = self.sold_out.get(offer).map_or(first_pause_s, |previous| {
@@ -173,7 +185,7 @@
             .insert(offer.clone(), SoldOut { retry_at, pause_s });
     }
 
-    /// Notes that the cloud provided all machines of the offer that were requested.
+    /// Records that the cloud provided all requested machines of the offer.
     pub(super) fn clear_sold_out(&mut self, offer: &Offer) {
         self.sold_out.remove(offer);
     }
--- a/src/coordination/fleet/machine_record_writer.rs
+++ b/src/coordination/fleet/machine_record_writer.rs
@@ -1,8 +1,8 @@
 //! Writes the shard's machine record: the durable list of machines on which tasks may start.
 //!
-//! Each write succeeds only if this controller still owns the shard and each value that it
-//! replaces is the one last known here. So a write that this controller gave up, and that the
-//! state service carries out late, changes nothing.
+//! Each write succeeds only if this controller still leads the shard and if the replaced chunks
+//! still have the versions that this controller last read or wrote. A write that got no response
+//! therefore changes nothing if the state service executes it after a later write.
 
 use crate::coordination::leadership::failover::reread_shard;
 use crate::coordination::node::Node;
@@ -13,9 +13,11 @@
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
-/// Fraction of the size limit of a value that is used; the rest is left for framing.
+/// Fraction of the size limit of a value that a chunk may take up; the rest is left for the JSON
+/// syntax.
 const VALUE_FILL: f64 = 0.9;
-/// Most bytes of changes in one transaction; a quarter of its size is left for framing.
+/// Maximum size of the changes in one transaction, in bytes. A quarter of the transaction's size
+/// limit is left for the JSON syntax.
 const MAX_CHANGE_BYTES: usize = records::MAX_TXN_BYTES * 3 / 4;
 
 /// One transaction that writes a part of the record.
@@ -24,12 +26,12 @@
     /// Base term of the scheduler whose machines are written.
     base_term: u64,
     changes: Vec<Change>,
-    /// Whether further changes remain to be written afterwards.
-    more: bool,
+    /// Whether the record needs further changes after this transaction.
+    has_more: bool,
 }
 
-/// Writes one transaction with changes of the machine record; returns true if further changes
-/// remain.
+/// Writes one transaction with changes of the machine record. Returns true if the transaction was
+/// written and further changes remain to be written.
 pub async fn write_machine_record(node: &Rc<Node>) -> bool {
     let Some(write) = plan_write(node) else {
         return false;
@@ -47,33 +49,35 @@
     }
 }
 
-/// The next transaction to write; `None` if nothing has changed or this controller does not own
-/// the shard.
+/// The next transaction to write; `None` if the list of machines has not changed or this controller
+/// does not lead the shard. The transaction has no changes if the record is already correct.
 fn plan_write(node: &Node) -> Option<RecordWrite> {
     let limits = &node.settings.cluster.state;
     let value_bytes = (limits.value_kb * 1024.0 * VALUE_FILL) as usize;
     let mut scheduler = node.scheduler.borrow_mut();
     let scheduler = scheduler.as_mut().filter(|s| s.machine_record_dirty)?;
-    // With the shard version of another leader, the write would change the list of that leader.
+    // If the transaction were conditional on a shard version that another leader wrote, it would
+    // overwrite the list of that leader.
     let shard_version = node.leadership.borrow().own_shard_version()?;
     let written = node.machine_record.borrow();
     let mut changes =
         machine_record::plan(&written, &scheduler.wanted_machine_record(), value_bytes);
     let fitting_count =
         machine_record::changes_that_fit(&changes, limits.txn_ops, MAX_CHANGE_BYTES);
-    let more = changes.len() > fitting_count;
-    scheduler.machine_record_dirty = more;
+    let has_more = changes.len() > fitting_count;
+    scheduler.machine_record_dirty = has_more;
     changes.truncate(fitting_count);
     Some(RecordWrite {
         txn: machine_record::txn(&written, &changes, shard_version),
         base_term: scheduler.fence.base_term,
         changes,
-        more,
+        has_more,
     })
 }
 
-/// Tells the scheduler that the record already holds all machines that it should. This happens,
-/// for example, if a machine ends its session and begins a new one before the end was written.
+/// Tells the scheduler that the record already lists exactly the wanted machines. This happens, for
+/// example, if a machine's session ends and a new one begins before the machine was removed from
+/// the record.
 fn confirm_current_record(node: &Node) {
     let recorded: Vec<_> = node.machine_record.borrow().machines().cloned().collect();
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
@@ -81,8 +85,8 @@
     }
 }
 
-/// Applies the written changes to the scheduler and to the known record; returns true if further
-/// changes remain.
+/// Applies the changes that were written at `version` to the scheduler and to this controller's
+/// copy of the record. Returns true if further changes remain to be written.
 fn apply_written_changes(node: &Node, write: RecordWrite, version: u64) -> bool {
     let mut scheduler = node.scheduler.borrow_mut();
     let scheduler = scheduler.as_mut();
@@ -94,12 +98,12 @@
         scheduler.machine_record_written(&machines);
         written.set(chunk, machines, version);
     }
-    write.more
+    write.has_more
 }
 
-/// Marks the record as still to be written. After a conflict, reads the shard record again, and
-/// also the machine record if that had changed. After any other error it is not known whether the
-/// write is carried out, so its chunks are marked as uncertain.
+/// Marks the machine record as still to be written. After a conflict, reads the shard record again,
+/// and also the machine record if one of its chunks caused the conflict. After any other error, the
+/// write may still be executed, so its chunks are marked as uncertain.
 async fn handle_write_error(node: &Rc<Node>, write: &RecordWrite, error: ServiceError) {
     tracing::debug!(%error, "failed to write the machine record");
     let same_term = |s: &&mut Scheduler| s.fence.base_term == write.base_term;
@@ -114,14 +118,14 @@
         return;
     };
     reread_shard(node).await;
-    // A conflict on a chunk means that an earlier write was carried out although it had no answer.
+    // A conflict on a chunk means that an earlier write was executed although it got no response.
     if keys.iter().any(|k| records::chunk_number(k).is_some()) {
         reread_record(node, write.base_term).await;
     }
 }
 
-/// Reads the machine record again. Only its contents count, so a machine that an unanswered write
-/// added is used only after it was read back from the record.
+/// Reads the machine record again. A machine that was added by a write without a response is used
+/// only after it was read from the record.
 async fn reread_record(node: &Rc<Node>, base_term: u64) {
     let Ok((listed, _)) = node
         .state
--- a/src/coordination/fleet/machine_types.rs
+++ b/src/coordination/fleet/machine_types.rs
@@ -1,5 +1,6 @@
-//! Keeps the cloud's machine types up to date in the cluster view, which all decisions use, and in
-//! the state service, from which a controller reads them if it restarts during a cloud outage.
+//! Keeps the list of the cloud's machine types up to date in two places: in the cluster view, on
+//! which all decisions are based, and in the state service, from which a controller reads the list
+//! if it restarts during an outage of the cloud.
 
 use crate::coordination::node::Node;
 use crate::protocol::cloud::{MachineType, TypeList};
@@ -9,13 +10,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between two refreshes once the types are known.
+/// Pause between two refreshes once the machine types are known.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(30);
-/// Pause between two attempts until the types are known.
+/// Pause between two refreshes as long as the machine types are not known.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Whether the lists differ in a field that decides whether a job fits a machine type. Other
-/// fields, such as prices, change all the time.
+/// Whether the lists differ in a field that determines whether a job fits a machine type.
+/// Differences in other fields are ignored, because some of them, such as prices, change often.
 fn differ_in_fit(old: &[MachineType], new: &[MachineType]) -> bool {
     old.len() != new.len()
         || old.iter().zip(new).any(|(a, b)| {
@@ -46,8 +47,9 @@
     }
 }
 
-/// Asks the cloud for the types and writes them to the state service if they have changed. If that
-/// fails, the types are removed from the view, so that the next refresh tries again.
+/// Reads the machine types from the cloud, and writes them to the state service if they have
+/// changed. If the write fails, removes the types from the view, so that the next refresh writes
+/// them again.
 async fn refresh(node: &Node) {
     let Ok(list) = node.cloud.types().await else {
         return;
@@ -67,7 +69,7 @@
     }
 }
 
-/// Sets the types of a scheduler that has none yet.
+/// Gives the scheduler the machine types of the view if it has none yet.
 fn initialize_scheduler_types(node: &Node) {
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
         if scheduler.types.is_empty() {
--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -1,6 +1,6 @@
-//! The fleet manager: a loop of the leader. It rents machines for waiting tasks, and returns
-//! machines that are broken, silent or idle. `scale_out` and `scale_in` make the decisions; this
-//! module carries them out.
+//! The fleet manager: a loop of the leader that rents machines for waiting tasks, and returns
+//! machines that are broken, silent or idle. The modules `scale_out` and `scale_in` make the
+//! decisions; this module carries out the decisions.
 
 use super::fleet_state::FleetState;
 use super::machine_types::keep_machine_types;
@@ -14,15 +14,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause between two rounds.
+/// Pause before each round of the fleet manager.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause between two rounds after a takeover, while no task is placed because some machines have
-/// not been accounted for yet.
+/// Pause before each round after a takeover, as long as no task is placed because some machines are
+/// not accounted for yet.
 const TAKEOVER_ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The actor that runs the fleet manager.
 pub struct FleetManager {
-    /// The controller whose fleet it manages.
+    /// The controller for which the actor manages the fleet.
     pub node: Rc<Node>,
 }
 
@@ -35,7 +35,8 @@
     }
 }
 
-/// Runs rounds forever, but only while this controller is certain to lead.
+/// Runs the fleet manager's rounds forever, but skips a round if it is not confirmed that this
+/// controller leads.
 async fn manage_fleet(node: Rc<Node>) {
     let mut state = FleetState::default();
     let mut state_term = 0;
@@ -50,9 +51,9 @@
             TAKEOVER_ROUND_INTERVAL
         };
         actix_rt::time::sleep(pause).await;
-        // A deposed leader would see all machines go silent and return them to the cloud. So
-        // rounds run only while no other controller can have taken the shard.
-        let term = scheduler_term(&node).filter(|_| node.is_certain_leader());
+        // To a former leader all machines appear silent, so it would return them to the cloud.
+        // Rounds therefore run only while no other controller can have taken over the shard.
+        let term = scheduler_term(&node).filter(|_| node.is_confirmed_leader());
         let Some(term) = term else {
             continue;
         };
@@ -64,13 +65,15 @@
     }
 }
 
-/// Whether tasks are being placed, which requires that all machines have been accounted for since
-/// the takeover. `None` without a scheduler.
+/// Whether tasks may be placed, which requires that all machines have been accounted for since the
+/// takeover. `None` if this controller has no scheduler.
 fn is_placing(node: &Node) -> Option<bool> {
     let scheduler = node.scheduler.borrow();
     scheduler.as_ref().map(|s| s.fence.open)
 }
 
+/// Runs one round: compares the fleet with the cloud's list if it is due, scales in, then scales
+/// out.
 async fn run_round(node: &Rc<Node>, state: &mut FleetState) {
     let list_lag_s = node.settings.cluster.cloud.list_lag_s;
     let placing = is_placing(node).unwrap_or(false);
@@ -81,15 +84,16 @@
         }
     }
     scale_in(node, state).await;
-    // Scaling in comes first, and scaling out waits until tasks are placed: calls that rent
-    // machines take long, and after a takeover the shard waits for the returns to be confirmed.
+    // Calls that rent machines take long, and after a takeover placement may have to wait until the
+    // cloud confirms the return of silent machines. Scaling in therefore comes first, and scaling
+    // out waits until tasks may be placed.
     if placing {
         scale_out(node, state).await;
     }
 }
 
 /// Compares the cloud's machine list with the scheduler's machines: requests the return of broken
-/// machines, notes machines that are booting, and removes machines that no longer exist.
+/// machines, records booting machines, and removes machines that no longer exist.
 fn compare_with_list(node: &Node, state: &mut FleetState) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
@@ -105,7 +109,7 @@
     }
 }
 
-/// Selects the machines to return to the cloud and takes them out of use.
+/// Selects the machines to return to the cloud, and retires them so that no new task starts there.
 fn retire_machines(node: &Node, state: &mut FleetState) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
@@ -122,7 +126,8 @@
     }
 }
 
-/// Returns machines to the cloud. Only the cloud's confirmation proves that they are gone.
+/// Returns machines to the cloud. Only the cloud's confirmation proves that the returned machines
+/// no longer run.
 async fn scale_in(node: &Rc<Node>, state: &mut FleetState) {
     if node.scheduler.borrow().is_none() {
         return;
@@ -142,7 +147,7 @@
     dispatcher::send_due_calls(node);
 }
 
-/// Rents the machines that are missing to serve the demand.
+/// Rents the machines that the demand requires in addition to the present and booting machines.
 async fn scale_out(node: &Rc<Node>, state: &mut FleetState) {
     let now = node.now();
     for RentalPlan { offer, count } in plan_rentals(node, state, now) {
@@ -188,15 +193,15 @@
     })
 }
 
-/// Rents machines; returns the names of those that the cloud provided.
+/// Sends a rental request. Returns the names of the machines that the cloud provided.
 async fn rent(node: &Node, rental: &Rental) -> Vec<String> {
     match node.cloud.scale_out(rental).await {
         Ok(rented) => rented.machines,
         Err(ServiceError::Refused) => Vec::new(),
         Err(error) => {
-            // The cloud may still carry out the request later. Machines that appear unexpectedly
-            // are adopted.
-            tracing::info!(%error, "no answer to a rental request");
+            // The cloud may still execute the request later. Machines that it then provides are
+            // counted once they appear in the cloud's list, and used once they send heartbeats.
+            tracing::info!(%error, "rental request failed; its outcome is unknown");
             Vec::new()
         }
     }
--- a/src/coordination/fleet/rollout.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -1,10 +1,10 @@
-//! Rollouts: a list of machines is drained in order, a few in each zone at a time. Pure
-//! functions decide the next step of a rollout.
+//! Rollouts: a rollout drains a list of machines in order, a few machines in each zone at a time.
+//! Its next step is decided by pure functions.
 //!
-//! A rollout is a record in the state service, like the drains that it orders, so every new
-//! leader of the shard continues it. It drains the next machine only if the zone of that machine
-//! stays within the rollout's limit; every machine that is out of use counts, for whatever
-//! reason. A rollout halts by itself as soon as it breaks a promise of its plan.
+//! Rollouts, and the drains that they order, are records in the state service, so every new leader
+//! of the shard continues them. A rollout begins the drain of a machine only if the number of
+//! machines out of use in that machine's zone, for whatever reason, then stays within the rollout's
+//! limit. A rollout halts by itself as soon as a promise of its plan is broken.
 
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
@@ -15,24 +15,24 @@
 /// Machine counts of one zone.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneMachineCounts {
-    /// All machines of the zone.
+    /// Number of machines in the zone.
     pub machines: u32,
-    /// Machines on which no task may start, for whatever reason.
+    /// Number of machines in the zone on which no task may start, for whatever reason.
     pub out_of_use: u32,
 }
 
 /// The state of the fleet on which the next step of a rollout depends.
 #[derive(Debug, Default)]
 pub struct FleetView {
-    /// Time of day in milliseconds.
+    /// Unix time in milliseconds.
     pub now_ms: u64,
-    /// Zone of each machine of the shard.
+    /// Zone of each machine of the shard, by machine name.
     pub zones: HashMap<String, String>,
-    /// Machine counts of each zone.
+    /// Machine counts of each zone, by zone name.
     pub counts: HashMap<String, ZoneMachineCounts>,
-    /// Machines that have restarted since they were drained and send heartbeats again.
+    /// Names of the machines that have restarted since they were drained and send heartbeats again.
     pub restarted: Vec<String>,
-    /// Number of unfinished jobs that cannot meet any of their objectives any more.
+    /// Number of unfinished jobs that can no longer meet any of their objectives.
     pub late_jobs: u32,
     /// All drains by machine name, each with the version of its record.
     pub drains: HashMap<String, (Drain, u64)>,
@@ -48,23 +48,25 @@
             .collect()
     }
 
+    /// Whether the machine has restarted since it was drained and sends heartbeats again.
     fn is_restarted(&self, host: &String) -> bool {
         self.restarted.contains(host)
     }
 }
 
-/// The records that a step writes: the rollout and the drains that begin and end.
+/// The changes of records in one step: the rollout's new record, and the drains that begin and end.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutStep {
     /// The rollout's new record.
     pub rollout: Roll,
-    /// Machines whose drains begin.
+    /// Names of the machines whose drains begin.
     pub begin: Vec<String>,
-    /// Machines whose drains end.
+    /// Names of the machines whose drains end.
     pub end: Vec<String>,
 }
 
-/// How many machines of a zone with this many machines may be out of use at once.
+/// Maximum number of machines that may be out of use at the same time in a zone with this many
+/// `machines`.
 fn max_out_of_use(at_most: AtMost, machines: u32) -> u32 {
     match at_most {
         AtMost::Machines(n) => n,
@@ -72,8 +74,9 @@
     }
 }
 
-/// Why the rollout must halt: more jobs are late, or one of its machines takes longer, than its
-/// plan promised. `None` if all promises hold.
+/// Describes the broken promise of the rollout's plan that makes the rollout halt: more jobs are
+/// late than promised, or one of its machines takes longer than promised. `None` if all promises
+/// hold.
 fn halt_reason(rollout: &Roll, fleet: &FleetView, rollout_drains: &[&Drain]) -> Option<String> {
     let promise = &rollout.promise;
     let late_before = rollout.late_before.unwrap_or(fleet.late_jobs);
@@ -88,7 +91,8 @@
         .find_map(|drain| overdue_reason(rollout, fleet, drain))
 }
 
-/// Describes how the machine of this drain takes longer than promised; `None` if it does not.
+/// Describes which state the machine of this drain has not reached in the promised time. `None` if
+/// the machine is within the promised times.
 fn overdue_reason(rollout: &Roll, fleet: &FleetView, drain: &Drain) -> Option<String> {
     let promise = &rollout.promise;
     let host = &drain.host;
@@ -102,8 +106,8 @@
     Some(format!("{host} is {missing_state} after {limit_s:.0} s"))
 }
 
-/// The next step, which begins and ends at most `max_drain_changes` drains in total; `None` while
-/// there is nothing to do.
+/// The next step of the rollout; `None` if the step would change nothing. In total at most
+/// `max_drain_changes` drains begin or end in one step.
 pub fn next_step(
     rollout: &Roll,
     fleet: &FleetView,
@@ -122,7 +126,7 @@
     (!changes_nothing).then_some(step)
 }
 
-/// The step that halts the rollout and leaves its drains as they are.
+/// The step that halts the rollout for this reason. The rollout's drains stay as they are.
 fn halt_step(rollout: &Roll, fleet: &FleetView, reason: String) -> RolloutStep {
     let mut next = rollout.clone();
     next.late_before.get_or_insert(fleet.late_jobs);
@@ -135,8 +139,8 @@
     }
 }
 
-/// The next step of a rollout that is being rolled back: ends its drains. The rollout is done
-/// when none is left.
+/// The next step of a rollout that is being rolled back: ends at most `max_drain_changes` of its
+/// drains. When no drain is left, the rollout is done.
 fn rollback_step(
     rollout: &Roll,
     rollout_drains: &[&Drain],
@@ -167,7 +171,7 @@
 ) -> RolloutStep {
     let mut next = rollout.clone();
     next.late_before.get_or_insert(fleet.late_jobs);
-    // A machine is finished once it has restarted, or if the cloud has removed it.
+    // The rollout is finished with a machine that has restarted or no longer exists.
     let is_finished =
         |drain: &&&Drain| fleet.is_restarted(&drain.host) || !fleet.zones.contains_key(&drain.host);
     let finished = rollout_drains.iter().filter(is_finished);
@@ -189,9 +193,9 @@
     }
 }
 
-/// Advances the rollout over its next machines and returns those whose drains begin, at most
-/// `max_hosts`. Stops at the first machine whose zone has reached its limit. Machines that no
-/// longer exist or are drained already are skipped.
+/// Advances the rollout's position in its list of machines. Returns the names of the machines whose
+/// drains begin, at most `max_hosts`. Stops before the first machine whose zone has reached the
+/// rollout's limit. Skips machines that no longer exist or already have a drain.
 fn take_next_hosts(rollout: &mut Roll, fleet: &FleetView, max_hosts: usize) -> Vec<String> {
     let mut hosts = Vec::new();
     let mut begun_by_zone: HashMap<&str, u32> = HashMap::new();
@@ -215,15 +219,16 @@
     hosts
 }
 
-/// Sorts the hosts and keeps the first `max_hosts`, but at least one.
+/// Sorts the hosts by name and keeps the first `max_hosts` of them, or the first one if `max_hosts`
+/// is 0.
 fn sort_and_truncate(mut hosts: Vec<String>, max_hosts: usize) -> Vec<String> {
     hosts.sort();
     hosts.truncate(max_hosts.max(1));
     hosts
 }
 
-/// Orders machines, given as pairs of name and zone, for a rollout. The zones alternate, so that
-/// a zone at its limit does not delay the others for long.
+/// The order in which a rollout drains these machines, which are pairs of a name and a zone. The
+/// zones alternate, so that a zone that has reached its limit does not delay the others for long.
 pub fn round_robin_by_zone(machines: &[(String, String)]) -> Vec<String> {
     let mut zones: Vec<(&str, Vec<&str>)> = Vec::new();
     for (host, zone) in machines {
@@ -245,8 +250,9 @@
 }
 
 impl Scheduler {
-    /// The state of the fleet for the rollouts. `None` during a takeover: until all machines are
-    /// accounted for, it is not known which are out of use, so no rollout may take a step.
+    /// The state of the fleet for the rollouts. `None` as long as not all machines are accounted
+    /// for after a takeover: it is then unknown which machines are out of use, so no rollout may
+    /// take a step.
     pub fn fleet_view(
         &self,
         drains: &HashMap<String, (Drain, u64)>,
--- a/src/coordination/fleet/rollout_writer.rs
+++ b/src/coordination/fleet/rollout_writer.rs
@@ -1,5 +1,5 @@
 //! Carries out rollouts: writes each step in a transaction. The transaction fails if this
-//! controller no longer owns the shard, or if the rollout record or the drain records have
+//! controller no longer leads the shard, or if the rollout record or the drain records have
 //! changed since the step was computed.
 
 use super::rollout::{next_step, RolloutStep};
@@ -12,19 +12,20 @@
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
-/// Conditions and changes in a step's transaction that do not concern drains: those on the shard
-/// record and on the rollout record.
+/// Number of entries in a step's transaction that do not concern drains: one for the shard record,
+/// and one for the rollout record.
 const FIXED_TXN_OPS: usize = 2;
 
-/// The next step of a rollout, with the version that its transaction depends on.
+/// The next step of a rollout, with the version of the rollout record on which the step is based.
 struct DueStep {
     step: RolloutStep,
     /// Version of the rollout record that the step replaces.
     rollout_version: u64,
 }
 
-/// The first step that is due in any rollout. Only one step is taken at a time, because each step
-/// depends on the result of the one before it.
+/// The next step of the first rollout, by name, that has one; `None` if no rollout has a next step
+/// or the state of the fleet is not known. Only one step is taken at a time, because each step
+/// depends on the result of the step before it.
 fn due_step(node: &Node) -> Option<DueStep> {
     let leadership = node.leadership.borrow();
     let scheduler = node.scheduler.borrow();
@@ -65,8 +66,8 @@
     }
 }
 
-/// The transaction that writes the step, on condition that no record on which it is based has
-/// changed.
+/// The transaction that writes the step, on condition that the records on which the step is based
+/// have not changed.
 fn step_txn(node: &Node, due: &DueStep, shard_version: u64) -> Txn {
     let DueStep {
         step,
@@ -94,10 +95,11 @@
     txn
 }
 
-/// Takes the next step of the rollouts, if one is due and this controller is certain to lead.
+/// Takes the next step of a rollout, if there is one and it is confirmed that this controller
+/// leads.
 pub async fn advance_rollouts(node: &Rc<Node>) {
     let view_is_stale = node.leadership.borrow().view.revision < node.last_rollout_revision.get();
-    if view_is_stale || !node.is_certain_leader() {
+    if view_is_stale || !node.is_confirmed_leader() {
         return;
     }
     let Some(shard_version) = node.leadership.borrow().own_shard_version() else {
@@ -115,8 +117,8 @@
                 end,
             } = &due.step;
             tracing::info!(roll = %rollout.name, state = ?rollout.state, reason = %rollout.reason, ?begin, ?end, "rollout step");
-            // No further step is computed until the watch has delivered this one: before that,
-            // the machines that it drains do not count as out of use.
+            // No further step is computed until the watch has delivered the records of this step:
+            // before then, the machines that this step drains do not count as out of use.
             node.last_rollout_revision.set(revision);
         }
         Err(ServiceError::Conflict(_)) => reread_shard(node).await,
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -1,6 +1,6 @@
-//! Scaling in: decides which machines to return to the cloud. Pure functions.
+//! Scaling in: pure functions that decide which machines to return to the cloud.
 //!
-//! Only the cloud's confirmation proves that a returned machine is gone. A machine that an
+//! Only the cloud's confirmation proves that a returned machine no longer runs. A machine that an
 //! operator cordoned is never returned for being silent or idle.
 
 use super::scale_out::boot_s;
@@ -10,17 +10,18 @@
 use crate::protocol::cloud::{Listed, ListedState};
 use crate::protocol::policy::Policy;
 
-/// A machine that has been booting for longer than this many times the boot time of its type is
-/// returned. Up to 1.5 times is usual; some machines take several times as long.
+/// A machine that has been booting for longer than this multiple of the boot time of its type is
+/// returned. Machines usually boot within 1.5 times the boot time of their type, but some take
+/// several times as long.
 const BROKEN_AFTER_BOOT_TIMES: f64 = 4.0;
-/// Time that the tasks of a retired machine have to save their work, in seconds.
+/// Maximum time that the tasks of a retired machine get to save their work, in seconds.
 const MAX_RETIREMENT_S: f64 = 60.0;
-/// An expired machine is removed when it is missing from the cloud's list and has been silent for
-/// this many times the lag of that list.
+/// A machine with an expired lease is removed when it is missing from the cloud's list and has been
+/// silent for longer than this multiple of the lag of the list.
 const VANISHED_AFTER_LIST_LAGS: f64 = 4.0;
 
-/// Machines in the cloud's list that failed, took too long to boot, or have been unreachable for
-/// too long.
+/// Names of the machines in the cloud's list that have failed, have been booting for too long, or
+/// have been unreachable for too long.
 pub(super) fn broken_machines(scheduler: &Scheduler, list: &[Listed], now: f64) -> Vec<String> {
     let partitioned_zones = scheduler.partitioned_zones(now);
     let is_broken = |listed: &&Listed| {
@@ -32,8 +33,9 @@
                 machine.is_none() && listed.age_s > BROKEN_AFTER_BOOT_TIMES * boot_s
             }
             ListedState::Running => machine.is_some_and(|m| {
-                // Once the machine's lease has expired, waiting a while for a partition to end
-                // loses nothing. When this time is over, a replacement would have booted.
+                // Once the machine's lease has expired, its tasks may run elsewhere, so waiting for
+                // a partition to end loses nothing. The wait includes the boot time of a
+                // replacement.
                 let max_silence_s = 2.0 * scheduler.config.lease_s + boot_s;
                 is_lost(m, max_silence_s, now)
                     && !m.cordoned
@@ -46,14 +48,14 @@
 }
 
 /// Whether the machine's lease has expired and the machine has been silent for longer than
-/// `max_silence_s`, or whether our replies have not reached it for that long. A machine that
+/// `max_silence_s`, or this controller's replies have not reached it for that long. A machine that
 /// receives no replies is as unusable as a silent one.
 fn is_lost(machine: &Machine, max_silence_s: f64, now: f64) -> bool {
     let silent = machine.status == MachineStatus::Expired && now - machine.heard_at > max_silence_s;
     silent || machine.is_unreachable(now, max_silence_s)
 }
 
-/// Machines with an expired lease that the cloud no longer lists.
+/// Names of the machines with an expired lease that the cloud no longer lists.
 pub(super) fn vanished_machines(
     scheduler: &Scheduler,
     list: &[Listed],
@@ -72,7 +74,7 @@
         .collect()
 }
 
-/// Retired machines that are empty or whose time to save work is over.
+/// Names of the retired machines that no longer run a task or whose time to save work is over.
 pub(super) fn retired_machines(scheduler: &Scheduler, now: f64) -> Vec<String> {
     let is_ready = |machine: &Machine| {
         let empty = machine.live_attempts().next().is_none();
@@ -86,8 +88,9 @@
         .collect()
 }
 
-/// A machine that has been idle for longer than the policy allows. `None` if any task waits or if
-/// the free capacity is less than twice the headroom.
+/// The name of a machine that has been idle for longer than the policy allows. `None` if there is
+/// no such machine, if any task waits, or if the machines in use have fewer free CPUs than twice
+/// the headroom.
 pub(super) fn idle_machine(scheduler: &Scheduler, policy: &Policy, now: f64) -> Option<Name> {
     let in_use = |m: &Machine| m.status == MachineStatus::Up && !m.cordoned;
     let used_cpus: f64 = scheduler.usage().cpus();
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scaling out: decides which machines to rent in addition to the present ones. Pure functions.
+//! Scaling out: pure functions that decide which additional machines to rent.
 
 use crate::coordination::scheduler::machine::MachineStatus;
 use crate::coordination::scheduler::state::{Scheduler, Types};
@@ -9,16 +9,16 @@
 
 /// Assumed boot time of a machine of an unknown type, in seconds.
 const DEFAULT_BOOT_S: f64 = 60.0;
-/// Factor on the boot time of spot machines when offers are compared. An ordinary machine is
-/// preferred unless it boots longer by more than this factor, because the cloud does not take it
-/// away.
+/// Factor by which the boot time of spot machines is multiplied when offers are compared. An
+/// ordinary machine is preferred, because the cloud does not take it away, unless its boot time is
+/// longer than that of the spot machine by more than this factor.
 const SPOT_BOOT_PENALTY: f64 = 1.2;
-/// Most machines of one offer that are requested at once.
+/// Maximum number of machines of one offer in one request.
 const MAX_MACHINES_PER_OFFER: f64 = 50.0;
 /// Lower bound for the CPUs of a machine, which guards against a division by zero.
 const MIN_MACHINE_CPUS: f64 = 0.1;
 
-/// A kind of machine that the cloud rents: a machine type in a zone, spot or ordinary.
+/// A kind of machine that the cloud offers for rent: a machine type in a zone, spot or ordinary.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Offer {
     /// The machine type's name.
@@ -34,11 +34,11 @@
 pub struct WaitingJob {
     /// The job's specification, with the resources that each task needs.
     pub spec: Rc<JobSpec>,
-    /// Number of its tasks that have not been placed.
+    /// Number of the job's tasks that have not been placed.
     pub tasks: u32,
 }
 
-/// The resources that jobs need, compared with those of the fleet.
+/// The CPUs that jobs need, and the CPUs that the fleet provides.
 #[derive(Debug, Default)]
 pub struct Demand {
     /// Jobs with tasks that have not been placed.
@@ -58,7 +58,7 @@
     pub count: u32,
 }
 
-/// An offer that serves the demand.
+/// An offer that can be used for the demand.
 struct Candidate {
     offer: Offer,
     /// Boot time, including the penalty for spot machines, in seconds. Lower is better.
@@ -66,14 +66,14 @@
     cpus: f64,
 }
 
-/// Boot time of a machine of this type, in seconds.
+/// Boot time of a machine of the type with this name, in seconds.
 pub(super) fn boot_s(types: &Types, kind: &str) -> f64 {
     types.get(kind).map_or(DEFAULT_BOOT_S, |t| t.boot_s)
 }
 
 impl Demand {
-    /// The demand of this scheduler's jobs. Machines in `booting` count as present, machines in
-    /// `partitioned_zones` do not, because they cannot be reached.
+    /// The demand of this scheduler's jobs. The CPUs of `booting` machines count as provisioned.
+    /// The CPUs of machines in `partitioned_zones` do not, because these machines are unreachable.
     pub fn of<'a>(
         scheduler: &'a Scheduler,
         booting: impl Iterator<Item = &'a MachineInfo>,
@@ -104,8 +104,9 @@
         }
     }
 
-    /// CPUs that are missing to run all placed and waiting tasks, plus `headroom` as a fraction of
-    /// their CPUs.
+    /// Number of CPUs that must be added so that the fleet can run all placed and waiting tasks and
+    /// has a reserve of `headroom`, a fraction of the CPUs of these tasks. Negative if the fleet
+    /// has more CPUs than needed.
     fn missing_cpus(&self, headroom: f64) -> f64 {
         let waiting_cpus: f64 = self
             .waiting
@@ -115,8 +116,8 @@
         (self.used_cpus + waiting_cpus) * (1.0 + headroom) - self.provisioned_cpus
     }
 
-    /// Whether any waiting task could run on a machine of the offer. If no task waits, machines are
-    /// rented only for the headroom, and every type serves.
+    /// Whether any waiting task could run on a machine of the offer. If no task waits, returns
+    /// true: machines are then rented only for the headroom, and every offer can be used.
     fn can_use(&self, offer: &Offer, machine_type: &MachineType) -> bool {
         let fits = |spec: &JobSpec| {
             fits_type(spec, machine_type)
@@ -127,8 +128,8 @@
     }
 }
 
-/// The offers of all types that serve the demand and are `available`, sorted by boot time (with
-/// the penalty for spot machines), shortest first.
+/// The `available` offers that can be used for the demand, sorted by boot time (with the penalty
+/// for spot machines), shortest first.
 fn candidates(
     demand: &Demand,
     types: &Types,
@@ -161,7 +162,8 @@
     candidates
 }
 
-/// The machines to request from the cloud, best offer first, until the missing CPUs are covered.
+/// The machines to request from the cloud: takes `available` offers, shortest boot time first,
+/// until they cover the missing CPUs. `headroom` is the reserve as a fraction of the needed CPUs.
 pub fn plan(
     demand: &Demand,
     types: &Types,
--- a/src/coordination/jobs/admission.rs
+++ b/src/coordination/jobs/admission.rs
@@ -1,12 +1,12 @@
-//! Admission control: whether a job can ever run. A job that cannot is rejected when it is
-//! submitted, since it would wait forever.
+//! Admission control: checks whether a job can ever run. A job that can never run is rejected
+//! when it is submitted, since it would wait forever.
 
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::quota;
 use crate::protocol::job::{JobSpec, Shape};
 use crate::storage::records;
 
-/// CPUs and GPUs used by a team without running jobs.
+/// CPUs and GPUs in use by a team that has no running jobs.
 const NO_USAGE: (f64, f64) = (0.0, 0.0);
 
 /// Why a job can never run. The message is sent to the user.
@@ -34,7 +34,8 @@
     Undecided,
 }
 
-/// Checks a job against the settings and the known machine types.
+/// Checks whether a job can ever run, given the teams in the settings and the machine types that
+/// this controller knows.
 pub fn check(node: &Node, spec: &JobSpec) -> Admission {
     if let Err(error) = check_team(node, spec) {
         return Admission::Rejected(error);
@@ -50,8 +51,8 @@
     }
 }
 
-/// Checks that the job's team exists, and that the team's limit allows the tasks that must run
-/// at the same time: one task of a sweep, all tasks of a service.
+/// Checks that the job's team exists, and that the team's limit allows as many tasks as must run
+/// at the same time: one task of a sweep, or all tasks of a service.
 fn check_team(node: &Node, spec: &JobSpec) -> Result<(), AdmissionError> {
     let Some(team) = node.settings.team(&spec.team) else {
         return Err(AdmissionError::UnknownTeam(spec.team.clone()));
--- a/src/coordination/jobs/completed_task_chunks.rs
+++ b/src/coordination/jobs/completed_task_chunks.rs
@@ -1,5 +1,5 @@
-//! Chunks of completed tasks. A job with too many tasks for one record stores its completed
-//! tasks in chunks, apart from its live record.
+//! Chunks of completed tasks. The completed tasks of a job with too many tasks for one record are
+//! stored in chunks, which are separate from the job's live record.
 
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::job::Name;
@@ -9,8 +9,9 @@
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
-/// Reads the completed tasks that a job stores in chunks. Returns none if all tasks of the job
-/// fit into its live record.
+/// Reads the completed tasks that are stored in a job's chunks. Returns an empty set for a job
+/// that has no chunks because all its tasks fit into its live record. A chunk that cannot be
+/// parsed is skipped, so its tasks run again.
 ///
 /// # Errors
 /// The state service could not be read.
@@ -32,8 +33,8 @@
     Ok(completed)
 }
 
-/// Deletes the chunks of a finished job in the background. If a deletion fails, the remaining
-/// chunks stay, which only costs space.
+/// Deletes the chunks of a finished job with this many tasks in the background. If a deletion
+/// fails, the remaining chunks are never deleted; they only take up space.
 pub fn delete(node: Rc<Node>, id: Name, tasks: u32) {
     actix_rt::spawn(async move {
         for chunk in 0..chunk_count(tasks, node.tasks_per_record()) {
@@ -45,7 +46,7 @@
     });
 }
 
-/// Number of chunks of a job with this many tasks: 0 if its tasks fit into its live record.
+/// Number of chunks of a job with this many tasks; 0 if the tasks fit into the live record.
 fn chunk_count(tasks: u32, tasks_per_record: u32) -> u32 {
     if tasks > tasks_per_record {
         tasks.div_ceil(tasks_per_record)
--- a/src/coordination/jobs/completion_batch.rs
+++ b/src/coordination/jobs/completion_batch.rs
@@ -10,39 +10,41 @@
 use crate::storage::records::{self, CompletedTasksChunk, LiveJob, TerminalRecord};
 use crate::transport::token_bucket::{Priority, TokenBucket};
 
-/// Estimated bytes above which a transaction takes no further job: half of the protocol's
-/// limit, which leaves room for the framing and for the job added last.
+/// Estimated size, in bytes, above which no further job is added to a transaction. This is half
+/// of the protocol's limit; the other half is left for the JSON syntax and for the last job.
 const FULL_TXN_BYTES: usize = records::MAX_TXN_BYTES / 2;
-/// Estimated bytes of a terminal record and of the deletion of the live record.
+/// Estimated size, in bytes, of the two changes that write a job's terminal record and delete its
+/// live record.
 const TERMINAL_RECORD_BYTES: usize = 200;
-/// Estimated bytes of a live record without its completed tasks.
+/// Estimated size of a live record without its completed tasks, in bytes.
 const LIVE_RECORD_BYTES: usize = 800;
-/// Estimated bytes of a chunk without its completed tasks.
+/// Estimated size of a chunk without its completed tasks, in bytes.
 const CHUNK_BYTES: usize = 100;
 
-/// A transaction, with what it writes for each job.
+/// A transaction, and the completions that it writes for each job.
 pub struct CompletionBatch {
     /// The transaction, conditional on the version of each job's live record.
     pub txn: Txn,
-    /// What the transaction writes, one entry per job.
+    /// The completions that the transaction writes, one entry per job.
     pub completions: Vec<JobCompletion>,
 }
 
-/// What a batch writes for one job.
+/// The completions that a batch writes for one job.
 pub struct JobCompletion {
     /// The job.
     pub job: Name,
     /// The completed tasks that the batch records.
     pub completed: CompletedTasks,
-    /// The terminal record, if all tasks are completed.
+    /// The job's terminal record; `None` if some of its tasks are not completed yet.
     pub terminal: Option<TerminalRecord>,
     /// Whether the job's completed tasks are stored in chunks apart from its live record.
     pub chunked: bool,
 }
 
-/// Plans the next batch of at most `txn_ops` changes, or returns `None` if nothing is due.
-/// Jobs of more than `chunk_tasks` tasks store their completed tasks in chunks.
-/// `partial_write_budget` limits the writes for jobs that still have tasks to run.
+/// Plans the next batch of at most `txn_ops` changes. Returns `None` if there is nothing to write
+/// or if `partial_write_budget`, which limits the writes for jobs that still have tasks to run,
+/// is used up before the first job is added. Completed tasks of jobs with more than `chunk_tasks`
+/// tasks are stored in chunks.
 pub fn plan(
     scheduler: &Scheduler,
     txn_ops: usize,
@@ -97,16 +99,19 @@
         }
     }
 
-    /// Whether no further job fits. A job can take two changes or more.
+    /// Whether no further job is added. The next job may take two changes, and possibly more: a
+    /// finished job takes two, a chunked job one plus as many changed chunks as fit.
     fn is_full(&self) -> bool {
         !self.has_room_for(2)
     }
 
+    /// Whether this number of changes can still be added.
     fn has_room_for(&self, changes: usize) -> bool {
         self.txn.changes.len() + changes <= self.txn_ops && self.bytes <= FULL_TXN_BYTES
     }
 
-    /// Adds the changes for a job, conditional on the known version of its live record.
+    /// Adds the changes for a job, conditional on the version of its live record that the
+    /// scheduler knows.
     fn add(&mut self, id: Name, job: &Job) {
         let chunked = job.spec.tasks > self.chunk_tasks;
         let live_key = records::live_key(&id);
@@ -129,7 +134,7 @@
         self.completions.push(completion);
     }
 
-    /// Replaces the live record with the terminal record.
+    /// Replaces the job's live record with its terminal record, and returns the latter.
     fn put_terminal_record(&mut self, id: &str, live_key: &str, job: &Job) -> TerminalRecord {
         let terminal = TerminalRecord {
             state: JobState::Done,
@@ -142,13 +147,14 @@
         terminal
     }
 
-    /// Writes the changed chunks for which there is room, and returns the completed tasks in
-    /// them.
+    /// Adds writes of the job's changed chunks, as many as there is room for. Returns the
+    /// completed tasks in the chunks that were added.
     ///
-    /// The live record is written as well, which gives it a new version. Writes are
-    /// conditional on that version, so a transaction that got no response and is executed
-    /// late cannot overwrite newer completions with older ones. (Workers have forgotten the
-    /// overwritten tasks by then, so these would run again after a takeover.)
+    /// The live record is written as well, because this gives it a new version. Every write of
+    /// chunks is conditional on the version of the live record, so a transaction that got no
+    /// response and is executed late cannot overwrite newer completions with older ones. (Such an
+    /// overwrite would lose completions: workers no longer report these tasks, so a new leader
+    /// would run them again.)
     fn put_changed_chunks(&mut self, id: &str, live_key: &str, job: &Job) -> CompletedTasks {
         self.put_live_record(live_key, job, String::new());
         let mut written = CompletedTasks::default();
@@ -169,17 +175,19 @@
         written
     }
 
-    /// Writes the live record with the completed tasks `done`.
+    /// Adds a write of the job's live record that lists the tasks `done` as completed.
     fn put_live_record(&mut self, live_key: &str, job: &Job, done: String) {
         self.bytes += done.len() + LIVE_RECORD_BYTES;
         let record = live_record(job, self.wall_clock_offset_s, done);
         self.edit(|txn| txn.put(live_key, &record));
     }
 
+    /// Replaces the transaction with the result of `change`.
     fn edit(&mut self, change: impl FnOnce(Txn) -> Txn) {
         self.txn = change(std::mem::take(&mut self.txn));
     }
 
+    /// The finished batch; `None` if no job was added.
     fn finish(self) -> Option<CompletionBatch> {
         if self.completions.is_empty() {
             return None;
@@ -191,7 +199,7 @@
     }
 }
 
-/// The live record of a job, with the completed tasks `done`.
+/// The live record of a job, listing the tasks `done` as completed.
 fn live_record(job: &Job, wall_clock_offset_s: f64, done: String) -> LiveJob {
     let accepted_ms = (job.accepted_at + wall_clock_offset_s) * 1000.0;
     LiveJob {
--- a/src/coordination/jobs/completion_writer.rs
+++ b/src/coordination/jobs/completion_writer.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Writes the completions that are due, several times per heartbeat interval.
+/// Writes completions several times per heartbeat interval.
 pub struct CompletionWriter {
     /// The controller whose completions are written.
     pub node: Rc<Node>,
@@ -38,23 +38,23 @@
     }
 }
 
-/// Time between batches: a quarter of a heartbeat interval, between 50 ms and 250 ms. A user
-/// expects the state `done` within 3 s. Shorter intervals cost more puts, all of which count
-/// towards the state service's write limit.
+/// Pause before completions are written again: a quarter of a heartbeat interval, but at least
+/// 50 ms and at most 250 ms. A user expects to see the state `done` within 3 s of a job's end. A
+/// shorter pause would cause more writes, and all writes count towards the state service's limit.
 fn batch_interval(cluster: &Cluster) -> Duration {
     Duration::from_secs_f64((cluster.workers.report_s / 4.0).clamp(0.05, 0.25))
 }
 
-/// The budget for writes for jobs that still have tasks to run: a quarter of the allowed
-/// writes per second. The more such jobs there are, the less often each is written, and
-/// workers report a finished task until it is recorded. The other three quarters are left to
-/// submissions and terminal records.
+/// The budget of writes for jobs that still have tasks to run: a quarter of the allowed writes per
+/// second. The other three quarters are left for submissions and terminal records. The more
+/// unfinished jobs there are, the less often each of them is written. No completion is lost
+/// meanwhile, because workers report a finished task until it is recorded.
 fn partial_write_budget(cluster: &Cluster) -> TokenBucket {
     let rate = cluster.state.write_rps / 4.0;
     TokenBucket::new(rate, rate.max(1.0), 0.0)
 }
 
-/// Writes one batch. Returns true if another batch may be due.
+/// Writes one batch. Returns true if the caller must try to write another batch at once.
 async fn write_batch(node: &Rc<Node>, partial_write_budget: &mut TokenBucket) -> bool {
     let Some((batch, term)) = next_batch(node, partial_write_budget) else {
         return false;
@@ -73,14 +73,15 @@
             }
             true
         }
-        // The transaction was not executed, or may still be. If it is executed before the next
-        // batch, that batch fails its version conditions, and the records are read again.
+        // The transaction may or may not have been executed, and may still be executed later. If
+        // it is executed before the next batch, the version conditions of the next batch fail, and
+        // the live records are read again.
         Err(_) => false,
     }
 }
 
-/// Plans the next batch, if anything is due. Also returns the base term of the scheduler that
-/// the batch comes from.
+/// Plans the next batch, and returns it with the base term of the scheduler that it was planned
+/// for. Returns `None` if this controller does not lead or there is nothing to write.
 fn next_batch(
     node: &Node,
     partial_write_budget: &mut TokenBucket,
@@ -97,8 +98,8 @@
     Some((batch, scheduler.fence.base_term))
 }
 
-/// Updates the scheduler and the cache of terminal states, and deletes the chunks of finished
-/// jobs.
+/// Applies a batch that was written at `version` to the scheduler and to the cache of terminal
+/// states, and deletes the chunks of finished jobs.
 fn handle_written_batch(node: &Rc<Node>, completions: Vec<JobCompletion>, version: u64, term: u64) {
     node.with_scheduler(term, |scheduler| {
         for completion in &completions {
@@ -122,7 +123,8 @@
     }
 }
 
-/// Tells the scheduler what was written for a job.
+/// Tells the scheduler which completions of a job were written, and finishes the job if its
+/// terminal record was written.
 fn apply_written(scheduler: &mut Scheduler, written: &JobCompletion, version: u64) {
     scheduler.completions_written(&written.job, &written.completed, version);
     if written.terminal.is_none() {
@@ -134,8 +136,8 @@
     scheduler.finish_job(&written.job);
 }
 
-/// Reads a job's live record again after a write conflict. If the record is gone, the job is
-/// finished or cancelled.
+/// Reads a job's live record again after a write conflict. If the record no longer exists, the
+/// job is done or cancelled, and the scheduler finishes it.
 async fn reload_job(node: &Rc<Node>, id: &str, term: u64) {
     let Ok(entry) = node.state.get(&records::live_key(id), Priority::Data).await else {
         return;
--- a/src/coordination/jobs/live_job_watch.rs
+++ b/src/coordination/jobs/live_job_watch.rs
@@ -1,8 +1,8 @@
 //! The leader's watch of live jobs, through which its scheduler learns of submissions and
 //! cancellations that other controllers recorded.
 //!
-//! Invariant: a watch serves the scheduler of one term and ends with it. After each wait, the
-//! watch checks again that this scheduler still exists.
+//! Invariant: a watch serves the scheduler of one term and ends when that scheduler ends. After
+//! each wait, the watch checks that the scheduler of its term still exists.
 
 use crate::coordination::agents::dispatcher;
 use crate::coordination::leadership::cancellation_horizon::staleness_bound_s;
@@ -20,7 +20,8 @@
 /// Pause after a failed watch request.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Watches the live jobs from `revision` on, for as long as the scheduler of `term` exists.
+/// Starts a watch that applies the changes of live jobs after `revision` to the scheduler of
+/// `term`, for as long as that scheduler exists.
 pub fn follow(node: Rc<Node>, term: u64, revision: u64) {
     let mut watch = LiveJobWatch {
         wait_s: watch_wait_s(&node.settings.cluster.workers),
@@ -37,8 +38,9 @@
 
 /// How long one watch request waits for changes, in seconds. The leader may answer workers
 /// only while its knowledge of cancellations is younger than the staleness bound (see
-/// `leadership::cancellation_horizon`). An eighth of that bound allows for a few requests that
-/// are lost, or that hang on a connection which a network partition left half open.
+/// `leadership::cancellation_horizon`). With an eighth of that
+/// bound, a few requests may be lost, or may hang on a connection that a network partition left
+/// half open, before the leader must stop answering.
 fn watch_wait_s(workers: &Workers) -> f64 {
     (staleness_bound_s(workers.cancel_s, workers.lease_s) / 8.0).clamp(0.5, 20.0)
 }
@@ -47,8 +49,9 @@
     node: Rc<Node>,
     /// The term of the scheduler that this watch serves.
     term: u64,
-    /// The revision up to which changes were applied.
+    /// The revision of the state service up to which all changes were applied.
     revision: u64,
+    /// How long one watch request waits for changes, in seconds.
     wait_s: f64,
 }
 
@@ -67,6 +70,7 @@
         }
     }
 
+    /// Applies the changes in the response to a request that was sent at `requested_at`.
     fn apply(&mut self, changes: News, requested_at: f64) {
         self.revision = changes.revision;
         for event in changes.events {
@@ -79,8 +83,8 @@
         self.mark_caught_up(requested_at);
     }
 
-    /// Lists all live jobs after the watch's revision was compacted, and finishes the jobs that
-    /// are no longer listed.
+    /// Applies a listing of all live jobs, because the state service no longer holds the changes
+    /// after the watch's revision. Jobs that are not listed are finished.
     async fn relist(&mut self, requested_at: f64) {
         let listing = self
             .node
@@ -105,8 +109,8 @@
 
     /// Applies a new or changed live record.
     fn apply_put(&self, entry: Entry) {
-        // Most changes are completions that this controller wrote itself. Their records need
-        // not be parsed.
+        // Most changes are completions that this controller wrote itself. The scheduler already
+        // has them, so the records need not be parsed.
         if self.is_known(&entry) {
             return;
         }
@@ -136,7 +140,8 @@
             .is_some_and(has_version)
     }
 
-    /// Finishes a job whose live record was deleted, because the job is done or cancelled.
+    /// Finishes the job whose live record was deleted. The record is deleted only when the job is
+    /// done or cancelled.
     fn apply_deletion(&self, key: &str) {
         let Some(id) = job_id(key) else {
             return;
@@ -145,8 +150,8 @@
             .with_scheduler(self.term, |scheduler| scheduler.finish_job(id));
     }
 
-    /// Records that all changes up to the watch's revision are applied. These include all
-    /// changes made before `requested_at`.
+    /// Records that all changes up to the watch's revision are applied, and so all changes made
+    /// before the watch request was sent at `requested_at`.
     fn mark_caught_up(&self, requested_at: f64) {
         self.node.with_scheduler(self.term, |scheduler| {
             scheduler.watched_revision = self.revision;
@@ -157,7 +162,8 @@
     }
 }
 
-/// The id of the job whose live record has this key.
+/// The id of the job whose live record has this key; `None` if the key is not one of a live
+/// record.
 fn job_id(key: &str) -> Option<&str> {
     key.strip_prefix(records::LIVE_PREFIX)
 }
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -1,14 +1,15 @@
 //! Jobs as the state service stores them: linearizable look-ups, the recording of completed
 //! tasks, and the watch through which the leader learns of submissions and cancellations.
 //!
-//! Data that [`crate::coordination::node::Node`] holds. These modules do not use the node:
+//! Data types that [`crate::coordination::node::Node`] owns; their modules do not depend on
+//! `Node`:
 //! - [`terminal_states`]: a cache of terminal job states that this controller read or wrote.
-//! - [`record_cache`]: a cache of live job records as they were last read.
+//! - [`record_cache`]: a cache of live job records as they were last read or written.
 //!
-//! Functions that act for a node:
-//! - [`admission`]: whether a job can ever run.
-//! - [`lookup`]: linearizable look-ups of jobs, on which answers to users are based.
-//! - [`version_check`]: batched checks whether cached records are current.
+//! Functions and actors that work on a `Node`:
+//! - [`admission`]: checks whether a job can ever run.
+//! - [`lookup`]: linearizable look-ups of jobs, which supply the job states in answers to users.
+//! - [`version_check`]: checks, in batches, whether cached live records are current.
 //! - [`live_job_watch`]: the leader's watch of live jobs.
 //! - [`completion_writer`]: the actor that writes completed tasks and terminal records;
 //!   [`completion_batch`] plans each of its transactions.
--- a/src/coordination/jobs/record_cache.rs
+++ b/src/coordination/jobs/record_cache.rs
@@ -1,5 +1,5 @@
-//! A bounded cache of live records, and the queue of polls that wait for a version check.
-//! A cached record may be stale: only [`super::version_check`] tells whether it is current.
+//! A bounded cache of live records, and the queue of users' polls that wait for a version check.
+//! A cached record may be stale: only [`super::version_check`] can tell whether it is current.
 
 use crate::coordination::recent::RecentMap;
 use crate::storage::records::LiveJob;
@@ -11,40 +11,41 @@
 /// evicted is read from the state service again.
 const CAPACITY: usize = 8_192;
 
-/// A job's live record and its version.
+/// A job's live record and the version of that record.
 #[derive(Debug, Clone)]
 pub struct VersionedRecord {
-    /// The record.
+    /// The live record.
     pub record: Rc<LiveJob>,
     /// The revision of the state service at which the record was written.
     pub version: u64,
 }
 
-/// A live job as it was last read.
+/// A live record as it was last read or written.
 #[derive(Debug)]
 struct CachedRecord {
-    current: VersionedRecord,
-    /// Whether the version changed between the last two reads. Completed tasks are then being
-    /// written, and a version check would mostly fail.
+    latest: VersionedRecord,
+    /// Whether the version changed between the last two insertions of the record. Completed tasks
+    /// are then being written, so a version check would usually find another change.
     changing: bool,
 }
 
-/// A query by a waiting poll: does the job's record still have this version?
+/// The question of a waiting poll: does the job's live record still have this version?
 #[derive(Debug)]
 pub(super) struct VersionQuery {
     pub(super) id: String,
     pub(super) version: u64,
+    /// Receives true if the record still has this version, and when the check was sent.
     pub(super) reply: oneshot::Sender<TimedResult<bool>>,
 }
 
-/// Live records as they were last read, and the queries that wait for a version check.
+/// Live records as they were last read or written, and the queries that wait for a version check.
 #[derive(Debug)]
 pub struct RecordCache {
     cached: RecentMap<String, CachedRecord>,
-    /// Queries for the next checks, in order of arrival.
+    /// Queries that the next checks will answer, in order of arrival.
     pending: Vec<VersionQuery>,
-    /// Whether the checking task is running.
-    checking: bool,
+    /// Whether the background version check is running.
+    check_running: bool,
     /// When the last check was sent, in seconds of [`crate::coordination::node::Node::now`].
     checked_at: f64,
 }
@@ -54,7 +55,7 @@
         RecordCache {
             cached: RecentMap::new(CAPACITY),
             pending: Vec::new(),
-            checking: false,
+            check_running: false,
             checked_at: 0.0,
         }
     }
@@ -64,9 +65,9 @@
     /// Caches a record that was read or written.
     pub fn insert(&mut self, record: &Rc<LiveJob>, version: u64) {
         let id = &record.spec.id;
-        let previous_version = self.cached.get(id).map(|cached| cached.current.version);
+        let previous_version = self.cached.get(id).map(|cached| cached.latest.version);
         let cached = CachedRecord {
-            current: VersionedRecord {
+            latest: VersionedRecord {
                 record: record.clone(),
                 version,
             },
@@ -75,25 +76,26 @@
         self.cached.insert(id.clone(), cached);
     }
 
-    /// The record as it was last read.
+    /// The live record as it was last read or written; `None` if it is not cached.
     pub fn get(&self, id: &str) -> Option<VersionedRecord> {
-        self.cached.get(id).map(|cached| cached.current.clone())
+        self.cached.get(id).map(|cached| cached.latest.clone())
     }
 
-    /// The cached record, if a version check is likely to save a read.
+    /// The cached record; `None` if a version check is unlikely to save a read, because the record
+    /// is not cached or keeps changing.
     pub(super) fn record_worth_checking(&self, id: &str) -> Option<VersionedRecord> {
         let cached = self.cached.get(id).filter(|cached| !cached.changing)?;
-        Some(cached.current.clone())
+        Some(cached.latest.clone())
     }
 
-    /// Queues a query for the next check.
+    /// Adds a query to the queue for the next checks.
     pub(super) fn enqueue(&mut self, query: VersionQuery) {
         self.pending.push(query);
     }
 
-    /// Marks the checking task as running. Returns true if the caller must start it.
-    pub(super) fn mark_checking(&mut self) -> bool {
-        !std::mem::replace(&mut self.checking, true)
+    /// Marks the background version check as running. Returns true if the caller must spawn it.
+    pub(super) fn mark_check_running(&mut self) -> bool {
+        !std::mem::replace(&mut self.check_running, true)
     }
 
     /// When the last check was sent, in seconds of [`crate::coordination::node::Node::now`].
@@ -101,16 +103,17 @@
         self.checked_at
     }
 
-    /// Takes the queries for the check that is sent now. If there are none, the checking task
-    /// is marked as ended.
+    /// Removes from the queue and returns the queries for the check that the caller sends now, for
+    /// at most `max_jobs` jobs. If there are none, marks the background version check as ended.
     pub(super) fn start_check(&mut self, max_jobs: usize, now: f64) -> Vec<VersionQuery> {
         self.checked_at = now;
         let batch = self.take_batch(max_jobs);
-        self.checking = !batch.is_empty();
+        self.check_running = !batch.is_empty();
         batch
     }
 
-    /// Takes the oldest queries, about at most `max_jobs` jobs and one version of each job.
+    /// Removes and returns the oldest queries, for at most `max_jobs` jobs and one version of each
+    /// job.
     fn take_batch(&mut self, max_jobs: usize) -> Vec<VersionQuery> {
         let mut jobs: Vec<(&str, u64)> = Vec::new();
         let mut taken = 0;
--- a/src/coordination/jobs/version_check.rs
+++ b/src/coordination/jobs/version_check.rs
@@ -1,9 +1,10 @@
-//! Batched checks whether cached records still have their version.
+//! Checks, in batches, whether the live records in the state service still have the versions that
+//! are cached.
 //!
 //! Every answer to a user is based on a read of the state service that began after the user's
-//! request. With one read per poll, a thousand small jobs would use up the requests that the
-//! service allows. Most polls only need to know that a record read earlier is unchanged, and
-//! a transaction without changes can compare the versions of many records at once.
+//! request. With one read per poll, the polls of a thousand small jobs would use up the requests
+//! that the state service allows. Most polls only need to know that a record read earlier is
+//! unchanged, and one transaction without changes can compare the versions of many records.
 
 pub use super::record_cache::{RecordCache, VersionedRecord};
 
@@ -18,10 +19,11 @@
 use tokio::sync::oneshot;
 
 /// Minimum time between two checks, in seconds: a twentieth of the 2 s that users wait for the
-/// answer to a poll. Checks take at most ten requests per second.
+/// answer to a poll. At this interval, checks use at most ten requests per second.
 const MIN_CHECK_INTERVAL_S: f64 = 0.1;
 
-/// Maximum number of jobs compared by one check, for each change that a transaction may hold.
+/// Maximum number of jobs in one check, as a multiple of the number of changes that a transaction
+/// may hold.
 const JOBS_PER_TXN_OP: usize = 4;
 
 /// A cached record that a check found to be current.
@@ -29,7 +31,7 @@
 pub struct CurrentRecord {
     /// The record and its version.
     pub record: VersionedRecord,
-    /// When the check was sent. The record was current at that time or later.
+    /// When the check was sent. The record was still current at some time after that.
     pub sent_at: Instant,
 }
 
@@ -52,8 +54,8 @@
     Ok(unchanged.then_some(CurrentRecord { record, sent_at }))
 }
 
-/// Queues a query for the next check, and starts the checking task if it is not running. The
-/// reply tells whether the record still has the version.
+/// Queues a query for the next check, and spawns the background version check if it is not
+/// running. The receiver gets true if the job's live record still has the version.
 fn enqueue_query(node: &Rc<Node>, id: &str, version: u64) -> oneshot::Receiver<TimedResult<bool>> {
     let (reply, receiver) = oneshot::channel();
     let mut cache = node.record_cache.borrow_mut();
@@ -62,13 +64,13 @@
         version,
         reply,
     });
-    if cache.mark_checking() {
+    if cache.mark_check_running() {
         actix_rt::spawn(check_until_idle(node.clone()));
     }
     receiver
 }
 
-/// Runs checks until no query is pending.
+/// The background version check: sends checks until no query is pending.
 async fn check_until_idle(node: Rc<Node>) {
     let max_jobs = JOBS_PER_TXN_OP * node.settings.cluster.state.txn_ops;
     loop {
@@ -105,8 +107,7 @@
         })
 }
 
-/// Answers the queries of a check. Queries that the check leaves undecided are queued for the
-/// next one.
+/// Answers the queries of a check. Queries that the check could not decide are queued again.
 fn answer_batch(node: &Node, batch: Vec<VersionQuery>, checked: &TimedResult<u64>) {
     let mut cache = node.record_cache.borrow_mut();
     for query in batch {
@@ -116,15 +117,15 @@
                 Ok(false)
             }
             Err(ServiceError::Conflict(_)) => {
-                // The protocol does not promise that a conflict names every key that differs,
-                // so this record is checked again.
+                // The protocol does not promise that a conflict names every key whose version
+                // differs, so a record that is not named is checked again.
                 cache.enqueue(query);
                 continue;
             }
             Err(error) => Err(error.clone()),
         };
         let sent_at = checked.sent_at;
-        // Sending fails if the poll was abandoned; nobody needs the reply then.
+        // Sending fails only if the poll was abandoned, and then the reply is not needed.
         let _ = query.reply.send(TimedResult { result, sent_at });
     }
 }
--- a/src/coordination/leadership/loops/drain_records.rs
+++ b/src/coordination/leadership/loops/drain_records.rs
@@ -62,7 +62,7 @@
     let max_drains = node.settings.cluster.state.txn_ops;
     let now_ms = node.wall_ms();
     let scheduler = node.scheduler.borrow();
-    let scheduler = scheduler.as_ref().filter(|_| node.is_certain_leader())?;
+    let scheduler = scheduler.as_ref().filter(|_| node.is_confirmed_leader())?;
     let mut proven = scheduler.proven_drains(now_ms, max_drains);
     let mut recorded = node.recorded_drains.borrow_mut();
     recorded.retain(|version| proven.iter().any(|(_, proven)| proven == version));
--- a/src/coordination/leadership/loops/reachability_check.rs
+++ b/src/coordination/leadership/loops/reachability_check.rs
@@ -53,7 +53,7 @@
     // The peers are asked only if so many machines are silent that their answers can matter.
     let suspicious = SilentMachines::of(node)
         .filter(|machines| machines.should_resign(ALWAYS_ENOUGH_REDIRECTED));
-    let Some(machines) = suspicious.filter(|_| node.is_certain_leader()) else {
+    let Some(machines) = suspicious.filter(|_| node.is_confirmed_leader()) else {
         return;
     };
     let redirected = redirected_heartbeats(node).await;
--- a/src/coordination/leadership/state.rs
+++ b/src/coordination/leadership/state.rs
@@ -148,7 +148,7 @@
 
     /// Whether no other controller can have taken the shard over: we lead, and our lease in
     /// the state service cannot have expired since it was last renewed.
-    pub fn is_certain_leader(&self, now: f64) -> bool {
+    pub fn is_confirmed_leader(&self, now: f64) -> bool {
         self.leader_term.is_some() && now - self.confirmed_at < self.config.lease_ttl_s
     }
 
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,6 +1,7 @@
 //! Decides which controller leads, where tasks run, which commands workers get, and how many
-//! machines there are. The state machines have no side effects: time and a seeded random
-//! number generator are passed in. The loops and actors next to them carry out the effects.
+//! machines there are. The state machines have no side effects: time and a seeded random number
+//! generator are passed to them. The loops and actors in the same modules carry out the decisions
+//! of the state machines.
 //!
 //! - [`scheduler`]: jobs, machines, and the placement of tasks on machines.
 //! - [`agents`]: heartbeats, the failure detector, commands and calls to workers.
@@ -9,7 +10,7 @@
 //! - [`fleet`]: scale-out, scale-in, drains, rollouts, and the machine record.
 //! - [`node`]: the state that all parts of one controller share.
 //! - [`readiness`]: whether the load balancer should send users to this controller.
-//! - [`recent`]: a bounded map.
+//! - [`recent`]: a bounded map that evicts its oldest entry.
 
 pub mod agents;
 pub mod fleet;
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -29,19 +29,21 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::Notify;
 
-/// Maximum wait for a change of the leader: three quarters of the 4 s that a worker waits for
-/// an answer.
+/// Maximum time to wait for a change of the leader: three quarters of the 4 s that a worker waits
+/// for an answer.
 const LEADER_CHANGE_TIMEOUT: Duration = Duration::from_secs(3);
-/// Maximum wait for a takeover in progress: half of the 4 s that a worker waits for an answer.
+/// Maximum time to wait for a takeover in progress: half of the 4 s that a worker waits for an
+/// answer.
 const TAKEOVER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum acceptance time that the histogram records, in milliseconds. Longer times count as
-/// this one.
+/// Maximum acceptance time that the histogram records, in milliseconds. Longer times are recorded
+/// as this time.
 const MAX_ACCEPTANCE_MS: u64 = 600_000;
-/// Lower limit of [`Node::tasks_per_record`], for state services with very small values.
+/// Lower limit of [`Node::tasks_per_record`], for state services that only allow very small
+/// values.
 const MIN_TASKS_PER_RECORD: f64 = 64.0;
-/// Bytes of a value reserved for each completed task of a live record. A range of tasks
-/// takes up to 14 bytes and covers at least two tasks, so half of the value is left for the
-/// rest of the record.
+/// Bytes of a value that are reserved for each completed task in a live record. A range of tasks
+/// takes up to 14 bytes and covers at least two tasks, so at least half of the value is left for
+/// the rest of the record.
 const BYTES_PER_COMPLETED_TASK: f64 = 16.0;
 
 /// A random incarnation number of 52 bits, which every JSON parser reads exactly.
@@ -81,7 +83,7 @@
     /// Settings that the operators choose.
     pub policy: Policy,
     /// When this node was created: the origin of [`Node::now`].
-    start: Instant,
+    created_at: Instant,
 
     // Clients.
     /// Client of the state service.
@@ -94,9 +96,9 @@
     pub mesh: MeshClient,
 
     // Leadership.
-    /// Who leads the shard, and the leases on which that depends.
+    /// Who leads the shard, and the leases on which the leadership depends.
     pub leadership: RefCell<Leadership>,
-    /// Whether this controller is taking over the shard.
+    /// Whether this controller is currently taking over the shard.
     pub taking_over: Cell<bool>,
     /// Notified when a takeover has ended, and when the shard has a new term.
     pub leadership_changed: Notify,
@@ -116,8 +118,8 @@
     pub direct_calls: Cell<usize>,
     /// Term and drain generation that were last applied to the scheduler.
     pub applied_drains: Cell<(u64, u64)>,
-    /// Versions of drain records that this controller has since rewritten to mark the machine
-    /// as drained, while the watch has not shown the rewritten record yet.
+    /// Versions of drain records that this controller has replaced by a record that marks the
+    /// machine as drained, as long as the watch has not delivered the new record.
     pub recorded_drains: RefCell<Vec<u64>>,
     /// Revision of the last rollout step that this controller wrote.
     pub last_rollout_revision: Cell<u64>,
@@ -125,7 +127,7 @@
     // Jobs.
     /// Terminal states of jobs that this controller read or wrote.
     pub terminal_states: RefCell<TerminalStates>,
-    /// Live records as they were last read, and polls that wait for a version check.
+    /// Live records as they were last read or written, and polls that wait for a version check.
     pub record_cache: RefCell<RecordCache>,
     /// Cancellations that this controller confirmed to users.
     pub confirmed_cancellations: RefCell<ConfirmedCancellations>,
@@ -134,10 +136,12 @@
     pub relayed_cancellations: RefCell<ConfirmedCancellations>,
 
     // Views and metrics for operators.
-    /// How long submissions took to be accepted, in milliseconds.
+    /// Histogram of the times that submissions took to be accepted, in milliseconds; `None` if it
+    /// could not be created.
     pub acceptance_ms: RefCell<Option<Histogram<u32>>>,
-    /// The leader's last views for operators, shown while the leader does not answer: the time
-    /// of receipt in seconds of [`Node::now`], the leader's term, and the view as JSON.
+    /// The last view for operators on each topic that the leader sent; shown while the leader does
+    /// not answer. Each entry holds the time of receipt in seconds of [`Node::now`], the leader's
+    /// term, and the view as JSON.
     pub cached_views: RefCell<HashMap<Topic, (f64, u64, String)>>,
 }
 
@@ -150,8 +154,8 @@
         teams: (settings.cluster.teams.iter().map(|t| t.name.clone())).collect(),
         lease_ttl_s: policy.lease_ttl_s(workers.lease_s),
         // No takeover is possible while the state service is unavailable to all controllers,
-        // so this can be long. After a takeover it limits how long the former leader may
-        // answer workers, if no quorum promised never to extend its lease again.
+        // so this time can be long. After a takeover it limits how long the former leader may
+        // answer workers, unless a quorum promised never to extend the former leader's lease.
         max_without_contact_s: policy.quiet_leases * workers.lease_s,
         worker_lease_s: workers.lease_s,
         staleness_bound_s: staleness_bound_s(workers.cancel_s, workers.lease_s),
@@ -179,7 +183,7 @@
             taking_over: Cell::new(false),
             leadership_changed: Notify::new(),
             announced_term: Cell::new(0),
-            start: Instant::now(),
+            created_at: Instant::now(),
             scheduler: RefCell::new(None),
             leadership: RefCell::new(Leadership::new(config, random_incarnation())),
             terminal_states: RefCell::default(),
@@ -198,8 +202,9 @@
         })
     }
 
-    /// Calls `action` with the scheduler if this controller still leads under `term`. After an
-    /// await the scheduler may be gone, or belong to another term.
+    /// Calls `action` with the scheduler if this controller still leads under `term`, and returns
+    /// the result of the action. Returns `None` otherwise: after an await the scheduler may no
+    /// longer exist, or may belong to another term.
     pub fn with_scheduler<R>(
         &self,
         term: u64,
@@ -210,7 +215,7 @@
         (scheduler.fence.base_term == term).then(|| action(scheduler))
     }
 
-    /// Whether this controller has a scheduler and its base term is `term`.
+    /// Whether this controller has a scheduler whose base term is `term`.
     pub fn leads_under(&self, term: u64) -> bool {
         let scheduler = self.scheduler.borrow();
         scheduler
@@ -218,15 +223,15 @@
             .is_some_and(|scheduler| scheduler.fence.base_term == term)
     }
 
-    /// Caches a terminal state before a user is told of it.
+    /// Caches a terminal state. Must be called before a user is told of the state.
     ///
     /// If this controller leads and the job was cancelled, its scheduler finishes the job at
     /// once, because the watch alone may report the cancellation later than `cancel_s`. This
-    /// guards against the following failure: A cancellation got no response and was executed
-    /// late. A poll at the leader found it, and the user was told. Then the state service
-    /// became unavailable. The leader could only ask the other controllers for the
-    /// cancellations that they had confirmed, and none of them knew this one, so the job's
-    /// tasks went on running.
+    /// guards against the following failure: a cancellation got no response and was executed
+    /// late. A poll at the leader found the cancellation, and the user was told of it. Then the
+    /// state service became unavailable. The leader could only ask the other controllers for the
+    /// cancellations that they had confirmed, and none of them knew of this cancellation, so the
+    /// job's tasks kept running.
     pub fn learn_terminal_state(&self, id: &str, state: TerminalRecord) {
         let is_new = self.terminal_states.borrow_mut().put(id, state);
         if !is_new || state.state != JobState::Cancelled {
@@ -241,7 +246,7 @@
 
     /// Monotonic time since this node was created, in seconds.
     pub fn now(&self) -> f64 {
-        self.start.elapsed().as_secs_f64()
+        self.created_at.elapsed().as_secs_f64()
     }
 
     /// Records that a submission was accepted after `duration_s` seconds.
@@ -263,9 +268,10 @@
         self.scheduler.borrow().is_some() && self.leadership.borrow().may_answer_workers(self.now())
     }
 
-    /// Waits until a takeover by this controller has ended, up to a timeout. A worker that is
-    /// turned away during the takeover would connect again and again, and a thousand such
-    /// workers would keep this controller from reading the shard.
+    /// Waits, up to a timeout, until a takeover by this controller has ended; returns at once if
+    /// none is in progress. If workers were refused during the takeover instead, they would
+    /// reconnect again and again, and a thousand such workers would keep this controller from
+    /// reading the shard's records.
     pub async fn wait_for_takeover(&self) {
         if self.taking_over.get() {
             let change = self.leadership_changed.notified();
@@ -273,8 +279,8 @@
         }
     }
 
-    /// Waits until the leadership of the shard changes and a takeover by this controller has
-    /// ended, up to a timeout.
+    /// Waits, up to a timeout, until the leadership of the shard changes and a takeover by this
+    /// controller, if there is one, has ended.
     pub async fn wait_for_leader_change(&self) {
         let change = async {
             self.leadership_changed.notified().await;
@@ -284,13 +290,14 @@
     }
 
     /// Whether this controller leads, and no other controller can have taken over from it.
-    pub fn is_certain_leader(&self) -> bool {
-        self.scheduler.borrow().is_some() && self.leadership.borrow().is_certain_leader(self.now())
+    pub fn is_confirmed_leader(&self) -> bool {
+        self.scheduler.borrow().is_some()
+            && self.leadership.borrow().is_confirmed_leader(self.now())
     }
 
-    /// How long a controller may be without contact to the state service before it asks the
-    /// other controllers about theirs, in seconds. Half of the time to live of its lease covers
-    /// two renewals and the time for one more.
+    /// How long a controller may be without contact to the state service before it asks the other
+    /// controllers whether they have contact, in seconds. This is half of the time to live of the
+    /// controller's lease, which covers two renewals and leaves time for one more.
     pub fn contact_timeout_s(&self) -> f64 {
         self.lease_ttl_s() / 2.0
     }
@@ -300,7 +307,7 @@
         let answered_at = self.state.statistics().answered_at;
         answered_at.map_or(0.0, |answered_at| {
             answered_at
-                .saturating_duration_since(self.start)
+                .saturating_duration_since(self.created_at)
                 .as_secs_f64()
         })
     }
@@ -311,12 +318,14 @@
             .lease_ttl_s(self.settings.cluster.workers.lease_s)
     }
 
-    /// The name of the leader, if it is another controller and its alive key exists.
+    /// The name of the leader; `None` if this controller leads, the leader is not known, or the
+    /// leader has no alive key.
     pub fn other_leader(&self) -> Option<String> {
         self.leadership.borrow().other_leader()
     }
 
-    /// The address at which the other controller with this name takes messages.
+    /// The address at which the other controller of this name receives messages; `None` if the
+    /// settings list no such controller.
     pub fn peer_address(&self, name: &str) -> Option<SocketAddr> {
         let peers = &self.settings.peers;
         peers
@@ -325,8 +334,8 @@
             .map(|peer| peer.addr)
     }
 
-    /// Maximum number of tasks of a job whose completed tasks are stored in its live record.
-    /// The completed tasks of larger jobs are stored in chunks of this many tasks.
+    /// Maximum number of tasks that a job may have for its completed tasks to be stored in its live
+    /// record. The completed tasks of larger jobs are stored in chunks of this many tasks.
     pub fn tasks_per_record(&self) -> u32 {
         let value_bytes = self.settings.cluster.state.value_kb * 1024.0;
         (value_bytes / BYTES_PER_COMPLETED_TASK).max(MIN_TASKS_PER_RECORD) as u32
--- a/src/coordination/readiness.rs
+++ b/src/coordination/readiness.rs
@@ -4,15 +4,16 @@
 //! nor report them as done. Users stay with the controller to which the load balancer assigned
 //! them, so this controller must report that it is not ready.
 //!
-//! The load balancer waits before it sends users to a controller again, and waits longer the
-//! more often the controller was not ready. In an outage that affects all controllers, none
-//! of them therefore reports that it is not ready: this would help no user, and would delay
+//! After a controller was not ready, the load balancer waits before it sends users there again,
+//! and the wait grows each time. In an outage that affects all controllers, they therefore
+//! continue to report that they are ready: reporting otherwise would help no user, and would delay
 //! all users when the outage is over.
 
 /// The readiness of a controller, which depends on its contact with the state service.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Readiness {
-    /// Since when there has been contact without a gap, in seconds.
+    /// Time of the last gap in the contact, in seconds of [`crate::coordination::node::Node::now`].
+    /// A gap is a time without contact that is longer than half of the timeout.
     contact_since: f64,
     /// Whether users should be sent to other controllers.
     not_ready: bool,
@@ -23,17 +24,18 @@
 pub struct PeerContacts {
     /// Number of other controllers.
     pub peers: usize,
-    /// Number of other controllers that have had contact for some time.
+    /// Number of other controllers that have had contact without a gap for longer than the timeout.
     pub with_contact: usize,
-    /// Number of other controllers that answered that they have no contact.
+    /// Number of other controllers that answered that they have no contact or have regained contact
+    /// only recently.
     pub without_contact: usize,
 }
 
 impl PeerContacts {
-    /// Whether this looks like an outage that affects all controllers: none is known to have
-    /// contact, and a majority, this controller included, reports that it has none. A majority
-    /// is required because two controllers that are partitioned off together must not conclude
-    /// from each other's answers that all are affected.
+    /// Whether this looks like an outage that affects all controllers: no controller is known to
+    /// have contact, and a majority, which includes this controller, is known to have none. A
+    /// majority is required because two controllers that a partition separates from the others
+    /// must not conclude from each other's answers that all controllers are affected.
     fn is_outage(&self) -> bool {
         // This controller has no contact either.
         let controllers = self.peers + 1;
@@ -43,10 +45,12 @@
 }
 
 impl Readiness {
-    /// Updates the readiness at the time `now`. The state service last answered at
-    /// `contact_at`. If that is longer than `timeout_s` ago, the contacts of the `peers` decide,
-    /// if they were asked. Returns `None` if the readiness did not change, else whether this
-    /// controller is now not ready.
+    /// Updates the readiness at the time `now`. The state service last answered at `contact_at`;
+    /// both times are in seconds. If the last answer is more than `timeout_s` seconds old, the
+    /// contacts of the `peers` decide; without them (`None`) the readiness stays as it is.
+    ///
+    /// Returns `Some(true)` if this controller has become not ready, `Some(false)` if it has become
+    /// ready, and `None` if its readiness has not changed.
     pub fn update(
         &mut self,
         now: f64,
--- a/src/coordination/recent.rs
+++ b/src/coordination/recent.rs
@@ -1,15 +1,16 @@
-//! A bounded map that evicts the oldest entry first.
+//! A bounded map that evicts its oldest entry when it is full.
 
 use foldhash::fast::RandomState;
 use std::borrow::Borrow;
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
 
-/// A map that holds the `capacity` keys that were inserted last, with their values.
+/// A map that holds at most `capacity` entries. Adding a key to a full map evicts the key that was
+/// added first. Replacing the value of a key does not change the order of eviction.
 #[derive(Debug)]
 pub struct RecentMap<K, V> {
     entries: HashMap<K, V, RandomState>,
-    /// Keys in the order of their first insertion, oldest first.
+    /// Keys in the order in which they were added, oldest first.
     order: VecDeque<K>,
     capacity: usize,
 }
@@ -24,8 +25,8 @@
         }
     }
 
-    /// Inserts or replaces a value and returns the previous one. A key that is inserted again
-    /// keeps its place in the eviction order. A new key beyond the capacity evicts the oldest.
+    /// Inserts or replaces the value of a key. Returns the previous value; `None` if the map did
+    /// not hold the key.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         let previous = self.entries.insert(key.clone(), value);
         if previous.is_none() {
@@ -39,7 +40,7 @@
         previous
     }
 
-    /// The value of a key, if the map still holds it.
+    /// The value of a key; `None` if the map does not hold the key.
     pub fn get<Q>(&self, key: &Q) -> Option<&V>
     where
         K: Borrow<Q>,
@@ -48,7 +49,7 @@
         self.entries.get(key)
     }
 
-    /// Whether the map still holds the key.
+    /// Whether the map holds the key.
     pub fn contains<Q>(&self, key: &Q) -> bool
     where
         K: Borrow<Q>,
--- a/src/storage/completed_tasks.rs
+++ b/src/storage/completed_tasks.rs
@@ -7,7 +7,7 @@
 pub struct CompletedTasks(BTreeSet<u32>);
 
 impl CompletedTasks {
-    /// Adds a task. Returns true if it was not in the set.
+    /// Adds a task. Returns true if the task was not in the set before.
     pub fn insert(&mut self, task: u32) -> bool {
         self.0.insert(task)
     }
@@ -27,17 +27,18 @@
         self.0.is_empty()
     }
 
-    /// All tasks of the set, in ascending order.
+    /// The task numbers in the set, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
         self.0.iter().copied()
     }
 
-    /// Adds all of `other`.
+    /// Adds all tasks of `other`.
     pub fn merge(&mut self, other: &CompletedTasks) {
         self.0.extend(&other.0);
     }
 
-    /// The tasks in chunk number `chunk`, where each chunk covers `size` task numbers.
+    /// The tasks of the set that belong to chunk number `chunk`, counted from 0. Each chunk covers
+    /// `size` consecutive task numbers.
     pub fn chunk(&self, chunk: u32, size: u32) -> CompletedTasks {
         let first = chunk.saturating_mul(size);
         let end = first.saturating_add(size);
@@ -60,7 +61,7 @@
         ranges.join(",")
     }
 
-    /// The ranges of consecutive tasks, each as its first and last task.
+    /// The ranges of consecutive tasks, each as a pair of its first and its last task.
     fn ranges(&self) -> Vec<(u32, u32)> {
         let mut ranges: Vec<(u32, u32)> = Vec::new();
         for &task in &self.0 {
@@ -72,10 +73,11 @@
         ranges
     }
 
-    /// Parses ranges of tasks and keeps the tasks below `limit`. Ranges that cannot be parsed
-    /// are skipped, so that a damaged record makes tasks run again instead of losing them.
-    pub fn from_text(text: &str, limit: u32) -> CompletedTasks {
-        let max_task = limit.saturating_sub(1);
+    /// Parses the text of a set, and leaves out task numbers from `task_count` on. Ranges that
+    /// cannot be parsed are skipped: if a record is damaged, some completed tasks run again, and
+    /// no task is lost.
+    pub fn from_text(text: &str, task_count: u32) -> CompletedTasks {
+        let max_task = task_count.saturating_sub(1);
         let mut tasks = BTreeSet::new();
         for range in text.split(',').filter(|range| !range.is_empty()) {
             let (first, last) = range.split_once('-').unwrap_or((range, range));
--- a/src/storage/machine_record.rs
+++ b/src/storage/machine_record.rs
@@ -1,25 +1,26 @@
-//! The shard's list of machines. It is larger than one value may be, so it is stored in
+//! The shard's list of machines. The list is larger than one value may be, so it is stored in
 //! chunks. This module plans which chunks must be written so that the record lists the wanted
-//! machines, and rewrites as few chunks as possible.
+//! machines, and keeps the number of rewritten chunks small.
 //!
-//! Invariant: a chunk is written only on condition that it still has the version we know. A
-//! write that got no response may be executed later. Its chunk is therefore written again,
-//! whatever it holds: this changes the version, and the late write fails.
+//! Invariant: a chunk is written only on condition that its version is still the one that was
+//! last read or written here. A write that got no response may be executed later. Its chunk is
+//! therefore written again, even if the machines in it are the wanted ones: this changes the
+//! chunk's version, so that the late write fails.
 
 use super::records::{self, MachineChunk, MachineInfo};
 use crate::protocol::state::{Entry, Txn};
 use std::collections::{BTreeSet, HashMap};
 
-/// Estimated bytes of a machine in a chunk, without its strings.
+/// Estimated serialized size of a machine's entry in a chunk without its strings, in bytes.
 const MACHINE_BYTES: usize = 80;
-/// Estimated bytes of a chunk in a transaction, without its machines.
+/// Estimated serialized size of a chunk in a transaction without its machines, in bytes.
 const CHUNK_BYTES: usize = 100;
 
 /// The chunks of the record as they were last read or written.
 #[derive(Debug, Default)]
 pub struct MachineRecord {
     chunks: Vec<WrittenChunk>,
-    /// Chunks that a write without a response may still change.
+    /// Numbers of the chunks that a write without a response may still change.
     uncertain: BTreeSet<usize>,
 }
 
@@ -32,7 +33,8 @@
 }
 
 impl MachineRecord {
-    /// Parses the record from a listing of all chunks. Chunks that are not listed do not exist.
+    /// Parses the record from a listing of all chunks. A chunk that is not listed does not exist.
+    /// A chunk that cannot be parsed is logged and left out.
     pub fn read(listed: &[Entry]) -> MachineRecord {
         let mut record = MachineRecord::default();
         for entry in listed {
@@ -45,17 +47,19 @@
         record
     }
 
-    /// Notes that a write of this chunk got no response and may be executed at any time.
+    /// Records that a write of this chunk got no response and may still be executed at any time.
     pub fn mark_uncertain(&mut self, chunk: usize) {
         self.uncertain.insert(chunk);
     }
 
-    /// Replaces the chunks with a new listing. Uncertain chunks stay uncertain.
+    /// Replaces the chunks with those of a new listing. Chunks that were marked as uncertain stay
+    /// marked.
     pub fn reload(&mut self, listed: &[Entry]) {
         self.chunks = MachineRecord::read(listed).chunks;
     }
 
-    /// Notes that the chunk was read or written with these machines, at this version.
+    /// Records that the chunk held these machines and had this version when it was read or
+    /// written. The chunk is no longer uncertain.
     pub fn set(&mut self, chunk: usize, machines: Vec<MachineInfo>, version: u64) {
         if self.chunks.len() <= chunk {
             self.chunks.resize_with(chunk + 1, Default::default);
@@ -69,7 +73,7 @@
         self.chunks.iter().flat_map(|chunk| &chunk.machines)
     }
 
-    /// The version that a write of this chunk must replace.
+    /// The version that this chunk must still have when it is written; 0 if it does not exist.
     fn version(&self, chunk: usize) -> u64 {
         self.chunks.get(chunk).map_or(0, |chunk| chunk.version)
     }
@@ -85,10 +89,10 @@
 /// The number of a chunk and the machines to write into it.
 pub type Change = (usize, Vec<MachineInfo>);
 
-/// The transaction that writes these changes, on condition that the shard record still has this
-/// version and each chunk still has the version we know. Without the conditions on the chunks,
-/// a write that was given up and is executed minutes later would overwrite a newer list with
-/// an old one, and tasks would run on machines that no record names.
+/// The transaction that writes these changes, on condition that the shard record still has the
+/// version `shard_version` and that each chunk still has the version in `written`. Without the
+/// conditions on the chunks, a write that was abandoned and is executed minutes later would
+/// overwrite a newer list with an old one, and tasks would run on machines that are in no record.
 pub fn txn(written: &MachineRecord, changes: &[Change], shard_version: u64) -> Txn {
     let mut txn = Txn::default().when(records::SHARD_KEY, shard_version);
     for (chunk, machines) in changes {
@@ -101,9 +105,9 @@
     txn
 }
 
-/// The chunks to write so that the record holds exactly the `wanted` machines. Machines are
-/// added to a chunk only up to `max_bytes`. A machine stays in its chunk, so a change of the
-/// list rewrites few chunks.
+/// The chunks to write so that the record holds exactly the `wanted` machines. A machine is added
+/// to a chunk only if the chunk's estimated size then is at most `max_bytes`. Machines that are
+/// already in the record stay in their chunks, so a change of the list rewrites few chunks.
 pub fn plan(written: &MachineRecord, wanted: &[&MachineInfo], max_bytes: usize) -> Vec<Change> {
     let mut unassigned: HashMap<&str, &MachineInfo> = wanted
         .iter()
@@ -111,13 +115,14 @@
         .collect();
     let mut chunks: Vec<ChunkPlan> = Vec::with_capacity(written.chunks.len());
     for chunk in &written.chunks {
-        let kept = chunk
+        let retained = chunk
             .machines
             .iter()
             .filter_map(|machine| unassigned.remove(machine.id.as_str()));
-        chunks.push(ChunkPlan::new(kept.collect()));
+        chunks.push(ChunkPlan::new(retained.collect()));
     }
-    // Follows the order of `wanted`, so that the plan does not depend on the hash order.
+    // New machines are added in the order of `wanted`, so that the plan does not depend on the
+    // iteration order of the hash map.
     let added = wanted
         .iter()
         .filter(|machine| unassigned.contains_key(machine.id.as_str()));
@@ -133,7 +138,7 @@
 /// The planned content of a chunk.
 struct ChunkPlan<'a> {
     machines: Vec<&'a MachineInfo>,
-    /// Estimated size.
+    /// Estimated serialized size of the machines, in bytes.
     bytes: usize,
 }
 
@@ -149,8 +154,8 @@
     }
 }
 
-/// Adds the machines to chunks by next fit: a chunk that had no room for one machine is not
-/// tried for later ones. When all chunks are full, new ones are appended.
+/// Adds the machines to chunks by next fit: a chunk that had no room for one machine is not tried
+/// for any later machine. New chunks are appended when no chunk is left to try.
 fn add_next_fit<'a>(
     chunks: &mut Vec<ChunkPlan<'a>>,
     machines: impl Iterator<Item = &'a MachineInfo>,
@@ -172,8 +177,8 @@
     }
 }
 
-/// How many of the changes, taken in order, fit into one transaction. The first change always
-/// counts as fitting.
+/// The number of changes, taken in order from the first, that fit into one transaction of
+/// `max_changes` changes and `max_bytes` bytes. The first change is counted even if it is larger.
 pub fn changes_that_fit(changes: &[Change], max_changes: usize, max_bytes: usize) -> usize {
     let mut bytes = 0;
     let fitting = changes
@@ -186,7 +191,7 @@
     fitting.count().max(1).min(changes.len())
 }
 
-/// Estimated bytes of a machine in a chunk, including the framing.
+/// Estimated serialized size of a machine's entry in a chunk, in bytes.
 fn machine_bytes(info: &MachineInfo) -> usize {
     MACHINE_BYTES + info.id.len() + info.addr.len() + info.kind.len() + info.zone.len()
 }
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,5 +1,5 @@
-//! What foxspur stores in the state service: its records, their keys, and how sets of tasks
-//! and lists of machines are split to stay within the limits on values and transactions.
+//! The records that foxspur stores in the state service, and their keys. Sets of tasks and lists
+//! of machines are split to stay within the size limits of values and transactions.
 //!
 //! - [`records`]: the records and their keys.
 //! - [`completed_tasks`]: sets of task numbers, stored as ranges.
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -3,9 +3,11 @@
 //! The doc comment of each record says who writes it, who reads it, and when it may be
 //! deleted. Two rules hold for all records:
 //!
-//! - Whatever a user or a worker is told is based on a record that was written before.
-//! - A write is conditional on the versions of the records that it replaces. A write that got
-//!   no response may be executed at any later time; its conditions then fail.
+//! - Everything that a controller tells a user or a worker is based on a record that was written
+//!   beforehand.
+//! - A write is conditional on the versions of the records that it replaces. A write that got no
+//!   response may be executed at any later time; its conditions fail if the records have been
+//!   written in the meantime.
 //!
 //! Old and new versions of the program run side by side during an upgrade. Keys, field names
 //! and their meaning are therefore a stable storage format, and new fields have defaults.
@@ -20,25 +22,25 @@
 
 /// Prefix of the keys that all controllers watch.
 pub const CONTROL_PREFIX: &str = "fx/a/";
-/// Prefix of the live jobs, which the leader watches.
+/// Prefix of the keys of live jobs, which the leader watches.
 pub const LIVE_PREFIX: &str = "fx/live/";
 /// Key of the [`TermCounter`], from which all terms are taken.
 pub const TERM_KEY: &str = "fx/a/term";
-/// Key of the known machine types, a [`crate::protocol::cloud::TypeList`]. It is needed for a
-/// restart while the cloud is unavailable. Written by a controller when the cloud reports
+/// Key of the known machine types, a [`crate::protocol::cloud::TypeList`]. Controllers that restart
+/// while the cloud is unavailable need this record. Written by a controller when the cloud reports
 /// other types; read by all controllers through their watch; never deleted.
 pub const TYPES_KEY: &str = "fx/a/types";
 /// Key of the shard record, a [`ShardRecord`].
 pub const SHARD_KEY: &str = "fx/a/share/0";
-/// Prefix of the chunks of the shard's list of machines, each a [`MachineChunk`].
+/// Prefix of the keys of the chunks of the shard's list of machines, each a [`MachineChunk`].
 pub const MACHINES_PREFIX: &str = "fx/mach/0/";
-/// Prefix of the drains, see [`drain_key`].
+/// Prefix of the keys of drains, see [`drain_key`].
 pub const DRAINS_PREFIX: &str = "fx/a/drain/";
-/// Prefix of the rollouts, see [`rollout_key`].
+/// Prefix of the keys of rollouts, see [`rollout_key`].
 pub const ROLLOUTS_PREFIX: &str = "fx/a/roll/";
 /// Maximum size of a transaction in the protocol, in bytes.
 pub const MAX_TXN_BYTES: usize = 64 * 1024;
-/// Maximum number of chunks of the list of machines. Keys hold four digits.
+/// Maximum number of chunks of the list of machines. The keys hold four-digit chunk numbers.
 const MAX_MACHINE_CHUNKS: usize = 10_000;
 
 /// Key of a live job, a [`LiveJob`].
@@ -51,7 +53,7 @@
     format!("fx/fin/{id}")
 }
 
-/// Prefix of a job's chunks of completed tasks, each a [`CompletedTasksChunk`].
+/// Prefix of the keys of a job's chunks of completed tasks, each a [`CompletedTasksChunk`].
 pub fn completed_prefix(id: &str) -> String {
     format!("fx/mark/{id}/")
 }
@@ -61,23 +63,23 @@
     format!("fx/mark/{id}/{chunk:06}")
 }
 
-/// Key that exists for as long as a controller's lease, an [`AliveRecord`].
+/// Key of a controller's [`AliveRecord`]. The key exists for as long as the controller's lease.
 pub fn alive_key(host: &str) -> String {
     format!("fx/a/alive/{host}")
 }
 
 /// Key of a machine's drain, a [`Drain`] in the format of the operators' API.
 ///
-/// Written by any controller for an operator, or by the leader as a step of a rollout. The
-/// leader writes it again when the machine is drained. Read by all controllers through their
+/// Written by any controller for an operator, or by the leader as a step of a rollout. Written
+/// again by the leader when the machine is drained. Read by all controllers through their
 /// watch, and by a new leader before it places any task. Deleted when an operator or the
 /// rollout ends the drain.
 pub fn drain_key(host: &str) -> String {
     format!("{DRAINS_PREFIX}{host}")
 }
 
-/// Key of a rollout, in the format of the operators' API: machines that are drained one after
-/// the other.
+/// Key of a rollout, a [`crate::protocol::roll::Roll`] in the format of the operators' API. A
+/// rollout drains a list of machines in order, a few at a time.
 ///
 /// Written by any controller for an operator, and by the leader with each step; read by all
 /// controllers through their watch; deleted only by an operator's order.
@@ -85,7 +87,8 @@
     format!("{ROLLOUTS_PREFIX}{name}")
 }
 
-/// The number of the chunk of the shard's machines that has this key, if it is one.
+/// The number of the chunk of the shard's machines that is stored under this key; `None` if the
+/// key is not one of such a chunk.
 pub fn chunk_number(key: &str) -> Option<usize> {
     key.strip_prefix(MACHINES_PREFIX)?
         .parse()
@@ -99,13 +102,13 @@
 }
 
 /// Number of fencing tokens that a leader may issue under one term: the term itself, and higher
-/// tokens for single machines. The leader raises the token of a machine without a write (see
+/// tokens, each for one machine. The leader raises the token of a machine without a write (see
 /// `Machine::token_under`).
 ///
-/// The term counter skips all of these tokens, so every later term is higher, including the
-/// terms of older versions of the program. Each raise takes an answered heartbeat and an
-/// answered call, so the tokens of a term last for hours. An attempt number combines the term
-/// with a 24-bit count; with these 12 bits for tokens, a hundred thousand takeovers keep
+/// The term counter skips all tokens of a term, so every later term is higher than all of them,
+/// also if an older version of the program takes it. Raising a token requires an answered heartbeat
+/// and an answered call, so the tokens of a term last for hours. An attempt number combines the
+/// term with a 24-bit count; with these 12 bits for tokens, a hundred thousand takeovers keep
 /// attempt numbers below 2^53.
 pub const TOKENS_PER_TERM: u64 = 1 << 12;
 
@@ -120,7 +123,7 @@
 }
 
 impl TermCounter {
-    /// The value of the counter once this term is taken. It covers all tokens of the term.
+    /// The value of the counter after this term was taken: the highest token of the term.
     pub fn after_taking(term: u64) -> TermCounter {
         TermCounter {
             term: term + TOKENS_PER_TERM - 1,
@@ -128,7 +131,7 @@
     }
 }
 
-/// A controller that is alive.
+/// Shows that a controller is alive.
 ///
 /// Written by the controller itself, under its lease (see [`alive_txn`]); read by all
 /// controllers through their watch; deleted by the state service when the lease expires or is
@@ -141,19 +144,19 @@
 }
 
 /// The transaction that writes a controller's alive key under its lease, conditional on the
-/// key's current version (0: it does not exist).
+/// key's current version, which is 0 if the key does not exist.
 ///
-/// Without the condition, a late write by an earlier incarnation once put the key under a lease
-/// that was about to expire. Another controller then took over the shard while its leader was
-/// still renewing its own, newer lease.
+/// Guards against the following failure: without the condition, a late write by an earlier
+/// incarnation put the key under a lease that was about to expire. Another controller then took
+/// over the shard while its leader was still renewing its own, newer lease.
 pub fn alive_txn(host: &str, incarnation: u64, lease: u64, current_version: u64) -> Txn {
     let key = alive_key(host);
     let txn = Txn::default().when(&key, current_version);
     txn.put_leased(&key, &AliveRecord { incarnation }, Some(lease))
 }
 
-/// A former leader that might still answer workers. This is possible until `until_ms`, or until
-/// its host is seen with another incarnation. Part of the [`ShardRecord`].
+/// A former leader that might still answer workers: until `until_ms`, or until its host is seen
+/// with another incarnation if that is earlier. Part of the [`ShardRecord`].
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct FormerLeader {
     /// Host of the former leader.
@@ -161,17 +164,18 @@
     /// Incarnation of the former leader.
     #[serde(rename = "boot")]
     pub incarnation: u64,
-    /// From when on it certainly no longer answers workers: Unix time in milliseconds.
+    /// Unix time in milliseconds after which the former leader certainly no longer answers
+    /// workers.
     pub until_ms: u64,
 }
 
 /// The leader of the shard and its term.
 ///
 /// Written by the controller that takes over, conditional on the record's version and on the
-/// absence of the former leader's alive key. Also written by the leader when it raises its term
-/// or confirms its leadership under a new lease. Read by all controllers through their watch;
-/// never deleted. Orders and the leader's records are written on condition of this record's
-/// version, which fences off former leaders.
+/// absence of the former leader's alive key. Also written by the leader when it raises its term or
+/// confirms its leadership under a new lease. Read by all controllers through their watch; never
+/// deleted. Operators' orders and the leader's records are written on condition that this record's
+/// version is unchanged, so a write by a former leader fails.
 #[derive(Serialize, Deserialize, Clone, Debug)]
 pub struct ShardRecord {
     /// Host of the leader.
@@ -188,7 +192,7 @@
     #[serde(rename = "prior", default)]
     pub former_leaders: Vec<FormerLeader>,
     /// Whether the leader stops answering workers when its knowledge of cancellations is too
-    /// old. Older versions of the program do not stop, and leave this field out.
+    /// old. Older versions of the program leave this field out, and their leaders do not stop.
     #[serde(rename = "bounded", default)]
     pub bounded_staleness: bool,
 }
@@ -198,9 +202,9 @@
 pub struct MachineInfo {
     /// Name of the machine.
     pub id: String,
-    /// Address at which its worker takes commands.
+    /// Address at which the machine's worker takes commands.
     pub addr: String,
-    /// Name of its machine type.
+    /// Name of the machine's type.
     pub kind: String,
     /// Zone of the machine.
     pub zone: String,
@@ -212,8 +216,8 @@
 ///
 /// Written by the leader, conditional on the versions of the shard record and of the chunk,
 /// before any task starts on a machine in the chunk. Read by a controller that takes over, and
-/// for operators' orders. Never deleted, but written without a machine once that machine is
-/// proven to be gone.
+/// to check operators' orders. Never deleted: a machine that is proven to be gone is removed by
+/// writing the chunk without it.
 #[derive(Serialize, Deserialize, Clone, Debug, Default)]
 pub struct MachineChunk {
     /// The machines in the chunk.
@@ -239,7 +243,8 @@
 }
 
 impl LiveJob {
-    /// How many tasks this record lists as completed. Tasks in separate chunks are not counted.
+    /// Number of tasks that this record lists as completed. Tasks that are listed in separate
+    /// chunks are not counted.
     pub fn completed_count(&self) -> u32 {
         CompletedTasks::from_text(&self.done, self.spec.tasks).len() as u32
     }
@@ -249,10 +254,10 @@
 ///
 /// Written by the leader together with the job's live record, conditional on that record's
 /// version; read by a controller that takes over. Deleted by the controller that wrote the
-/// job's terminal record, after that write. A chunk that is left over only costs space.
+/// job's terminal record, after that write. A chunk that is never deleted only takes up space.
 #[derive(Serialize, Deserialize, Clone, Debug, Default)]
 pub struct CompletedTasksChunk {
-    /// The tasks, as ranges.
+    /// The completed tasks, as ranges.
     pub done: String,
 }
 
@@ -263,11 +268,11 @@
 /// changed and never deleted, so that a repeated submission of the job finds it.
 #[derive(Serialize, Deserialize, Clone, Copy, Debug)]
 pub struct TerminalRecord {
-    /// Done or cancelled.
+    /// The final state: done or cancelled.
     pub state: JobState,
     /// Number of tasks of the job; 0 if its live record was unreadable.
     pub tasks: u32,
-    /// Number of completed tasks, as far as they were known.
+    /// Number of completed tasks that the writer of the record knew of.
     pub done: u32,
 }
 
--- a/tests/drain_testbed.rs
+++ b/tests/drain_testbed.rs
@@ -14,12 +14,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Number of jobs that the load submits.
 const JOBS: u64 = 200;
 
-/// Runs a `foxctl` command line against the controllers `at` on a thread of its own. Returns the
-/// exit code and the output.
-async fn foxctl(at: &str, line: &str) -> (u8, String) {
-    let command_line = format!("foxctl --at {at} {line}");
+/// Runs a `foxctl` command line against the controllers at `admin_addresses` (separated by
+/// commas), on a thread of its own. Returns the exit code and the output or error message.
+async fn foxctl(admin_addresses: &str, line: &str) -> (u8, String) {
+    let command_line = format!("foxctl --at {admin_addresses} {line}");
     let result = tokio::task::spawn_blocking(move || {
         let cli = Cli::try_parse_from(command_line.split(' ')).unwrap();
         let mut out = Vec::new();
@@ -31,18 +32,21 @@
     result.await.unwrap()
 }
 
-/// Repeats a command line until its exit code is 0, because the faults that make it fail end after
-/// a while.
-async fn run_until_ok(at: &str, line: &str) {
+/// Repeats a command line until its exit code is 0: while a fault lasts, the command may fail.
+async fn run_until_ok(admin_addresses: &str, line: &str) {
     for _ in 0..60 {
-        if foxctl(at, line).await.0 == 0 {
+        if foxctl(admin_addresses, line).await.0 == 0 {
             return;
         }
         actix_rt::time::sleep(Duration::from_millis(500)).await;
     }
-    panic!("{line}: {:?}", foxctl(at, line).await);
+    panic!(
+        "`foxctl {line}` kept failing; last result: {:?}",
+        foxctl(admin_addresses, line).await
+    );
 }
 
+/// The names of the machines in the output of `foxctl machines --json`.
 fn machine_names(json: &str) -> Vec<String> {
     let value: serde_json::Value = serde_json::from_str(json).unwrap();
     let rows = value["data"].as_array().unwrap().iter();
@@ -50,38 +54,45 @@
         .collect()
 }
 
-/// The commands of the operators while the load runs.
-async fn drain_one_by_one(testbed: &Testbed, at: &str) {
+/// Runs the operators' commands while the load runs: drains four machines one after the other.
+async fn drain_one_by_one(testbed: &Testbed, admin_addresses: &str) {
     actix_rt::time::sleep(Duration::from_secs(3)).await;
-    assert_eq!(foxctl(at, "drain m-nowhere --why x").await.0, 1);
+    assert_eq!(
+        foxctl(admin_addresses, "drain m-nowhere --why x").await.0,
+        1
+    );
     let machines = loop {
-        let (code, text) = foxctl(at, "machines --json").await;
+        let (code, text) = foxctl(admin_addresses, "machines --json").await;
         if code == 0 {
             break machine_names(&text);
         }
         actix_rt::time::sleep(Duration::from_millis(500)).await;
     };
-    // While the state service is unavailable nothing is recorded, and the command fails. The outage
-    // lasts far longer than the request takes, even on a slow machine.
+    // While the state service is unavailable no order can be recorded, so the command fails. The
+    // outage lasts far longer than the request takes, even on a slow machine.
     let outage: Fault = "state:6@0".parse().unwrap();
     testbed.schedule(&[outage], 1.0);
     actix_rt::time::sleep(Duration::from_millis(700)).await;
-    let (code, text) = foxctl(at, &format!("undrain {}", machines[0])).await;
+    let (code, text) = foxctl(admin_addresses, &format!("undrain {}", machines[0])).await;
     assert_eq!(code, 3, "{text}");
     actix_rt::time::sleep(Duration::from_secs(2)).await;
     for (n, host) in machines.iter().take(4).enumerate() {
         run_until_ok(
-            at,
+            admin_addresses,
             &format!("drain {host} --why kernel --by one --order o-{n}"),
         )
         .await;
         // Repeating the same order changes nothing. An order by another operator is refused.
         run_until_ok(
-            at,
+            admin_addresses,
             &format!("drain {host} --why kernel --by one --order o-{n}"),
         )
         .await;
-        let (code, text) = foxctl(at, &format!("drain {host} --why other --by two")).await;
+        let (code, text) = foxctl(
+            admin_addresses,
+            &format!("drain {host} --why other --by two"),
+        )
+        .await;
         assert!(
             code == 1 && text.contains("by one") || code == 3,
             "{code} {text}"
@@ -91,10 +102,10 @@
             // leader has acted on it.
             testbed.schedule(&["kill-all@0".parse().unwrap()], 0.1);
         }
-        run_until_ok(at, "drains --check").await;
-        run_until_ok(at, &format!("undrain {host}")).await;
+        run_until_ok(admin_addresses, "drains --check").await;
+        run_until_ok(admin_addresses, &format!("undrain {host}")).await;
     }
-    let (code, _) = foxctl(at, &format!("undrain {}", machines[0])).await;
+    let (code, _) = foxctl(admin_addresses, &format!("undrain {}", machines[0])).await;
     assert!(code == 1 || code == 3);
 }
 
@@ -110,7 +121,7 @@
     actix_rt::System::new().block_on(async {
         let program = Path::new(env!("CARGO_BIN_EXE_foxspur"));
         let testbed = Testbed::up(site, program, dir.path()).await.unwrap();
-        let at: Vec<String> = testbed
+        let admin_addresses: Vec<String> = testbed
             .admins
             .iter()
             .map(std::string::ToString::to_string)
@@ -132,7 +143,8 @@
             jobs: JOBS,
             settle: Duration::from_secs(120),
         });
-        futures_util::future::join(load, drain_one_by_one(&testbed, &at.join(","))).await;
+        futures_util::future::join(load, drain_one_by_one(&testbed, &admin_addresses.join(",")))
+            .await;
         let counts = counters.counts();
         assert_eq!(counts.done + counts.withdrawn, JOBS, "{counts:?}");
         assert_eq!(check(&testbed.history.entries()), Vec::<String>::new());
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -1,5 +1,5 @@
-//! Tests of drains and rollouts: tables of cases for the functions that decide, and the leader's
-//! scheduler with cordoned machines.
+//! Tests of drains and rollouts: tables of cases for the functions that make the decisions, and
+//! tests of the leader's scheduler with cordoned machines.
 
 mod common;
 
@@ -41,12 +41,13 @@
     }
 }
 
+/// Drain records at version 1, by machine name.
 fn records_by_host(drains: &[Drain]) -> HashMap<String, (Drain, u64)> {
     let entries = drains.iter().map(|d| (d.host.clone(), (d.clone(), 1)));
     entries.collect()
 }
 
-/// A scheduler with these machines, all of which have reported under its term.
+/// A scheduler with these machines. Each machine has sent a heartbeat under the scheduler's term.
 fn scheduler_with_reported(machines: &[&str]) -> Scheduler {
     let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, machines);
     for id in machines {
@@ -55,10 +56,11 @@
     scheduler
 }
 
+/// The commands in the reply to a heartbeat.
 fn commands(reply: HeartbeatReply) -> Vec<Command> {
     match reply {
         HeartbeatReply::Commands(reply) => reply.commands,
-        other => panic!("{other:?}"),
+        other => panic!("expected a reply with commands, got {other:?}"),
     }
 }
 
@@ -71,10 +73,13 @@
     );
 }
 
-/// The machine on which the first task of `run-1` is placed, and the other one of `m-0` and `m-1`.
+/// The placement of the first task of `run-1`, in a fleet of the machines `m-0` and `m-1`.
 struct Placement {
+    /// The machine on which the task is placed.
     host: String,
+    /// The machine on which the task is not placed.
     other_host: &'static str,
+    /// The attempt number.
     attempt: u64,
 }
 
@@ -88,7 +93,7 @@
         }
     }
 
-    /// The task list of a report that shows the attempt in this phase.
+    /// The task list of a heartbeat that reports the attempt in this phase.
     fn reported_tasks(
         &self,
         phase: Phase,
@@ -98,7 +103,7 @@
     }
 }
 
-/// Proof that the machine reported itself empty in its first session.
+/// The proof that a machine sent a heartbeat without tasks in its first session.
 fn reported_empty(at_ms: u64) -> Drained {
     Drained {
         at_ms,
@@ -108,8 +113,8 @@
     }
 }
 
-/// Guards against attempts that are evicted without need, or that stay on a draining machine
-/// although the operator ordered them to be stopped.
+/// Guards against attempts that are evicted unnecessarily, and against attempts that stay on a
+/// draining machine although the operator ordered that they be stopped.
 #[test]
 #[allow(clippy::too_many_lines, reason = "one table of cases")]
 fn drain_decisions() {
@@ -148,7 +153,7 @@
             evicted,
         ),
         (
-            "ran longer than predicted, so it is expected to take as long again",
+            "ran longer than predicted, so it is expected to run for as long again",
             AttemptOutlook {
                 ran_s: 110.0,
                 until_deadline_s: Some(100.0),
@@ -248,9 +253,9 @@
     );
 }
 
-/// Guards against two faults: a cordoned machine gets new tasks, or it counts as drained before it
-/// is proven empty. The latter could happen while a task runs, while the end of a task is not
-/// recorded yet, or while a start command is on its way.
+/// Guards against a cordoned machine that gets new tasks, and against a machine that counts as
+/// drained before it is proven empty: while a task runs, while the end of a task is not recorded
+/// yet, or while a start command may still arrive.
 #[test]
 fn machine_is_drained_only_once_proven_empty() {
     let mut scheduler = scheduler_with_reported(&["m-0", "m-1"]);
@@ -278,8 +283,8 @@
         scheduler.machines["m-0"].queue.is_empty(),
         "the queue of the cordoned machine is cleared"
     );
-    // The machine reports only the first of the tasks whose start was sent to it. The others must
-    // not start later.
+    // Start commands for several tasks were sent to the machine, but it reports only the first of
+    // these tasks. The other tasks must not start later.
     let (task, number) = (
         commanded[0].as_str(),
         attempt_number(&scheduler, &commanded[0]),
@@ -334,7 +339,7 @@
         Some(1.0),
         Rest::Stop,
     )]));
-    // The machine hangs: it does not answer the stop command.
+    // The machine hangs: it sends no heartbeats and does not answer the stop command.
     for n in 0..9 {
         let now = 1.5 + f64::from(n);
         scheduler.handle_heartbeat(&report(other_host, 1, 2 + n as u64, 5, &[]), now);
@@ -374,11 +379,11 @@
     assert_eq!(scheduler.jobs["run-1"].completed.len(), 1);
 }
 
-/// Guards against two faults of a takeover: it waits for a machine that was drained and then
-/// switched off, or it does not wait for a machine whose drain is not finished.
+/// Guards against a takeover that waits for a machine which was drained and then switched off, and
+/// against a takeover that does not wait for a machine whose drain is not finished.
 #[test]
 fn takeover_waits_only_for_machines_that_are_not_drained() {
-    for (proven, opens) in [(true, true), (false, false)] {
+    for (proven, placement_begins) in [(true, true), (false, false)] {
         let mut scheduler = Scheduler::new(
             scheduler_config(vec![team("t", 0.0, 0.0)]),
             6,
@@ -395,8 +400,12 @@
         submit(&mut scheduler, "run-1", 4, 8.0, 0.0);
         scheduler.handle_heartbeat(&report("m-0", 1, 1, 6, &[]), 0.5);
         scheduler.place_all(0.6);
-        assert_eq!(scheduler.fence.open, opens, "proven: {proven}");
-        // The machine stays silent. It is returned to the cloud only if it was not drained.
+        assert_eq!(
+            scheduler.fence.open, placement_begins,
+            "m-1 is proven empty: {proven}"
+        );
+        // The cordoned machine stays silent. It is returned to the cloud only if it was not
+        // drained.
         for n in 2..9 {
             scheduler.handle_heartbeat(&report("m-0", 1, n, 6, &[]), n as f64);
             scheduler.tick(n as f64, n as f64);
@@ -466,8 +475,9 @@
         .why
         .clone();
     assert_eq!(why, "every machine that it may use is drained");
-    // The drain of the other machine ends: the replica is stopped here, and starts there only
-    // after it has stopped. A notice from the cloud in the meantime changes nothing.
+    // The drain of the other machine ends: the replica is stopped on the draining machine, and
+    // started on the other one only after it has stopped. A notice from the cloud in the meantime
+    // that it takes the machine back changes nothing.
     scheduler.set_drains(&records_by_host(&[drain_record(host, None, Rest::Leave)]));
     scheduler.handle_heartbeat(&report(other_host, 1, 2, 5, &[]), 1.5);
     scheduler.place_all(1.6);
@@ -484,8 +494,8 @@
     // The cloud removes the draining machine: the state of the drain is then "gone".
     scheduler.remove_machine(host);
     assert_eq!(scheduler.drain_rows(3.0)[0].state, DrainState::Gone);
-    // The drain ends, then the second machine fails. The task counts as placed there until the
-    // machine's lease has expired, as without a drain.
+    // The drain ends, then the second machine fails. As without a drain, the task counts as placed
+    // on that machine until the machine's lease has expired.
     scheduler.set_drains(&HashMap::new());
     scheduler.tick(13.0, 13.0);
     scheduler.place_all(13.1);
@@ -520,8 +530,10 @@
         let mut order = valid.clone();
         invalidate(&mut order);
         match check(&order) {
-            Err(OrderError::InvalidField { field: named, .. }) => assert_eq!(named, field),
-            other => panic!("{field}: {other:?}"),
+            Err(OrderError::InvalidField {
+                field: named_field, ..
+            }) => assert_eq!(named_field, field),
+            other => panic!("expected an error that names {field}, got {other:?}"),
         }
     }
 }
@@ -555,15 +567,17 @@
         let mut order = valid.clone();
         invalidate(&mut order);
         match rollouts::check(&order) {
-            Err(OrderError::InvalidField { field: named, .. }) => assert_eq!(named, field),
-            other => panic!("{field}: {other:?}"),
+            Err(OrderError::InvalidField {
+                field: named_field, ..
+            }) => assert_eq!(named_field, field),
+            other => panic!("expected an error that names {field}, got {other:?}"),
         }
     }
 }
 
-/// Guards against drains that reappear after their end or are lost, because updates arrive out of
-/// order: a list is read before the watch reports the end of a drain, or an old version of a record
-/// arrives late.
+/// Guards against drains that are lost or reappear after their end because updates arrive out of
+/// order: a list that was read before a drain ended is applied after the watch reported the end, or
+/// an old version of a record arrives late.
 #[test]
 fn drain_updates_apply_in_any_order() {
     let entry = |version: u64| Entry {
@@ -622,7 +636,8 @@
         change(&mut view, entry(3), entry(5));
         assert_eq!(view.drains.get("m-0").map(|d| d.1), expected, "{name}");
     }
-    // A record that cannot be parsed cordons its machine, but never counts as drained.
+    // A drain record that cannot be parsed cordons its machine, but the machine never counts as
+    // drained.
     let mut view = ClusterView::default();
     view.apply_entry(&Entry {
         value: serde_json::value::to_raw_value(&7).unwrap(),
@@ -635,6 +650,7 @@
     assert!(scheduler.machines["m-0"].cordoned && scheduler.proven_drains(0, 9).is_empty());
 }
 
+/// A running rollout over these machines that has not taken a step yet.
 fn rollout(hosts: &[&str], at_most: AtMost) -> Roll {
     Roll {
         name: "kernel".into(),
@@ -657,7 +673,8 @@
     }
 }
 
-/// A fleet of six machines, three in each of two zones, with this many out of use in each zone.
+/// A fleet of six machines, three in each of the zones `a` and `b`. `out_of_use` is the number of
+/// machines out of use in each zone.
 fn fleet_view(out_of_use: [u32; 2]) -> FleetView {
     let zone = |n: usize| if n < 3 { "a" } else { "b" };
     FleetView {
@@ -680,11 +697,13 @@
     }
 }
 
-/// A case for the next step of a rollout that drains one machine of each zone at a time.
+/// A case for the next step of a rollout that, unless `change` says otherwise, drains one machine
+/// of each zone at a time.
 struct RolloutCase<'a> {
     name: &'a str,
-    /// Machines out of use in each zone.
+    /// Number of machines out of use in each zone.
     out_of_use: [u32; 2],
+    /// Drains before the step, by machine name, each with the version of its record.
     drains: Vec<(String, (Drain, u64))>,
     /// Further changes to the rollout and the fleet before the step.
     change: fn(&mut Roll, &mut FleetView),
@@ -697,6 +716,7 @@
 }
 
 impl RolloutCase<'_> {
+    /// Computes the next step of a rollout over these machines and asserts the expected result.
     fn check(self, hosts: &[&str]) {
         let name = self.name;
         let mut rollout = rollout(hosts, AtMost::Machines(1));
@@ -720,8 +740,8 @@
     }
 }
 
-/// Guards against a rollout that drains more machines of a zone than its limit allows, continues
-/// although a promise of its plan is broken, or never ends.
+/// Guards against a rollout that drains more machines of a zone than its limit allows, that
+/// continues although a promise of its plan is broken, or that never ends.
 #[test]
 #[allow(clippy::too_many_lines, reason = "one table of cases")]
 fn rollout_steps() {
@@ -906,13 +926,13 @@
         };
         assert_eq!(next_step(&rollout, &fleet_view([0, 0]), 20), None);
     }
-    // The zones alternate in the order of a rollout.
+    // In the order in which a rollout drains machines, the zones alternate.
     let machines = [("m-1", "a"), ("m-0", "a"), ("m-5", "b")].map(|(m, z)| (m.into(), z.into()));
     assert_eq!(round_robin_by_zone(&machines), ["m-0", "m-5", "m-1"]);
 }
 
-/// Guards against an operator's order that brings a rollout into a state which it must not reach
-/// from its present state.
+/// Guards against operators' orders that change a rollout's state in a way that is not allowed from
+/// its present state.
 #[test]
 fn rollout_orders_allow_only_valid_state_changes() {
     use RollState::{Back, Done, Halted, Running};
@@ -941,7 +961,7 @@
         match (next, expected) {
             (Ok(Some(next)), Some(state)) => assert_eq!(next.state, state),
             (Err(OrderError::Conflict(_)), None) => {}
-            (next, _) => panic!("{turn:?} of {state:?}: {next:?}"),
+            (next, _) => panic!("{turn:?} of a rollout in state {state:?}: {next:?}"),
         }
     }
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,6 +1,6 @@
-//! The storage format and the messages between controllers, compared byte by byte. Old and new
-//! versions of the program run side by side during an upgrade, so renaming a type or a field
-//! must not change either format.
+//! Tests that stored records and messages between controllers keep their format, byte by byte. Old
+//! and new versions of the program run side by side during an upgrade, so renaming a type or a
+//! field must not change the format of a record or a message.
 
 mod common;
 
@@ -14,8 +14,8 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Asserts that a record serializes to exactly this JSON, and that the JSON parses back to the
-/// same record.
+/// Asserts that a record serializes to exactly this JSON, and that the JSON can be parsed to a
+/// record that serializes to the same JSON.
 fn assert_stored_as<T: Serialize + DeserializeOwned>(record: &T, json: &str) {
     let written = serde_json::to_string(record).expect("the record serializes");
     assert_eq!(written, json);
@@ -94,8 +94,8 @@
     }
 }
 
-/// Guards against reordered variants or fields: the binary encoding of a message depends on
-/// their order.
+/// Guards against reordered variants or fields of messages: the binary encoding of a message
+/// depends on the order of both.
 #[test]
 fn messages_between_controllers_keep_their_bytes() {
     let id = || "r".to_string();
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -251,7 +251,7 @@
     assert!(pair.store.apply(&update.txn).is_err());
     // A late response to the renewal of an old lease confirms nothing either.
     pair.leader.lease_renewed(lease - 1, 7.0);
-    assert!(!pair.leader.is_certain_leader(7.0) && !pair.leader.may_answer_workers(7.0));
+    assert!(!pair.leader.is_confirmed_leader(7.0) && !pair.leader.may_answer_workers(7.0));
 }
 
 /// Guards against a late response to a rewrite of the shard record that is taken to confirm
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! Checks that the fixed limits in the program suffice for a fleet of 6,000 machines, one and a
-//! half times the largest expected fleet.
+//! Tests that the fixed limits in the program are sufficient for a fleet of 6,000 machines, which
+//! is 1.5 times the largest expected fleet.
 
 mod common;
 
@@ -20,6 +20,7 @@
 use foxspur::transport::sockets::Sockets;
 use std::rc::Rc;
 
+/// Number of machines in the fleet of these tests.
 const FLEET_MACHINES: usize = 6000;
 
 fn machine_name(n: usize) -> String {
@@ -33,8 +34,8 @@
     scheduler(vec![team("t", 0.0, 0.0)], 5, &names)
 }
 
-/// Guards against a bounded list of returned machines that is too short for the fleet: a late
-/// copy of a heartbeat would then register a returned machine as a new one.
+/// Guards against a bounded list of returned machines that is too short for the fleet. A late copy
+/// of a heartbeat from a machine missing in the list would register the machine as a new one.
 #[test]
 fn late_heartbeats_do_not_revive_returned_machines() {
     let mut scheduler = fleet_scheduler();
@@ -48,14 +49,14 @@
                 scheduler.handle_heartbeat(&late_heartbeat, 1.0),
                 HeartbeatReply::Refuse
             ),
-            "{n}"
+            "the heartbeat of returned machine {n} is not refused"
         );
     }
     assert!(scheduler.machines.is_empty());
 }
 
-/// Guards against a bounded list of finished jobs that is too short for the fleet: a late
-/// response to a submission would then add a finished job again.
+/// Guards against a bounded list of finished jobs that is too short for the fleet. A late response
+/// to the submission of a job missing in the list would add the finished job again.
 #[test]
 fn late_responses_do_not_revive_finished_jobs() {
     let mut scheduler = scheduler(vec![team("t", 0.0, 0.0)], 5, &[]);
@@ -94,7 +95,10 @@
         let json = view_json(&scheduler, topic, 2.5).expect("a view");
         let response = mesh::PeerResponse::View(5, json);
         let decoded = mesh::decode::<mesh::PeerResponse>(&mesh::encode(&response));
-        assert!(decoded.as_ref() == Some(&response), "{topic:?}");
+        assert!(
+            decoded.as_ref() == Some(&response),
+            "the view on {topic:?} does not fit into a message"
+        );
     }
 }
 
@@ -115,11 +119,14 @@
         Ok(FLEET_MACHINES)
     );
     let body_bytes = serde_json::to_vec(&order).expect("an order").len();
-    assert!(body_bytes <= MAX_BODY, "{body_bytes}");
+    assert!(
+        body_bytes <= MAX_BODY,
+        "the order has {body_bytes} bytes, and at most {MAX_BODY} are allowed"
+    );
 }
 
-/// Guards against caches that evict jobs on which answers still depend, because they are too
-/// small for one job per machine.
+/// Guards against caches that are too small for one job per machine, and so evict jobs that are
+/// still needed to answer users or workers.
 #[test]
 fn caches_hold_one_job_per_machine() {
     let mut terminal_states = TerminalStates::default();
@@ -141,7 +148,7 @@
         let id = format!("run-{n}");
         assert!(
             terminal_states.get(&id).is_some() && record_cache.get(&id).is_some(),
-            "{n}"
+            "{id} was evicted from a cache"
         );
     }
     assert_eq!(
@@ -150,27 +157,28 @@
     );
 }
 
-/// Guards against an eviction order other than that of the first insertion. A key that is
-/// inserted again keeps its place in the order.
+/// Guards against evicting keys in any other order than the one in which they were added. Replacing
+/// the value of a key must not change the key's place in this order.
 #[test]
 fn the_oldest_entry_is_evicted_first() {
     let mut map = RecentMap::new(2);
     for (key, previous) in [("a", None), ("b", None), ("a", Some(0)), ("c", None)] {
         assert_eq!(map.insert(key, 0), previous, "{key}");
     }
-    let kept: Vec<&str> = ["a", "b", "c"]
+    let remaining: Vec<&str> = ["a", "b", "c"]
         .into_iter()
         .filter(|key| map.contains(*key))
         .collect();
-    assert_eq!(kept, ["b", "c"]);
+    assert_eq!(remaining, ["b", "c"]);
 }
 
-/// Guards against a division of the process's sockets that serves fewer machines than
-/// `docs/operators/controller.md` states for a number of sockets.
+/// Guards against dividing the process's sockets between incoming connections and connections to
+/// workers such that fewer machines can be served than `docs/operators/controller.md` states for
+/// the same number of sockets.
 #[test]
 fn sockets_suffice_for_the_documented_fleet() {
-    for (sockets, machines, kept_connections) in [
-        // One connection from each worker, and one kept to each worker.
+    for (sockets, machines, worker_connections) in [
+        // One connection from each worker, and one open connection to each worker.
         (3 * FLEET_MACHINES, FLEET_MACHINES, FLEET_MACHINES),
         (9000, 4063, 3000),
         // The minimum: most connections to workers are then closed and reopened repeatedly.
@@ -180,13 +188,13 @@
         let budget = Sockets::new(sockets);
         assert!(
             budget.max_incoming() >= machines,
-            "{sockets}: {}",
+            "{sockets} sockets allow only {} incoming connections",
             budget.max_incoming()
         );
         budget.incoming.set(machines);
         assert!(
-            budget.max_to_workers() >= kept_connections,
-            "{sockets}: {}",
+            budget.max_to_workers() >= worker_connections,
+            "{sockets} sockets allow only {} connections to workers",
             budget.max_to_workers()
         );
     }
--- a/tests/pause/checks.rs
+++ b/tests/pause/checks.rs
@@ -120,7 +120,7 @@
             let now = self.local_time(node);
             let leadership = &self.controllers[node].leadership;
             let may_answer = u64::from(leadership.may_answer_workers(now));
-            let certain = u64::from(leadership.is_certain_leader(now));
+            let certain = u64::from(leadership.is_confirmed_leader(now));
             self.digest.number(2 * may_answer + certain);
             self.digest.number(leadership.acting_term().unwrap_or(0));
             self.digest.number(leadership.incarnation());
