--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -38,26 +38,26 @@
     }
 }
 
-/// The token of an answer that tells the worker to forget an exited attempt. It is above the
-/// token of every direct call with the attempt's start. `None` if the worker would refuse a
-/// call that is in flight because of the higher token, or if the term has no higher token
-/// left.
+/// The token of an answer that tells the worker to forget an exited attempt. The token is above
+/// that of every direct call with the attempt's start. `None` if the higher token would make the
+/// worker refuse a call that is in flight, or if the term has no higher token left.
 ///
-/// A worker that has forgotten an attempt starts it again when a copy of a direct call with
-/// its start arrives, however late. (In this way a task of a job cancelled long before ran,
-/// and another task ran twice.) Once the worker has seen the higher token, it refuses such
-/// copies.
+/// A worker that has forgotten an attempt starts it again when a copy of a direct call with its
+/// start arrives, however late. (Such copies once started a task of a job that had been cancelled
+/// long before, and ran another task twice.) Once the worker has seen the higher token, it
+/// refuses such copies.
 fn forget_token(machine: &Machine, attempt: &Attempt, term: u64) -> Option<u64> {
     let token = machine.token_under(term);
-    let above = attempt
+    let forget_token = attempt
         .duplicate_starts_up_to
         .map_or(token, |call_token| token.max(call_token + 1));
-    let available = above == token || !machine.call_in_flight && above < term + TOKENS_PER_TERM;
-    available.then_some(above)
+    let is_available =
+        forget_token == token || !machine.call_in_flight && forget_token < term + TOKENS_PER_TERM;
+    is_available.then_some(forget_token)
 }
 
-/// Records that the answer tells the machine to stop its unwanted attempts and to forget
-/// these exited ones. A later message must show the effect.
+/// Records that the answer tells the machine to stop its unwanted attempts and to forget the
+/// exited attempts in `forgets`. A later message must show the effect.
 fn mark_commands_sent(machine: &mut Machine, forgets: &[AttemptId]) {
     for attempt in machine.attempts.values_mut() {
         if !attempt.call_in_flight {
@@ -164,7 +164,8 @@
         answer
     }
 
-    /// Returns the direct call that is due for the machine, if any, with the worker's address.
+    /// Returns the worker's address and the direct call that is due for the machine; `None` if no
+    /// call is due.
     pub fn next_direct_call(&mut self, name: &Name, now: f64) -> Option<(String, Direct)> {
         let term = self.term;
         let machine = self.machines.get_mut(name)?;
@@ -217,8 +218,8 @@
         self.unfenced
             .retain(|name| machines.get(name).is_some_and(Machine::blocks_placement));
         // Workers that lost their leader try another controller every second and are
-        // redirected here, so most of them report without a probe. While many do, probing
-        // them as well would double the work of a takeover.
+        // redirected here, so most of them report without a probe. While many workers report by
+        // themselves, probing the others as well would double the work of a takeover.
         let reported = self
             .unfenced_count_at_last_prune
             .saturating_sub(self.unfenced.len());
--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -33,9 +33,9 @@
 }
 
 /// Detects that a machine has restarted its session numbering: its answer has a lower number
-/// than the newest message known when the call was made. That message was then from an
-/// earlier incarnation of the machine. If both are of the same session, this answer is the
-/// valid one. (Guards against a heartbeat of an earlier incarnation, delayed by a partition,
+/// than the newest message that was known when the call was made. The newest message was then
+/// from an earlier incarnation of the machine. If both have the same session number, the answer
+/// is the valid one. (Guards against a heartbeat of an earlier incarnation, delayed by a partition,
 /// that showed an empty machine, so that its tasks were started elsewhere as well.)
 fn detect_numbering_restart(machine: &mut Machine, report: &Report) {
     let message = MessageId::of(report);
@@ -117,7 +117,7 @@
             if report.machine == **name && newer {
                 if machine.status == MachineStatus::Expired {
                     // If the session is new, its own heartbeat readmits the machine. If it is
-                    // the expired session, the late answer means nothing.
+                    // the expired session, the late answer is ignored.
                     return;
                 }
                 self.reconcile_report(name, report, ReportSource::DirectCall, now);
@@ -126,8 +126,8 @@
         self.remove_unstarted(name);
     }
 
-    /// Removes attempts that are to be stopped and that no message has shown, once no start
-    /// of them may still be executed.
+    /// Removes attempts that are to be stopped and that no message has shown, once the worker can
+    /// no longer execute a start of them.
     pub fn remove_unstarted(&mut self, name: &Name) {
         let Some(machine) = self.machines.get(name) else {
             return;
--- a/src/coordination/agents/dispatcher.rs
+++ b/src/coordination/agents/dispatcher.rs
@@ -52,8 +52,8 @@
     let due = free_sockets.min(scheduler.outbox.len());
     let batch: Vec<Name> = scheduler.outbox.drain(..due).collect();
     for machine in batch {
-        let known = scheduler.machines.get(&machine);
-        if known.is_some_and(|m| m.call_in_flight) {
+        let recipient = scheduler.machines.get(&machine);
+        if recipient.is_some_and(|m| m.call_in_flight) {
             scheduler.outbox.insert(machine);
             continue;
         }
@@ -70,7 +70,8 @@
     calls
 }
 
-/// Sends the call, and passes its result to the scheduler if the same one still exists.
+/// Sends the call, and passes its result to the scheduler unless a takeover has replaced the
+/// scheduler since.
 async fn send(node: Rc<Node>, outgoing: OutgoingCall) {
     let OutgoingCall {
         base_term,
@@ -102,9 +103,9 @@
 
 /// The actor that runs the scheduler's periodic work.
 pub struct Dispatcher {
-    /// The controller whose scheduler it serves.
+    /// The controller whose scheduler this actor runs.
     pub node: Rc<Node>,
-    /// Ticks since the start.
+    /// Number of ticks since the actor started.
     pub ticks: u64,
 }
 
@@ -117,29 +118,34 @@
             scheduler.tick(now, self.node.leadership.borrow().confirmed_at());
             scheduler.probe_unfenced(now, self.node.workers.max_concurrent_calls / 2);
             scheduler.place_all(now);
-            self.log_and_collect(scheduler);
+            self.log_status_and_collect_garbage(scheduler);
         }
         send_due_calls(&self.node);
     }
 
-    fn log_and_collect(&self, scheduler: &mut Scheduler) {
+    fn log_status_and_collect_garbage(&self, scheduler: &mut Scheduler) {
         if self.ticks.is_multiple_of(UNFENCED_LOG_TICKS) {
             if let Some(missing) = scheduler.machines_blocking_placement() {
                 tracing::info!(
                     term = scheduler.term,
                     missing,
-                    "machines not accounted for yet"
+                    "machines still block placement"
                 );
             }
         }
         if self.ticks.is_multiple_of(GARBAGE_COLLECTION_TICKS) {
             scheduler.collect_garbage();
             let workers = &self.node.workers;
-            let (open, kept) = (
+            let (incoming_connections, worker_connections) = (
                 workers.process_sockets().incoming.get(),
                 workers.kept_connections(),
             );
-            tracing::info!(open, kept, "load {}", scheduler.summary());
+            tracing::info!(
+                incoming_connections,
+                worker_connections,
+                "load {}",
+                scheduler.summary()
+            );
         }
     }
 }
@@ -148,8 +154,8 @@
     type Context = Context<Self>;
 
     fn started(&mut self, ctx: &mut Self::Context) {
-        // A third of a heartbeat interval, so that work that only the passing of time makes
-        // due (ages, silence, probes) waits for less than one heartbeat.
+        // A third of a heartbeat interval, but between 0.1 and 0.5 s. Work that becomes due at a
+        // certain time, such as probes and lease expiry, then waits only for a short time.
         let heartbeat_s = self.node.settings.cluster.workers.report_s;
         let interval = Duration::from_secs_f64((heartbeat_s / 3.0).clamp(0.1, 0.5));
         ctx.run_interval(interval, |this, _| this.tick());
--- a/src/coordination/agents/failure_detector.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -1,27 +1,27 @@
 //! The failure detector: finds machines that are presumed dead before their leases expire,
 //! and runs the periodic checks of all machines.
 //!
-//! Silence alone never proves a machine empty. An expired lease does (see `lease_expiry`),
-//! and so does the cloud's confirmation that the machine was returned. If many machines
+//! Silence alone never proves a machine empty. Only an expired lease (see `lease_expiry`) or
+//! the cloud's confirmation that the machine was returned proves it. If many machines
 //! fall silent together, the cause is most likely a network partition, and the leader
 //! waits for them.
 
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
 
-/// After a takeover, the rush of first heartbeats counts as over when at most one in this
-/// many of the recorded machines has not reported yet.
+/// After a takeover, the rush of first heartbeats counts as over when at most one in
+/// `STRAGGLER_DIVISOR` recorded machines has not reported yet.
 const STRAGGLER_DIVISOR: usize = 64;
 
 /// Time limits after which a machine is presumed dead, the same for all machines.
 struct DeathLimits {
     now: f64,
-    /// Longest silence of a fenced machine, in seconds.
+    /// Maximum silence of a fenced machine, in seconds.
     max_silence_s: f64,
-    /// Longest time without an answer to the probe of a machine that is not fenced yet, in
+    /// Maximum time without an answer to the probe of a machine that is not fenced yet, in
     /// seconds.
     max_unanswered_s: f64,
-    /// All but a few machines have reported under our term.
+    /// Whether all but a few machines have reported under our term.
     only_stragglers: bool,
 }
 
@@ -29,13 +29,13 @@
     /// Runs the periodic checks: expires leases, probes machines that our answers may not
     /// reach, acts on termination notices and drains, and takes failing machines out of use.
     ///
-    /// `confirmed` is when the last successful check that we own the shard began. An expired
+    /// `confirmed_at` is when the last successful check that we own the shard began. An expired
     /// lease proves a machine empty only if we still owned the shard after its end.
     /// Otherwise a new leader may be renewing the lease, and without contact to the state
     /// service we would not know.
-    pub fn tick(&mut self, now: f64, confirmed: f64) {
+    pub fn tick(&mut self, now: f64, confirmed_at: f64) {
         self.advance_clock(now);
-        self.expire_leases(now, confirmed);
+        self.expire_leases(now, confirmed_at);
         self.probe_machines_with_doubtful_delivery(now);
         self.handle_termination_notices(now);
         self.advance_drains();
@@ -44,7 +44,7 @@
 
     /// Whether the machine must not be answered any more, because our answers do not reach
     /// it: our term was sent to it several times, for a quarter of a lease, and it still
-    /// reports under an older one. Each answer might renew its lease, and with it the tasks that a
+    /// reports under an older term. Each answer might renew its lease, and with it the tasks that a
     /// former leader started there, while placement in the whole shard waits for this
     /// machine. Without answers its lease ends.
     pub(crate) fn must_stop_answering(&self, name: &str, now: f64) -> bool {
@@ -128,8 +128,8 @@
     /// Whether the machine was probed under our term and has not reported for more than
     /// `max_unanswered_s` since.
     ///
-    /// The time counts from the probe and not from the takeover, because a worker waits 4 s
-    /// for a leader that went silent before it reports to another one. (When the time was
+    /// The time counts from the probe and not from the takeover, because a worker whose leader
+    /// stops answering waits 4 s before it reports to another controller. (When the time was
     /// counted from the takeover and heartbeats came every 0.8 s, each takeover returned an
     /// eighth of a healthy fleet, with all tasks that ran there.)
     fn is_probe_unanswered(
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -32,7 +32,7 @@
 enum HeartbeatClass {
     /// Newer than every known message of the machine.
     Current,
-    /// A newer message overtook it. It is answered, but changes nothing.
+    /// Overtaken by a newer message. Such a heartbeat is answered, but changes nothing.
     Overtaken,
     /// A late copy, or a heartbeat of a machine that lost its counters and restarted its
     /// session numbering. Its session may be of another incarnation than the one we know.
@@ -41,13 +41,14 @@
     ExpiredSession,
 }
 
-/// The times, in seconds, by which a heartbeat is classified.
+/// The times and durations, in seconds, that are needed to classify a heartbeat.
 struct HeartbeatTiming {
     now: f64,
-    /// Since when this process has received messages without a pause of its own.
+    /// The time since which this process has received messages without a pause of its own.
     listening_since: f64,
     lease_s: f64,
-    /// Longest time by which a newer message can precede a heartbeat that is not a copy.
+    /// Maximum time by which a newer message can precede a heartbeat that is not a copy, in
+    /// seconds.
     max_overtaken_s: f64,
 }
 
@@ -93,8 +94,8 @@
 
 impl Scheduler {
     /// Handles a heartbeat that repeats the previous one while there are no commands for the
-    /// worker. The heartbeat is recorded, and the answer is the returned token without
-    /// commands. Returns `None` if the heartbeat needs `handle_heartbeat`. Most heartbeats
+    /// worker. Records the heartbeat and returns the token for an answer without commands.
+    /// Returns `None` if the heartbeat must be passed to `handle_heartbeat`. Most heartbeats
     /// of a large fleet are repetitions, so this path parses and allocates nothing.
     pub fn handle_repeated_heartbeat(&mut self, head: &ReportHead, now: f64) -> Option<u64> {
         let machine = self.machines.get_mut(&*head.machine)?;
@@ -124,8 +125,8 @@
         repeats.then_some(token)
     }
 
-    /// Remembers the heartbeat's task list as received, if a heartbeat with the same list
-    /// would bring no new information and need no command.
+    /// Stores the heartbeat's task list in its received form, if a further heartbeat with the
+    /// same list would bring no new information and need no command.
     pub fn remember_heartbeat(&mut self, name: &str, message: MessageId, tasks: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
             let steady = machine.last_message == message
@@ -196,7 +197,7 @@
         })
     }
 
-    /// Readmits a machine whose lease expired when its next session begins. The expiry
+    /// When a machine whose lease expired begins a new session, readmits it. The expiry
     /// removed the machine from the machine record, so it must be recorded again before
     /// tasks start on it.
     fn readmit_expired(&mut self, name: &Name) {
@@ -211,11 +212,11 @@
         }
     }
 
-    /// Marks the delivery to a machine as doubtful after a heartbeat from another
-    /// incarnation. Such a heartbeat doesn't show what the machine runs now. The machine's
-    /// lease must end, so the heartbeat is not answered: an answer might renew the lease.
-    /// The lease is counted from now on, because until it ends the machine may run tasks
-    /// that our direct calls started in the meantime.
+    /// Marks the delivery to a machine as doubtful after a heartbeat from another incarnation.
+    /// Such a heartbeat doesn't show what the machine runs now. The machine's lease must end, so
+    /// the heartbeat is not answered: an answer might renew the lease. The duration of the lease
+    /// is counted from `now`, because until the lease ends the machine may run tasks that our
+    /// direct calls started in the meantime.
     fn doubt_delivery(&mut self, name: &Name, now: f64) {
         if let Some(machine) = self.machines.get_mut(name) {
             machine
@@ -228,7 +229,7 @@
     }
 
     /// Builds the answer that renews the machine's lease. Only the answer to a current
-    /// message carries commands; `message` is `None` for an overtaken one.
+    /// message carries commands; `message` is `None` if the heartbeat was overtaken.
     fn answer_heartbeat(&mut self, name: &Name, message: Option<MessageId>, now: f64) -> Reply {
         let mut commands = Vec::new();
         if let Some(message) = message {
--- a/src/coordination/agents/leader_reachability.rs
+++ b/src/coordination/agents/leader_reachability.rs
@@ -9,12 +9,12 @@
 use crate::coordination::scheduler::state::Scheduler;
 
 /// Length of a counting window, in seconds. A worker whose leader does not answer tries
-/// another controller after 4 s, and repeats that at about the same interval.
+/// another controller after 4 s, and the next one after about the same time again.
 const WINDOW_S: f64 = 5.0;
-/// Redirected heartbeats within two windows from which on the leader counts as unreachable.
+/// Number of redirected heartbeats within two windows at which the leader counts as unreachable.
 const MIN_REDIRECTS_OF_UNREACHABLE_LEADER: u32 = 8;
-/// Smallest number of machines in a shard whose leader may resign. Fewer machines may have
-/// died one by one.
+/// Minimum number of machines in a shard whose leader may resign. If there are fewer, they may
+/// have died one by one.
 const MIN_RESIGNATION_MACHINES: usize = 8;
 
 /// Counts redirected heartbeats in the present and the previous window.
@@ -36,31 +36,32 @@
         }
     }
 
-    /// Counts one redirected heartbeat; returns the count of both windows.
+    /// Counts one redirected heartbeat. Returns the number in both windows.
     pub fn add(&mut self, now: f64) -> u32 {
         self.advance(now);
         self.in_window += 1;
         self.in_window + self.in_previous_window
     }
 
-    /// The count of both windows.
+    /// The number of redirected heartbeats in both windows.
     pub fn recent(&mut self, now: f64) -> u32 {
         self.advance(now);
         self.in_window + self.in_previous_window
     }
 }
 
-/// Whether so many heartbeats were redirected lately that the workers' leader is most likely
-/// unreachable. Redirecting a worker to such a leader costs it a time-out of 4 s and another
-/// second, while a takeover takes less. A single machine that boots or is cut off from the
-/// leader stays below the limit; a partition of many machines (see `should_resign`) does not.
+/// Whether so many heartbeats were redirected recently that the workers' leader is most likely
+/// unreachable. Redirecting a worker to such a leader costs the worker a time-out of 4 s and
+/// another second, while a takeover takes less time. A single machine that boots or is cut off
+/// from the leader stays below the limit; a partition of many machines (see `should_resign`) does
+/// not.
 pub fn is_leader_unreachable(recent_redirects: u32) -> bool {
     recent_redirects >= MIN_REDIRECTS_OF_UNREACHABLE_LEADER
 }
 
 /// Whether a leader should resign: more than three quarters of its `machines` are silent,
 /// which is a partition and not a few dead machines, and the number of heartbeats that other
-/// controllers redirected is at least an eighth of `machines`.
+/// controllers redirected is at least an eighth of the number of machines.
 pub fn should_resign(machines: usize, silent: usize, redirected: u32) -> bool {
     machines >= MIN_RESIGNATION_MACHINES
         && 4 * silent > 3 * machines
@@ -68,9 +69,9 @@
 }
 
 impl Scheduler {
-    /// Returns the number of machines that should send heartbeats, and the number of those
-    /// that are silent: their last heartbeat is older than the longest interval between two
-    /// heartbeats (1.25 `report_s`) plus a delay.
+    /// Returns the number of machines that should send heartbeats, and the number of silent ones
+    /// among them. A machine is silent if its last heartbeat is older than 1.5 heartbeat intervals:
+    /// the maximum interval of 1.25 `report_s`, plus 0.25 for delays.
     pub fn silent_machines(&self, now: f64) -> (usize, usize) {
         // Cordoned machines may be silent because an operator switched them off.
         let expected = |m: &&Machine| m.recorded && !m.cordoned && m.status == MachineStatus::Up;
@@ -86,7 +87,7 @@
     fn max_heartbeat_gap_s(&self, machine: &Machine) -> f64 {
         let gap_s = 1.5 * self.config.heartbeat_s;
         // A machine that receives no answers tries one controller after the other, and would do
-        // so under any other leader too. Its silence in between is no reason to resign.
+        // the same under any other leader. Its silence in between is no reason to resign.
         if machine.delivery.is_doubtful() {
             gap_s.max(self.config.retry_round_s)
         } else {
--- a/src/coordination/agents/lease_expiry.rs
+++ b/src/coordination/agents/lease_expiry.rs
@@ -2,15 +2,16 @@
 //!
 //! Each answer to a heartbeat renews the lease of the worker's session, and a worker whose
 //! lease ends kills all its tasks. A machine is therefore empty once every lease that any
-//! leader can have renewed has ended, with a margin for clock drift. From then on the
-//! session is never answered again.
+//! leader can have renewed has ended, with a margin for clock drift. From then on the session
+//! of an expired lease is never answered again.
 
 use crate::coordination::scheduler::config::lease_with_margin_s;
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
 
-/// When the last lease that this leader can have granted to a session of the machine began.
+/// The beginning of the last lease that this leader can have granted to a session of the
+/// machine.
 fn last_lease_began_at(machine: &Machine) -> f64 {
     // A session has a lease from its beginning, even if it was seen only in the answer to a
     // direct call and none of its heartbeats has been answered yet.
@@ -22,7 +23,7 @@
         .restart_suspected_at
         .map_or(renewed_at, |at| renewed_at.max(at));
     // A machine may have restarted without our notice just before a call with a start
-    // arrived. The started task then lives for one lease from that time.
+    // arrived. The started task then lives for one lease, counted from the decision to start it.
     let unseen = machine
         .attempts
         .values()
@@ -34,8 +35,8 @@
 
 impl Scheduler {
     /// Declares the leases of silent machines expired, and updates the index of usable
-    /// machines. For `confirmed` see `tick`.
-    pub(crate) fn expire_leases(&mut self, now: f64, confirmed: f64) {
+    /// machines. For `confirmed_at` see `tick`.
+    pub(crate) fn expire_leases(&mut self, now: f64, confirmed_at: f64) {
         let mut expired = Vec::new();
         let mut usability_changed = Vec::new();
         for (name, machine) in &self.machines {
@@ -47,10 +48,10 @@
             if machine.indexed != usable {
                 usability_changed.push(name.clone());
             }
-            let over = self
+            let leases_ended = self
                 .leases_end_at(machine)
-                .is_some_and(|end| now > end && confirmed > end);
-            if over && !machine.may_still_start() {
+                .is_some_and(|end| now > end && confirmed_at > end);
+            if leases_ended && !machine.may_still_start() {
                 expired.push(name.clone());
             }
         }
@@ -62,8 +63,8 @@
         }
     }
 
-    /// When all leases of the machine that any leader can have renewed have ended; `None`
-    /// while that is not known.
+    /// The time by which all leases of the machine that any leader can have renewed have ended;
+    /// `None` while this time is not known.
     fn leases_end_at(&self, machine: &Machine) -> Option<f64> {
         let lease_s = lease_with_margin_s(self.config.lease_s);
         if machine.fenced {
@@ -85,7 +86,11 @@
 
     /// Marks the machine's lease as expired and the machine as proven empty.
     fn expire_machine(&mut self, name: &Name, now: f64) {
-        tracing::warn!(machine = %name, term = self.term, "lease expired: proven empty");
+        tracing::warn!(
+            machine = %name,
+            term = self.term,
+            "machine's lease expired; machine is proven empty"
+        );
         self.clear_machine(name);
         if let Some(machine) = self.machines.get_mut(name) {
             machine.status = MachineStatus::Expired;
--- a/src/coordination/agents/partitions.rs
+++ b/src/coordination/agents/partitions.rs
@@ -3,11 +3,11 @@
 use crate::coordination::scheduler::machine::Machine;
 use crate::coordination::scheduler::state::Scheduler;
 
-/// Smallest number of machines in a zone that can count as partitioned. Most of two or three
-/// machines may well have died one by one.
+/// Minimum number of machines in a zone that can count as partitioned. In a zone of two or three
+/// machines, a majority may well have died one by one.
 const MIN_PARTITION_MACHINES: usize = 4;
 
-/// The number of machines in a zone, and of the silent ones among them.
+/// The number of machines in a zone, and the number of silent ones among them.
 struct ZoneCount<'a> {
     zone: &'a str,
     machines: usize,
@@ -22,8 +22,8 @@
 
 impl Scheduler {
     /// Zones in which most machines fell silent together, most likely because of a partition.
-    /// Their machines probably still run, so they are not replaced. They don't count as
-    /// capacity either.
+    /// The machines in these zones probably still run, so they are not replaced, but they do not
+    /// count as capacity either.
     pub fn partitioned_zones(&self, now: f64) -> Vec<String> {
         let silent_s = self.config.silent_s() + self.config.heartbeat_s;
         let mut zones: Vec<ZoneCount> = Vec::new();
@@ -47,7 +47,7 @@
         partitioned.map(|count| count.zone.to_string()).collect()
     }
 
-    /// Whether `machines` include most of the recorded machines of any zone.
+    /// Whether `machines` include more than half of the recorded machines of any zone.
     pub(crate) fn includes_most_of_a_zone(&self, machines: &[&Machine]) -> bool {
         machines.iter().any(|machine| {
             let zone = &machine.info.zone;
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -1,9 +1,9 @@
 //! Reconciles a worker's report with the leader's state of its machine.
 //!
 //! A report lists all attempts that the worker has. An attempt that is not listed is not on
-//! the machine, unless a command that starts it may still be in flight. The effects of our
-//! earlier answers that the report shows, or lacks, are evidence of whether answers reach
-//! the machine (see `scheduler::delivery`).
+//! the machine, unless a command that starts it may still be in flight. Whether the report
+//! shows the effects of our earlier answers is evidence of whether answers reach the machine
+//! (see `scheduler::delivery`).
 
 use super::task_reconciliation::ShownTask;
 use crate::coordination::scheduler::delivery::{Evidence, EvidenceSummary};
@@ -86,8 +86,9 @@
 }
 
 /// Adds the evidence on the delivery of our answers that follows from the presence or
-/// absence of this attempt in the machine's newest message (`shown`). Clears the pending
-/// starts which that message proves executed or dropped.
+/// absence of this attempt in the machine's newest message. `shown` is true if the message lists
+/// the attempt. Clears the attempt's unresolved call if the message proves that the worker can no
+/// longer execute that call.
 fn settle_commands(
     attempt: &mut Attempt,
     shown: bool,
@@ -96,7 +97,7 @@
     evidence: &mut EvidenceSummary,
 ) {
     // The worker executed or dropped the answers to earlier heartbeats before it sent this
-    // one. The answer to a direct call doesn't prove that.
+    // heartbeat. The answer to a direct call proves nothing about earlier answers.
     if source == ReportSource::Heartbeat && attempt.sent_in_reply_to.take().is_some() {
         evidence.add(if shown {
             Evidence::Delivered
@@ -116,7 +117,7 @@
 }
 
 /// Settles the commands to all attempts of the machine. Returns the attempts that are gone:
-/// the newest message does not list them, and no start of them may still be executed.
+/// the newest message does not list them, and the worker can no longer execute a start of them.
 fn settle_attempts(
     machine: &mut Machine,
     source: ReportSource,
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Combines a report's entry with the resources that its job takes. Returns `None` if
+    /// Combines a report's entry with the resources that a task of its job takes. Returns `None` if
     /// the task's name does not parse.
     fn shown_task(&self, entry: &Shown) -> Option<ShownTask> {
         let (job, index) = TaskId::split(&entry.task)?;
@@ -262,7 +263,11 @@
             .message_received(evidence.conclusion(), now);
         let doubted = machine.delivery.is_doubtful();
         if doubted != doubted_before {
-            tracing::info!(machine = %name, doubted, "delivery of answers doubted or confirmed");
+            tracing::info!(
+                machine = %name,
+                doubted,
+                "delivery of answers to machine became doubtful or was confirmed"
+            );
             self.machines_with_doubtful_delivery.insert(name.clone());
             self.placement_due = true;
         }
--- a/src/coordination/agents/task_reconciliation.rs
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -2,7 +2,7 @@
 //! end, or stops it as unwanted.
 //!
 //! As long as the newest message of any machine shows a task, the task counts as placed and
-//! must not start elsewhere. This also holds if two machines show it.
+//! must not start elsewhere. This also holds if the messages of two machines show the task.
 
 use crate::coordination::scheduler::delivery::Evidence;
 use crate::coordination::scheduler::job::{AttemptId, Job, Name, TaskId};
@@ -16,13 +16,15 @@
     pub(crate) attempt: AttemptId,
     pub(crate) phase: Phase,
     pub(crate) cause: Option<Cause>,
-    /// The resources that it takes of the machine; `None` if its job is not known.
+    /// The resources that the attempt takes of the machine; `None` if its job is not known or has
+    /// no such task.
     pub(crate) resources: Option<Resources>,
 }
 
 /// The leader's state of an attempt that a report shows.
 struct KnownAttempt {
-    /// No earlier message has shown it, and this leader did not start it.
+    /// Whether the attempt is new to this leader: no earlier message has shown it, and this leader
+    /// did not start it.
     adopted: bool,
     running_since: Option<f64>,
 }
@@ -57,20 +59,20 @@
     evidence
 }
 
-/// Updates the job's count of running tasks. Returns whether its first task began to run.
+/// Updates the job's number of running tasks. Returns whether the job's first task began to run.
 fn update_running_count(job: &mut Job, attempt: &mut Attempt) -> bool {
     let runs = !attempt.has_exited() && attempt.running_since.is_some();
     if runs == attempt.counted_as_running {
         return false;
     }
     attempt.counted_as_running = runs;
-    let first = runs && job.note_running();
+    let is_first = runs && job.note_running();
     job.running = if runs {
         job.running + 1
     } else {
         job.running.saturating_sub(1)
     };
-    first
+    is_first
 }
 
 impl Scheduler {
@@ -93,7 +95,8 @@
         let job_name = &shown.attempt.task.job;
         let job = self.jobs.get_mut(job_name);
         let Some(job) = job.filter(|_| shown.resources.is_some()) else {
-            // Its job has ended or was never accepted, so the attempt is stopped.
+            // The attempt's job is unknown: it has ended or was never accepted. So the attempt is
+            // stopped.
             if shown.phase != Phase::Exited && attempt.stop_grace_s.is_none() {
                 attempt.stop_grace_s = Some(0.0);
                 attempt.unsent = true;
@@ -148,21 +151,21 @@
             return;
         };
         let placed_attempt = job.placed.get(&task.index).map(|(_, attempt)| *attempt);
-        let elsewhere = placed_attempt.is_some_and(|attempt| attempt != *number);
+        let placed_elsewhere = placed_attempt.is_some_and(|attempt| attempt != *number);
         if placed_attempt.is_none() {
             // A former leader started the task, and it is adopted. An earlier report may have
             // shown it already: a job can become known after its task did, and the task stays
             // on the machine while it is being stopped as unknown.
             job.set_placed(task.index, name.clone(), *number);
             self.team_usage.add(job.team, &job.spec, 1.0);
-        } else if elsewhere && job.add_extra_attempt(task.index, name.clone(), *number) {
+        } else if placed_elsewhere && job.add_extra_attempt(task.index, name.clone(), *number) {
             // One of the two reports is outdated, and it is not known which. As long as either
-            // attempt may be on its machine, the task must not start again. (Once only the
-            // first attempt counted; it ended with its session, and the task started a third
-            // time while the second attempt ran.)
+            // attempt may be on its machine, the task must not start again. (If only the first
+            // attempt counted and ended with its session, the task would start a third time
+            // while the second attempt runs.)
             self.team_usage.add(job.team, &job.spec, 1.0);
         }
-        let unwanted = elsewhere || job.finished || job.completed.contains(task.index);
+        let unwanted = placed_elsewhere || job.finished || job.completed.contains(task.index);
         let just_began = shown.phase == Phase::Running && known.running_since == Some(now);
         if known.adopted || just_began {
             self.record_image_use(name, &task.job);
@@ -250,10 +253,11 @@
         }
     }
 
-    /// Backs off a job that fails on several machines: it is retried at growing intervals
-    /// and with one task at a time, so that a good job that was suspected can start again
-    /// at once. Its failures no longer count against the machines, since otherwise a broken
-    /// job of hundreds of tasks would take a part of a healthy fleet out of use.
+    /// Backs off a job that fails on several machines: it is retried at growing intervals and
+    /// with one task at a time, so that a job that was suspected wrongly can recover: it is no
+    /// longer suspect once a task is completed. Its failures no longer count against the
+    /// machines, since otherwise a broken job of hundreds of tasks would take a part of a healthy
+    /// fleet out of use.
     fn back_off_suspect_job(&mut self, name: &Name, job_name: &Name, now: f64) {
         let Some(job) = self.jobs.get_mut(job_name) else {
             return;
@@ -262,7 +266,11 @@
         let tries = f64::from(job.retries + 1);
         job.not_before = now + self.config.heartbeat_s * tries.powi(2).min(100.0);
         if job.retries <= 1 {
-            tracing::warn!(job = %job_name, machine = %name, "fails everywhere");
+            tracing::warn!(
+                job = %job_name,
+                machine = %name,
+                "job fails on several machines; retrying it at growing intervals"
+            );
         }
         for machine_name in &job.failed_on {
             if let Some(machine) = self.machines.get_mut(machine_name) {
@@ -272,9 +280,14 @@
     }
 
     /// Records that the worker refused to start the task: it had no room, was busy, or did
-    /// not know the job's description.
+    /// not know the job's description. `cause` says which.
     fn start_refused(&mut self, name: &Name, task: &TaskId, cause: Cause, now: f64) {
-        tracing::info!(task = %task.wire(), machine = %name, cause = ?Some(cause), "start refused");
+        tracing::info!(
+            task = %task.wire(),
+            machine = %name,
+            cause = ?Some(cause),
+            "worker refused to start task"
+        );
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.description_unknown = cause == Cause::Unknown;
             job.not_before = now + self.config.heartbeat_s / 2.0;
--- a/src/coordination/agents/unhealthy_machines.rs
+++ b/src/coordination/agents/unhealthy_machines.rs
@@ -4,11 +4,11 @@
 use crate::coordination::scheduler::machine::{Attempt, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
 
-/// A stop that is due.
+/// An attempt that is to be stopped.
 struct DueStop {
     machine: Name,
     attempt: AttemptId,
-    /// Time that the task gets to save a checkpoint, in seconds.
+    /// The time that the task has to save a checkpoint, in seconds.
     grace_s: f64,
 }
 
@@ -57,7 +57,8 @@
         !ends_in_time && saves_checkpoints
     }
 
-    /// Takes machines out of use whose recent failures have reached the policy's limit.
+    /// Takes out of use the machines whose number of recent failures has reached the policy's
+    /// limit.
     pub(crate) fn retire_failing_machines(&mut self) {
         let limit = self.config.policy.cordon_errors as usize;
         let failing: Vec<Name> = self
@@ -71,7 +72,7 @@
             .map(|(name, _)| name.clone())
             .collect();
         for name in failing {
-            tracing::warn!(machine = %name, "fails its tasks: cordoned");
+            tracing::warn!(machine = %name, "too many task failures; retiring machine");
             self.retire_machine(&name);
         }
     }
--- a/src/coordination/leadership/cancellation_horizon.rs
+++ b/src/coordination/leadership/cancellation_horizon.rs
@@ -2,15 +2,15 @@
 //! was confirmed to a user. The code is pure, with time passed in.
 //!
 //! The controller that confirms a cancellation writes it to the state service, and the leader
-//! learns of it from its watch of live jobs. That watch may go unanswered: the state service
-//! is down, refuses the leader, or is partitioned from it. Meanwhile users of other
-//! controllers may be told `withdrawn`, while a leader that goes on renewing its workers'
-//! leases keeps the cancelled tasks running. So a leader answers workers only while its
-//! horizon is less than a bounded time ago. Once that time has passed since a confirmation,
-//! every answer that renews a worker's lease also carries the stop of the cancelled task. A
-//! task whose worker gets no such answer ends with the worker's lease.
+//! learns of the cancellation from its watch of live jobs. The watch may go unanswered: the state
+//! service is down, refuses the leader, or is partitioned from the leader. Meanwhile users of
+//! other controllers may be told `withdrawn`, while a leader that goes on renewing its workers'
+//! leases keeps the cancelled tasks running. So a leader answers workers only while its horizon
+//! is less than a bounded time ago. Once that time has passed since a confirmation, every answer
+//! that renews a worker's lease also carries the stop of the cancelled task. A task whose worker
+//! gets no such answer ends with the worker's lease.
 //!
-//! Two kinds of responses advance the horizon, each to when its request was sent:
+//! Two kinds of responses advance the horizon, each to the time at which its request was sent:
 //!
 //! - A response of the watch, but not past the last confirmation of the leadership, because
 //!   another leader may have begun its own term after that.
@@ -24,8 +24,8 @@
 use crate::coordination::scheduler::config::lease_with_margin_s;
 use std::collections::HashMap;
 
-/// The greatest age of a leader's knowledge of cancellations at which it may answer workers,
-/// in seconds. One worker's lease after that, all cancelled tasks must have ended. A fortieth
+/// The maximum age of a leader's knowledge of cancellations while it answers workers, in seconds.
+/// All cancelled tasks must have ended one worker's lease after this age is reached. A fortieth
 /// of `cancel_s` covers clock drift, late timers, and the delay of the last answer.
 pub fn staleness_bound_s(cancel_s: f64, lease_s: f64) -> f64 {
     cancel_s * 39.0 / 40.0 - lease_with_margin_s(lease_s)
@@ -39,18 +39,19 @@
 /// The time up to which a leader knows all confirmed cancellations.
 #[derive(Debug, Default)]
 pub struct CancellationHorizon {
-    /// When the latest watch request that was answered was sent.
+    /// The send time of the latest watch request that was answered; `None` before the first
+    /// listing.
     watched_until: Option<f64>,
-    /// For each peer, when the latest query that it answered was sent.
+    /// For each peer, the send time of the latest query that the peer answered.
     reported_until: HashMap<String, f64>,
 }
 
 impl CancellationHorizon {
-    /// The watch, or a listing, was requested at `asked_at` and reported all changes up to at
-    /// least that time.
+    /// Records that the watch or a listing, requested at `asked_at`, has reported all changes up to
+    /// at least that time.
     pub fn watch_answered(&mut self, asked_at: f64) {
-        let known = self.watched_until.map_or(asked_at, |at| at.max(asked_at));
-        self.watched_until = Some(known);
+        let watched_until = self.watched_until.map_or(asked_at, |at| at.max(asked_at));
+        self.watched_until = Some(watched_until);
     }
 
     /// How far back the report of a peer that is asked now must reach, in seconds; `None`
@@ -59,7 +60,8 @@
         Some(now - self.observed_until(confirmed_at)? + LOOKBACK_MARGIN_S)
     }
 
-    /// A peer reported the cancellations that it confirmed within the lookback period.
+    /// Records that a peer reported the cancellations that it confirmed within the lookback
+    /// period. Reports that took too long are ignored.
     pub fn peer_reported(&mut self, answer: PeerAnswer) {
         if answer.received_at - answer.asked_at < LOOKBACK_MARGIN_S / 2.0 {
             let reported_until = self
--- a/src/coordination/leadership/cluster_view.rs
+++ b/src/coordination/leadership/cluster_view.rs
@@ -1,6 +1,6 @@
 //! What one controller knows of the control prefix, the watched keys of the state service.
-//! If two versions of a key are known, the higher one counts, whichever was learnt first:
-//! responses may arrive out of order, most of all after a controller was paused.
+//! If two versions of a key are known, the higher version counts, whichever was learnt first:
+//! responses may arrive out of order, especially after a controller was paused.
 
 use crate::protocol::admin::Drain;
 use crate::protocol::cloud::{MachineType, TypeList};
@@ -16,17 +16,17 @@
     pub loaded: bool,
     /// Revision up to which all changes are known.
     pub revision: u64,
-    /// The shard record and its version.
+    /// The shard record and its version; `None` if no shard record is known.
     pub shard: Option<(ShardRecord, u64)>,
     /// The term counter and its version.
     pub term: (u64, u64),
-    /// The alive keys of the controllers, by host: incarnation and version.
+    /// For each host with an alive key: the controller's incarnation and the key's version.
     pub alive: HashMap<String, (u64, u64)>,
     /// The machine types that the cloud offers; `None` until a list of them was read.
     pub types: Option<Vec<MachineType>>,
-    /// Drains of machines by host, each with its record's version.
+    /// Drains of machines, by the machine's host name, each with the version of its record.
     pub drains: HashMap<String, (Drain, u64)>,
-    /// Rollouts by name, each with its record's version.
+    /// Rollouts by name, each with the version of its record.
     pub rollouts: HashMap<String, (Roll, u64)>,
     /// The number of changes of `drains` so far.
     pub drains_generation: u64,
@@ -35,8 +35,8 @@
 impl ClusterView {
     /// Updates a controller's alive key, unless a newer version is known.
     pub fn update_alive_key(&mut self, host: String, incarnation: u64, version: u64) {
-        let known = self.alive.get(&host);
-        if known.is_none_or(|(_, known_version)| version >= *known_version) {
+        let known_key = self.alive.get(&host);
+        if known_key.is_none_or(|(_, known_version)| version >= *known_version) {
             self.alive.insert(host, (incarnation, version));
         }
     }
@@ -70,12 +70,12 @@
         }
     }
 
-    /// Updates the drain of a machine, unless this or a newer version is known. A record that
-    /// cannot be read also cordons its machine: a newer version of the program may have written
-    /// it.
+    /// Updates the drain of a machine, unless this or a newer version is known. An unreadable
+    /// record also cordons its machine: a newer version of the program may have written the
+    /// record.
     fn update_drain(&mut self, host: &str, entry: &Entry) {
-        let known = self.drains.get(host).map_or(0, |(_, version)| *version);
-        if entry.version <= known {
+        let known_version = self.drains.get(host).map_or(0, |(_, version)| *version);
+        if entry.version <= known_version {
             return;
         }
         let drain = entry.read::<Drain>().unwrap_or_else(|error| {
@@ -92,11 +92,11 @@
 
     /// Updates a rollout, unless a newer version is known.
     fn update_rollout(&mut self, rollout: Roll, version: u64) {
-        let known = self
+        let known_version = self
             .rollouts
             .get(&rollout.name)
             .map_or(0, |(_, version)| *version);
-        if version >= known {
+        if version >= known_version {
             self.rollouts
                 .insert(rollout.name.clone(), (rollout, version));
         }
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Applies a listing of the whole prefix as of `revision`. A controller that is missing
-    /// from it was not alive then. Keys that are known at a later revision stay.
+    /// Applies a listing of the whole prefix as of `revision`. A controller whose alive key the
+    /// listing lacks was not alive at that revision. Keys that are known at a later revision stay.
     pub fn apply_listing(&mut self, entries: &[Entry], revision: u64) {
         self.alive.retain(|_, (_, version)| *version > revision);
         self.rollouts.retain(|_, (_, version)| *version > revision);
@@ -127,8 +127,8 @@
     }
 
     /// Applies a listing of all drains as of `revision`. A listing that is older than the known
-    /// changes is ignored: it would bring back a drain that was ended since, and no later event
-    /// would remove that drain again.
+    /// changes is ignored: it would bring back drains that have ended since, and no later event
+    /// would remove them again.
     pub fn apply_drain_listing(&mut self, entries: &[Entry], revision: u64) {
         if revision < self.revision {
             return;
@@ -177,9 +177,9 @@
         self.shard.as_ref().map_or(0, |(_, version)| *version)
     }
 
-    /// A read found no alive key of the leader `host`; when the read began, the shard record had
-    /// this version. If the record has changed since, the response is outdated and ignored: the
-    /// leader may be alive again.
+    /// Records that a read found no alive key of the leader `host`. `shard_version` is the
+    /// version of the shard record when the read began. If the record has changed since, the
+    /// response is outdated and ignored: the leader may be alive again.
     pub fn leader_not_alive(&mut self, host: &str, shard_version: u64) {
         if self.shard_version() == shard_version {
             self.alive.remove(host);
--- a/src/coordination/leadership/confirmed_cancellations.rs
+++ b/src/coordination/leadership/confirmed_cancellations.rs
@@ -1,10 +1,12 @@
 //! The latest cancellations that this process confirmed to users, or that peers reported to
-//! it. A leader that cannot reach the state service learns them from here. A query for a
-//! period of time returns all cancellations of that period, or nothing if some are missing.
+//! it. A leader that cannot reach the state service learns of cancellations from this list. A
+//! query for a period of time returns all cancellations of that period, or `None` if some are
+//! missing.
 
 use std::collections::VecDeque;
 
-/// Most cancellations kept; as many as terminal job states are kept.
+/// Maximum number of cancellations kept, equal to the maximum number of terminal job states
+/// kept.
 const MAX_CANCELLATIONS: usize = 16_384;
 
 #[derive(Debug)]
@@ -45,7 +47,7 @@
     }
 
     /// The jobs whose cancellation was confirmed within the last `period_s` seconds, the latest
-    /// first; `None` if not all of them are known.
+    /// first; `None` if some of them may be missing.
     pub fn within(&self, period_s: f64, now: f64) -> Option<Vec<String>> {
         let from = now - period_s;
         if from < self.complete_from || !period_s.is_finite() {
--- a/src/coordination/leadership/lease.rs
+++ b/src/coordination/leadership/lease.rs
@@ -34,8 +34,8 @@
     Renew(u64),
     /// Revoke this lease, since we resigned.
     Revoke(u64),
-    /// Do nothing: we resigned, and neither has another controller taken over nor a worker's
-    /// lease passed.
+    /// Do nothing: we resigned less than the duration of a worker's lease ago, and no other
+    /// controller has taken over yet.
     Wait,
 }
 
@@ -81,12 +81,12 @@
             .filter(|key| key.incarnation == self.incarnation)
     }
 
-    /// The state service granted this lease.
+    /// Records that the state service granted this lease.
     pub fn lease_granted(&mut self, lease: u64) {
         self.lease = Some(lease);
     }
 
-    /// The lease expired, or we revoked it.
+    /// Records that the lease expired or that we revoked it.
     pub fn lease_ended(&mut self, lease: u64) {
         if self.lease == Some(lease) {
             self.lease = None;
@@ -95,11 +95,12 @@
         }
     }
 
-    /// Our alive key was read again, because a write found another version than expected. An
-    /// outdated response does no harm: the next write is conditional on the version read.
-    pub fn alive_key_read(&mut self, found: Option<&Entry>) {
+    /// Records that our alive key was read again, because a write found another version than
+    /// expected; `entry` is `None` if the key does not exist. An outdated response does no harm:
+    /// the next write is conditional on the version that was read.
+    pub fn alive_key_read(&mut self, entry: Option<&Entry>) {
         self.view.alive.remove(&self.config.host);
-        if let Some(entry) = found {
+        if let Some(entry) = entry {
             // A value that this version of the program cannot read is replaced as well.
             let incarnation = entry
                 .read::<AliveRecord>()
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Our alive key was written at `version`.
+    /// Records that our alive key was written at `version`.
     pub fn alive_key_written(&mut self, write: AliveKeyWrite, version: u64) {
         if self.lease == Some(write.lease) {
             self.alive_key = Some(AliveKey {
@@ -122,9 +123,10 @@
         }
     }
 
-    /// The lease was alive at some time after `asked_at`. While `confirmed_lease` lives, no
-    /// other controller can take the shard over. The renewal of a newer lease proves nothing:
-    /// another controller may have taken over before that lease was granted.
+    /// Records that the lease was renewed by a request sent at `asked_at`, so that it was alive
+    /// at some time after the request. While `confirmed_lease` is alive, no other controller can
+    /// take the shard over. The renewal of a newer lease proves nothing: another controller may
+    /// have taken over before the newer lease was granted.
     pub fn lease_renewed(&mut self, lease: u64, asked_at: f64) {
         if self.leader_term.is_some() && self.confirmed_lease == Some(lease) {
             self.confirmed_at = self.confirmed_at.max(asked_at);
--- a/src/coordination/leadership/lease_extension.rs
+++ b/src/coordination/leadership/lease_extension.rs
@@ -4,9 +4,9 @@
 //! A leader without contact cannot distinguish two cases. In an outage of the state service
 //! for all controllers, no other controller can take over, and the workers' leases should be
 //! renewed. If the state service refuses this leader alone, another controller may take over.
-//! So the leader goes on for a little longer than its lease in the state service. After that
-//! it goes on only while a majority of the controllers extends its lease: each of them
-//! answers that it knows of no later leader.
+//! So the leader goes on answering workers for a little longer than its lease in the state
+//! service. After that time it goes on only while a majority of the controllers extends its
+//! lease: each of them answers that it knows of no later leader.
 //!
 //! A controller that takes over asks the others to promise that they will never again extend
 //! an earlier leader's lease, as a Paxos proposer does with a higher ballot. Once a majority
@@ -15,16 +15,16 @@
 use crate::coordination::leadership::queries::PeerAnswer;
 use std::collections::HashMap;
 
-/// How long a leader goes on without extensions after its last confirmation, in leases. No
-/// other controller can take over during the first lease; the other half covers a slow
-/// renewal.
+/// How long a leader goes on without extensions after its last confirmation, as a multiple of
+/// its lease. No other controller can take over during the first lease; the additional half
+/// lease covers a slow renewal.
 const UNCONFIRMED_LEASES: f64 = 1.5;
 
-/// How long an extension is valid, in leases.
+/// How long an extension is valid, as a multiple of the leader's lease.
 const EXTENSION_LEASES: f64 = 0.5;
 
-/// Largest relative drift between two clocks. Clocks drift by 0.0005 against each other, so
-/// this leaves an ample margin.
+/// Assumed upper bound of 0.002 on the relative drift between two clocks, four times the drift
+/// of 0.0005 that the protocol states.
 const MAX_CLOCK_DRIFT: f64 = 0.002;
 
 /// Largest delay of a timer, in seconds.
@@ -35,9 +35,10 @@
 pub struct LeaseDurations {
     /// How long a leader goes on without extensions after its last confirmation.
     pub unconfirmed_s: f64,
-    /// How long an extension is valid, from when it was requested.
+    /// How long an extension is valid after its request was sent.
     pub extension_s: f64,
-    /// The limit after the last confirmation, however many peers extend the lease.
+    /// How long a leader goes on after its last confirmation at most, however many peers extend
+    /// its lease.
     pub max_without_contact_s: f64,
 }
 
@@ -63,8 +64,9 @@
             && extensions.majority_asked_within(self.extension_s, now)
     }
 
-    /// From when on no former leader answers a worker; `None` until a majority has promised.
-    /// `taken_over_at` is when the new leader learnt that its takeover was carried out.
+    /// The time after which no former leader answers workers any more; `None` until a majority
+    /// has promised. `taken_over_at` is the time at which the new leader learnt that its takeover
+    /// was carried out.
     pub fn former_leaders_silent_from(
         &self,
         promises: &QuorumRound,
@@ -77,29 +79,30 @@
     }
 }
 
-/// The peers that agreed to a query for one term, and when each of them was asked.
+/// The peers that agreed to a query for one term, and the time at which each was asked.
 #[derive(Debug)]
 pub struct QuorumRound {
-    /// How many controllers there are, this one included.
+    /// The number of controllers, including this one.
     controllers: usize,
     term: u64,
-    acknowledged_at: HashMap<String, f64>,
-    /// When a majority had agreed for the first time.
+    /// For each peer that agreed, when the query was sent to which it agreed.
+    asked_at: HashMap<String, f64>,
+    /// When the answer arrived that completed the first majority; `None` before that.
     majority_at: Option<f64>,
 }
 
 impl QuorumRound {
-    /// A round among `controllers` controllers, this one included.
+    /// A round among this many controllers, including this one.
     pub fn new(controllers: usize) -> QuorumRound {
         QuorumRound {
             controllers,
             term: 0,
-            acknowledged_at: HashMap::new(),
+            asked_at: HashMap::new(),
             majority_at: None,
         }
     }
 
-    /// Starts a new round, without answers, unless the present one is for this term.
+    /// Starts a new round without answers, unless the present round is already for this term.
     pub fn restart_for(&mut self, term: u64) {
         if self.term != term {
             *self = QuorumRound {
@@ -109,30 +112,30 @@
         }
     }
 
-    /// A peer agreed. An answer for another term than the round's is ignored.
+    /// Records that a peer agreed. An answer for a term other than the round's is ignored.
     pub fn acknowledge(&mut self, answer: PeerAnswer) {
         if answer.term != self.term {
             return;
         }
-        self.acknowledged_at
+        self.asked_at
             .insert(answer.peer.to_string(), answer.asked_at);
-        if self.majority_at.is_none() && self.is_majority(self.acknowledged_at.len()) {
+        if self.majority_at.is_none() && self.is_majority(self.asked_at.len()) {
             self.majority_at = Some(answer.received_at);
         }
     }
 
     /// Whether the peer has agreed.
     pub fn has_acknowledged(&self, peer: &str) -> bool {
-        self.acknowledged_at.contains_key(peer)
+        self.asked_at.contains_key(peer)
     }
 
-    /// Whether a majority agreed to queries that were sent within the last `window_s`.
+    /// Whether a majority agreed to queries that were sent within the last `window_s` seconds.
     fn majority_asked_within(&self, window_s: f64, now: f64) -> bool {
         let recent = |asked_at: &&f64| now - **asked_at < window_s;
-        self.is_majority(self.acknowledged_at.values().filter(recent).count())
+        self.is_majority(self.asked_at.values().filter(recent).count())
     }
 
-    /// Whether this controller and `peers` others are more than half of all controllers.
+    /// Whether this controller and this many peers together are more than half of all controllers.
     fn is_majority(&self, peers: usize) -> bool {
         2 * (peers + 1) > self.controllers
     }
--- a/src/coordination/leadership/loops/control_watch.rs
+++ b/src/coordination/leadership/loops/control_watch.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Lists the prefix; returns the revision of the listing, or `None` if it failed.
+/// Lists the prefix. Returns the revision of the listing; `None` if the request failed.
 async fn list(node: &Rc<Node>) -> Option<u64> {
     let listed = node
         .state
@@ -44,7 +44,7 @@
 }
 
 /// Follows the changes after `revision`. Returns when the state service has compacted some of
-/// them away, so that the prefix must be listed again.
+/// these changes away, so that the prefix must be listed again.
 async fn follow_changes(node: &Rc<Node>, mut revision: u64) {
     loop {
         let changes = node
--- a/src/coordination/leadership/loops/drain_records.rs
+++ b/src/coordination/leadership/loops/drain_records.rs
@@ -1,5 +1,5 @@
-//! Drains of machines: passes their records to the scheduler, and records which machines are
-//! proven empty.
+//! Passes the records of drains to the scheduler, and records which drained machines are proven
+//! empty.
 
 use super::failover::reread_shard;
 use crate::coordination::node::Node;
@@ -44,8 +44,8 @@
                 .map(|(drain, _)| drain.host.as_str())
                 .collect();
             tracing::info!(machines = ?hosts, "recorded machines as drained");
-            // The view learns of these writes only from the watch, in its order. Until then
-            // the versions are remembered, so that the same records are not written again.
+            // The view learns of these writes only when the watch reports them. Until then the
+            // replaced versions are remembered, so that the same records are not written again.
             let versions = proven.iter().map(|(_, version)| *version);
             node.recorded_drains.borrow_mut().extend(versions);
         }
@@ -55,9 +55,9 @@
     }
 }
 
-/// The drain records of machines that are proven empty, each with the version that it
-/// replaces. Records that we wrote and the watch has not reported yet are left out. `None` if
-/// we are not certain to lead.
+/// The drain records of machines that are proven empty, each with the version that the record
+/// replaces. Records that we wrote and that the watch has not reported yet are left out. `None`
+/// if another controller may have taken the shard over.
 fn unrecorded_drains(node: &Node) -> Option<Vec<(Drain, u64)>> {
     let max_drains = node.settings.cluster.state.txn_ops;
     let now_ms = node.wall_ms();
--- a/src/coordination/leadership/loops/failover.rs
+++ b/src/coordination/leadership/loops/failover.rs
@@ -1,5 +1,5 @@
 //! Failover: takes the shard over in one conditional transaction under a new term, then
-//! loads its records into a new scheduler.
+//! loads the shard's records into a new scheduler.
 
 use super::sleep;
 use super::step_down::step_down;
@@ -25,7 +25,7 @@
 struct LoadedShard {
     scheduler: Scheduler,
     machine_record: MachineRecord,
-    /// The listing of live jobs began at this time.
+    /// When the listing of live jobs was requested.
     listed_at: f64,
 }
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// Reads the alive key of the leader if that is another controller, since the watch may be
+/// Reads the alive key of the leader if another controller leads, since the watch may be
 /// behind.
 async fn reread_leader_alive_key(node: &Rc<Node>) {
     let (leader, shard_version) = {
@@ -96,17 +96,17 @@
         return;
     };
     let key = records::alive_key(&leader);
-    let found = node.state.get(&key, Priority::Control).await;
+    let response = node.state.get(&key, Priority::Control).await;
     let view = &mut node.leadership.borrow_mut().view;
-    match found {
+    match response {
         Ok(Some(entry)) => view.apply_entry(&entry),
         Ok(None) => view.leader_not_alive(&leader, shard_version),
         Err(_) => {}
     }
 }
 
-/// Builds the scheduler from the records of the shard and begins the term with it, unless
-/// the shard was lost while they were read.
+/// Builds the scheduler from the records of the shard and begins the term with this scheduler,
+/// unless the shard was lost while the records were read.
 async fn load(node: &Rc<Node>, shard: &ShardRecord) -> Result<(), ServiceError> {
     let mut scheduler = empty_scheduler(node, shard);
     load_drains(node, &mut scheduler).await?;
@@ -134,7 +134,7 @@
 }
 
 /// Reads the drains after the takeover, so that no drain that was ordered under the former
-/// leader is missed: no new tasks may start on machines that are being drained.
+/// leader is missed. No new tasks may start on machines that are being drained.
 async fn load_drains(node: &Node, scheduler: &mut Scheduler) -> Result<(), ServiceError> {
     let (drains, revision) = node
         .state
@@ -179,10 +179,10 @@
     Ok(())
 }
 
-/// Finishes the jobs whose cancellation was confirmed to a user by this controller, or
-/// reported to it by a peer, while the live jobs were read. No peer would report these again,
-/// so the new scheduler would learn of them only later, from its watch of live jobs. The watch
-/// reports all other cancellations.
+/// Finishes the jobs whose cancellation this controller confirmed to a user, or learnt from a
+/// peer, while the live jobs were read. No peer would report these cancellations again, so the
+/// new scheduler would learn of them only later, from its watch of live jobs. The watch reports
+/// all other cancellations.
 fn finish_cancelled_jobs(node: &Node, scheduler: &mut Scheduler, listed_at: f64) {
     let now = node.now();
     for cancellations in [&node.confirmed_cancellations, &node.relayed_cancellations] {
--- a/src/coordination/leadership/loops/leader_loop.rs
+++ b/src/coordination/leadership/loops/leader_loop.rs
@@ -13,12 +13,13 @@
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
 
-/// How often the loop runs per lease, within the bounds below. It scales with the lease
-/// because takeovers depend on the end of a lease.
+/// How many times the loop runs per lease, within the bounds below. The interval scales with the
+/// lease because takeovers depend on the end of a lease.
 const ITERATIONS_PER_LEASE: f64 = 10.0;
 
-/// Shortest and longest time between two iterations, in seconds.
+/// Minimum time between two iterations, in seconds.
 const MIN_INTERVAL_S: f64 = 0.1;
+/// Maximum time between two iterations, in seconds.
 const MAX_INTERVAL_S: f64 = 0.5;
 
 /// Takes the shard over when it has no live leader, and does the leader's periodic work while
@@ -50,7 +51,7 @@
     }
 }
 
-/// Raises the term when start commands with an unknown outcome must be ruled out.
+/// Raises the term when workers must reject earlier start commands with an unknown outcome.
 async fn raise_term(node: &Rc<Node>) {
     let now = node.now();
     let wanted = node
@@ -63,7 +64,9 @@
     }
     let update = node.leadership.borrow().raise_term(now);
     if let Some(update) = update {
-        tracing::info!("raising the term so that workers reject lost start commands");
+        tracing::info!(
+            "raising the term so that workers reject start commands with an unknown outcome"
+        );
         carry_out(node, update).await;
     }
 }
@@ -85,7 +88,8 @@
     }
 }
 
-/// Tells the scheduler's fence once no former leader can answer a worker any more.
+/// Records in the scheduler's fence that no former leader can answer a worker any more, as soon
+/// as this is known.
 fn mark_former_leaders_fenced(node: &Node) {
     let mut scheduler = node.scheduler.borrow_mut();
     let unfenced = scheduler
--- a/src/coordination/leadership/loops/lease_loop.rs
+++ b/src/coordination/leadership/loops/lease_loop.rs
@@ -11,7 +11,7 @@
 /// Renewals per lease; up to three in a row may be lost.
 const RENEWALS_PER_LEASE: f64 = 5.0;
 
-/// Longest wait before a failed request is repeated, in seconds.
+/// Maximum wait before a failed request is repeated, in seconds.
 const MAX_RETRY_S: f64 = 0.25;
 
 /// The intervals of the loop, in seconds.
@@ -19,7 +19,7 @@
 struct Timing {
     lease_ttl_s: f64,
     renewal_interval_s: f64,
-    /// After we resigned: the time between two checks whether to get a lease again.
+    /// After a resignation: the time between two checks whether to get a lease again.
     idle_interval_s: f64,
     retry_interval_s: f64,
 }
@@ -49,8 +49,8 @@
     }
 }
 
-/// Carries a step out; returns how long to wait before the next one, or `None` if it is due
-/// at once.
+/// Carries a step out. Returns the wait before the next step, in seconds; `None` if the next step
+/// is due at once.
 async fn carry_out(node: &Rc<Node>, step: LeaseStep, timing: Timing, now: f64) -> Option<f64> {
     match step {
         LeaseStep::Wait => Some(timing.idle_interval_s),
@@ -98,8 +98,8 @@
 async fn reread_alive_key(node: &Rc<Node>, timing: Timing) -> Option<f64> {
     let key = records::alive_key(&node.settings.host_name);
     match node.state.get(&key, Priority::Control).await {
-        Ok(found) => {
-            node.leadership.borrow_mut().alive_key_read(found.as_ref());
+        Ok(entry) => {
+            node.leadership.borrow_mut().alive_key_read(entry.as_ref());
             None
         }
         Err(_) => Some(timing.retry_interval_s),
--- a/src/coordination/leadership/loops/mod.rs
+++ b/src/coordination/leadership/loops/mod.rs
@@ -1,6 +1,6 @@
-//! The asynchronous loops of the leadership. They ask the pure state machine which requests
-//! are due, send them, and pass the responses back to it. No borrow of the state is held
-//! across an await.
+//! The asynchronous loops of the leadership. They ask the pure state machine which requests are
+//! due, send these requests, and pass the responses back to the state machine. No borrow of the
+//! state is held across an await.
 //!
 //! - `lease_loop`: gets, renews and revokes this controller's lease, and writes its alive
 //!   key.
--- a/src/coordination/leadership/loops/peer_calls.rs
+++ b/src/coordination/leadership/loops/peer_calls.rs
@@ -10,7 +10,7 @@
 use futures_util::future::join_all;
 use std::rc::Rc;
 
-/// A peer's response, and when its request was sent, by our clock.
+/// A peer's response, and the time at which its request was sent, in seconds by our clock.
 struct Response<'a> {
     peer: &'a str,
     asked_at: f64,
@@ -18,7 +18,8 @@
 }
 
 impl<'a> Response<'a> {
-    /// The response, received now, as an answer to a query under this term.
+    /// Converts the response to an answer to a query of this term, with the current time as its
+    /// time of receipt.
     fn answer(&self, term: u64, node: &Node) -> PeerAnswer<'a> {
         PeerAnswer {
             term,
@@ -29,15 +30,15 @@
     }
 }
 
-/// Sends a request to all peers and waits for their responses, which are in the order of the
-/// peers in the settings; `None` for a peer that did not answer.
+/// Sends a request to all peers and waits for their responses. Returns the responses in the
+/// order of the peers in the settings, with `None` for a peer that did not answer.
 pub(super) async fn ask_all(node: &Node, request: &PeerRequest) -> Vec<Option<PeerResponse>> {
     let peers = node.settings.peers.iter();
     let calls = peers.map(|peer| node.mesh.ask(peer.addr, request));
     join_all(calls).await
 }
 
-/// Asks the peers to extend our lease while we have no contact to the state service.
+/// Asks the peers to extend our lease if our leadership was not confirmed for half of our lease.
 pub(super) fn query_lease_extensions(node: &Rc<Node>) {
     let due = node.leadership.borrow_mut().extension_due(node.now());
     if let Some(term) = due {
@@ -74,7 +75,7 @@
 }
 
 /// Asks the peers which cancellations they confirmed to users, while our own knowledge of
-/// cancellations is not up to date.
+/// cancellations is out of date.
 pub(super) fn query_cancellations(node: &Rc<Node>) {
     let due = node
         .leadership
--- a/src/coordination/leadership/loops/reachability_check.rs
+++ b/src/coordination/leadership/loops/reachability_check.rs
@@ -8,35 +8,36 @@
 use crate::protocol::mesh::{PeerRequest, PeerResponse};
 use std::rc::Rc;
 
-/// A count of redirected heartbeats that is always high enough to resign, and low enough to be
-/// multiplied without overflow.
+/// A number of redirected heartbeats that always suffices for a resignation, and that can be
+/// multiplied by 8 without overflow.
 const ALWAYS_ENOUGH_REDIRECTED: u32 = u32::MAX / 8;
 
-/// The machines of a leader, and how many of them are silent.
+/// The number of machines that should send heartbeats to a leader, and the number of those that
+/// are silent.
 #[derive(Clone, Copy)]
 struct SilentMachines {
     term: u64,
-    all: usize,
+    total: usize,
     silent: usize,
 }
 
 impl SilentMachines {
-    /// Counts the scheduler's machines; `None` if we do not lead.
+    /// Counts the scheduler's machines. Returns `None` if we do not lead.
     fn of(node: &Node) -> Option<SilentMachines> {
         let now = node.now();
         let scheduler = node.scheduler.borrow();
         let scheduler = scheduler.as_ref()?;
-        let (all, silent) = scheduler.silent_machines(now);
+        let (total, silent) = scheduler.silent_machines(now);
         Some(SilentMachines {
             term: scheduler.term,
-            all,
+            total,
             silent,
         })
     }
 
     /// Whether to resign if the peers recently redirected this many heartbeats.
     fn should_resign(&self, redirected: u32) -> bool {
-        should_resign(self.all, self.silent, redirected)
+        should_resign(self.total, self.silent, redirected)
     }
 }
 
@@ -63,10 +64,14 @@
         .as_ref()
         .is_some_and(|scheduler| scheduler.term == machines.term);
     if still_leads && machines.should_resign(redirected) {
-        let SilentMachines { term, all, silent } = machines;
+        let SilentMachines {
+            term,
+            total,
+            silent,
+        } = machines;
         tracing::warn!(
             term,
-            all,
+            machines = total,
             silent,
             redirected,
             "workers cannot reach this leader but reach its peers; resigning"
@@ -75,7 +80,7 @@
     }
 }
 
-/// How many heartbeats the peers recently redirected to this leader.
+/// The number of heartbeats that the peers recently redirected to this leader.
 async fn redirected_heartbeats(node: &Node) -> u32 {
     let responses = ask_all(node, &PeerRequest::RedirectedHeartbeats).await;
     let counts = responses.into_iter().map(|response| match response {
--- a/src/coordination/leadership/loops/readiness_check.rs
+++ b/src/coordination/leadership/loops/readiness_check.rs
@@ -21,7 +21,7 @@
 
 async fn check(node: &Node, timeout_s: f64) {
     if node.now() - node.last_contact_at() > timeout_s / 2.0 {
-        // No other part of the controller may have sent a request recently.
+        // Renews the contact: perhaps no other part of the controller sent a request recently.
         let _ = node.state.get(records::SHARD_KEY, Priority::Control).await;
     }
     let contact_lost = node.now() - node.last_contact_at() > timeout_s;
@@ -44,7 +44,8 @@
     }
 }
 
-/// Asks the peers about their contact to the state service and counts their answers.
+/// Asks the peers about their contact to the state service, and counts the peers with and without
+/// contact.
 async fn peer_contacts(node: &Node) -> PeerContacts {
     let responses = ask_all(node, &PeerRequest::Contact).await;
     let mut contacts = PeerContacts {
--- a/src/coordination/leadership/loops/shard_changes.rs
+++ b/src/coordination/leadership/loops/shard_changes.rs
@@ -7,7 +7,7 @@
 use crate::coordination::node::Node;
 use std::rc::Rc;
 
-/// Reacts to the present view of the shard.
+/// Applies the consequences of the present view of the shard.
 pub(super) fn react_to_shard_changes(node: &Rc<Node>) {
     if node.leadership.borrow().is_deposed() {
         tracing::warn!("leadership of the shard lost; stepping down");
@@ -15,8 +15,8 @@
     }
     adopt_raised_term(node);
     announce_term(node);
-    // Only after the step-down: a former leader must not use a machine whose drain ended
-    // under a later leader.
+    // Drains are applied only after the step-down: a former leader must not use a machine whose
+    // drain ended under a later leader.
     apply_drains(node);
     start_takeover(node);
 }
--- a/src/coordination/leadership/loops/step_down.rs
+++ b/src/coordination/leadership/loops/step_down.rs
@@ -1,11 +1,11 @@
 //! Stops leading: drops the scheduler and draws a new incarnation, which tells the other
-//! controllers that the former leader is silent.
+//! controllers that this controller has stopped answering workers as leader.
 
 use crate::coordination::node::{random_incarnation, Node};
 
-/// Promises never to extend the lease of a leader under an earlier term. If this controller is
-/// such a leader, it steps down: a leader counts itself in the majority that extends its
-/// lease, so it must not go on after it has promised.
+/// Promises never to extend the lease of a leader under a term earlier than `term`. If this
+/// controller leads under an earlier term, it steps down: a leader counts itself in the majority
+/// that extends its lease, so it must not go on after it has promised.
 pub fn promise(node: &Node, term: u64) {
     node.leadership.borrow_mut().promise(term);
     if node.leadership.borrow().is_deposed() {
@@ -14,9 +14,9 @@
     }
 }
 
-/// Steps down after a worker reported a term above ours, which only another leader can have
-/// sent to it. If this controller went on, workers and users would stay with it until its
-/// lease expires.
+/// Steps down after a worker reported a term above ours. The worker can have received such a term
+/// only from another leader. If this controller went on, workers and users would stay with it
+/// until its lease expires.
 pub fn step_down_after_higher_term(node: &Node) {
     if node.scheduler.borrow().is_some() {
         tracing::warn!("a worker reported a higher term; stepping down");
@@ -30,7 +30,8 @@
     node.leadership.borrow_mut().step_down(random_incarnation());
 }
 
-/// Stops leading the shard and leaves it to the other controllers for a worker's lease.
+/// Stops leading the shard and leaves it to the other controllers for the duration of a worker's
+/// lease.
 pub(super) fn resign(node: &Node) {
     *node.scheduler.borrow_mut() = None;
     let incarnation = random_incarnation();
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -1,4 +1,4 @@
-//! Leadership: which controller leads the shard, and what proves it.
+//! Leadership: which controller leads the shard, and what proves its leadership.
 //!
 //! Every controller keeps a lease in the state service. Its *alive key* is attached to that
 //! lease and is deleted when the lease ends. The shard record names the leader and its term.
@@ -10,8 +10,8 @@
 //! - Each takeover uses a higher term than all earlier ones. Writes of the machine list,
 //!   drains and rollouts are conditional on the version of the leader's own shard record, so
 //!   a deposed leader writes none of them.
-//! - Once a later leader considers a former leader silent, that former leader answers no
-//!   worker ([`lease_extension`]).
+//! - Once a later leader assumes that a former leader has stopped answering workers, the former
+//!   leader answers none ([`lease_extension`]).
 //! - No leader answers a worker without knowing every cancellation that was confirmed to a
 //!   user before a bounded time ago ([`cancellation_horizon`]).
 //! - A controller that has promised for a term neither acts under an earlier term nor
@@ -21,7 +21,8 @@
 //!
 //! - [`state`]: the state machine; whether this controller leads and may answer workers.
 //! - [`lease`]: this controller's lease and alive key.
-//! - [`takeover`], [`shard_update`]: the transactions, and what their responses prove.
+//! - [`takeover`], [`shard_update`]: the transactions that write the shard record, and what their
+//!   responses prove.
 //! - [`queries`], [`peer_queries`]: which queries controllers send to each other, and when.
 //! - [`lease_extension`], [`cancellation_horizon`], [`confirmed_cancellations`]: how long a
 //!   leader without contact to the state service may go on answering workers.
--- a/src/coordination/leadership/peer_queries.rs
+++ b/src/coordination/leadership/peer_queries.rs
@@ -6,12 +6,13 @@
 use crate::coordination::leadership::queries::{CancellationQuery, PeerAnswer, PromiseQuery};
 use crate::coordination::leadership::state::Leadership;
 
-/// How often a query is repeated within a controller's lease.
+/// How many times a query is sent within the duration of a controller's lease.
 const QUERIES_PER_LEASE: f64 = 8.0;
 
 impl Leadership {
-    /// The term for which to request lease extensions, if a request is due: when leadership
-    /// was not confirmed for half of our lease, several times while an extension is valid.
+    /// The term for which to request lease extensions now; `None` if no request is due. Requests
+    /// are due when leadership was not confirmed for half of our lease, and are then repeated
+    /// several times while an extension is valid.
     pub fn extension_due(&mut self, now: f64) -> Option<u64> {
         let acting = self.leader_term?;
         let unconfirmed = now - self.confirmed_at > self.unconfirmed_before_query_s();
@@ -23,12 +24,12 @@
         Some(acting.term)
     }
 
-    /// A peer extended our lease.
+    /// Records that a peer extended our lease.
     pub fn extension_acknowledged(&mut self, answer: PeerAnswer) {
         self.extensions.acknowledge(answer);
     }
 
-    /// The query for promises, if any is missing and the query is due.
+    /// The query for promises; `None` if all peers have promised or no query is due.
     pub fn promise_due(&mut self, now: f64) -> Option<PromiseQuery> {
         let acting = self.leader_term?;
         let peers = self.config.peers.iter();
@@ -46,27 +47,28 @@
         })
     }
 
-    /// A peer gave the promise that we asked for.
+    /// Records that a peer gave the promise that we asked for.
     pub fn promise_received(&mut self, answer: PeerAnswer) {
         self.promises.acknowledge(answer);
     }
 
-    /// Promises never to extend the lease of a leader under an earlier term, nor to lead under
-    /// one.
+    /// Records our promise never to extend the lease of a leader under a term earlier than `term`,
+    /// and never to lead under such a term.
     pub fn promise(&mut self, term: u64) {
         self.promised_term = self.promised_term.max(term);
     }
 
-    /// The watch of live jobs was requested at `asked_at` and reported all changes up to at
-    /// least that time.
+    /// Records that the watch of live jobs, requested at `asked_at`, has reported all changes up to
+    /// at least that time.
     pub fn job_watch_answered(&mut self, asked_at: f64) {
         if self.leader_term.is_some() {
             self.horizon.watch_answered(asked_at);
         }
     }
 
-    /// The query for confirmed cancellations, if it is due: when our knowledge of them is older
-    /// than half of our lease, as often as the query for lease extensions.
+    /// The query for confirmed cancellations; `None` if no query is due. Queries are due when our
+    /// knowledge of cancellations is older than half of our lease, as often as the query for lease
+    /// extensions.
     pub fn cancellation_query_due(&mut self, now: f64) -> Option<CancellationQuery> {
         let acting = self.leader_term?;
         let stale = now - self.cancellations_known_until() > self.unconfirmed_before_query_s();
@@ -81,7 +83,8 @@
         })
     }
 
-    /// A peer reported all cancellations that it confirmed to users.
+    /// Records that a peer reported all cancellations that it confirmed to users within the
+    /// lookback period.
     pub fn cancellations_reported(&mut self, answer: PeerAnswer) {
         // An answer to a query of an earlier takeover of ours is ignored: its lookback period
         // starts from the listing of that takeover.
@@ -94,8 +97,9 @@
     }
 
     /// Whether to report confirmed cancellations to the leader under this term. A report lets
-    /// that leader go on answering workers. So none is sent after we attempted a takeover that
-    /// may still be carried out, because that takeover assumes that the leader falls silent.
+    /// the leader go on answering workers. So no report is sent while a takeover that we attempted
+    /// may still be carried out, because the takeover assumes that the leader stops answering
+    /// workers.
     pub fn may_report_cancellations_to(&self, term: u64) -> bool {
         self.knows_no_later_leader(term)
             && self
--- a/src/coordination/leadership/queries.rs
+++ b/src/coordination/leadership/queries.rs
@@ -26,9 +26,9 @@
     pub term: u64,
     /// The peer's name.
     pub peer: &'a str,
-    /// When the query was sent, by our clock.
+    /// When the query was sent, in seconds by our clock.
     pub asked_at: f64,
-    /// When the answer arrived, by our clock.
+    /// When the answer arrived, in seconds by our clock.
     pub received_at: f64,
 }
 
--- a/src/coordination/leadership/shard_update.rs
+++ b/src/coordination/leadership/shard_update.rs
@@ -1,7 +1,7 @@
 //! Rewrites of this controller's own shard record, and what follows from their responses or
 //! from a lost response. The record is rewritten under a new lease, to confirm that the shard
-//! is still ours, and under a higher term, so that workers reject commands that were lost on
-//! their way and may still arrive.
+//! is still ours. It is also rewritten under a higher term, so that workers reject commands of
+//! unknown outcome that may still arrive.
 
 use crate::coordination::leadership::state::Leadership;
 use crate::protocol::state::Txn;
@@ -34,8 +34,9 @@
 }
 
 impl Leadership {
-    /// The rewrite that confirms our leadership under the present lease, if our previous lease
-    /// expired while we lead. It fails if another controller has taken the shard over since.
+    /// The rewrite that confirms our leadership under the present lease; `None` unless our previous
+    /// lease expired while we lead. The rewrite fails if another controller has taken the shard
+    /// over since.
     pub fn update_under_new_lease(&self, now: f64) -> Option<ShardUpdate> {
         self.leader_term?;
         let key = self.own_alive_key()?;
@@ -55,8 +56,8 @@
         })
     }
 
-    /// The rewrite that raises the term of our shard, so that lost commands are rejected if
-    /// they arrive late.
+    /// The rewrite that raises the term of our shard, so that workers reject earlier commands that
+    /// arrive late; `None` if we do not lead.
     pub fn raise_term(&self, now: f64) -> Option<ShardUpdate> {
         self.leader_term?;
         let (shard, version) = self.own_shard()?;
@@ -76,8 +77,8 @@
         })
     }
 
-    /// The record was rewritten at `version`. Returns the term under which we act now, if the
-    /// shard is still ours.
+    /// Records that the shard record was rewritten at `version`. Returns the term under which we
+    /// act now; `None` if the shard is not ours any more.
     pub fn shard_record_written(&mut self, update: &ShardUpdate, version: u64) -> Option<u64> {
         let term = update.shard.term;
         self.view.update_shard(update.shard.clone(), version);
@@ -99,8 +100,9 @@
         Some(acting_term)
     }
 
-    /// Adopts the term of our own shard record if it is higher than the one under which we
-    /// act, and returns it. That happens when a rewrite was carried out and its response lost.
+    /// Adopts the term of our own shard record if it is higher than the term under which we act,
+    /// and returns the adopted term; otherwise returns `None`. The record has a higher term if a
+    /// rewrite was carried out but its response was lost.
     ///
     /// If the leader kept its old term, peers that know the record would not extend its lease,
     /// and in an outage its workers' leases would expire.
--- a/src/coordination/leadership/state.rs
+++ b/src/coordination/leadership/state.rs
@@ -1,6 +1,6 @@
-//! The leadership state machine of one controller: whether it leads the shard, and what
-//! proves it. The code is pure, with time passed in, so that a simulation can pause a
-//! controller at any point and resume it with the state that it had before.
+//! The leadership state machine of one controller: whether the controller leads the shard, and
+//! what proves its leadership. The code is pure, with time passed in, so that a simulation can
+//! pause a controller at any point and resume it with the state that it had before.
 //!
 //! A controller that was paused resumes with stale state: responses to requests sent long
 //! ago, an old view of the control prefix, a transaction in flight. A response therefore
@@ -9,9 +9,9 @@
 //!
 //! - A renewal proves leadership only for the lease under which this controller last wrote
 //!   the shard record (`confirmed_lease`). After that lease has expired, reading the record
-//!   is not enough: the controller writes it again, on condition that it is unchanged. That
-//!   write also voids every takeover that another controller attempted before.
-//! - If two versions of a key are known, the higher one counts, whichever was learnt first.
+//!   is not enough: the controller rewrites the record, on condition that the record is
+//!   unchanged. The rewrite also voids every takeover that another controller attempted before.
+//! - If two versions of a key are known, the higher version counts, whichever was learnt first.
 //! - A controller that has promised for a term acts under no earlier term, even if the
 //!   response to its own takeover under an earlier term arrives after the promise.
 
@@ -33,15 +33,15 @@
     pub teams: Vec<String>,
     /// Time to live of a controller's lease in the state service, in seconds.
     pub lease_ttl_s: f64,
-    /// The longest time for which a leader may answer workers without contact to the state
+    /// The maximum time for which a leader may answer workers without contact to the state
     /// service, in seconds.
     pub max_without_contact_s: f64,
-    /// A worker's lease, in seconds.
+    /// The duration of a worker's lease, in seconds.
     pub worker_lease_s: f64,
-    /// The greatest age of a leader's knowledge of cancellations at which it may answer
-    /// workers, in seconds.
+    /// The maximum age of a leader's knowledge of cancellations while it answers workers, in
+    /// seconds.
     pub staleness_bound_s: f64,
-    /// The largest error of a controller's time of day, in milliseconds.
+    /// The maximum error of a controller's wall clock, in milliseconds.
     pub max_clock_error_ms: u64,
 }
 
@@ -66,12 +66,13 @@
 /// One controller's leadership state. "We" and "our" below mean this controller.
 pub struct Leadership {
     pub(super) config: LeadershipConfig,
-    /// What is known of the control prefix.
+    /// The known records of the control prefix.
     pub view: ClusterView,
     pub(super) incarnation: u64,
     pub(super) lease: Option<u64>,
     pub(super) alive_key: Option<AliveKey>,
-    /// The lease under which the shard record was last written as ours.
+    /// The lease under which this controller last wrote the shard record; `None` before its
+    /// takeover and after a step-down.
     pub(super) confirmed_lease: Option<u64>,
     /// When the last successful check that the shard is ours began.
     pub(super) confirmed_at: f64,
@@ -82,12 +83,15 @@
     pub(super) promises: QuorumRound,
     pub(super) horizon: CancellationHorizon,
     pub(super) queried_at: QueryTimes,
-    /// Version of the shard record that our last takeover attempt requires. Until we see a
-    /// newer version, the state service may still carry that attempt out.
+    /// The version of the shard record that our last takeover attempt requires; `None` before the
+    /// first attempt. Until we see a newer version, the state service may still carry the attempt
+    /// out.
     pub(super) attempted_version: Option<u64>,
+    /// When we learnt that our last takeover was carried out.
     pub(super) taken_over_at: f64,
     /// The highest term among the promises that we gave and our own takeovers.
     pub(super) promised_term: u64,
+    /// When we last resigned.
     pub(super) resigned_at: f64,
 }
 
@@ -116,9 +120,9 @@
         }
     }
 
-    /// Our present incarnation. Each start of the process draws a new one, and so does each
-    /// step-down. A controller that sees a changed incarnation in our alive key knows that the
-    /// former leader under the old incarnation is silent.
+    /// Our present incarnation. Each start of the process and each step-down draws a new one. A
+    /// controller that sees a changed incarnation in our alive key knows that the old incarnation
+    /// has stopped answering workers as leader.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -128,7 +132,8 @@
         self.confirmed_at
     }
 
-    /// The term under which we act, which may have been raised since the takeover.
+    /// The term under which we act as leader, which may have been raised since the takeover;
+    /// `None` if we do not lead.
     pub fn acting_term(&self) -> Option<u64> {
         self.leader_term.map(|acting| acting.term)
     }
@@ -136,10 +141,10 @@
     /// Whether we lead the shard and may answer workers: our lease is confirmed or extended
     /// by a quorum, and our knowledge of cancellations is recent enough.
     pub fn may_answer_workers(&self, now: f64) -> bool {
-        let acting = self
+        let acts_as_leader = self
             .leader_term
             .is_some_and(|acting| acting.term >= self.promised_term);
-        acting
+        acts_as_leader
             && self
                 .lease_durations()
                 .may_answer(&self.extensions, self.confirmed_at, now)
@@ -152,27 +157,27 @@
         self.leader_term.is_some() && now - self.confirmed_at < self.config.lease_ttl_s
     }
 
-    /// Whether we know of no leader with a higher term than this one. False until the control
+    /// Whether we know of no leader with a term higher than `term`. False until the control
     /// prefix has been listed.
     pub fn knows_no_later_leader(&self, term: u64) -> bool {
-        let known = self.view.shard.as_ref().map_or(0, |(shard, _)| shard.term);
-        self.view.loaded && known <= term && self.promised_term <= term
+        let known_term = self.view.shard.as_ref().map_or(0, |(shard, _)| shard.term);
+        self.view.loaded && known_term <= term && self.promised_term <= term
     }
 
-    /// Whether we resigned less than a worker's lease ago. During that time the shard is left
-    /// to the other controllers; if none has taken it over by then, we may lead again.
+    /// Whether we resigned less than the duration of a worker's lease ago. During that time we
+    /// leave the shard to the other controllers; after it we may lead again.
     pub fn has_resigned(&self, now: f64) -> bool {
         now - self.resigned_at < self.config.worker_lease_s
     }
 
-    /// The leader's name, if the leader is known, alive and another controller.
+    /// The name of the leader if another controller leads and is alive; otherwise `None`.
     pub fn other_leader(&self) -> Option<String> {
         let (shard, _) = self.view.shard.as_ref()?;
         let alive = self.view.alive.contains_key(&shard.leader);
         (alive && shard.leader != self.config.host).then(|| shard.leader.clone())
     }
 
-    /// Version of the shard record, if it is ours.
+    /// The version of the shard record; `None` if the shard is not known to be ours.
     pub fn own_shard_version(&self) -> Option<u64> {
         self.own_shard().map(|(_, version)| *version)
     }
@@ -197,7 +202,7 @@
     }
 
     /// Stops leading. The new incarnation, once written into our alive key, tells the other
-    /// controllers that the former leader is silent.
+    /// controllers that this controller has stopped answering workers as leader.
     pub fn step_down(&mut self, incarnation: u64) {
         self.leader_term = None;
         self.confirmed_lease = None;
@@ -205,7 +210,8 @@
         self.incarnation = incarnation;
     }
 
-    /// Steps down and leaves the shard to the other controllers for a worker's lease.
+    /// Steps down and leaves the shard to the other controllers for the duration of a worker's
+    /// lease.
     pub fn resign(&mut self, now: f64, incarnation: u64) {
         self.resigned_at = now;
         self.step_down(incarnation);
@@ -221,7 +227,7 @@
             .former_leaders_silent_from(&self.promises, self.taken_over_at);
         self.unfenced_former_leaders(&shard.former_leaders, now_ms)
             .is_empty()
-            || silent_from.is_some_and(|at| now > at)
+            || silent_from.is_some_and(|silent_from| now > silent_from)
     }
 
     /// The former leaders among `former_leaders` that may still answer a worker.
@@ -248,7 +254,7 @@
         .collect()
     }
 
-    /// The shard record and its version, if it is ours.
+    /// The shard record and its version; `None` if the shard is not known to be ours.
     pub(super) fn own_shard(&self) -> Option<&(ShardRecord, u64)> {
         self.view
             .shard
--- a/src/coordination/leadership/takeover.rs
+++ b/src/coordination/leadership/takeover.rs
@@ -1,6 +1,6 @@
 //! The decisions of a failover: when this controller may take the shard over, the
 //! conditional transaction that does so under a new term, and what follows from its
-//! response, however late that arrives. `loops::failover` sends the requests.
+//! response, however late the response arrives. `loops::failover` sends the requests.
 
 use crate::coordination::leadership::cancellation_horizon::CancellationHorizon;
 use crate::coordination::leadership::state::{AliveKey, LeaderTerm, Leadership};
@@ -8,7 +8,7 @@
 use crate::storage::records::{self, FormerLeader, ShardRecord, TermCounter};
 
 /// Upper bound on the milliseconds that one controller's clock advances during one second of
-/// another's. The excess over 1000 is an ample margin for clock drift.
+/// another controller's. The excess over 1000 is an ample margin for clock drift.
 const MS_PER_S_WITH_DRIFT: f64 = 1002.0;
 
 /// A takeover attempt, with what is needed to process its response.
@@ -16,16 +16,18 @@
 pub struct TakeoverAttempt {
     /// The transaction that takes the shard over.
     pub txn: Txn,
-    /// The shard record that it writes.
+    /// The shard record that the transaction writes.
     pub shard: ShardRecord,
     /// The lease to which our alive key is attached.
     lease: u64,
+    /// When the attempt was decided.
     asked_at: f64,
 }
 
 impl Leadership {
-    /// The takeover to attempt, if the shard may be taken over: it has no leader, its leader's
-    /// lease has ended, or it was ours before we restarted or stepped down.
+    /// The takeover to attempt; `None` if the shard may not be taken over. The shard may be taken
+    /// over if it has no leader, if its leader's lease has ended, or if it was ours before we
+    /// restarted or stepped down.
     pub fn attempt_takeover(&mut self, now: f64, now_ms: u64) -> Option<TakeoverAttempt> {
         if !self.view.loaded || self.leader_term.is_some() || self.has_resigned(now) {
             return None;
@@ -91,13 +93,13 @@
         former_leaders
     }
 
-    /// The longest time for which the shard's present leader may still answer workers if the
+    /// The maximum time for which the shard's present leader may still answer workers if the
     /// shard is taken over now, in milliseconds by any controller's clock.
     ///
     /// The leader's knowledge of cancellations cannot be newer than the last check of its
-    /// leadership, and from now on we report no cancellations to it. So it stops when that
-    /// knowledge is older than the staleness bound. A leader that runs an older program has no
-    /// such bound and goes on for as long as its lease is extended.
+    /// leadership, and from now on we report no cancellations to the leader. So the leader stops
+    /// when its knowledge is older than the staleness bound. A leader that runs an older program
+    /// has no such bound and goes on for as long as its lease is extended.
     fn silent_after_ms(&self, shard: &ShardRecord) -> u64 {
         let config = &self.config;
         let silent_s = if shard.bounded_staleness {
@@ -108,8 +110,8 @@
         (silent_s * MS_PER_S_WITH_DRIFT) as u64
     }
 
-    /// The takeover was carried out at `version`. Returns false if another controller has taken
-    /// the shard over since, before we processed this response.
+    /// Records that the takeover was carried out at `version`. Returns false if another controller
+    /// has taken the shard over since, or if we lead already.
     pub fn takeover_written(&mut self, attempt: &TakeoverAttempt, version: u64, now: f64) -> bool {
         let term = attempt.shard.term;
         self.view.update_shard(attempt.shard.clone(), version);
@@ -125,10 +127,8 @@
         true
     }
 
-    /// Starts to lead the shard, whose records are loaded; returns false if the shard was lost
-    /// while they were read.
-    ///
-    /// The live jobs were listed after `listed_at`.
+    /// Starts to lead the shard after its records were loaded. Returns false if the shard was lost
+    /// meanwhile. The listing of live jobs was requested at `listed_at`.
     pub fn begin_term(&mut self, term: u64, listed_at: f64) -> bool {
         if !self.holds_term(term) {
             return false;
