--- a/src/coordination/leadership/lease_extension.rs
+++ b/src/coordination/leadership/lease_extension.rs
@@ -67,7 +67,7 @@
     /// The time after which no former leader answers workers any more; `None` until a majority
     /// has promised. `taken_over_at` is the time at which the new leader learnt that its takeover
     /// was carried out.
-    pub fn former_leaders_silent_from(
+    pub fn former_leaders_stopped_after(
         &self,
         promises: &QuorumRound,
         taken_over_at: f64,
--- a/src/coordination/leadership/state.rs
+++ b/src/coordination/leadership/state.rs
@@ -222,12 +222,12 @@
         let Some((shard, _)) = self.own_shard() else {
             return false;
         };
-        let silent_from = self
+        let stopped_after = self
             .lease_durations()
-            .former_leaders_silent_from(&self.promises, self.taken_over_at);
+            .former_leaders_stopped_after(&self.promises, self.taken_over_at);
         self.unfenced_former_leaders(&shard.former_leaders, now_ms)
             .is_empty()
-            || silent_from.is_some_and(|silent_from| now > silent_from)
+            || stopped_after.is_some_and(|stopped_after| now > stopped_after)
     }
 
     /// The former leaders among `former_leaders` that may still answer a worker.
--- a/src/coordination/leadership/takeover.rs
+++ b/src/coordination/leadership/takeover.rs
@@ -87,7 +87,7 @@
             former_leaders.push(FormerLeader {
                 host: shard.leader.clone(),
                 incarnation: shard.incarnation,
-                until_ms: now_ms + self.silent_after_ms(shard) + self.config.max_clock_error_ms,
+                until_ms: now_ms + self.max_answering_ms(shard) + self.config.max_clock_error_ms,
             });
         }
         former_leaders
@@ -100,14 +100,14 @@
     /// leadership, and from now on we report no cancellations to the leader. So the leader stops
     /// when its knowledge is older than the staleness bound. A leader that runs an older program
     /// has no such bound and goes on for as long as its lease is extended.
-    fn silent_after_ms(&self, shard: &ShardRecord) -> u64 {
+    fn max_answering_ms(&self, shard: &ShardRecord) -> u64 {
         let config = &self.config;
-        let silent_s = if shard.bounded_staleness {
+        let max_answering_s = if shard.bounded_staleness {
             config.max_without_contact_s.min(config.staleness_bound_s)
         } else {
             config.max_without_contact_s
         };
-        (silent_s * MS_PER_S_WITH_DRIFT) as u64
+        (max_answering_s * MS_PER_S_WITH_DRIFT) as u64
     }
 
     /// Records that the takeover was carried out at `version`. Returns false if another controller
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -19,17 +19,18 @@
 use tokio::time::{sleep, Instant};
 
 const JOBS: usize = 36;
-/// Jobs per page of a listing; few enough that a takeover reads several pages.
+/// Number of jobs per page of a listing, so low that a takeover reads several pages.
 const JOBS_PER_PAGE: usize = 3;
 const HANDOVERS: usize = 6;
 const CANCELS_PER_HANDOVER: usize = JOBS / HANDOVERS;
-/// How many of these are requested from the former leader, as soon as it has resigned or the
-/// state service answers it again.
+/// Number of cancellations per handover that users request from the former leader, as soon as this
+/// leader has resigned or the state service answers it again.
 const CANCELS_AT_FORMER_LEADER: usize = 2;
 /// How far back a controller's list of confirmed cancellations is compared with its scheduler,
 /// in seconds.
 const LOOKBACK_S: f64 = 20.0;
-/// How long a leader with contact to the state service may take to learn of a cancellation.
+/// Maximum time that a leader with contact to the state service may take to learn of a
+/// cancellation.
 const LEARNING_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Counts the cancellations that were confirmed during a change of leader, by circumstance.
@@ -64,14 +65,15 @@
 /// The controller that accepted a call.
 struct Accepted {
     controller: usize,
-    /// Whether the controller was a former leader, still acting, when it was called.
+    /// Whether the controller still acted as leader, although it was a former leader, when it was
+    /// called.
     was_former_leader: bool,
 }
 
 struct Scenario {
     cluster: Rc<Cluster>,
     controllers: Vec<Controller>,
-    /// Cancellations that were confirmed to users: the job, and when.
+    /// Cancellations that were confirmed to users: the job, and the time of the confirmation.
     confirmed: RefCell<Vec<(String, Instant)>>,
     /// When the state service last refused a leader.
     refused_at: RefCell<Option<Instant>>,
@@ -83,7 +85,8 @@
         self.cluster.rng.borrow_mut().random_range(range)
     }
 
-    /// The leader according to the shard record in the state service.
+    /// The index of the leader according to the shard record in the state service; `None` if there
+    /// is no record.
     fn recorded_leader(&self) -> Option<usize> {
         let entry = self.cluster.store.borrow().get(records::SHARD_KEY)?;
         let leader = entry.read::<ShardRecord>().expect("a shard record").leader;
@@ -100,7 +103,7 @@
         self.draw(0..self.controllers.len() as u64) as usize
     }
 
-    /// Whether the controller acts as leader although the shard record names another one.
+    /// Whether the controller acts as leader although the shard record names another controller.
     fn is_former_leader(&self, controller: usize) -> bool {
         let has_scheduler = self.controllers[controller]
             .node
@@ -151,8 +154,8 @@
         counters.confirmed += 1;
         counters.while_loading += usize::from(loading.is_some());
         let pages = self.cluster.pages.borrow();
-        let just_read = |(by, at): &(usize, Instant)| {
-            Some(*by) == loading && at.elapsed() < Duration::from_millis(300)
+        let just_read = |(reader, read_at): &(usize, Instant)| {
+            Some(*reader) == loading && read_at.elapsed() < Duration::from_millis(300)
         };
         counters.between_pages += usize::from(pages.iter().any(just_read));
         counters.by_new_leader += usize::from(loading == Some(accepted.controller));
@@ -165,9 +168,10 @@
         counters.reported_to_new_leader += usize::from(reported);
     }
 
-    /// Checks two properties of each controller that has a scheduler. Its scheduler runs no job
-    /// whose cancellation it confirmed itself or had reported by a peer. If it leads and has
-    /// contact to the state service, it learns of all other cancellations within a time limit.
+    /// Checks two properties of each controller that has a scheduler. The scheduler runs no job
+    /// whose cancellation the controller confirmed itself or learnt from a peer's report. If the
+    /// controller leads and has contact to the state service, it learns of all other cancellations
+    /// within `LEARNING_TIMEOUT`.
     fn check(&self, seed: u64) {
         for (index, controller) in self.controllers.iter().enumerate() {
             let node = &controller.node;
@@ -176,13 +180,14 @@
                 continue;
             };
             let is_live = |id: &str| scheduler.jobs.get(id).is_some_and(|job| !job.finished);
-            for known in [&node.confirmed_cancellations, &node.relayed_cancellations] {
+            for cancellations in [&node.confirmed_cancellations, &node.relayed_cancellations] {
                 let lookback_s = LOOKBACK_S.min(node.now());
-                let ids = known.borrow().within(lookback_s, node.now());
+                let ids = cancellations.borrow().within(lookback_s, node.now());
                 for id in ids.into_iter().flatten() {
                     assert!(
                         !is_live(&id),
-                        "seed {seed}: berth-{index} runs {id} although it knows of the cancellation"
+                        "seed {seed}: berth-{index} runs job {id} although it knows of the \
+                         cancellation"
                     );
                 }
             }
@@ -193,17 +198,18 @@
             if recently_refused || self.recorded_leader() != Some(index) {
                 continue;
             }
-            for (id, at) in self.confirmed.borrow().iter() {
-                let late = at.elapsed() > LEARNING_TIMEOUT;
+            for (id, confirmed_at) in self.confirmed.borrow().iter() {
+                let late = confirmed_at.elapsed() > LEARNING_TIMEOUT;
                 assert!(
                     !late || !is_live(id),
-                    "seed {seed}: berth-{index} runs {id}, which was cancelled"
+                    "seed {seed}: berth-{index} still runs job {id}, which was cancelled"
                 );
             }
         }
     }
 
-    /// The leader resigns, or the state service refuses it until its lease has expired.
+    /// Makes the leader resign, or makes the state service refuse the leader until its lease has
+    /// expired.
     async fn hand_over(self: &Rc<Self>, round: usize) {
         let leader = self.recorded_leader().expect("a leader");
         self.counters.borrow_mut().handovers += 1;
@@ -225,8 +231,8 @@
         }
     }
 
-    /// The state service refuses the leader for some seconds. In most cases the other controllers
-    /// cannot reach the leader during that time either.
+    /// Makes the state service refuse the leader for some seconds. In two of three cases the other
+    /// controllers cannot reach the leader during this time either.
     async fn refuse(&self, leader: usize) {
         self.cluster.refused_controller.set(Some(leader));
         let isolated = self.draw(0..3) > 0;
@@ -316,20 +322,20 @@
 /// scheduler, or by another controller that reported it to the new leader.
 #[test]
 fn new_leader_knows_cancellations_confirmed_during_the_handover() {
-    let mut all = Counters::default();
+    let mut totals = Counters::default();
     for seed in seeds(24) {
-        all.add(&block_on(run_seed(seed)));
+        totals.add(&block_on(run_seed(seed)));
     }
-    println!("{all:?}");
+    println!("{totals:?}");
     let counts = [
-        all.while_loading,
-        all.between_pages,
-        all.by_former_leader,
-        all.by_new_leader,
-        all.reported_to_new_leader,
+        totals.while_loading,
+        totals.between_pages,
+        totals.by_former_leader,
+        totals.by_new_leader,
+        totals.reported_to_new_leader,
     ];
     assert!(
         seed_range_is_given() || counts.iter().all(|count| *count > 5),
-        "too few cancellations of some kind: {all:?}"
+        "too few cancellations of some kind: {totals:?}"
     );
 }
--- a/tests/leader_reachability.rs
+++ b/tests/leader_reachability.rs
@@ -1,4 +1,4 @@
-//! A leader that its workers cannot reach resigns, and no other leader does.
+//! A leader resigns if its workers cannot reach it, and only then.
 
 mod common;
 
@@ -24,7 +24,10 @@
         (0, 0, 9, false),
     ] {
         let actual = should_resign(machines, silent, redirected);
-        assert_eq!(actual, resigns, "{machines} {silent} {redirected}");
+        assert_eq!(
+            actual, resigns,
+            "{machines} machines, {silent} silent, {redirected} heartbeats redirected"
+        );
     }
 }
 
@@ -56,8 +59,8 @@
 #[test]
 fn redirects_are_counted_in_windows() {
     let mut redirects = RedirectCounter::default();
-    for at in [100.0, 101.0, 106.0] {
-        redirects.add(at);
+    for redirected_at in [100.0, 101.0, 106.0] {
+        redirects.add(redirected_at);
     }
     for (now, recent) in [(106.0, 3), (109.0, 3), (112.0, 1), (130.0, 0)] {
         assert_eq!(redirects.recent(now), recent, "at {now}");
@@ -83,9 +86,9 @@
     }
 }
 
-/// Guards against a leader whose process was paused and that takes its own pause for silence
-/// of its machines: after such a pause leaders resigned or returned machines. Heartbeats
-/// that are missing after the pause count as silence.
+/// Guards against a leader that takes a pause of its own process for silence of its machines:
+/// after such a pause leaders resigned or returned machines. Heartbeats that are missing after the
+/// pause do count as silence.
 #[test]
 fn own_pause_does_not_count_as_silence() {
     let names = ["m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
@@ -93,7 +96,7 @@
     for name in names {
         scheduler.handle_heartbeat(&report(name, 1, 1, 5, &[]), 1.0);
     }
-    // Checks before the first tick after the pause, and after it.
+    // The silence is assessed before the first tick after the pause, and again after this tick.
     assert_eq!(Assessment::at(&scheduler, 9.0), Assessment::default());
     scheduler.tick(9.0, 0.0);
     scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 9.1);
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! What a controller may conclude from responses that arrive late, one case per test. The
+//! What a controller may conclude from responses that arrive late, with one case per test. The
 //! simulation in tests/pause searches for further cases.
 
 use foxspur::coordination::leadership::lease::{AliveKeyWrite, LeaseStep};
@@ -9,8 +9,8 @@
 use foxspur_testbed::store::Store;
 
 const LEASE_TTL_S: f64 = 4.0;
-/// When the live jobs were listed. The greatest time, so that the knowledge of cancellations is
-/// never too old in these tests.
+/// When the live jobs were listed. This is the maximum time, so that the knowledge of
+/// cancellations is never too old in these tests.
 const LISTED_AT: f64 = f64::MAX;
 
 fn leadership(host: &str, peers: &[&str], incarnation: u64) -> Leadership {
@@ -31,7 +31,7 @@
 fn next_alive_key(controller: &Leadership, now: f64) -> AliveKeyWrite {
     match controller.next_lease_step(now) {
         LeaseStep::WriteAliveKey(write) => write,
-        other => panic!("the next step is no write of the alive key: {other:?}"),
+        other => panic!("expected a write of the alive key, got {other:?}"),
     }
 }
 
@@ -101,7 +101,8 @@
         }
     }
 
-    /// The leader's lease ends; the standby learns of that and attempts a takeover.
+    /// Ends the leader's lease, lets the standby learn of this, and returns the standby's takeover
+    /// attempt.
     fn expire_lease_and_attempt_takeover(&mut self) -> TakeoverAttempt {
         let since = self.store.revision;
         self.store.end(self.leader_lease);
@@ -111,7 +112,7 @@
             .expect("the leader is gone")
     }
 
-    /// The leader notices that its lease ended, and gets another one.
+    /// Lets the leader notice that its lease ended, and get another lease.
     fn get_new_lease(&mut self) -> u64 {
         self.leader.lease_ended(self.leader_lease);
         self.leader_lease =
@@ -120,9 +121,9 @@
     }
 }
 
-/// Guards against a delayed takeover. It is attempted while the leader has no lease, and
-/// carried out after the leader has got a new lease and lost that one as well. Counted from
-/// the attempt, the former leader would have been silent for long, but it is not.
+/// Guards against a delayed takeover, which is attempted while the leader has no lease and carried
+/// out after the leader has got a new lease and lost the new one as well. Counted from the
+/// attempt, the former leader would long have stopped answering workers, but it still answers.
 #[test]
 fn takeover_attempted_before_the_leader_got_a_new_lease_is_void() {
     let mut pair = Pair::new();
@@ -155,7 +156,11 @@
         }
         let adopted = pair.leader.adopt_raised_term();
         assert_eq!(adopted.is_some(), leader_saw_write);
-        assert_eq!(pair.leader.adopt_raised_term(), None, "adopted twice");
+        assert_eq!(
+            pair.leader.adopt_raised_term(),
+            None,
+            "the raised term was adopted twice"
+        );
         let term = pair.leader.extension_due(10.0).expect("no contact");
         assert_eq!(
             pair.standby.knows_no_later_leader(term),
@@ -167,9 +172,9 @@
 }
 
 /// Guards against a controller that attempts a takeover and also reports cancellations to the
-/// leader, which lets the leader go on answering workers. A takeover counts the leader's
-/// silence from the attempt. An attempt without a response may still be carried out until the
-/// shard record that it requires is known to have changed.
+/// leader, which lets the leader go on answering workers. A takeover counts the time after which
+/// the leader has stopped answering workers from the attempt. An attempt without a response may
+/// still be carried out until the shard record that it requires is known to have changed.
 #[test]
 fn no_cancellations_are_reported_to_the_leader_after_a_takeover_attempt() {
     let mut pair = Pair::new();
@@ -200,9 +205,9 @@
 /// as its lease can be extended.
 #[test]
 fn former_leader_of_an_older_version_is_given_more_time() {
-    // Whether the leader's staleness is bounded, and the seconds from the attempt until it is
-    // silent.
-    for (bounded, silent_after_s) in [(true, 24.0), (false, 96.0)] {
+    // Whether the staleness of the leader's knowledge is bounded, and the time from the attempt
+    // until the leader has stopped answering workers, in seconds.
+    for (bounded, stopped_after_s) in [(true, 24.0), (false, 96.0)] {
         let mut pair = Pair::new();
         let entry = pair.store.get(records::SHARD_KEY).expect("taken");
         let mut shard = entry.read::<ShardRecord>().expect("a shard record");
@@ -221,7 +226,7 @@
             .until_ms;
         assert_eq!(
             until_ms,
-            5000 + (silent_after_s * 1002.0) as u64 + 1000,
+            5000 + (stopped_after_s * 1002.0) as u64 + 1000,
             "bounded: {bounded}"
         );
     }
@@ -254,8 +259,8 @@
     assert!(!pair.leader.is_certain_leader(7.0) && !pair.leader.may_answer_workers(7.0));
 }
 
-/// Guards against a late response to a rewrite of the shard record that is taken to confirm
-/// leadership under a newer lease than the one under which the record was rewritten.
+/// Guards against a controller that takes a late response to a rewrite of the shard record as a
+/// confirmation under a newer lease than the one under which the record was rewritten.
 #[test]
 fn rewrite_confirms_only_the_lease_it_was_made_under() {
     let mut pair = Pair::new();
@@ -283,16 +288,16 @@
 }
 
 /// Guards against a controller that begins a term although another controller has taken the
-/// shard over since. It learns of the later takeover before its own response arrives, while
-/// it loads the shard, or by a promise that it gives.
+/// shard over since. The controller learns of the later takeover before its own response arrives,
+/// while it loads the shard, or by a promise that it gives.
 #[test]
 fn superseded_takeover_begins_no_term() {
     for (informed_before_response, promised) in [(true, false), (false, false), (false, true)] {
         let mut pair = Pair::new();
         let attempt = pair.expire_lease_and_attempt_takeover();
         let version = pair.store.apply(&attempt.txn).expect("taken over");
-        // The standby is paused and its lease, the second that was granted, ends. The former
-        // leader takes the shard back.
+        // The standby is paused, and its lease ends, which is the second lease that was granted.
+        // The former leader takes the shard back.
         pair.store.end(2);
         pair.get_new_lease();
         list_control_prefix(&mut pair.leader, &pair.store);
@@ -356,13 +361,13 @@
     assert_eq!(pair.standby.view.shard_version(), known_version);
     assert!(
         pair.standby.attempt_takeover(6.0, 6000).is_none(),
-        "its leader is alive"
+        "the standby attempts a takeover although the leader is alive"
     );
     // A read of the leader's alive key that began before the shard record changed.
     pair.standby.view.leader_not_alive("a", listed_at);
     assert!(
         pair.standby.attempt_takeover(6.0, 6000).is_none(),
-        "its leader is alive"
+        "the standby attempts a takeover although the leader is alive"
     );
     // A delayed write of an earlier incarnation overwrites the leader's alive key.
     let key = records::alive_key("a");
@@ -401,7 +406,8 @@
 }
 
 /// Guards against a delayed write of the alive key by an earlier process that is carried out
-/// after the write of its successor. It would attach the key to a lease that is about to end.
+/// after the write of its successor. The delayed write would attach the key to a lease that is
+/// about to end.
 #[test]
 fn late_alive_key_write_of_an_earlier_process_fails() {
     // Whether the earlier process had written its alive key, and whether the restarted process
--- a/tests/lease_extension.rs
+++ b/tests/lease_extension.rs
@@ -1,6 +1,6 @@
-//! A leader without contact must have stopped answering workers before a new leader considers
-//! it silent. Tested by single cases, and by many random scenarios of lost calls between
-//! controllers.
+//! A leader without contact to the state service must have stopped answering workers before a new
+//! leader assumes that it has. The tests check single cases, and many random scenarios in which
+//! calls between controllers are lost.
 
 use foxspur::coordination::leadership::lease_extension::{LeaseDurations, QuorumRound};
 use foxspur::coordination::leadership::queries::PeerAnswer;
@@ -10,7 +10,7 @@
 const LEASE_TTL_S: f64 = 4.0;
 const MAX_WITHOUT_CONTACT_S: f64 = 60.0;
 
-/// The controllers that are the former and the new leader, and their terms.
+/// The indices of the former and of the new leader among the controllers, and their terms.
 const FORMER_LEADER: usize = 0;
 const FORMER_TERM: u64 = 1;
 const NEW_LEADER: usize = 1;
@@ -32,12 +32,12 @@
 }
 
 /// Guards against a leader that answers workers without contact for longer than its own lease
-/// and the extensions by a majority allow, and against one that stops too early.
+/// and the extensions by a majority allow. Also guards against a leader that stops too early.
 #[test]
 fn leader_without_contact_answers_for_a_bounded_time() {
     let durations = LeaseDurations::new(LEASE_TTL_S, MAX_WITHOUT_CONTACT_S);
-    // (controllers, extensions as (peer, asked at), now, may answer); leadership was last
-    // confirmed at 0.
+    // (number of controllers, extensions as (peer, time of the query), present time, whether the
+    // leader may answer workers). Leadership was last confirmed at time 0.
     type Case<'a> = (usize, &'a [(&'a str, f64)], f64, bool);
     let cases: [Case; 8] = [
         (5, &[], 5.9, true),
@@ -67,7 +67,7 @@
 /// An answer that has not arrived yet.
 struct PendingAnswer {
     arrives_at: f64,
-    /// Whether it extends the former leader's lease; otherwise it is a promise.
+    /// Whether the answer extends the former leader's lease; otherwise the answer is a promise.
     is_extension: bool,
     peer: usize,
     asked_at: f64,
@@ -80,14 +80,14 @@
     taken_over_at: f64,
     reach_probability: f64,
     promise_probability: f64,
-    /// Which controllers have promised.
+    /// For each controller, whether it has promised.
     promised: Vec<bool>,
     /// The extensions of the former leader's lease.
     extensions: QuorumRound,
     /// The promises to the new leader.
     promises: QuorumRound,
     pending: Vec<PendingAnswer>,
-    /// Whether the former leader knows that it does not lead any more.
+    /// Whether the former leader knows that it no longer leads.
     deposed: bool,
 }
 
@@ -100,7 +100,8 @@
             // The former leader's lease ended before the new one took over.
             taken_over_at: LEASE_TTL_S + rng.random_range(0.0..20.0),
             reach_probability: rng.random_range(0.2..1.0),
-            // So low that the new leader may reach the other controllers only late.
+            // The probability is so low that the new leader may reach the other controllers only
+            // late.
             promise_probability: rng.random_range(0.002..0.1),
             rng,
             promised: vec![false; controllers],
@@ -111,8 +112,8 @@
         }
     }
 
-    /// Each of the two leaders may ask each controller. The controller decides on its answer at
-    /// once; the answer arrives a little later.
+    /// Lets each of the two leaders ask each controller with some probability. A controller decides
+    /// on its answer at once; the answer arrives a little later.
     fn ask_all(&mut self, now: f64) {
         let taken_over = now >= self.taken_over_at;
         for peer in 0..self.controllers {
@@ -161,8 +162,9 @@
     }
 }
 
-/// Guards against a new leader that considers machines empty while a former leader, whose lease
-/// a majority extended, still renews the leases of their workers.
+/// Guards against a new leader that assumes that a former leader is silent, that is, no longer
+/// answers workers, while the former leader, whose lease a majority extended, still renews the
+/// leases of workers. The new leader would then consider the machines of these workers empty.
 #[test]
 fn former_leader_stops_answering_before_it_is_considered_silent() {
     let durations = LeaseDurations::new(LEASE_TTL_S, MAX_WITHOUT_CONTACT_S);
@@ -176,12 +178,12 @@
             scenario.receive_answers(now);
             let answers = !scenario.deposed && durations.may_answer(&scenario.extensions, 0.0, now);
             extended_steps += usize::from(answers && now > durations.unconfirmed_s);
-            let silent_from =
-                durations.former_leaders_silent_from(&scenario.promises, scenario.taken_over_at);
-            if let Some(silent_from) = silent_from {
+            let stopped_after =
+                durations.former_leaders_stopped_after(&scenario.promises, scenario.taken_over_at);
+            if let Some(stopped_after) = stopped_after {
                 checks_after_promises += 1;
                 assert!(
-                    !(now >= silent_from && answers),
+                    !(now >= stopped_after && answers),
                     "seed {seed}, at {now:.1}: the former leader still answers"
                 );
             }
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -1,5 +1,5 @@
-//! Broken jobs, whose tasks all fail, are told from faulty machines, on which all tasks
-//! fail. The first task of a large job starts in time although smaller jobs go first.
+//! The scheduler distinguishes broken jobs, whose tasks all fail, from faulty machines, on which
+//! all tasks fail. The first task of a large job starts in time although smaller jobs go first.
 
 mod common;
 
@@ -13,14 +13,15 @@
 /// The tasks of a heartbeat, as (name, attempt, phase, cause).
 type ShownTasks = Vec<(String, u64, Phase, Option<Cause>)>;
 
-/// The tasks that a machine reports: all that the scheduler has started there. A task has
-/// exited if `exit_cause` gives a cause for its job, and runs otherwise.
+/// The tasks that a machine reports: all tasks that the scheduler has started there. A task has
+/// exited if `exit_cause` returns a cause for its job, and runs otherwise.
 fn shown_tasks(
     scheduler: &Scheduler,
     machine: &str,
     exit_cause: impl Fn(&str) -> Option<Cause>,
 ) -> ShownTasks {
-    // Attempts that an earlier heartbeat showed as exited have been forgotten since.
+    // Exited attempts are left out: the worker has forgotten them since the heartbeat that showed
+    // them.
     let live = scheduler.machines[machine].live_attempts();
     live.map(|(key, _)| match exit_cause(&key.task.job) {
         Some(cause) => (key.task.wire(), key.number, Phase::Exited, Some(cause)),
@@ -47,8 +48,8 @@
     scheduler.handle_heartbeat(&report(machine, 1, seq, 5, &tasks), at);
 }
 
-/// Guards against blaming machines for a broken job: its tasks failed at once all over the
-/// fleet, and machines with three of the failures were taken out of use. Also guards against
+/// Guards against blaming machines for a broken job: the job's tasks failed at once on all
+/// machines, and machines with three of the failures were taken out of use. Also guards against
 /// a broken job that occupies the whole fleet with each of its retries.
 #[test]
 fn broken_job_blames_no_machine_and_retries_one_task_at_a_time() {
@@ -96,8 +97,8 @@
     assert!(overview.contains("failures on 12 machines"), "{overview}");
 }
 
-/// Guards against blaming a machine for a broken job that has failed on fewer than three
-/// machines so far, so that it is not suspected yet. Four failed tasks of one job leave the
+/// Guards against blaming a machine for a broken job that is not suspected yet, because it has
+/// failed on fewer than three machines so far. Four failed tasks of one job leave the
 /// machine in use. One failed task of each of four jobs takes it out of use.
 #[test]
 fn failures_are_counted_by_job() {
@@ -151,7 +152,7 @@
     }
 }
 
-/// Guards against blaming jobs for a faulty machine: the machine is found although each job
+/// Guards against blaming jobs for a faulty machine: the machine is detected although each job
 /// fails there only once, and the jobs that had a few tasks there are not suspected.
 #[test]
 fn failing_machine_is_retired_and_its_jobs_are_not_suspect() {
@@ -196,7 +197,7 @@
 
 /// Guards against starvation of the largest job: smallest-first placement prefers small jobs
 /// for as long as new ones arrive. Half of `begin-s` after the job was submitted, one of its
-/// tasks is placed first. No other task of it is, and this task is not preempted.
+/// tasks, and only one, is placed ahead of all other jobs, and this task is not preempted.
 #[test]
 fn first_task_of_the_largest_job_starts_in_time() {
     for (begin_s, expected_start) in [(240.0, Some(121)), (0.0, None)] {
@@ -222,7 +223,7 @@
         let mut started_at = None;
         for second in 1..230u64 {
             let now = second as f64;
-            // Ten small jobs are submitted, and those of the previous second are done.
+            // Ten small jobs are submitted, and the small jobs of the previous second are done.
             for n in 0..10 {
                 let id = format!("run-{}", second * 10 + n);
                 add(
@@ -240,14 +241,14 @@
             let placed = scheduler.jobs["run-9999"].placed.len();
             assert!(
                 placed <= 1,
-                "{placed} tasks of the largest job at {second} s"
+                "{placed} tasks of the largest job are placed at {second} s; at most 1 is expected"
             );
             if placed > 0 {
                 started_at.get_or_insert(second);
             }
             assert!(
                 started_at.is_none() || placed == 1,
-                "first task stopped at {second} s"
+                "the first task of the largest job is no longer placed at {second} s"
             );
         }
         assert_eq!(started_at, expected_start, "begin-s {begin_s}");
@@ -262,6 +263,6 @@
             .attempts
             .iter()
             .any(|(key, attempt)| &*key.task.job == "run-9999" && attempt.stop_grace_s.is_some());
-        assert!(!stopped, "preempted by an urgent job");
+        assert!(!stopped, "the first task was preempted by an urgent job");
     }
 }
--- a/tests/pause/checks.rs
+++ b/tests/pause/checks.rs
@@ -24,27 +24,28 @@
                 .may_answer_workers(self.local_time(node));
             assert!(
                 !answers || highest_fenced.is_none_or(|term| term <= base_term),
-                "{context} answers under term {base_term}, but the leader of term \
-                 {highest_fenced:?} considers it silent",
+                "{context} answers workers under term {base_term}, although the leader of term \
+                 {highest_fenced:?} assumes that former leaders have stopped answering",
             );
             let unknown = self.unknown_cancellation(controller);
             assert!(
                 !answers || unknown.is_none(),
-                "{context} answers and does not know of the cancellation {unknown:?}",
+                "{context} answers workers without knowing the confirmed cancellation of job \
+                 {unknown:?}",
             );
             Self::check_acting_term(controller, &context);
             self.check_confirmation(controller, base_term, &context);
         }
     }
 
-    /// A cancellation that the controller should know and does not, if there is one. A leader
-    /// that answers workers must know each cancellation that was confirmed longer ago than the
-    /// staleness bound.
+    /// A job whose cancellation the controller should know but does not know; `None` if there is
+    /// none. A leader that answers workers must know each cancellation that was confirmed longer
+    /// ago than the staleness bound.
     fn unknown_cancellation(&self, controller: &Controller) -> Option<u64> {
         let must_be_known_before = self.now - self.staleness_bound_s * 1.002 - 0.01;
         let newest_first = self.confirmed.iter().rev();
-        let must_be_known =
-            newest_first.skip_while(|cancellation| cancellation.at >= must_be_known_before);
+        let must_be_known = newest_first
+            .skip_while(|cancellation| cancellation.confirmed_at >= must_be_known_before);
         must_be_known
             .take(9)
             .map(|cancellation| cancellation.job)
@@ -62,7 +63,7 @@
         let acting_term = leadership.acting_term();
         assert!(
             own_term <= acting_term,
-            "{context} acts under term {acting_term:?}, its shard record has term {own_term:?}",
+            "{context} acts under term {acting_term:?}, but its shard record has term {own_term:?}",
         );
     }
 
@@ -74,7 +75,7 @@
             .iter()
             .filter(|takeover| takeover.term > base_term);
         let lost_at = later_takeovers
-            .map(|takeover| takeover.at)
+            .map(|takeover| takeover.carried_out_at)
             .fold(f64::MAX, f64::min);
         let confirmed_at = (controller.leadership.confirmed_at() - controller.clock_offset_s)
             / (1.0 + controller.clock_drift);
@@ -97,8 +98,8 @@
             .map(|(_, controller)| controller)
     }
 
-    /// Checks that at the end exactly one leader answers workers and knows that all former
-    /// leaders are silent.
+    /// Checks that at the end exactly one leader answers workers and knows that all former leaders
+    /// have stopped answering workers.
     pub(crate) fn check_one_leader(&self, seed: u64) {
         let leaders = self.answering_leaders().filter(|controller| {
             controller
@@ -112,7 +113,7 @@
         );
     }
 
-    /// Adds the leadership state of each controller, as it sees it, to the digest.
+    /// Adds each controller's own leadership state to the digest.
     pub(crate) fn record(&mut self) {
         self.digest.time(self.now);
         self.digest.number(self.events.len() as u64);
--- a/tests/pause/controller.rs
+++ b/tests/pause/controller.rs
@@ -9,11 +9,13 @@
 pub(crate) struct Acting {
     /// The term of the takeover.
     pub(crate) base_term: u64,
-    /// Since when no former leader can answer a worker, once that is known.
+    /// The time since which no former leader can answer a worker; `None` until the leader knows
+    /// this.
     pub(crate) former_leaders_silent_since: Option<f64>,
 }
 
-/// The cancelled jobs that a running takeover has read, and when it requested them.
+/// The cancelled jobs that a running takeover has read, and the time of its request, by the
+/// controller's clock.
 #[derive(Default)]
 pub(crate) struct JobListing {
     pub(crate) asked_at: f64,
@@ -28,12 +30,12 @@
     pub(crate) clock_drift: f64,
     pub(crate) wall_clock_error_ms: f64,
     pub(crate) paused_until: f64,
-    /// Until when the network delays or drops the controller's messages.
+    /// The time until which the network delays or drops the controller's messages.
     pub(crate) partitioned_until: f64,
-    /// Until when the state service refuses the controller.
+    /// The time until which the state service refuses the controller.
     pub(crate) refused_until: f64,
-    /// Until when the controller cannot reach the other controllers, though it still reaches its
-    /// workers. The state service refuses it at the same time.
+    /// The time until which the controller cannot reach the other controllers, although it still
+    /// reaches its workers. The state service refuses the controller during the same time.
     pub(crate) isolated_until: f64,
     pub(crate) down_until: f64,
     pub(crate) taking_over: bool,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Schedules the next iteration of a loop after `wait_s`.
+    /// Schedules the next iteration of a loop after `wait_s` seconds.
     pub(crate) fn schedule_loop(&mut self, node: usize, controller_loop: Loop, wait_s: f64) {
         let process = self.controllers[node].process;
         let iteration = Event::LoopIteration {
@@ -219,7 +221,7 @@
         });
     }
 
-    /// The scheduler of a leader learns of a cancellation from another source than its watch.
+    /// Lets the scheduler of a leader learn of a cancellation from a source other than its watch.
     pub(crate) fn learn_cancellation(&mut self, node: usize, job: u64) {
         let in_refusal_outage = self.now < self.refusal_until && self.is_outage();
         let controller = &mut self.controllers[node];
--- a/tests/pause/events.rs
+++ b/tests/pause/events.rs
@@ -150,7 +150,7 @@
                 ..
             } => {
                 let pending = &mut self.controllers[node].pending_requests;
-                if let Some(index) = pending.iter().position(|known| *known == id) {
+                if let Some(index) = pending.iter().position(|pending_id| *pending_id == id) {
                     pending.swap_remove(index);
                     self.response_received(node, request, response);
                 }
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Runs the simulation up to the time `until`.
+    /// Runs the simulation up to the time `until`, in seconds.
     pub(crate) fn run(&mut self, seed: u64, until: f64) {
         let mut next_tick = 0.0;
         while self.now < until {
@@ -198,8 +198,8 @@
     /// cancel or poll jobs.
     fn tick(&mut self, until: f64) {
         self.update_outage();
-        // The last two minutes are without new faults: delayed messages arrive, and one leader
-        // remains.
+        // No new faults occur in the last two minutes, so that delayed messages arrive and one
+        // leader remains.
         self.without_faults = self.now > until - 120.0;
         let no_other_faults = self.refusal_without_other_faults && self.now < self.refusal_until;
         if !self.without_faults && !no_other_faults && self.rng.random_bool(0.015) {
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Notices the begin and the end of an outage, and advances the state service's time unless
-    /// it is unavailable.
+    /// Detects the beginning and the end of an outage, and advances the state service's time while
+    /// the state service is available.
     fn update_outage(&mut self) {
         let outage = self.is_outage();
         if self.in_outage && !outage {
--- a/tests/pause/faults.rs
+++ b/tests/pause/faults.rs
@@ -3,9 +3,10 @@
 use super::*;
 
 impl Simulation {
-    /// Pauses the controller from now on; its pending events are handled after the pause.
-    pub(crate) fn pause(&mut self, node: usize, longest_s: f64) {
-        let until = self.now + self.rng.random_range(0.2..longest_s);
+    /// Pauses the controller from now on, for a random time of less than `max_pause_s` seconds.
+    /// The controller's pending events are handled after the pause.
+    pub(crate) fn pause(&mut self, node: usize, max_pause_s: f64) {
+        let until = self.now + self.rng.random_range(0.2..max_pause_s);
         let controller = &mut self.controllers[node];
         controller.paused_until = controller.paused_until.max(until);
         self.counters.leader_pauses += usize::from(controller.acting.is_some());
@@ -15,8 +16,9 @@
         self.rng.random_range(0..self.controllers.len())
     }
 
-    /// The state service first refuses only the leader, while users cancel and poll jobs at all
-    /// controllers. Then it is unavailable for all, for longer than the staleness bound.
+    /// Lets the state service first refuse only the leader, while users cancel and poll jobs at all
+    /// controllers. Then the state service is unavailable for all controllers, for longer than the
+    /// staleness bound.
     fn refuse_leader_then_all(&mut self, leader: usize) {
         let only_leader_s = self.rng.random_range(0.2..LEASE_TTL_S);
         let outage_s = self.rng.random_range(1.0..2.5) * self.staleness_bound_s;
@@ -49,8 +51,8 @@
         }
     }
 
-    /// A cancellation whose response was lost is carried out now, and a poll at the leader finds
-    /// it. No other controller has confirmed it to a user.
+    /// Carries out a cancellation whose response is lost, and lets a user poll the job at the
+    /// leader. No other controller has confirmed this cancellation to a user.
     fn poll_late_cancellation(&mut self, leader: usize) {
         self.next_id += 1;
         let job = self.next_id;
@@ -96,8 +98,8 @@
         }
     }
 
-    /// Isolates the controller, and in half of the cases also a random one, which may be its
-    /// successor.
+    /// Isolates the controller, and in half of the cases also a random controller, which may be the
+    /// successor of the first.
     fn isolate(&mut self, node: usize, until: f64) {
         let other = self.any_controller();
         for node in [node, other] {
@@ -109,8 +111,9 @@
         }
     }
 
-    /// The controller's process ends and restarts after 3 s. In most cases it restarts within
-    /// half a second, before its lease has ended and before its last requests arrive.
+    /// Ends and restarts the controller's process. In most cases the process restarts within half
+    /// a second, before its lease has ended and before its last requests arrive; otherwise it
+    /// restarts after 3 s.
     fn crash(&mut self, node: usize) {
         let down_s = match self.rng.random_bool(0.7) {
             true => self.rng.random_range(0.01..0.5),
@@ -140,16 +143,16 @@
         self.start_loops(node, begin_at);
     }
 
-    /// A user cancels a job at a random controller.
+    /// Lets a user cancel a job at a random controller.
     pub(crate) fn cancel(&mut self) {
         self.next_id += 1;
         let job = self.next_id;
         self.call_any(Request::Cancel(job));
-        // A user who gets no answer polls the job, at any controller.
+        // Recorded even if the request is lost: the user then polls the job at any controller.
         self.requested_cancellations.push(job);
     }
 
-    /// A user calls a random controller. The call is dropped if that controller is down or
+    /// Lets a user call a random controller. The call is dropped if that controller is down or
     /// paused.
     fn call_any(&mut self, request: Request) {
         let node = self.any_controller();
@@ -159,7 +162,8 @@
         }
     }
 
-    /// A user polls a job whose cancellation was requested recently, confirmed or not.
+    /// Lets a user poll a job whose cancellation was requested recently, whether or not the
+    /// cancellation was confirmed.
     pub(crate) fn poll(&mut self) {
         let from = self.requested_cancellations.len().saturating_sub(6);
         let recent = &self.requested_cancellations[from..];
--- a/tests/pause/main.rs
+++ b/tests/pause/main.rs
@@ -10,7 +10,8 @@
 //!
 //! After every event the simulation checks that
 //!
-//! - no former leader would answer a worker once a later leader considers it silent,
+//! - no former leader would answer a worker once a later leader assumes that all former leaders
+//!   have stopped answering workers,
 //! - no leader dates the confirmation of its leadership after the takeover by which it lost
 //!   the shard, and
 //! - no leader would answer a worker without knowing every cancellation that was confirmed
@@ -39,15 +40,16 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// A worker's lease; a controller's lease is a quarter of it.
+/// The duration of a worker's lease.
 const WORKER_LEASE_S: f64 = 16.0;
+/// The duration of a controller's lease, a quarter of a worker's lease.
 const LEASE_TTL_S: f64 = 4.0;
-/// The longest time for which a leader answers workers without contact to the state service:
-/// the default, or so short that a takeover that is carried out late matters.
+/// The maximum time for which a leader answers workers without contact to the state service:
+/// either the default, or a time so short that a takeover that is carried out late matters.
 const MAX_WITHOUT_CONTACT_S: [f64; 3] =
     [6.0 * WORKER_LEASE_S, 0.7 * WORKER_LEASE_S, WORKER_LEASE_S];
-/// The greatest age of a leader's knowledge of cancellations at which it answers workers. The
-/// ratios to a controller's lease are those of the usual fleet sizes.
+/// The maximum age of a leader's knowledge of cancellations while it answers workers. The ratios
+/// to a controller's lease are the ratios for the usual fleet sizes.
 const STALENESS_BOUND_S: [f64; 4] = [
     2.4 * LEASE_TTL_S,
     6.0 * LEASE_TTL_S,
@@ -60,34 +62,34 @@
 /// A takeover that the state service carried out.
 struct Takeover {
     term: u64,
-    at: f64,
+    carried_out_at: f64,
 }
 
 /// A cancellation that was confirmed to a user.
 struct ConfirmedCancellation {
-    at: f64,
+    confirmed_at: f64,
     job: u64,
 }
 
-/// How often certain situations arose. The test fails if one of them is too rare for the
-/// simulation to prove anything.
+/// The number of times that certain situations arose. The test fails if a situation is too rare
+/// for the simulation to prove anything.
 #[derive(Default)]
 struct Counters {
     /// Pauses of a leader.
     leader_pauses: usize,
-    /// Leaders that answer workers at a tick of an outage that lasts longer than the staleness
-    /// bound, which only the peers' reports of cancellations permit.
+    /// Leaders that answer workers at a tick at which an outage has lasted longer than the
+    /// staleness bound. Only the peers' reports of cancellations permit such answers.
     answers_due_to_reports: usize,
-    /// Cancellations that a leader learnt from a peer's report or from a user's call to itself,
-    /// while the state service refused it alone or in the outage that followed.
+    /// Cancellations that a leader learnt from a peer's report or from a user's call, while the
+    /// state service refused only this leader or during the outage that followed.
     learnt_while_refused: usize,
     /// Cancellations confirmed while the state service refused only the leader.
     confirmed_while_refused: usize,
     /// Polls that were the first to confirm a cancellation to a user.
-    found_by_poll: usize,
+    first_confirmed_by_poll: usize,
     /// Writes that were carried out and whose response was lost, by kind.
     lost_responses: BTreeMap<&'static str, usize>,
-    /// Raised terms that were adopted after the response was lost.
+    /// Raised terms that leaders adopted after the response to the rewrite was lost.
     adopted_terms: usize,
 }
 
@@ -95,30 +97,32 @@
     now: f64,
     rng: StdRng,
     store: Store,
-    /// When the state service becomes unavailable for all controllers, and until when.
+    /// When the state service becomes unavailable for all controllers.
     outage_from: f64,
+    /// When the state service becomes available again.
     outage_until: f64,
     /// Whether the state service was unavailable at the last tick.
     in_outage: bool,
-    /// The first tick of the present or latest outage.
+    /// The time of the first tick of the present or latest outage.
     outage_began_at: f64,
     controllers: Vec<Controller>,
-    /// When each event is due, in microseconds, and its index in `events`.
+    /// For each event, the time at which it is due, in microseconds, and its index in `events`.
     queue: BinaryHeap<(Reverse<u64>, Reverse<u64>)>,
     events: Vec<Option<Event>>,
     next_id: u64,
     takeovers: Vec<Takeover>,
-    /// The phase at the end, without new faults, in which delayed messages still arrive.
+    /// Whether the final phase without new faults has begun, in which delayed messages still
+    /// arrive.
     without_faults: bool,
     max_without_contact_s: f64,
     staleness_bound_s: f64,
     /// Cancellations that are written in the state service.
     cancelled_jobs: BTreeSet<u64>,
     confirmed: Vec<ConfirmedCancellation>,
-    /// Cancellations that users requested, confirmed or not.
+    /// Cancellations that users requested, whether or not they were confirmed.
     requested_cancellations: Vec<u64>,
-    /// When the latest fault ends in which the state service first refuses only the leader and
-    /// is then unavailable for all.
+    /// The end of the latest fault of this kind: the state service first refuses only the leader
+    /// and is then unavailable for all controllers.
     refusal_until: f64,
     /// Whether no other fault is caused before `refusal_until`.
     refusal_without_other_faults: bool,
@@ -201,7 +205,7 @@
         controller.clock_offset_s + self.now * (1.0 + controller.clock_drift)
     }
 
-    /// The controller's time of day, in milliseconds.
+    /// The controller's wall clock, in milliseconds.
     fn wall_ms(&self, node: usize) -> u64 {
         (1e9 + self.now * 1000.0 + self.controllers[node].wall_clock_error_ms) as u64
     }
@@ -212,35 +216,35 @@
 #[test]
 fn paused_controller_does_not_act_on_stale_state() {
     let (mut takeovers, mut confirmed) = (0, 0);
-    let mut all = Counters::default();
+    let mut totals = Counters::default();
     for seed in seeds(60) {
         let mut simulation = Simulation::new(seed, [3, 5, 7, 2][seed as usize % 4]);
         simulation.run(seed, 700.0);
         simulation.digest.print("pause", seed);
         takeovers += simulation.takeovers.len();
         confirmed += simulation.confirmed.len();
-        all.add(simulation.counters);
+        totals.add(simulation.counters);
     }
-    let (lost, adopted) = (&all.lost_responses, all.adopted_terms);
+    let (lost, adopted) = (&totals.lost_responses, totals.adopted_terms);
     println!("{lost:?}, {adopted} terms adopted");
     let each_kind_lost = lost.values().all(|count| *count > 10);
     assert!(
         seed_range_is_given() || lost.len() == 8 && each_kind_lost && adopted > 5,
         "too few lost responses: {lost:?}, {adopted} terms adopted"
     );
-    let (pauses, reports) = (all.leader_pauses, all.answers_due_to_reports);
+    let (pauses, reports) = (totals.leader_pauses, totals.answers_due_to_reports);
     assert!(
         seed_range_is_given()
             || takeovers > 400 && pauses > 400 && reports > 20 && confirmed > 4000,
         "too few events: {takeovers} takeovers, {pauses} pauses of a leader, {confirmed} \
          cancellations confirmed, {reports} answers due to reports"
     );
-    let (while_refused, learnt) = (all.confirmed_while_refused, all.learnt_while_refused);
-    let found_by_poll = all.found_by_poll;
+    let (while_refused, learnt) = (totals.confirmed_while_refused, totals.learnt_while_refused);
+    let first_confirmed_by_poll = totals.first_confirmed_by_poll;
     assert!(
-        seed_range_is_given() || while_refused > 400 && learnt > 50 && found_by_poll > 30,
+        seed_range_is_given() || while_refused > 400 && learnt > 50 && first_confirmed_by_poll > 30,
         "too few cancellations: {while_refused} confirmed while only the leader was refused, \
-         {learnt} learnt without the watch, {found_by_poll} first confirmed by a poll"
+         {learnt} learnt without the watch, {first_confirmed_by_poll} first confirmed by a poll"
     );
 }
 
@@ -250,7 +254,7 @@
         self.answers_due_to_reports += other.answers_due_to_reports;
         self.learnt_while_refused += other.learnt_while_refused;
         self.confirmed_while_refused += other.confirmed_while_refused;
-        self.found_by_poll += other.found_by_poll;
+        self.first_confirmed_by_poll += other.first_confirmed_by_poll;
         self.adopted_terms += other.adopted_terms;
         for (kind, times) in other.lost_responses {
             *self.lost_responses.entry(kind).or_default() += times;
--- a/tests/pause/messages.rs
+++ b/tests/pause/messages.rs
@@ -12,7 +12,7 @@
 pub(crate) enum Request {
     Grant,
     WriteAliveKey(AliveKeyWrite),
-    /// Read the controller's own alive key, after a write found another version than expected.
+    /// Read the controller's own alive key, after a write found a version other than expected.
     ReadOwnAliveKey,
     Renew {
         lease: u64,
@@ -50,16 +50,16 @@
     Entry(Option<Entry>),
     /// All entries, and the revision of the listing.
     Listed(Vec<Entry>, u64),
-    /// All changes up to a revision, and that revision.
+    /// The changes up to a revision, and this revision.
     Changes(Vec<Logged>, u64),
     CancelledJobs(BTreeSet<u64>),
-    /// The request was refused or timed out. After a time-out it may have been carried out, or
-    /// may still be.
+    /// The request was refused or timed out. A request that timed out may have been carried out,
+    /// or may still be carried out later.
     None,
 }
 
 impl Request {
-    /// The kind of write, if the request is a write.
+    /// The kind of write; `None` if the request is not a write.
     pub(crate) fn kind_of_write(&self) -> Option<&'static str> {
         match self {
             Request::Grant => Some("lease"),
--- a/tests/pause/network.rs
+++ b/tests/pause/network.rs
@@ -6,10 +6,10 @@
 use foxspur::storage::records;
 use foxspur_testbed::store::{Logged, Refusal};
 
-/// How long a message takes on a network without faults, in seconds.
+/// Delay of a message on a network without faults, in seconds.
 const DELAY_S: f64 = 0.005;
 
-/// How long a watch request waits for changes, in seconds.
+/// Time for which a watch request waits for changes, in seconds.
 const WATCH_TIMEOUT_S: f64 = 20.0;
 
 impl Simulation {
@@ -60,7 +60,7 @@
         if partitioned_until <= leaves_at {
             return Some(leaves_at + delay_s);
         }
-        // A partition delays the request until it ends, or loses it.
+        // The request is lost, or it arrives after the partition has ended.
         let lost = self.rng.random_bool(0.4);
         (!lost).then_some(partitioned_until + 0.01)
     }
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Carries a request out; returns `None` for a watch that has to wait for changes.
+    /// Carries a request out and returns the response; `None` for a watch request that has to wait
+    /// for changes.
     fn carry_out(&mut self, node: usize, id: u64, request: &Request) -> Option<Response> {
         let now = self.now;
         let response = match request {
@@ -140,14 +141,14 @@
         if matches!(response, Response::Done(_)) {
             self.takeovers.push(Takeover {
                 term: attempt.shard.term,
-                at: self.now,
+                carried_out_at: self.now,
             });
         }
         response
     }
 
-    /// The changes after this revision; `None` if there are none and the request is still
-    /// pending, so that it waits for some.
+    /// The changes after this revision; `None` if there are no changes and the request is still
+    /// pending, so that the request must wait.
     fn changes_since(&self, since: u64, pending: bool) -> Option<Response> {
         let changes = self.store.log.iter().filter(|change| change.0 > since);
         let changes: Vec<Logged> = changes.cloned().collect();
--- a/tests/pause/peers.rs
+++ b/tests/pause/peers.rs
@@ -1,21 +1,21 @@
-//! The queries that controllers send to each other, and what follows from their answers.
+//! The queries that controllers send to each other, and the effects of the answers.
 
 use super::*;
 use foxspur::coordination::leadership::queries::{CancellationQuery, PeerAnswer};
 
-/// How long a message to another controller takes, in seconds.
+/// Delay of a message to another controller, in seconds.
 const PEER_DELAY_S: f64 = 0.005;
 
 /// A query to which a peer can agree.
 #[derive(Clone, Copy)]
 pub(crate) enum AgreementQuery {
-    /// Extend the lease of the leader that asks, under this term.
+    /// Extend the lease of the asking leader, which acts under this term.
     ExtendLease(u64),
-    /// Promise not to extend the lease of a leader under an earlier term.
+    /// Promise not to extend the lease of a leader under a term earlier than this one.
     Promise(u64),
 }
 
-/// A call from one controller to another, and when it was sent by the caller's clock.
+/// A call from one controller to another, and its send time by the caller's clock.
 #[derive(Clone, Copy)]
 pub(crate) struct Call {
     pub(crate) from: usize,
--- a/tests/pause/responses.rs
+++ b/tests/pause/responses.rs
@@ -63,8 +63,8 @@
                 self.send(node, Request::ReadOwnAliveKey);
             }
             (Request::ReadOwnAliveKey, response) => {
-                if let Response::Entry(found) = response {
-                    leadership.alive_key_read(found.as_ref());
+                if let Response::Entry(entry) = response {
+                    leadership.alive_key_read(entry.as_ref());
                 }
                 self.schedule_loop(node, Loop::Lease, 0.05);
             }
@@ -173,22 +173,24 @@
         self.send(node, Request::WatchControlPrefix(since));
     }
 
-    /// The controller confirms a cancellation to a user, as in `Node::learn_terminal_state`.
+    /// Lets the controller confirm a cancellation to a user, as in `Node::learn_terminal_state`.
     fn cancellation_confirmed(&mut self, node: usize, job: u64, polled: bool) {
         let now = self.local_time(node);
-        let first = !self
+        let is_first = !self
             .confirmed
             .iter()
             .any(|cancellation| cancellation.job == job);
-        self.counters.found_by_poll += usize::from(first && polled);
+        self.counters.first_confirmed_by_poll += usize::from(is_first && polled);
         let controller = &mut self.controllers[node];
         if controller.terminal_jobs.insert(job) {
             let id = job.to_string();
             controller.confirmed_cancellations.record(&id, now);
             self.learn_cancellation(node, job);
         }
-        self.confirmed
-            .push(ConfirmedCancellation { at: self.now, job });
+        self.confirmed.push(ConfirmedCancellation {
+            confirmed_at: self.now,
+            job,
+        });
         let only_leader_refused = self.now < self.refusal_until && !self.is_outage();
         self.counters.confirmed_while_refused += usize::from(only_leader_refused);
     }
--- a/tests/simulation/leader.rs
+++ b/tests/simulation/leader.rs
@@ -5,21 +5,21 @@
 /// A process that acts as leader, whether or not it has been replaced.
 pub(crate) struct Leader {
     pub(crate) scheduler: Scheduler,
-    /// When it ends after another leader took over; `f64::MAX` for the current leader.
+    /// When the process ends after another leader took over; `f64::MAX` for the current leader.
     pub(crate) ends_at: f64,
 }
 
 impl Leader {
-    /// The term of its takeover, which identifies it.
+    /// The term of the leader's takeover, which identifies the leader.
     pub(crate) fn base_term(&self) -> u64 {
         self.scheduler.fence.base_term
     }
 }
 
-/// The notification of one leader of a new job.
+/// A message that notifies one leader of a new job.
 pub(crate) struct JobAnnouncement {
-    /// When it arrives.
-    pub(crate) at: f64,
+    /// When the notification arrives.
+    pub(crate) arrives_at: f64,
     /// The leader's base term.
     pub(crate) leader: u64,
     pub(crate) record: LiveJob,
@@ -27,7 +27,7 @@
 }
 
 impl Simulation {
-    /// The scheduler of the leader with this base term, if it still runs.
+    /// The scheduler of the leader with this base term; `None` if the leader has ended.
     pub(crate) fn scheduler_of(&mut self, base_term: u64) -> Option<&mut Scheduler> {
         self.leaders
             .iter_mut()
@@ -35,7 +35,8 @@
             .map(|leader| &mut leader.scheduler)
     }
 
-    /// Lets each leader that is not paused tick, place tasks and send what is due.
+    /// Lets each leader that is not paused run its periodic checks, place tasks, and send the calls
+    /// and writes that are due.
     pub(crate) fn leaders_step(&mut self) {
         let now = self.now;
         let last = self.leaders.len() - 1;
@@ -46,9 +47,9 @@
                 continue;
             }
             let lost_contact_at = self.leaders[leader].ends_at - STALE_LEADER_S;
-            let confirmed = if leader == last { now } else { lost_contact_at };
+            let confirmed_at = if leader == last { now } else { lost_contact_at };
             let scheduler = &mut self.leaders[leader].scheduler;
-            scheduler.tick(now, confirmed);
+            scheduler.tick(now, confirmed_at);
             scheduler.probe_unfenced(now, 64);
             scheduler.place_all(now);
             self.send_direct_calls(leader);
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Ends stale leaders whose time is over, and tells the current leader once no other
+    /// Ends stale leaders whose time is over. Records in the current leader's fence when no other
     /// leader is left.
     fn end_stale_leaders(&mut self) {
         let now = self.now;
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Lets a new leader take over, either after a `crash` of the current one or while that one
-    /// keeps running as a stale leader.
+    /// Lets a new leader take over. With `crash` the current leader ends first; otherwise it keeps
+    /// running as a stale leader.
     pub(crate) fn take_over(&mut self, crash: bool) {
         self.count_takeover_coincidences();
         if self.rng.random_bool(0.5) {
@@ -195,7 +196,7 @@
         let all = std::mem::take(&mut self.pending_announcements);
         let (due, later): (Vec<_>, Vec<_>) = all
             .into_iter()
-            .partition(|announcement| announcement.at <= now);
+            .partition(|announcement| announcement.arrives_at <= now);
         self.pending_announcements = later;
         for announcement in due {
             // Leaders receive changes in order, so a job that has ended is not announced any
@@ -212,7 +213,8 @@
         }
     }
 
-    /// Lets an operator drain a machine, or end its drain, often before it is drained.
+    /// Lets an operator drain a random machine. If the machine already has a drain, the operator
+    /// ends the drain, often before the machine is drained.
     pub(crate) fn drain_or_undrain(&mut self, workers: usize) {
         let host = format!("m-{}", self.rng.random_range(0..workers));
         self.version += 1;
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -35,18 +35,18 @@
 use worker::{SentHeartbeat, Task, Worker, ZonePartition};
 
 const STEP_S: f64 = 0.1;
-/// For how long a former leader that has lost contact to the store keeps running. Its process
-/// may be paused for a part of this time and then continue.
+/// The time for which a former leader that has lost contact to the store keeps running, in
+/// seconds. Its process may be paused for a part of this time and then continue.
 const STALE_LEADER_S: f64 = 25.0;
-/// A direct call without an answer times out after this time.
+/// The time after which a direct call without an answer times out, in seconds.
 const CALL_TIMEOUT_S: f64 = 4.0;
 const TEAMS: [&str; 2] = ["t", "u"];
 const ZONES: [&str; 2] = ["a", "b"];
-/// How long a machine counts as new.
+/// The time for which a machine counts as new, in seconds.
 const NEW_MACHINE_S: f64 = 6.0;
-/// Remaining run time that counts as long; tasks run for 15 s at most.
+/// Minimum remaining run time that counts as long, in seconds; tasks run for at most 15 s.
 const LONG_REMAINING_S: f64 = 5.0;
-/// Maximum age of the heartbeats that are kept to be delivered once more.
+/// Maximum age of the heartbeats that are kept to be delivered once more, in seconds.
 const HEARTBEAT_HISTORY_S: f64 = 4.0 * LEASE_S;
 
 fn job_of(task: &str) -> &str {
@@ -78,7 +78,7 @@
 #[derive(Clone, Copy, PartialEq)]
 enum Counters {
     Kept,
-    /// They start from one again, which violates the protocol.
+    /// The numbers start from one again, which violates the protocol.
     Lost,
 }
 
@@ -126,22 +126,23 @@
     version: u64,
     /// The specification of every job that was submitted.
     specs: BTreeMap<String, JobSpec>,
-    /// The last one is the current leader; the others are stale.
+    /// The leaders. The last one in the list is the current leader; all others are stale.
     leaders: Vec<Leader>,
     in_flight: Vec<InFlight>,
-    /// Count of started attempts.
+    /// Number of started attempts.
     started: usize,
     /// The teams' CPU limits.
     team_limits: [f64; 2],
     delayed_writes: Vec<CompletionsWrite>,
-    /// Jobs, with the time until which no leader writes their completions, so that no newer
-    /// write overtakes a delayed one.
+    /// For some jobs, the time until which no leader writes their completions, so that no newer
+    /// write overtakes a delayed write.
     completions_held_until: BTreeMap<String, f64>,
-    /// Until then almost all writes of the machine record fail.
+    /// The time until which almost all writes of the machine record fail.
     machine_record_delayed_until: f64,
-    /// When the leader crashes, which is set when a new machine comes up.
+    /// When the leader crashes; `f64::MAX` if no crash is scheduled. A new machine may cause a
+    /// crash.
     leader_crashes_at: f64,
-    /// Until when all leaders are paused; `f64::MAX` if they are not.
+    /// The time until which all leaders are paused; `f64::MAX` if they are not paused together.
     leaders_paused_until: f64,
     /// The heartbeats sent within `HEARTBEAT_HISTORY_S`, oldest first.
     sent_heartbeats: VecDeque<SentHeartbeat>,
@@ -151,17 +152,18 @@
     pending_announcements: Vec<JobAnnouncement>,
     /// The drains in the store, each with its version, by machine.
     drains: HashMap<String, (Drain, u64)>,
-    /// When the current leader learns of the drains. A former leader never does: it would
-    /// first learn that it no longer owns the shard.
+    /// When the current leader learns of the latest change of the drains. A former leader never
+    /// learns of it, because it would first learn that it no longer owns the shard.
     drains_announced_at: f64,
-    /// Count of drains recorded as completed.
+    /// Number of machines recorded as drained.
     drained: usize,
     coincidences: CoincidenceCounts,
     digest: HistoryDigest,
 }
 
 /// Checks that the counts which the scheduler updates incrementally equal a full recount. The
-/// teams' limits depend on the usage, and the fence on the machines that block placement.
+/// checks of team limits rely on the usage, and the fence relies on the number of machines that
+/// block placement.
 fn check_incremental_counts(scheduler: &Scheduler) {
     assert!((scheduler.usage().cpus() - scheduler.count_usage().cpus()).abs() < 1e-6);
     if let Some(blocking) = scheduler.machines_blocking_placement() {
@@ -221,7 +223,7 @@
     fn run(mut self, setup: &Setup) -> Outcome {
         while self.now < setup.duration_s {
             self.now += STEP_S;
-            // The second half is for completing the remaining jobs and for delayed messages.
+            // In the second half, the remaining jobs are completed and delayed messages arrive.
             let fault_free = self.now > setup.duration_s / 2.0;
             self.draw_events(setup, fault_free);
             self.step();
@@ -264,10 +266,10 @@
                 if is_live {
                     self.coincidences
                         .cancelled_job_removal_s
-                        .insert(job.into(), now - end.at);
+                        .insert(job.into(), now - end.ended_at);
                 }
                 assert!(
-                    !(is_live && now - end.at > CANCEL_S),
+                    !(is_live && now - end.ended_at > CANCEL_S),
                     "ran_cancelled: {task} on {} at {now:.1}",
                     worker.id
                 );
@@ -317,7 +319,7 @@
     }
     assert!(
         seed_range_is_given() || started > 1000 && drained > 40,
-        "only {started} starts, {drained} drained: the check is too weak"
+        "only {started} starts and {drained} drained machines: the check is too weak"
     );
     cancelled_job_removal_s.sort_by(f64::total_cmp);
     let quantile = |share: f64| {
@@ -360,7 +362,7 @@
     check_rules(Counters::Lost);
 }
 
-/// Guards against violations that only a fleet of hundreds of machines shows.
+/// Guards against violations that occur only in a fleet of hundreds of machines.
 #[test]
 fn rules_hold_on_a_fleet_of_hundreds() {
     let Outcome {
@@ -376,6 +378,6 @@
     });
     assert!(
         jobs > 20 && started > 1000 && drained > 5,
-        "only {started} starts of {jobs} jobs, {drained} drained: the check is too weak"
+        "only {started} starts of {jobs} jobs and {drained} drained machines: the check is too weak"
     );
 }
--- a/tests/simulation/meetings.rs
+++ b/tests/simulation/meetings.rs
@@ -1,9 +1,10 @@
-//! Counts which faults and requests coincided during a run. Seeds under which a coincidence
-//! never occurs do not test it.
+//! Counts the coincidences of a run: combinations of faults and requests that the simulation must
+//! exercise. A run in which a coincidence never occurs does not test the scheduler under it.
 
 use super::*;
 
-/// A coincidence of faults, or of a fault and a request.
+/// A coincidence is a combination of events or states that is rare but must be covered by the
+/// simulation, such as a cancellation of a job while the leader changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Coincidence {
     /// A start on a machine whose heartbeats reach no leader.
@@ -16,7 +17,8 @@
     /// A cancelled task on a machine that hung, that was partitioned, or whose heartbeats were
     /// lost.
     CancelOnUnresponsiveMachine,
-    /// The same while every team was at its limit and the leader was changing.
+    /// A cancelled task on such an unresponsive machine, while every team was at its limit and the
+    /// leader was changing.
     CancelAtLimits,
     /// A write of completed tasks whose answer was lost.
     CompletionsAnswerLost,
@@ -30,7 +32,7 @@
     StartOnNewMachine,
     /// A leader that ended before the machine record listed a new machine.
     LeaderEndsBeforeMachineRecord,
-    /// An old heartbeat that a new leader received before any other of its machine.
+    /// An old heartbeat that a new leader received before any other heartbeat of the same machine.
     OldHeartbeatFirst,
     /// An old heartbeat of an earlier session.
     OldHeartbeatOfEarlierSession,
@@ -79,12 +81,12 @@
     Coincidence::NoLeaderForALease,
 ];
 
-/// How often each coincidence occurred in a run.
+/// The number of times that each coincidence occurred in a run.
 #[derive(Default, Debug)]
 pub(crate) struct CoincidenceCounts {
     pub(crate) counts: BTreeMap<Coincidence, usize>,
     /// For each cancelled job that had tasks on machines, the time from the cancellation to the
-    /// end of its last task, in seconds.
+    /// last step at which one of its tasks was live, in seconds.
     pub(crate) cancelled_job_removal_s: BTreeMap<String, f64>,
 }
 
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -28,7 +28,7 @@
         worker: usize,
         leader: u64,
         call: Direct,
-        /// Its sender awaits no answer: the call has timed out, or this is a copy of it.
+        /// Whether the sender awaits no answer: the call has timed out, or this message is a copy.
         timed_out: bool,
     },
     CallEnded {
@@ -41,8 +41,8 @@
 
 /// A message in flight.
 pub(crate) struct InFlight {
-    /// When it arrives.
-    pub(crate) at: f64,
+    /// When the message arrives.
+    pub(crate) arrives_at: f64,
     pub(crate) message: Message,
 }
 
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The time-out of a call, which its caller notices.
+    /// The end of a call by a time-out, as the caller notices it.
     pub(crate) fn no_answer(worker: usize, leader: u64, call: Direct) -> Message {
         Message::CallEnded {
             worker,
@@ -76,8 +76,8 @@
         }
     }
 
-    /// The base term of the leader that it is addressed to, if it goes to a leader.
-    fn reader(&self) -> Option<u64> {
+    /// The base term of the leader that receives the message; `None` if a worker receives it.
+    fn receiving_leader(&self) -> Option<u64> {
         match self {
             Message::Heartbeat { leader, .. } | Message::CallEnded { leader, .. } => Some(*leader),
             Message::Answer { .. } | Message::Call { .. } => None,
@@ -95,8 +95,11 @@
     }
 
     /// Schedules the arrival of the message.
-    pub(crate) fn schedule_arrival(&mut self, at: f64, message: Message) {
-        self.in_flight.push(InFlight { at, message });
+    pub(crate) fn schedule_arrival(&mut self, arrives_at: f64, message: Message) {
+        self.in_flight.push(InFlight {
+            arrives_at,
+            message,
+        });
     }
 
     /// Adds a message to the digest of the history.
@@ -158,7 +161,8 @@
         }
     }
 
-    /// Drops the message if a leader sends it to an unreachable machine.
+    /// Returns the message; drops it and returns `None` if a leader sends it to an unreachable
+    /// machine.
     fn drop_if_unreachable(&mut self, worker: usize, message: Message) -> Option<Message> {
         if self.workers[worker].unreachable_until <= self.now {
             return Some(message);
@@ -182,8 +186,9 @@
         }
     }
 
-    /// Schedules the arrival of the message, and the time-out of a call whose end comes later
-    /// than that. A call that arrives after its time-out is executed all the same.
+    /// Schedules the arrival of the message. If the message belongs to a call and arrives after
+    /// the call's time-out, schedules the time-out as well. A call that arrives after its
+    /// time-out is executed all the same.
     fn schedule_with_timeout(&mut self, at: f64, message: Message) {
         let timeout = self.now + CALL_TIMEOUT_S;
         match message {
@@ -214,8 +219,8 @@
         }
     }
 
-    /// Until when a zone partition blocks the message, because its leader is outside the
-    /// worker's zone; 0 if none does.
+    /// The time until which a zone partition blocks the message, because the message's leader is
+    /// outside the worker's zone; 0 if no partition blocks it.
     fn zone_partitioned_until(&self, worker: usize, message: &Message) -> f64 {
         let Some(partition) = self.workers[worker].zone_partition else {
             return 0.0;
@@ -235,9 +240,12 @@
     fn count_partitioned_zone_answer(&mut self, worker: usize, leader: u64) {
         let partition = self.workers[worker].zone_partition;
         let partition = partition.filter(|p| p.leader == leader);
-        let lasted = partition.is_some_and(|p| self.now - p.since > LEASE_S && self.now < p.until);
-        self.coincidences
-            .add(Coincidence::AnsweredInPartitionedZone, usize::from(lasted));
+        let lasted_longer =
+            partition.is_some_and(|p| self.now - p.since > LEASE_S && self.now < p.until);
+        self.coincidences.add(
+            Coincidence::AnsweredInPartitionedZone,
+            usize::from(lasted_longer),
+        );
     }
 
     /// Delivers the messages whose arrival is due.
@@ -246,13 +254,13 @@
         let mut due: Vec<InFlight> = Vec::new();
         let mut i = 0;
         while i < self.in_flight.len() {
-            if self.in_flight[i].at <= now {
+            if self.in_flight[i].arrives_at <= now {
                 due.push(self.in_flight.remove(i));
             } else {
                 i += 1;
             }
         }
-        due.sort_by(|a, b| a.at.total_cmp(&b.at));
+        due.sort_by(|a, b| a.arrives_at.total_cmp(&b.arrives_at));
         for InFlight { mut message, .. } in due {
             if let Message::Heartbeat { leader, .. } = &mut message {
                 if *leader == CURRENT_LEADER {
@@ -262,7 +270,7 @@
             // A paused leader reads the message after its pause. The order of messages on
             // different connections is arbitrary.
             let paused_until = message
-                .reader()
+                .receiving_leader()
                 .and_then(|leader| self.paused_until.get(&leader));
             if let Some(until) = paused_until {
                 let at = until + self.rng.random_range(0.0..0.2);
@@ -273,7 +281,7 @@
         }
     }
 
-    /// Lets the addressee process the message.
+    /// Lets the receiver process the message.
     fn receive(&mut self, message: Message) {
         match message {
             Message::Heartbeat {
@@ -367,7 +375,7 @@
             self.schedule_arrival(hung_until + 0.01, late);
             return;
         }
-        // A worker that hung first notices the end of its lease.
+        // A worker that resumes after a hang first notices that its lease has ended.
         if now - self.workers[index].lease_renewed_at > LEASE_S {
             self.end_session(index);
         }
@@ -398,7 +406,7 @@
         }
     }
 
-    /// Counts the coincidences of an old heartbeat with the leader's and the worker's state.
+    /// Counts which states of the leader and of the worker an old heartbeat coincides with.
     fn count_old_heartbeat_coincidences(&mut self, index: usize, leader: u64, report: &Report) {
         let receiver = self.leaders.iter().find(|l| l.base_term() == leader);
         let machine = receiver.and_then(|l| l.scheduler.machines.get(&*report.machine));
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -11,19 +11,19 @@
 
 /// The end of a job.
 pub(crate) struct JobEnd {
-    pub(crate) at: f64,
+    pub(crate) ended_at: f64,
     pub(crate) cancelled: bool,
 }
 
 /// A write of a job's completed tasks, on condition that the stored job still has the expected
 /// version.
 pub(crate) struct CompletionsWrite {
-    /// When the store applies it if it is delayed.
-    at: f64,
+    /// When the store applies the write if it is delayed.
+    applied_at: f64,
     job: String,
     expected_version: u64,
     completed: CompletedTasks,
-    /// All tasks of the job are completed.
+    /// Whether all tasks of the job are completed.
     finishes_job: bool,
 }
 
@@ -50,9 +50,9 @@
         }
     }
 
-    /// Lets a leader write the completed tasks of its jobs. Writes that depend on leadership
-    /// succeed only for the current leader. Writes of completions depend only on the job's
-    /// version, and also succeed for stale leaders.
+    /// Lets a leader write the completed tasks of its jobs. Such a write is conditional only on the
+    /// job's version, so it also succeeds for a stale leader, unlike writes that are conditional on
+    /// leadership.
     pub(crate) fn write_completions(&mut self, leader: usize) {
         for id in self.leaders[leader].scheduler.completions_due(9) {
             let outcome = self.draw_write_outcome();
@@ -80,7 +80,7 @@
             return;
         }
         let write = CompletionsWrite {
-            at: self.now + self.rng.random_range(2.0..12.0),
+            applied_at: self.now + self.rng.random_range(2.0..12.0),
             job: id.to_string(),
             expected_version: stored.version,
             completed: job.completed.clone(),
@@ -104,11 +104,11 @@
         }
     }
 
-    /// Delays the write. With some probability no other completions of its job are written
-    /// before it.
+    /// Delays the write. With some probability no other completions of the same job are written
+    /// before the delayed write is applied.
     fn delay_write(&mut self, write: CompletionsWrite) {
         if self.rng.random_bool(0.2) {
-            let until = write.at + 2.0 * STEP_S;
+            let until = write.applied_at + 2.0 * STEP_S;
             self.completions_held_until.insert(write.job.clone(), until);
         }
         self.delayed_writes.push(write);
@@ -128,7 +128,7 @@
         if write.finishes_job {
             self.live_jobs.remove(&write.job);
             let end = JobEnd {
-                at: self.now,
+                ended_at: self.now,
                 cancelled: false,
             };
             self.ended_jobs.insert(write.job, end);
@@ -140,7 +140,7 @@
     pub(crate) fn apply_delayed_writes(&mut self) {
         let now = self.now;
         let all = std::mem::take(&mut self.delayed_writes);
-        let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|w| w.at <= now);
+        let (due, later): (Vec<_>, Vec<_>) = all.into_iter().partition(|w| w.applied_at <= now);
         self.delayed_writes = later;
         for write in due {
             let coincidence = match self.apply_write(write) {
--- a/tests/simulation/trouble.rs
+++ b/tests/simulation/trouble.rs
@@ -5,7 +5,7 @@
 
 impl Simulation {
     /// Draws the faults of this step and the requests of users and operators. In the
-    /// `fault_free` second half no new ones begin.
+    /// `fault_free` second half no new faults or requests begin.
     pub(crate) fn draw_events(&mut self, setup: &Setup, fault_free: bool) {
         if !fault_free {
             self.draw_jobs(setup);
@@ -62,7 +62,7 @@
         self.live_jobs.insert(id, stored);
         for leader in &self.leaders {
             self.pending_announcements.push(JobAnnouncement {
-                at: now + self.rng.random_range(0.0..3.0),
+                arrives_at: now + self.rng.random_range(0.0..3.0),
                 leader: leader.base_term(),
                 record: record.clone(),
                 version,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Pauses a random leader, often just as another one takes over.
+    /// Pauses a random leader with some probability, often just as another leader takes over.
     fn draw_leader_pause(&mut self) {
         if !self.rng.random_bool(0.004) {
             return;
@@ -166,14 +166,14 @@
 
     /// Whether the current leader has not accounted for all machines since its takeover, or a
     /// leader is paused. As `machines_blocking_placement` is `None` once placement is allowed,
-    /// the first condition also holds from then on.
+    /// the first condition also holds after that.
     pub(crate) fn is_leader_changing(&self) -> bool {
         let leader = self.leaders.last();
         let is_new = leader.is_some_and(|l| l.scheduler.machines_blocking_placement() != Some(0));
         is_new || !self.paused_until.is_empty()
     }
 
-    /// Whether tasks of the job are on machines, and all of these have exited.
+    /// Whether tasks of the job are on machines and all these tasks have exited.
     pub(crate) fn all_tasks_exited(&self, id: &str) -> bool {
         let tasks = self.workers.iter().flat_map(|w| &w.tasks);
         let own = tasks.filter(|((t, _), _)| job_of(t) == id);
@@ -181,7 +181,7 @@
         own.peek().is_some() && own.all(|(_, t)| t.phase == Phase::Exited)
     }
 
-    /// Lets a user cancel a job. With `at_end` it is one whose tasks on machines have all exited.
+    /// Lets a user cancel a job. With `at_end` it is a job whose tasks on machines have all exited.
     pub(crate) fn cancel(&mut self, at_end: bool) {
         let mut jobs = self
             .live_jobs
@@ -217,7 +217,7 @@
             .add(Coincidence::CancelAtLimits, usize::from(at_limits));
         self.live_jobs.remove(id);
         let end = JobEnd {
-            at: now,
+            ended_at: now,
             cancelled: true,
         };
         self.ended_jobs.insert(id.to_string(), end);
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -8,14 +8,14 @@
     pub(crate) attempt: u64,
     pub(crate) phase: Phase,
     pub(crate) cause: Option<Cause>,
-    /// When it ends by itself.
+    /// When the attempt ends by itself.
     pub(crate) ends_at: f64,
 }
 
 /// A partition of a zone that contains one leader: the zone's workers reach only that leader.
 #[derive(Clone, Copy)]
 pub(crate) struct ZonePartition {
-    /// The base term of the leader inside.
+    /// The base term of the leader inside the zone.
     pub(crate) leader: u64,
     pub(crate) since: f64,
     pub(crate) until: f64,
@@ -42,16 +42,18 @@
     pub(crate) seq: u64,
     pub(crate) token: u64,
     pub(crate) tasks: BTreeMap<(String, u64), Task>,
-    /// When its lease last began: the send time of the heartbeat whose answer renewed it, or the
-    /// beginning of the session.
+    /// When the worker's lease last began: the send time of the heartbeat whose answer renewed the
+    /// lease, or the beginning of the session.
     pub(crate) lease_renewed_at: f64,
     pub(crate) awaited: Option<AwaitedAnswer>,
     pub(crate) next_heartbeat_at: f64,
     pub(crate) hung_until: f64,
     pub(crate) partitioned_until: f64,
-    /// Until then its heartbeats arrive, but answers and commands do not reach it.
+    /// The time until which the worker's heartbeats arrive, but answers and commands do not reach
+    /// the worker.
     pub(crate) unreachable_until: f64,
-    /// Until then its heartbeats reach no leader, but direct calls reach it.
+    /// The time until which the worker's heartbeats reach no leader, but direct calls reach the
+    /// worker.
     pub(crate) heartbeats_lost_until: f64,
     pub(crate) zone_partition: Option<ZonePartition>,
     pub(crate) up_since: f64,
@@ -80,13 +82,14 @@
         }
     }
 
-    /// The base term of the only leader that it reaches, if its zone is partitioned now.
+    /// The base term of the only leader that the worker reaches; `None` if its zone is not
+    /// partitioned now.
     pub(crate) fn only_reachable_leader(&self, now: f64) -> Option<u64> {
         let partition = self.zone_partition.filter(|p| p.until > now)?;
         Some(partition.leader)
     }
 
-    /// Whether it hangs or its heartbeats do not arrive.
+    /// Whether the worker hangs or its heartbeats do not arrive.
     pub(crate) fn is_unresponsive(&self, now: f64) -> bool {
         self.hung_until > now || self.heartbeats_lost_until > now || self.partitioned_until > now
     }
@@ -109,8 +112,8 @@
         }
     }
 
-    /// Rule `wrong_place`: a task starts only in a zone that the job's constraint allows, given
-    /// the job's other tasks at this moment.
+    /// Rule `wrong_place`: a task starts only in a zone that the job's constraint allows, with
+    /// regard to the zones in which the job's other tasks are now.
     fn check_zone_constraint(&mut self, index: usize, job: &str) {
         let Some(spec) = self.specs.get(job) else {
             return;
@@ -232,7 +235,7 @@
         }
         let job = job_of(task);
         if let Some(end) = self.ended_jobs.get(job) {
-            let late = end.cancelled && self.now - end.at > CANCEL_S;
+            let late = end.cancelled && self.now - end.ended_at > CANCEL_S;
             assert!(!late, "ran_cancelled: {task} at {:.1}", self.now);
         }
         let team = team_index_of(job);
@@ -253,8 +256,8 @@
     pub(crate) fn workers_step(&mut self) {
         for index in 0..self.workers.len() {
             let now = self.now;
-            // The lease of a machine that hangs also ends, and with it all its tasks. They
-            // continue only if the machine does so within the lease.
+            // The lease of a machine that hangs also ends, and with the lease all tasks of the
+            // machine. The tasks continue only if the machine resumes within the lease.
             if now - self.workers[index].lease_renewed_at > LEASE_S {
                 self.end_session(index);
             }
@@ -329,9 +332,10 @@
     }
 
     /// Restarts the machine at once, without tasks and with session and sequence numbers that
-    /// begin again. Messages in flight on its old connections are lost. The protocol requires
-    /// the machine to keep the highest token. It loses that only if there is no former leader:
-    /// a machine without it would obey former leaders again, which no leader can prevent.
+    /// begin again. Messages in flight on its old connections are lost. The protocol requires the
+    /// machine to keep the highest token. The machine loses its token only if there is no former
+    /// leader: a machine without the token would obey former leaders again, which no leader can
+    /// prevent.
     pub(crate) fn restart(&mut self, index: usize) {
         let now = self.now;
         let worker = &mut self.workers[index];
@@ -358,9 +362,10 @@
                 continue;
             }
             // A caller whose call has already timed out is not notified again.
-            in_flight.at = if *timed_out { f64::MAX } else { now };
+            in_flight.arrives_at = if *timed_out { f64::MAX } else { now };
             in_flight.message = Message::no_answer(index, *leader, call.clone());
         }
-        self.in_flight.retain(|in_flight| in_flight.at < f64::MAX);
+        self.in_flight
+            .retain(|in_flight| in_flight.arrives_at < f64::MAX);
     }
 }
