--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -116,8 +116,8 @@
                 && !early;
             if report.machine == **name && newer {
                 if machine.status == MachineStatus::Expired {
-                    // If the session is new, its own heartbeat readmits the machine. If it is
-                    // the expired session, the late answer is ignored.
+                    // A new session readmits the machine by its own heartbeat. A late answer of
+                    // the expired session is ignored.
                     return;
                 }
                 self.reconcile_report(name, report, ReportSource::DirectCall, now);
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -34,8 +34,8 @@
     Current,
     /// Overtaken by a newer message. Such a heartbeat is answered, but changes nothing.
     Overtaken,
-    /// A late copy, or a heartbeat of a machine that lost its counters and restarted its
-    /// session numbering. Its session may be of another incarnation than the one we know.
+    /// A late copy, or a heartbeat of a machine that lost its counters and restarted its session
+    /// numbering. The session may belong to an incarnation other than the known one.
     OtherIncarnation,
     /// From a session whose lease was declared expired.
     ExpiredSession,
@@ -182,9 +182,9 @@
         }
     }
 
-    /// Returns the machine of this heartbeat, and adds it if it is unknown. Nothing can have
-    /// been started on an unknown machine. It becomes usable once the machine record that
-    /// lists it is written.
+    /// Returns the machine of this heartbeat, and adds the machine if it is unknown. Nothing can
+    /// have been started on an unknown machine. The machine becomes usable once a machine record
+    /// that lists it is written.
     fn find_or_register(&mut self, name: &Name, report: &Report, now: f64) -> &Machine {
         let drains = &self.drains;
         let machine_record_dirty = &mut self.machine_record_dirty;
--- a/src/coordination/agents/lease_expiry.rs
+++ b/src/coordination/agents/lease_expiry.rs
@@ -68,8 +68,8 @@
     fn leases_end_at(&self, machine: &Machine) -> Option<f64> {
         let lease_s = lease_with_margin_s(self.config.lease_s);
         if machine.fenced {
-            // Once the machine has seen our term, it drops the answers of all former leaders.
-            // Former leaders' leases count up to that time, and only ours after it.
+            // Once the machine has seen our term, it drops the answers of all former leaders. So
+            // former leaders can have renewed leases up to `fenced_at`, and only we after it.
             let own = last_lease_began_at(machine) + lease_s;
             return Some(own.max(machine.fenced_at + lease_s));
         }
@@ -95,10 +95,10 @@
         if let Some(machine) = self.machines.get_mut(name) {
             machine.status = MachineStatus::Expired;
             machine.recorded = false;
-            // No former leader answers any more, and all sessions that one knew have ended, so
-            // the machine's next session must not block placement. (An unreachable machine
-            // never reports under our term, so the whole shard would wait for it again after
-            // each lease.)
+            // No former leader answers any more, and all sessions that a former leader knew have
+            // ended, so the machine's next session must not block placement. (An unreachable
+            // machine never reports under our term, so the whole shard would wait for the machine
+            // again after each lease.)
             if !machine.fenced {
                 machine.fenced = true;
                 machine.fenced_at = now;
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -172,8 +172,8 @@
         self.update_capacity(name);
     }
 
-    /// Records the machine's address, and that it is fenced once it has seen our term: from
-    /// then on it drops the answers and calls of all former leaders.
+    /// Records the machine's address. Also records the machine as fenced if it has seen our term:
+    /// from then on the machine drops the answers and calls of all former leaders.
     fn record_fencing_and_address(&mut self, name: &Name, report: &Report, now: f64) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
--- a/src/coordination/leadership/cancellation_horizon.rs
+++ b/src/coordination/leadership/cancellation_horizon.rs
@@ -54,8 +54,8 @@
         self.watched_until = Some(watched_until);
     }
 
-    /// How far back the report of a peer that is asked now must reach, in seconds; `None`
-    /// before the first listing.
+    /// The period that a peer's report must cover if the peer is asked now, in seconds back from
+    /// now; `None` before the first listing.
     pub fn lookback_s(&self, confirmed_at: f64, now: f64) -> Option<f64> {
         Some(now - self.observed_until(confirmed_at)? + LOOKBACK_MARGIN_S)
     }
@@ -72,8 +72,8 @@
         }
     }
 
-    /// The time up to which all confirmed cancellations are known; `peers` must be all the
-    /// other controllers.
+    /// The time up to which all confirmed cancellations are known; `peers` must contain all other
+    /// controllers.
     pub fn known_until(&self, confirmed_at: f64, peers: &[String]) -> f64 {
         let observed = self
             .observed_until(confirmed_at)
@@ -83,8 +83,9 @@
             reported_until.unwrap_or(f64::NEG_INFINITY)
         };
         let all_reported = peers.iter().map(reported).fold(f64::INFINITY, f64::min);
-        // Infinite if there are no peers. No other controller confirms cancellations then, but
-        // our own former process may have, so only the watch counts.
+        // `all_reported` is infinite if there are no peers. Then no other controller confirms
+        // cancellations, but an earlier process of this controller may have confirmed some, so only
+        // the watch counts.
         if all_reported.is_finite() {
             observed.max(all_reported)
         } else {
@@ -92,6 +93,8 @@
         }
     }
 
+    /// The time up to which the watch has reported all cancellations; `None` before the first
+    /// listing.
     fn observed_until(&self, confirmed_at: f64) -> Option<f64> {
         self.watched_until.map(|at| at.min(confirmed_at))
     }
--- a/src/coordination/leadership/lease.rs
+++ b/src/coordination/leadership/lease.rs
@@ -1,5 +1,5 @@
 //! This controller's lease in the state service and the alive key attached to it: which
-//! request the lease loop sends next, and what follows from the responses.
+//! request the lease loop sends next, and how the responses change the state.
 
 use crate::coordination::leadership::state::{AliveKey, Leadership};
 use crate::protocol::state::{Entry, Txn};
--- a/src/coordination/leadership/lease_extension.rs
+++ b/src/coordination/leadership/lease_extension.rs
@@ -27,7 +27,7 @@
 /// of 0.0005 that the protocol states.
 const MAX_CLOCK_DRIFT: f64 = 0.002;
 
-/// Largest delay of a timer, in seconds.
+/// Assumed maximum delay of a timer, in seconds.
 const MAX_TIMER_DELAY_S: f64 = 0.1;
 
 /// The durations, in seconds, that limit how long a leader without contact answers workers.
@@ -37,8 +37,8 @@
     pub unconfirmed_s: f64,
     /// How long an extension is valid after its request was sent.
     pub extension_s: f64,
-    /// How long a leader goes on after its last confirmation at most, however many peers extend
-    /// its lease.
+    /// The maximum time for which a leader goes on after its last confirmation, however many peers
+    /// extend its lease.
     pub max_without_contact_s: f64,
 }
 
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -337,8 +337,8 @@
     }
 }
 
-/// Guards against an outdated response that replaces newer knowledge, and against an alive key
-/// of an earlier incarnation that is not overwritten.
+/// Guards against an outdated response that replaces newer knowledge. Also guards against a leader
+/// that does not overwrite its alive key after an earlier incarnation has written the key.
 #[test]
 fn outdated_responses_do_not_replace_newer_knowledge() {
     let mut pair = Pair::new();
--- a/tests/pause/controller.rs
+++ b/tests/pause/controller.rs
@@ -168,7 +168,7 @@
         controller.leadership.step_down(incarnation);
     }
 
-    /// Does the same as `react_to_shard_changes` in `loops::shard_changes`.
+    /// Simulates `react_to_shard_changes` of `loops::shard_changes`.
     pub(crate) fn react_to_shard_changes(&mut self, node: usize) {
         if self.controllers[node].leadership.is_deposed() {
             self.step_down(node);
@@ -195,7 +195,7 @@
         }
     }
 
-    /// A takeover has read the records of the shard: the controller begins the term.
+    /// Lets the controller begin its term, after its takeover has read the records of the shard.
     pub(crate) fn shard_loaded(&mut self, node: usize, term: u64) {
         let now = self.local_time(node);
         let controller = &mut self.controllers[node];
--- a/tests/simulation/store.rs
+++ b/tests/simulation/store.rs
@@ -18,7 +18,7 @@
 /// A write of a job's completed tasks, on condition that the stored job still has the expected
 /// version.
 pub(crate) struct CompletionsWrite {
-    /// When the store applies the write if it is delayed.
+    /// When the store applies the write, if the write is delayed.
     applied_at: f64,
     job: String,
     expected_version: u64,
