--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -20,7 +20,7 @@
 use foxspur::protocol::worker::{Command, Phase};
 use foxspur::storage::completed_tasks::CompletedTasks;
 use foxspur::storage::records::TerminalRecord;
-use foxspur::transport::sockets::Sockets;
+use foxspur::transport::sockets::SocketBudget;
 
 /// Guards against a leader that answers workers without knowing all cancellations that other
 /// controllers have confirmed to users. (In one case a majority of controllers had extended the
@@ -282,7 +282,7 @@
 #[test]
 fn socket_limits_stay_within_the_total() {
     for (limit, workers) in [(800, 324), (2832, 1126), (3198, 1905), (32, 12)] {
-        let sockets = Sockets::new(limit);
+        let sockets = SocketBudget::new(limit);
         assert!(
             sockets.max_incoming() >= workers + workers / 10,
             "limit of {limit}"
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -153,7 +153,7 @@
         let mut counters = self.counters.borrow_mut();
         counters.confirmed += 1;
         counters.while_loading += usize::from(loading.is_some());
-        let pages = self.cluster.pages.borrow();
+        let pages = self.cluster.partial_listing_reads.borrow();
         let just_read = |(reader, read_at): &(usize, Instant)| {
             Some(*reader) == loading && read_at.elapsed() < Duration::from_millis(300)
         };
