--- a/crates/client/src/engine/attempt.rs
+++ b/crates/client/src/engine/attempt.rs
@@ -3,12 +3,12 @@
 
 use super::state::Attempt;
 use super::Engine;
-use crate::agenda::Step;
 use crate::measure;
 use crate::outbox::writer::Pending;
-use crate::pace::Ended;
+use crate::pace::AttemptEnd;
+use crate::schedule::Step;
 use crate::transport::{Answer, Call, NoAnswer, Request};
-use crate::verdict::{judge, Verdict};
+use crate::verdict::{interpret, Verdict};
 use std::time::Duration;
 
 /// A poll is hedged once it has taken longer than the 95th percentile of recent latencies times
@@ -46,10 +46,10 @@
             }
         };
         let result = self.send(attempt, request).await;
-        let verdict = judge(attempt.step, attempt.id, &result);
+        let verdict = interpret(attempt.step, attempt.id, &result);
         match &verdict {
-            Verdict::Heard(answer) => tracing::debug!(?answer, "attempt answered"),
-            Verdict::Again { retry_after, why } => {
+            Verdict::Conclusive(answer) => tracing::debug!(?answer, "attempt answered"),
+            Verdict::Retry { retry_after, why } => {
                 tracing::debug!(retry_after, why, "attempt inconclusive; will retry");
             }
         }
@@ -106,7 +106,7 @@
         state.in_flight.end(ended, now);
         state.fronts.end(front, ended, now);
         drop(state);
-        let answered = matches!(ended, Ended::Answered(_));
+        let answered = matches!(ended, AttemptEnd::Answered(_));
         measure::record_attempt(step, answered, now - began_at);
         self.wake.notify_one();
         result
@@ -172,10 +172,10 @@
 }
 
 /// Classifies the result of a request for flow control.
-fn classify_end(result: &Result<Answer, NoAnswer>, took_s: f64) -> Ended {
+fn classify_end(result: &Result<Answer, NoAnswer>, took_s: f64) -> AttemptEnd {
     match result {
-        Ok(answer) if !matches!(answer.status, 429 | 500..) => Ended::Answered(took_s),
-        Ok(_) | Err(NoAnswer::TimedOut) => Ended::Overloaded,
-        Err(NoAnswer::Broken(_)) => Ended::Broken,
+        Ok(answer) if !matches!(answer.status, 429 | 500..) => AttemptEnd::Answered(took_s),
+        Ok(_) | Err(NoAnswer::TimedOut) => AttemptEnd::Overloaded,
+        Err(NoAnswer::Broken(_)) => AttemptEnd::Broken,
     }
 }
--- a/crates/client/src/engine/learn.rs
+++ b/crates/client/src/engine/learn.rs
@@ -3,12 +3,12 @@
 
 use super::state::{OpenJob, State};
 use super::{unix_time_ms, Engine};
-use crate::agenda::Step;
 use crate::job::JobId;
 use crate::outbox::writer::Pending;
 use crate::outbox::OutboxError;
 use crate::pace::backoff;
-use crate::record::{Heard, Meaning, Phase, Record};
+use crate::record::{AnswerEffect, ConclusiveAnswer, Phase, Record};
+use crate::schedule::Step;
 use crate::verdict::Verdict;
 
 /// What follows from an answer.
@@ -25,8 +25,8 @@
     /// Processes the result of an attempt, and waits until it is written.
     pub(super) async fn process_result(&self, id: JobId, step: Step, verdict: Verdict) {
         let pending = match verdict {
-            Verdict::Heard(answer) => self.apply_answer(id, &answer),
-            Verdict::Again { retry_after, .. } => {
+            Verdict::Conclusive(answer) => self.apply_answer(id, &answer),
+            Verdict::Retry { retry_after, .. } => {
                 self.retry_later(id, step, retry_after);
                 None
             }
@@ -38,7 +38,7 @@
     }
 
     /// Applies a conclusive answer. Returns the write that it requires, if any.
-    fn apply_answer(&self, id: JobId, answer: &Heard) -> Option<Pending> {
+    fn apply_answer(&self, id: JobId, answer: &ConclusiveAnswer) -> Option<Pending> {
         let now = self.now();
         let mut state = self.lock();
         match state.apply_answer(id, answer, now) {
@@ -95,10 +95,10 @@
                 open.publish();
                 if open.record.closed() {
                     state.open.remove(&id);
-                    state.agenda.remove(id);
+                    state.schedule.remove(id);
                 } else {
                     let wait_s = open.wait_for(step, now);
-                    state.agenda.put(id, step, now + wait_s);
+                    state.schedule.put(id, step, now + wait_s);
                 }
             }
         }
@@ -110,7 +110,7 @@
 impl State {
     /// Applies an answer to the job's record, and schedules the next step unless a write must come
     /// first.
-    fn apply_answer(&mut self, id: JobId, answer: &Heard, now: f64) -> Effect {
+    fn apply_answer(&mut self, id: JobId, answer: &ConclusiveAnswer, now: f64) -> Effect {
         let Some(open) = self.open.get_mut(&id) else {
             return Effect::NotOpen;
         };
@@ -126,7 +126,7 @@
         open.busy = false;
         let mut step = open.next_step();
         let mut wait_s = open.wait_for(step, now);
-        if *answer == Heard::NotFound {
+        if *answer == ConclusiveAnswer::NotFound {
             // The job does not exist yet, but an earlier submission may still arrive and create it.
             // A job to be cancelled is therefore submitted, so that it exists and can be cancelled
             // permanently.
@@ -135,17 +135,17 @@
             }
             wait_s = backoff(1, None, &mut self.rng);
         }
-        self.agenda.put(id, step, now + wait_s);
+        self.schedule.put(id, step, now + wait_s);
         Effect::Scheduled
     }
 }
 
 impl OpenJob {
     /// Applies an answer to the record. Returns whether the record must be written.
-    fn apply_answer(&mut self, answer: &Heard, now: f64) -> bool {
+    fn apply_answer(&mut self, answer: &ConclusiveAnswer, now: f64) -> bool {
         let before = self.record.phase.clone();
-        let meaning = self.record.hear(answer, unix_time_ms());
-        if let Meaning::Contradiction(contradiction) = meaning {
+        let meaning = self.record.apply_answer(answer, unix_time_ms());
+        if let AnswerEffect::Contradiction(contradiction) = meaning {
             let job = self.record.id;
             tracing::error!(
                 %job,
@@ -155,11 +155,12 @@
             );
         }
         if before == Phase::Waiting && self.record.phase != Phase::Waiting {
-            self.fresh = *answer == Heard::Created;
+            self.fresh = *answer == ConclusiveAnswer::Created;
             self.accepted_at = now;
         }
         // A change between pending and running is for display only, and is not written.
         let is_accepted = |phase: &Phase| matches!(phase, Phase::Accepted(_));
-        meaning == Meaning::News && !(is_accepted(&before) && is_accepted(&self.record.phase))
+        meaning == AnswerEffect::Changed
+            && !(is_accepted(&before) && is_accepted(&self.record.phase))
     }
 }
--- a/crates/client/src/engine/mod.rs
+++ b/crates/client/src/engine/mod.rs
@@ -10,11 +10,11 @@
 
 pub(crate) use state::JobUpdate;
 
-use crate::agenda::Step;
 use crate::job::JobId;
 use crate::outbox::writer::Writer;
 use crate::outbox::{Outbox, OutboxError};
 use crate::record::Record;
+use crate::schedule::Step;
 use crate::settings::Settings;
 use crate::transport::Transport;
 use state::{Attempt, OpenJob, State};
@@ -104,7 +104,7 @@
         let open = OpenJob::new(record, now);
         let step = open.next_step();
         state.open.insert(id, open);
-        state.agenda.put(id, step, now);
+        state.schedule.put(id, step, now);
         drop(state);
         self.wake.notify_one();
     }
@@ -133,7 +133,7 @@
             // which they were made.
             let written = self.writer.begin_update(open.record.clone());
             if !busy {
-                state.agenda.put(id, Step::Cancel, now);
+                state.schedule.put(id, Step::Cancel, now);
             }
             written
         };
--- a/crates/client/src/engine/state.rs
+++ b/crates/client/src/engine/state.rs
@@ -2,12 +2,12 @@
 //! decides which attempts begin now and what the next step of each job is. Times are seconds since
 //! the engine's start.
 
-use crate::agenda::{poll_in, Agenda, Step};
 use crate::fronts::Fronts;
 use crate::job::JobId;
 use crate::measure;
-use crate::pace::{backoff, InFlight, Rate, RetryBudget};
+use crate::pace::{backoff, InFlightLimit, RateLimiter, RetryBudget};
 use crate::record::{Phase, Record};
+use crate::schedule::{poll_in, Schedule, Step};
 use crate::settings::Settings;
 use foxspur_wire::job::JobSpec;
 use rand::rngs::StdRng;
@@ -126,11 +126,11 @@
 /// All open jobs, their schedule, and the limits on requests.
 pub(super) struct State {
     pub open: HashMap<JobId, OpenJob>,
-    pub agenda: Agenda,
+    pub schedule: Schedule,
     pub fronts: Fronts,
-    pub in_flight: InFlight,
+    pub in_flight: InFlightLimit,
     pub retries: RetryBudget,
-    polls: Rate,
+    polls: RateLimiter,
     pub rng: StdRng,
     pub closed: bool,
 }
@@ -139,15 +139,15 @@
     pub fn new(settings: &Settings, seed: u64) -> State {
         State {
             open: HashMap::new(),
-            agenda: Agenda::default(),
+            schedule: Schedule::default(),
             fronts: Fronts::new(settings.fronts.len()),
-            in_flight: InFlight::new(settings.in_flight),
+            in_flight: InFlightLimit::new(settings.in_flight),
             retries: RetryBudget::new(
                 settings.retry_share,
                 settings.retry_floor_per_s,
                 settings.retry_most,
             ),
-            polls: Rate::new(settings.polls_per_s, settings.polls_per_s),
+            polls: RateLimiter::new(settings.polls_per_s, settings.polls_per_s),
             rng: StdRng::seed_from_u64(seed),
             closed: false,
         }
@@ -156,13 +156,13 @@
     /// Takes the steps that are due and admitted. Due steps that are not admitted are rescheduled.
     pub fn take_due(&mut self, now: f64) -> Due {
         let mut attempts = Vec::new();
-        while self.agenda.next_at().is_some_and(|at| at <= now) {
+        while self.schedule.next_at().is_some_and(|at| at <= now) {
             if !self.in_flight.begin() {
                 // The driver task is woken when an attempt ends.
                 let next_at = None;
                 return Due { attempts, next_at };
             }
-            let Some((id, step)) = self.agenda.take(now) else {
+            let Some((id, step)) = self.schedule.take(now) else {
                 self.in_flight.cancel();
                 break;
             };
@@ -181,13 +181,13 @@
                 Err(wait_s) => {
                     self.in_flight.cancel();
                     measure::record_withheld(step);
-                    self.agenda.put(id, step, now + wait_s);
+                    self.schedule.put(id, step, now + wait_s);
                 }
             }
         }
         let (open_jobs, limit) = (self.open.len(), self.in_flight.limit());
-        measure::record_load(open_jobs, limit, self.fronts.out(now));
-        let next_at = self.agenda.next_at();
+        measure::record_load(open_jobs, limit, self.fronts.ejected_count(now));
+        let next_at = self.schedule.next_at();
         Due { attempts, next_at }
     }
 
@@ -230,6 +230,6 @@
         };
         open.failures += 1;
         let wait_s = backoff(open.failures, retry_after, &mut self.rng);
-        self.agenda.put(id, step, now + wait_s);
+        self.schedule.put(id, step, now + wait_s);
     }
 }
--- a/crates/client/src/fronts.rs
+++ b/crates/client/src/fronts.rs
@@ -5,7 +5,7 @@
 //! A front is one of the base URLs in the settings. The module does no I/O and reads no clock:
 //! callers pass times in seconds.
 
-use crate::pace::Ended;
+use crate::pace::AttemptEnd;
 use rand::Rng;
 
 #[derive(Debug, Clone)]
@@ -104,13 +104,13 @@
     }
 
     /// Records the end of a request to this front.
-    pub fn end(&mut self, front: usize, ended: Ended, now: f64) {
+    pub fn end(&mut self, front: usize, ended: AttemptEnd, now: f64) {
         let Some(front) = self.all.get_mut(front) else {
             return;
         };
         front.in_flight = front.in_flight.saturating_sub(1);
         match ended {
-            Ended::Answered(_) => {
+            AttemptEnd::Answered(_) => {
                 front.failures = 0;
                 // A front that has been healthy for as long as the longest ejection starts again
                 // with the shortest one.
@@ -118,7 +118,7 @@
                     front.ejections = 0;
                 }
             }
-            Ended::Overloaded | Ended::Broken => {
+            AttemptEnd::Overloaded | AttemptEnd::Broken => {
                 front.failures += 1;
                 if front.failures >= MAX_FAILURES && now >= front.ejected_until {
                     let ejection_s =
@@ -134,7 +134,7 @@
     }
 
     /// The number of fronts that are ejected now.
-    pub fn out(&self, now: f64) -> usize {
+    pub fn ejected_count(&self, now: f64) -> usize {
         self.all.iter().filter(|f| now < f.ejected_until).count()
     }
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -35,7 +35,6 @@
 //! # }
 //! ```
 
-pub mod agenda;
 pub mod blocking;
 mod client;
 mod engine;
@@ -45,6 +44,7 @@
 pub mod outbox;
 pub mod pace;
 pub mod record;
+pub mod schedule;
 mod settings;
 pub mod transport;
 pub mod verdict;
--- a/crates/client/src/measure.rs
+++ b/crates/client/src/measure.rs
@@ -1,7 +1,7 @@
 //! The client's metrics. They are recorded through the `metrics` facade to the recorder that the
 //! program installs, if the `metrics` feature is enabled.
 
-use crate::agenda::Step;
+use crate::schedule::Step;
 
 #[cfg(feature = "metrics")]
 fn step_label(step: Step) -> &'static str {
--- a/crates/client/src/outbox/backend.rs
+++ b/crates/client/src/outbox/backend.rs
@@ -22,9 +22,9 @@
 
 /// Gives the offset of a backend's last read, for error messages.
 #[derive(Debug)]
-pub struct Place(Arc<Mutex<Buffer>>);
+pub struct LastReadOffset(Arc<Mutex<Buffer>>);
 
-impl Place {
+impl LastReadOffset {
     /// The offset of the last read, in bytes.
     pub fn get(&self) -> u64 {
         self.0
@@ -34,39 +34,40 @@
     }
 }
 
-/// A backend that buffers changes to another one until [`Guarded::let_through`] is called.
+/// A backend that buffers changes to another one until
+/// [`BufferedBackend::flush_and_stop_buffering`] is called.
 #[derive(Debug)]
-pub struct Guarded<B> {
+pub struct BufferedBackend<B> {
     inner: Arc<B>,
     buffer: Arc<Mutex<Buffer>>,
 }
 
-impl<B> Clone for Guarded<B> {
+impl<B> Clone for BufferedBackend<B> {
     fn clone(&self) -> Self {
-        Guarded {
+        BufferedBackend {
             inner: self.inner.clone(),
             buffer: self.buffer.clone(),
         }
     }
 }
 
-impl<B: StorageBackend> Guarded<B> {
+impl<B: StorageBackend> BufferedBackend<B> {
     /// Wraps `inner`, and buffers all changes to it from now on.
-    pub fn new(inner: B) -> Result<Guarded<B>, Error> {
+    pub fn new(inner: B) -> Result<BufferedBackend<B>, Error> {
         let buffer = Buffer {
             blocks: Some(BTreeMap::new()),
             len: inner.len()?,
             last_read: 0,
         };
-        Ok(Guarded {
+        Ok(BufferedBackend {
             inner: Arc::new(inner),
             buffer: Arc::new(Mutex::new(buffer)),
         })
     }
 
     /// Gives access to the offset of the last read.
-    pub fn place(&self) -> Place {
-        Place(self.buffer.clone())
+    pub fn last_read_offset(&self) -> LastReadOffset {
+        LastReadOffset(self.buffer.clone())
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Buffer> {
@@ -76,7 +77,7 @@
     }
 
     /// Writes the buffered changes to the inner backend, and stops buffering.
-    pub fn let_through(&self) -> Result<(), Error> {
+    pub fn flush_and_stop_buffering(&self) -> Result<(), Error> {
         let mut buffer = self.lock();
         let Some(blocks) = buffer.blocks.take() else {
             return Ok(());
@@ -105,7 +106,7 @@
     }
 }
 
-impl<B: StorageBackend> StorageBackend for Guarded<B> {
+impl<B: StorageBackend> StorageBackend for BufferedBackend<B> {
     fn len(&self) -> Result<u64, Error> {
         let buffer = self.lock();
         match buffer.blocks {
@@ -190,7 +191,7 @@
 
 /// The first offset at which the content differs from the first bytes of an outbox file. `None` if
 /// it does not differ, or if the storage is empty.
-pub fn foreign_at<B: StorageBackend>(backend: &B) -> Result<Option<u64>, Error> {
+pub fn first_mismatch<B: StorageBackend>(backend: &B) -> Result<Option<u64>, Error> {
     let len = backend.len()?;
     if len == 0 {
         return Ok(None);
--- a/crates/client/src/outbox/mod.rs
+++ b/crates/client/src/outbox/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::job::{JobId, Key, Work};
 use crate::record::Record;
-use backend::{foreign_at, Guarded, Place};
+use backend::{first_mismatch, BufferedBackend, LastReadOffset};
 use foxspur_wire::job::{check_submission, JobSpec};
 use rand::Rng;
 use redb::backends::{FileBackend, InMemoryBackend};
@@ -42,7 +42,7 @@
 pub struct Outbox {
     db: Database,
     /// Offset of the last read, for error messages.
-    last_read: Place,
+    last_read: LastReadOffset,
     /// The locked file, which keeps other processes from opening the outbox.
     _lock: Option<File>,
 }
@@ -102,23 +102,23 @@
     ) -> Result<Outbox, OutboxError> {
         let io_error = |e: std::io::Error| storage_error(&e);
         let is_new = backend.len().map_err(io_error)? == 0;
-        if let Some(offset) = foreign_at(&backend).map_err(io_error)? {
+        if let Some(offset) = first_mismatch(&backend).map_err(io_error)? {
             return Err(OutboxError::Foreign { offset });
         }
-        let guarded = Guarded::new(backend).map_err(io_error)?;
+        let buffered = BufferedBackend::new(backend).map_err(io_error)?;
         if is_new {
             // There is no content to protect, so writes need no buffering.
-            guarded.let_through().map_err(io_error)?;
+            buffered.flush_and_stop_buffering().map_err(io_error)?;
         }
         let outbox = Outbox {
-            db: open_database(guarded.clone(), verify && !is_new)?,
-            last_read: guarded.place(),
+            db: open_database(buffered.clone(), verify && !is_new)?,
+            last_read: buffered.last_read_offset(),
             _lock: None,
         };
         if !is_new {
             outbox.check_content()?;
         }
-        guarded.let_through().map_err(io_error)?;
+        buffered.flush_and_stop_buffering().map_err(io_error)?;
         if is_new {
             outbox.create_tables()?;
         }
@@ -373,10 +373,10 @@
 
 /// Opens the database; with `verify` every page is checked.
 fn open_database<B: StorageBackend>(
-    backend: Guarded<B>,
+    backend: BufferedBackend<B>,
     verify: bool,
 ) -> Result<Database, OutboxError> {
-    let last_read = backend.place();
+    let last_read = backend.last_read_offset();
     let damaged = |what: String| OutboxError::Damaged {
         offset: last_read.get(),
         what,
--- a/crates/client/src/pace.rs
+++ b/crates/client/src/pace.rs
@@ -13,18 +13,18 @@
 pub fn backoff(failures: u32, retry_after: Option<f64>, rng: &mut impl Rng) -> f64 {
     let max_jitter_s = 2f64
         .powi(failures.saturating_sub(1).min(MAX_DOUBLINGS) as i32)
-        .min(MOST_WAIT_S);
-    let requested_s = retry_after.unwrap_or(0.0).clamp(0.0, MOST_WAIT_S);
+        .min(MAX_WAIT_S);
+    let requested_s = retry_after.unwrap_or(0.0).clamp(0.0, MAX_WAIT_S);
     // Without added jitter, clients that got the same `Retry-After` would all return at once.
     MIN_WAIT_S + (requested_s - MIN_WAIT_S).max(0.0) + rng.random_range(0.0..=max_jitter_s)
 }
 
 /// The shortest wait between two attempts, as the protocol requires.
 const MIN_WAIT_S: f64 = 1.0;
-/// Keeps the power of two small. `MOST_WAIT_S` limits the jitter before this bound is reached.
+/// Keeps the power of two small. `MAX_WAIT_S` limits the jitter before this bound is reached.
 const MAX_DOUBLINGS: u32 = 10;
 /// The largest bound of the jitter, and the longest `Retry-After` that is honored.
-pub const MOST_WAIT_S: f64 = 30.0;
+pub const MAX_WAIT_S: f64 = 30.0;
 
 /// The tokens that an answered retry adds to the budget.
 const TOKENS_PER_ANSWERED_RETRY: f64 = 2.0;
@@ -91,16 +91,16 @@
 /// request reserves a time slot of its own. Thousands of requests that are due at once therefore
 /// need not poll the limiter until it admits them.
 #[derive(Debug, Clone)]
-pub struct Rate {
+pub struct RateLimiter {
     per_s: f64,
     burst: f64,
     next_slot: f64,
 }
 
-impl Rate {
+impl RateLimiter {
     /// Creates a limiter of `per_s` requests per second, and bursts of `burst` requests.
-    pub fn new(per_s: f64, burst: f64) -> Rate {
-        Rate {
+    pub fn new(per_s: f64, burst: f64) -> RateLimiter {
+        RateLimiter {
             per_s,
             burst,
             next_slot: f64::NEG_INFINITY,
@@ -122,7 +122,7 @@
 /// lowers the limit. So does an answer that took much longer than the fastest recent one, since
 /// this means that requests are queueing (as in TCP Vegas).
 #[derive(Debug, Clone)]
-pub struct InFlight {
+pub struct InFlightLimit {
     limit: f64,
     max_limit: f64,
     in_flight: usize,
@@ -136,7 +136,7 @@
 
 /// How an attempt ended, for flow control.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Ended {
+pub enum AttemptEnd {
     /// Answered after this many seconds.
     Answered(f64),
     /// The answer was 429 or 5xx, or there was no answer in time.
@@ -159,11 +159,11 @@
 const DECREASE_FACTOR: f64 = 0.7;
 const MIN_DECREASE_INTERVAL_S: f64 = 1.0;
 
-impl InFlight {
+impl InFlightLimit {
     /// Creates a limit that starts at an eighth of `max_limit`, but at least 2, and grows up to
     /// `max_limit`.
-    pub fn new(max_limit: usize) -> InFlight {
-        InFlight {
+    pub fn new(max_limit: usize) -> InFlightLimit {
+        InFlightLimit {
             limit: (max_limit as f64 / 8.0).max(2.0),
             max_limit: max_limit as f64,
             in_flight: 0,
@@ -191,12 +191,12 @@
     }
 
     /// Records the end of a request and adjusts the limit.
-    pub fn end(&mut self, ended: Ended, now: f64) {
+    pub fn end(&mut self, ended: AttemptEnd, now: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let congested = match ended {
-            Ended::Broken => return,
-            Ended::Overloaded => true,
-            Ended::Answered(latency_s) => {
+            AttemptEnd::Broken => return,
+            AttemptEnd::Overloaded => true,
+            AttemptEnd::Answered(latency_s) => {
                 self.recent.push_back(latency_s);
                 if self.recent.len() > MAX_RECENT {
                     self.recent.pop_front();
--- a/crates/client/src/record.rs
+++ b/crates/client/src/record.rs
@@ -40,7 +40,7 @@
 
 /// A controller's conclusive answer about a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum ConclusiveAnswer {
     /// 201 to a submission.
     Created,
     /// 200 to a submission or a query.
@@ -53,9 +53,9 @@
 
 /// How an answer relates to what was known before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Meaning {
+pub enum AnswerEffect {
     /// The answer changed the record, which is to be stored.
-    News,
+    Changed,
     /// The answer adds nothing, or reports an older state.
     Nothing,
     /// The answer contradicts what was known before. The record is not changed.
@@ -82,55 +82,55 @@
     }
 
     /// Applies an answer to the record, and returns how it relates to what was known.
-    pub fn hear(&mut self, heard: &Heard, now_ms: u64) -> Meaning {
+    pub fn apply_answer(&mut self, answer: &ConclusiveAnswer, now_ms: u64) -> AnswerEffect {
         let outcome_of = |state: JobState| match state {
             JobState::Done => Some(Outcome::Done),
             JobState::Cancelled => Some(Outcome::Withdrawn),
             JobState::Pending | JobState::Running => None,
         };
-        let next = match (&self.phase, heard) {
-            (Phase::Final(known), Heard::State(state)) => {
+        let next = match (&self.phase, answer) {
+            (Phase::Final(known), ConclusiveAnswer::State(state)) => {
                 // A controller with older state may report that the job is not closed yet, but no
                 // controller may report another final status.
                 return match outcome_of(*state) {
                     Some(outcome) if outcome != *known => {
-                        Meaning::Contradiction("another final status")
+                        AnswerEffect::Contradiction("another final status")
                     }
-                    _ => Meaning::Nothing,
+                    _ => AnswerEffect::Nothing,
                 };
             }
-            (Phase::Final(_), Heard::Created) => {
-                return Meaning::Contradiction("accepted after its final status");
+            (Phase::Final(_), ConclusiveAnswer::Created) => {
+                return AnswerEffect::Contradiction("accepted after its final status");
             }
-            (Phase::Final(_) | Phase::Accepted(_), Heard::Refused(_)) => {
-                return Meaning::Contradiction("refused after it was accepted");
+            (Phase::Final(_) | Phase::Accepted(_), ConclusiveAnswer::Refused(_)) => {
+                return AnswerEffect::Contradiction("refused after it was accepted");
             }
-            (Phase::Final(_) | Phase::Accepted(_), Heard::NotFound) => {
-                return Meaning::Contradiction("not found after it was accepted");
+            (Phase::Final(_) | Phase::Accepted(_), ConclusiveAnswer::NotFound) => {
+                return AnswerEffect::Contradiction("not found after it was accepted");
             }
-            (Phase::Refused(_), Heard::Created | Heard::State(_)) => {
-                return Meaning::Contradiction("accepted after it was refused");
+            (Phase::Refused(_), ConclusiveAnswer::Created | ConclusiveAnswer::State(_)) => {
+                return AnswerEffect::Contradiction("accepted after it was refused");
             }
             // A 404 is not conclusive while the submission may still be on its way.
-            (Phase::Waiting, Heard::NotFound) | (Phase::Refused(_), _) => {
-                return Meaning::Nothing;
+            (Phase::Waiting, ConclusiveAnswer::NotFound) | (Phase::Refused(_), _) => {
+                return AnswerEffect::Nothing;
             }
-            (Phase::Waiting, Heard::Refused(refusal)) => Phase::Refused(refusal.clone()),
-            (Phase::Waiting, Heard::Created) => Phase::Accepted(JobState::Pending),
-            (Phase::Accepted(_), Heard::Created) => return Meaning::Nothing,
-            (_, Heard::State(state)) => match outcome_of(*state) {
+            (Phase::Waiting, ConclusiveAnswer::Refused(refusal)) => Phase::Refused(refusal.clone()),
+            (Phase::Waiting, ConclusiveAnswer::Created) => Phase::Accepted(JobState::Pending),
+            (Phase::Accepted(_), ConclusiveAnswer::Created) => return AnswerEffect::Nothing,
+            (_, ConclusiveAnswer::State(state)) => match outcome_of(*state) {
                 Some(outcome) => Phase::Final(outcome),
                 None => Phase::Accepted(*state),
             },
         };
         if next == self.phase {
-            return Meaning::Nothing;
+            return AnswerEffect::Nothing;
         }
         self.phase = next;
         if self.closed() {
             self.closed_ms = Some(now_ms);
         }
-        Meaning::News
+        AnswerEffect::Changed
     }
 
     /// The result of `Client::outcome`.
--- a/crates/client/src/agenda.rs
+++ b/crates/client/src/schedule.rs
@@ -25,13 +25,13 @@
 /// A priority queue of steps, ordered by due time. Each job has at most one entry; a new entry
 /// replaces the previous one.
 #[derive(Debug, Default)]
-pub struct Agenda {
+pub struct Schedule {
     /// Due times in microseconds. An entry is stale unless `entries` has the same time for the job.
     heap: BinaryHeap<Reverse<(u64, JobId)>>,
     entries: HashMap<JobId, (u64, Step)>,
 }
 
-impl Agenda {
+impl Schedule {
     /// Schedules the job's next step at `at`, in place of any step scheduled before.
     pub fn put(&mut self, job: JobId, step: Step, at: f64) {
         let at = to_micros(at);
--- a/crates/client/src/verdict.rs
+++ b/crates/client/src/verdict.rs
@@ -1,9 +1,9 @@
 //! Interprets the answers of controllers by the rules of the protocol, without I/O. Only a few
 //! answers are conclusive; after any other answer the request is retried.
 
-use crate::agenda::Step;
 use crate::job::{JobId, Refused};
-use crate::record::Heard;
+use crate::record::ConclusiveAnswer;
+use crate::schedule::Step;
 use crate::transport::{Answer, NoAnswer};
 use foxspur_wire::job::{Accepted, Progress, Refusal};
 
@@ -11,9 +11,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
     /// The answer is conclusive.
-    Heard(Heard),
+    Conclusive(ConclusiveAnswer),
     /// The result is not conclusive; the request is retried.
-    Again {
+    Retry {
         /// The answer's `Retry-After` in seconds, if it has one.
         retry_after: Option<f64>,
         /// Reason for the retry, for the log.
@@ -22,18 +22,18 @@
 }
 
 fn retry(answer: &Answer, why: String) -> Verdict {
-    Verdict::Again {
+    Verdict::Retry {
         retry_after: answer.retry_after.filter(|s| s.is_finite() && *s >= 0.0),
         why,
     }
 }
 
 /// Interprets the result of an attempt of this step for this job.
-pub fn judge(step: Step, id: JobId, result: &Result<Answer, NoAnswer>) -> Verdict {
+pub fn interpret(step: Step, id: JobId, result: &Result<Answer, NoAnswer>) -> Verdict {
     let answer = match result {
         Ok(answer) => answer,
         Err(no_answer) => {
-            return Verdict::Again {
+            return Verdict::Retry {
                 retry_after: None,
                 why: no_answer.to_string(),
             }
@@ -50,17 +50,17 @@
             Ok((about, _)) if about != id.to_string() => {
                 retry(answer, format!("answer is about {about}"))
             }
-            Ok(_) if status == 201 => Verdict::Heard(Heard::Created),
-            Ok((_, state)) => Verdict::Heard(Heard::State(state)),
+            Ok(_) if status == 201 => Verdict::Conclusive(ConclusiveAnswer::Created),
+            Ok((_, state)) => Verdict::Conclusive(ConclusiveAnswer::State(state)),
             Err(e) => retry(answer, format!("status {status}, malformed body: {e}")),
         },
         (Step::Submit, 400 | 422) => {
             let reason = serde_json::from_slice::<Refusal>(&answer.body)
                 .map(|r| r.error.into_owned())
                 .unwrap_or_else(|_| String::from_utf8_lossy(&answer.body).into_owned());
-            Verdict::Heard(Heard::Refused(Refused { status, reason }))
+            Verdict::Conclusive(ConclusiveAnswer::Refused(Refused { status, reason }))
         }
-        (Step::Poll | Step::Cancel, 404) => Verdict::Heard(Heard::NotFound),
+        (Step::Poll | Step::Cancel, 404) => Verdict::Conclusive(ConclusiveAnswer::NotFound),
         _ => retry(answer, format!("status {status}")),
     }
 }
--- a/crates/client/tests/outbox.rs
+++ b/crates/client/tests/outbox.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use foxspur_client::record::{Heard, Phase, Record};
+use foxspur_client::record::{ConclusiveAnswer, Phase, Record};
 use foxspur_client::{NotQueued, Outbox, OutboxError};
 use foxspur_wire::job::JobState;
 use std::io::ErrorKind;
@@ -26,10 +26,10 @@
     }
     for key in ["a", "b"] {
         let mut record = outbox.find_key(&work(key, "t").key)?.unwrap();
-        record.hear(&Heard::Created, 6);
+        record.apply_answer(&ConclusiveAnswer::Created, 6);
         outbox.update(std::slice::from_ref(&record))?;
         note(record.clone());
-        record.hear(&Heard::State(JobState::Done), 7);
+        record.apply_answer(&ConclusiveAnswer::State(JobState::Done), 7);
         outbox.update(std::slice::from_ref(&record))?;
         note(record);
     }
@@ -165,7 +165,7 @@
         let queued = outbox.enqueue(&[work(key, "t")], 5).unwrap();
         let mut record = queued[0].as_ref().unwrap().record().clone();
         if let Some(closed_ms) = closed_ms {
-            record.hear(&Heard::State(JobState::Done), closed_ms);
+            record.apply_answer(&ConclusiveAnswer::State(JobState::Done), closed_ms);
             outbox.update(&[record]).unwrap();
         }
     }
--- a/crates/client/tests/pace.rs
+++ b/crates/client/tests/pace.rs
@@ -1,12 +1,12 @@
-//! Tests of flow control, the choice of fronts, the schedule, the meaning of answers, and the check
+//! Tests of flow control, the choice of fronts, the schedule, the effect of answers, and the check
 //! of settings and keys.
 
-use foxspur_client::agenda::{poll_in, Agenda, Step};
 use foxspur_client::fronts::Fronts;
-use foxspur_client::pace::{backoff, Ended, InFlight, Rate, RetryBudget};
-use foxspur_client::record::{Heard, Meaning, Phase, Record};
+use foxspur_client::pace::{backoff, AttemptEnd, InFlightLimit, RateLimiter, RetryBudget};
+use foxspur_client::record::{AnswerEffect, ConclusiveAnswer, Phase, Record};
+use foxspur_client::schedule::{poll_in, Schedule, Step};
 use foxspur_client::transport::Answer;
-use foxspur_client::verdict::{judge, Verdict};
+use foxspur_client::verdict::{interpret, Verdict};
 use foxspur_client::{Key, Outbox, Outcome, Refused, Settings};
 use foxspur_wire::job::{JobSpec, JobState};
 use rand::rngs::StdRng;
@@ -95,15 +95,15 @@
 /// not space requests after a burst.
 #[test]
 fn limit_in_flight_follows_the_answers() {
-    let mut in_flight = InFlight::new(64);
+    let mut in_flight = InFlightLimit::new(64);
     let initial_limit = in_flight.limit();
     for n in 0..4000 {
         assert!(in_flight.begin());
-        in_flight.end(Ended::Answered(0.02), f64::from(n) * 0.01);
+        in_flight.end(AttemptEnd::Answered(0.02), f64::from(n) * 0.01);
     }
     assert_eq!(in_flight.limit(), 64);
     in_flight.begin();
-    in_flight.end(Ended::Broken, 50.0);
+    in_flight.end(AttemptEnd::Broken, 50.0);
     assert_eq!(
         in_flight.limit(),
         64,
@@ -111,7 +111,10 @@
     );
     assert!(initial_limit < 64 && in_flight.p95().is_some_and(|s| s < 0.03));
     // Failures within one second count once, and a slow answer counts like an overload answer.
-    for (ended, limit) in [(Ended::Overloaded, 44), (Ended::Answered(2.0), 31)] {
+    for (ended, limit) in [
+        (AttemptEnd::Overloaded, 44),
+        (AttemptEnd::Answered(2.0), 31),
+    ] {
         let now = if limit == 44 { 100.0 } else { 102.0 };
         for _ in 0..10 {
             in_flight.begin();
@@ -125,13 +128,13 @@
     }
     for n in 0..100 {
         in_flight.begin();
-        in_flight.end(Ended::Overloaded, 200.0 + 2.0 * f64::from(n));
+        in_flight.end(AttemptEnd::Overloaded, 200.0 + 2.0 * f64::from(n));
     }
     assert!(
         in_flight.begin() && !in_flight.begin(),
         "one request is always allowed"
     );
-    let mut rate = Rate::new(10.0, 5.0);
+    let mut rate = RateLimiter::new(10.0, 5.0);
     let waits: Vec<f64> = (0..8).map(|_| rate.reserve(100.0)).collect();
     assert!(
         waits[4] == 0.0 && (waits[7] - 0.3).abs() < 1e-6,
@@ -149,7 +152,7 @@
         let mut counts = [0; 3];
         for _ in 0..3000 {
             let front = fronts.choose(None, now, &mut rng).unwrap();
-            fronts.end(front, Ended::Answered(0.01), now);
+            fronts.end(front, AttemptEnd::Answered(0.01), now);
             counts[front] += 1;
         }
         counts
@@ -158,10 +161,13 @@
         .iter()
         .all(|count| (800..1200).contains(count)));
     for _ in 0..3 {
-        fronts.end(0, Ended::Overloaded, 10.0);
+        fronts.end(0, AttemptEnd::Overloaded, 10.0);
     }
     assert_eq!(
-        (chosen_counts(&mut fronts, 12.9)[0], fronts.out(12.9)),
+        (
+            chosen_counts(&mut fronts, 12.9)[0],
+            fronts.ejected_count(12.9)
+        ),
         (0, 1)
     );
     // After the ejection its load grows over ten seconds.
@@ -171,14 +177,17 @@
         "{counts:?}"
     );
     // When it fails again it is ejected for twice as long.
-    fronts.end(0, Ended::Overloaded, 25.0);
-    fronts.end(0, Ended::Overloaded, 25.0);
-    fronts.end(0, Ended::Overloaded, 25.0);
-    assert_eq!((fronts.out(30.9), fronts.out(31.1)), (1, 0));
+    fronts.end(0, AttemptEnd::Overloaded, 25.0);
+    fronts.end(0, AttemptEnd::Overloaded, 25.0);
+    fronts.end(0, AttemptEnd::Overloaded, 25.0);
+    assert_eq!(
+        (fronts.ejected_count(30.9), fronts.ejected_count(31.1)),
+        (1, 0)
+    );
     // If all fronts are ejected, the one whose ejection ends first is chosen.
     for (front, at) in [(1, 40.0), (2, 41.0), (0, 42.0)] {
         for _ in 0..3 {
-            fronts.end(front, Ended::Overloaded, at);
+            fronts.end(front, AttemptEnd::Overloaded, at);
         }
     }
     assert_eq!(
@@ -192,17 +201,17 @@
 #[test]
 fn steps_are_taken_when_due() {
     let (a, b) = (new_record().id, new_record().id);
-    let mut agenda = Agenda::default();
-    agenda.put(a, Step::Poll, 5.0);
-    agenda.put(b, Step::Submit, 3.0);
+    let mut schedule = Schedule::default();
+    schedule.put(a, Step::Poll, 5.0);
+    schedule.put(b, Step::Submit, 3.0);
     // A later entry replaces the earlier one.
-    agenda.put(a, Step::Cancel, 1.0);
-    agenda.put(b, Step::Submit, 4.0);
-    assert_eq!(agenda.take(0.9), None);
-    assert_eq!(agenda.take(9.0), Some((a, Step::Cancel)));
-    assert_eq!((agenda.take(3.5), agenda.next_at()), (None, Some(4.0)));
-    agenda.remove(b);
-    assert_eq!((agenda.take(9.0), agenda.is_empty()), (None, true));
+    schedule.put(a, Step::Cancel, 1.0);
+    schedule.put(b, Step::Submit, 4.0);
+    assert_eq!(schedule.take(0.9), None);
+    assert_eq!(schedule.take(9.0), Some((a, Step::Cancel)));
+    assert_eq!((schedule.take(3.5), schedule.next_at()), (None, Some(4.0)));
+    schedule.remove(b);
+    assert_eq!((schedule.take(9.0), schedule.is_empty()), (None, true));
     // (expected duration, age, wait until the next poll)
     for (expected_s, age_s, wait_s) in [
         (50.0, 0.0, 12.5),
@@ -227,24 +236,44 @@
     let accepted = Phase::Accepted(JobState::Pending);
     let done = Phase::Final(Outcome::Done);
     let withdrawn = Phase::Final(Outcome::Withdrawn);
-    let is_contradiction = |m: &Meaning| matches!(m, Meaning::Contradiction(_));
-    let state = Heard::State;
+    let is_contradiction = |m: &AnswerEffect| matches!(m, AnswerEffect::Contradiction(_));
+    let state = ConclusiveAnswer::State;
     // (Phase before, answer, phase after, whether the answer is a contradiction)
     for (before, answer, after, contradicts) in [
-        (Phase::Waiting, Heard::Created, accepted.clone(), false),
+        (
+            Phase::Waiting,
+            ConclusiveAnswer::Created,
+            accepted.clone(),
+            false,
+        ),
         (Phase::Waiting, state(JobState::Done), done.clone(), false),
-        (Phase::Waiting, Heard::NotFound, Phase::Waiting, false),
         (
             Phase::Waiting,
-            Heard::Refused(refused.clone()),
+            ConclusiveAnswer::NotFound,
+            Phase::Waiting,
+            false,
+        ),
+        (
+            Phase::Waiting,
+            ConclusiveAnswer::Refused(refused.clone()),
             Phase::Refused(refused.clone()),
             false,
         ),
-        (accepted.clone(), Heard::Created, accepted.clone(), false),
-        (accepted.clone(), Heard::NotFound, accepted.clone(), true),
         (
             accepted.clone(),
-            Heard::Refused(refused.clone()),
+            ConclusiveAnswer::Created,
+            accepted.clone(),
+            false,
+        ),
+        (
+            accepted.clone(),
+            ConclusiveAnswer::NotFound,
+            accepted.clone(),
+            true,
+        ),
+        (
+            accepted.clone(),
+            ConclusiveAnswer::Refused(refused.clone()),
             accepted.clone(),
             true,
         ),
@@ -256,7 +285,7 @@
         ),
         (done.clone(), state(JobState::Pending), done.clone(), false),
         (done.clone(), state(JobState::Cancelled), done.clone(), true),
-        (done.clone(), Heard::Created, done.clone(), true),
+        (done.clone(), ConclusiveAnswer::Created, done.clone(), true),
         (
             withdrawn.clone(),
             state(JobState::Done),
@@ -272,14 +301,14 @@
     ] {
         let mut job = new_record();
         job.phase = before.clone();
-        let meaning = job.hear(&answer, 9);
+        let meaning = job.apply_answer(&answer, 9);
         assert_eq!(job.phase, after, "{before:?} {answer:?}");
         assert_eq!(
             is_contradiction(&meaning),
             contradicts,
             "{before:?} {answer:?}"
         );
-        assert_eq!(meaning == Meaning::News, before != after);
+        assert_eq!(meaning == AnswerEffect::Changed, before != after);
     }
 }
 
@@ -292,13 +321,13 @@
         |state: &str| format!(r#"{{"name_id":"{id}","status":"{state}","done":1,"running":2}}"#);
     let other_job = r#"{"name_id":"run-1","status":"done","done":1,"running":0}"#.to_string();
     let conclusive = |answer| Some(answer);
-    let done = Heard::State(JobState::Done);
+    let done = ConclusiveAnswer::State(JobState::Done);
     for (step, status, text, expected) in [
         (
             Step::Submit,
             201,
             body("pending"),
-            conclusive(Heard::Created),
+            conclusive(ConclusiveAnswer::Created),
         ),
         (Step::Submit, 200, body("done"), conclusive(done.clone())),
         (Step::Submit, 200, other_job.clone(), None),
@@ -307,13 +336,18 @@
         (Step::Submit, 302, body("done"), None),
         (Step::Poll, 200, body("done"), conclusive(done.clone())),
         (Step::Poll, 200, body("paused"), None),
-        (Step::Poll, 404, "{}".into(), conclusive(Heard::NotFound)),
+        (
+            Step::Poll,
+            404,
+            "{}".into(),
+            conclusive(ConclusiveAnswer::NotFound),
+        ),
         (Step::Poll, 400, "{}".into(), None),
         (
             Step::Cancel,
             200,
             body("withdrawn"),
-            conclusive(Heard::State(JobState::Cancelled)),
+            conclusive(ConclusiveAnswer::State(JobState::Cancelled)),
         ),
         (Step::Cancel, 503, body("withdrawn"), None),
     ] {
@@ -322,9 +356,9 @@
             retry_after: Some(f64::NAN),
             body: text.clone().into_bytes(),
         };
-        let found = match judge(step, id, &Ok(answer)) {
-            Verdict::Heard(heard) => Some(heard),
-            Verdict::Again { retry_after, .. } => {
+        let found = match interpret(step, id, &Ok(answer)) {
+            Verdict::Conclusive(answer) => Some(answer),
+            Verdict::Retry { retry_after, .. } => {
                 assert_eq!(retry_after, None, "NaN is ignored");
                 None
             }
--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -3,8 +3,8 @@
 #![allow(missing_docs)]
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use foxspur_wire::admin::Rest;
-use foxspur_wire::roll::AtMost;
+use foxspur_wire::admin::RemainingWork;
+use foxspur_wire::rollout::MaxOutOfUse;
 use std::path::PathBuf;
 
 /// Shows the state of a foxspur cluster, plans drains and orders them.
@@ -140,7 +140,7 @@
     /// The most machines of a zone that are out of use at the same time: a number, or a
     /// share such as 10%.
     #[arg(long, default_value = "1", value_parser = at_most)]
-    pub at_most: AtMost,
+    pub at_most: MaxOutOfUse,
     #[arg(long)]
     pub why: String,
     #[command(flatten)]
@@ -167,18 +167,21 @@
 /// # Errors
 ///
 /// If the text is neither; the error is a message for the operator.
-pub fn at_most(text: &str) -> Result<AtMost, String> {
+pub fn at_most(text: &str) -> Result<MaxOutOfUse, String> {
     let malformed = || format!("{text} is neither a number of machines nor a share such as 10%");
     match text.strip_suffix('%') {
         Some(share) => {
             let share: f64 = share.parse().map_err(|_| malformed())?;
             if share > 0.0 && share <= 100.0 {
-                Ok(AtMost::Share(share / 100.0))
+                Ok(MaxOutOfUse::Share(share / 100.0))
             } else {
                 Err(malformed())
             }
         }
-        None => text.parse().map(AtMost::Machines).map_err(|_| malformed()),
+        None => text
+            .parse()
+            .map(MaxOutOfUse::Machines)
+            .map_err(|_| malformed()),
     }
 }
 
@@ -190,11 +193,11 @@
     Stop,
 }
 
-impl From<RestArg> for Rest {
-    fn from(rest: RestArg) -> Rest {
+impl From<RestArg> for RemainingWork {
+    fn from(rest: RestArg) -> RemainingWork {
         match rest {
-            RestArg::Leave => Rest::Leave,
-            RestArg::Stop => Rest::Stop,
+            RestArg::Leave => RemainingWork::Leave,
+            RestArg::Stop => RemainingWork::Stop,
         }
     }
 }
--- a/crates/ctl/src/plans.rs
+++ b/crates/ctl/src/plans.rs
@@ -3,7 +3,7 @@
 use crate::api::{Api, Error};
 use crate::cli::{DrainArgs, PlanArgs};
 use foxspur_plan::{difference, plan, Options, Order, Plan, Snapshot};
-use foxspur_wire::admin::{DrainOrder, DrainRow, DrainState, Rest};
+use foxspur_wire::admin::{DrainOrder, DrainRow, DrainState, RemainingWork};
 use serde::de::DeserializeOwned;
 use std::io::Write;
 use std::path::Path;
@@ -121,7 +121,7 @@
         by: args.by.by.clone(),
         why: args.why.clone().unwrap_or_default(),
         deadline_s: args.deadline,
-        rest: Rest::from(args.rest),
+        rest: RemainingWork::from(args.rest),
         term: None,
     }
 }
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -5,10 +5,13 @@
 use crate::{plans, show, watch};
 use clap::CommandFactory;
 use foxspur_wire::admin::{
-    Answer, DrainRow, DrainState, Jobs, MachineRow, ServiceRow, ShareRow, TeamRow, UndrainOrder,
+    Answer, DrainRow, DrainState, Jobs, MachineRow, ServiceRow, ShardRow, TeamRow, UndrainOrder,
     Waits,
 };
-use foxspur_wire::roll::{Among, Promise, Roll, RollOrder, RollState, Turn, TurnOrder};
+use foxspur_wire::rollout::{
+    MachineSelector, Rollout, RolloutAction, RolloutActionOrder, RolloutExpectation, RolloutOrder,
+    RolloutState,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::io::Write;
@@ -67,7 +70,7 @@
             }),
             Command::Waits => self.show("waits", |waits: &Waits| show::waits(waits)),
             Command::Shares => {
-                let rows = |from: &str, shares: &Vec<ShareRow>| show::shares(from, shares);
+                let rows = |from: &str, shares: &Vec<ShardRow>| show::shares(from, shares);
                 self.show_each("shares", &show::SHARES_HEADER, rows)
             }
             Command::Health => {
@@ -204,23 +207,23 @@
         match command {
             RollCommand::Start(args) => self.start_roll(args),
             RollCommand::List { check } => {
-                let rolls = self.view("rolls", |rolls: &Vec<Roll>| show::rolls(rolls))?;
-                let halted = rolls.iter().any(|roll| roll.state == RollState::Halted);
+                let rolls = self.view("rolls", |rolls: &Vec<Rollout>| show::rolls(rolls))?;
+                let halted = rolls.iter().any(|roll| roll.state == RolloutState::Halted);
                 Ok(exit_code(*check && halted))
             }
-            RollCommand::Halt(args) => self.turn_roll(args, Turn::Halt),
-            RollCommand::Resume(args) => self.turn_roll(args, Turn::Resume),
-            RollCommand::Back(args) => self.turn_roll(args, Turn::Back),
-            RollCommand::Forget(args) => self.turn_roll(args, Turn::Forget),
+            RollCommand::Halt(args) => self.turn_roll(args, RolloutAction::Halt),
+            RollCommand::Resume(args) => self.turn_roll(args, RolloutAction::Resume),
+            RollCommand::Back(args) => self.turn_roll(args, RolloutAction::Back),
+            RollCommand::Forget(args) => self.turn_roll(args, RolloutAction::Forget),
         }
     }
 
     fn start_roll(&mut self, args: &RollArgs) -> Result<u8, Error> {
-        let order = RollOrder {
+        let order = RolloutOrder {
             name: args.name.clone(),
             by: args.by.by.clone(),
             why: args.why.clone(),
-            among: Among {
+            among: MachineSelector {
                 hosts: args.hosts.clone(),
                 kind: args.kind.clone(),
                 zone: args.zone.clone(),
@@ -228,21 +231,21 @@
             at_most: args.at_most,
             rest: args.rest.into(),
             deadline_s: args.deadline,
-            promise: Promise {
+            promise: RolloutExpectation {
                 late: args.late,
                 step_s: args.step,
                 back_s: args.back,
             },
         };
         let text = self.api.order("/admin/v1/rolls", &order)?;
-        let started: Result<Roll, _> = serde_json::from_str(&text);
+        let started: Result<Rollout, _> = serde_json::from_str(&text);
         let hosts = started.map_or(0, |roll| roll.hosts.len());
         self.print(&format!("roll {} over {hosts} machines\n", args.name))?;
         Ok(EXIT_OK)
     }
 
-    fn turn_roll(&mut self, args: &TurnArgs, turn: Turn) -> Result<u8, Error> {
-        let order = TurnOrder {
+    fn turn_roll(&mut self, args: &TurnArgs, turn: RolloutAction) -> Result<u8, Error> {
+        let order = RolloutActionOrder {
             name: args.name.clone(),
             by: args.by.by.clone(),
             turn,
--- a/crates/ctl/src/show/cluster.rs
+++ b/crates/ctl/src/show/cluster.rs
@@ -1,7 +1,7 @@
 //! Tables of teams, machines, shards, services and waits.
 
 use super::{duration, optional_duration, table, variant_name, word_or_dash, EMPTY_CELL};
-use foxspur_wire::admin::{MachineRow, ServiceRow, ShareRow, Spread, TeamRow, Waits};
+use foxspur_wire::admin::{MachineRow, Quantiles, ServiceRow, ShardRow, TeamRow, Waits};
 
 const TEAMS_HEADER: [&str; 10] = [
     "team",
@@ -89,8 +89,8 @@
 ];
 
 /// The rows of the shards as the controller `from` sees them.
-pub fn shares(from: &str, shares: &[ShareRow]) -> Vec<Vec<String>> {
-    let row = |share: &ShareRow| {
+pub fn shares(from: &str, shares: &[ShardRow]) -> Vec<Vec<String>> {
+    let row = |share: &ShardRow| {
         vec![
             from.to_string(),
             share.share.to_string(),
@@ -132,21 +132,21 @@
 /// The table of quantiles of the times until the first start and until acceptance.
 pub fn waits(waits: &Waits) -> String {
     let first_starts = waits.first_start.iter();
-    let first_starts = first_starts.map(|spread| wait_row("first start", spread));
+    let first_starts = first_starts.map(|quantiles| wait_row("first start", quantiles));
     let acceptance = waits.acceptance.iter();
-    let acceptance = acceptance.map(|spread| wait_row("acceptance", spread));
+    let acceptance = acceptance.map(|quantiles| wait_row("acceptance", quantiles));
     table(&WAITS_HEADER, first_starts.chain(acceptance))
 }
 
-fn wait_row(what: &str, spread: &Spread) -> Vec<String> {
+fn wait_row(what: &str, quantiles: &Quantiles) -> Vec<String> {
     let seconds = |value: f64| format!("{value:.2}");
     vec![
         what.to_string(),
-        spread.name.clone(),
-        spread.count.to_string(),
-        seconds(spread.p50_s),
-        seconds(spread.p90_s),
-        seconds(spread.p99_s),
-        seconds(spread.max_s),
+        quantiles.name.clone(),
+        quantiles.count.to_string(),
+        seconds(quantiles.p50_s),
+        seconds(quantiles.p90_s),
+        seconds(quantiles.p99_s),
+        seconds(quantiles.max_s),
     ]
 }
--- a/crates/ctl/src/show/drains.rs
+++ b/crates/ctl/src/show/drains.rs
@@ -2,7 +2,7 @@
 
 use super::{percent, table, text_or_dash, variant_name, EMPTY_CELL};
 use foxspur_wire::admin::{DrainRow, DrainState};
-use foxspur_wire::roll::{AtMost, Roll, RollState};
+use foxspur_wire::rollout::{MaxOutOfUse, Rollout, RolloutState};
 
 const DRAINS_HEADER: [&str; 8] = [
     "machine", "state", "tasks", "stays", "by", "why", "rest", "proof",
@@ -39,17 +39,17 @@
 ];
 
 /// The table of rollouts and their progress.
-pub fn rolls(rolls: &[Roll]) -> String {
+pub fn rolls(rolls: &[Rollout]) -> String {
     table(&ROLLS_HEADER, rolls.iter().map(roll_row))
 }
 
-fn roll_row(roll: &Roll) -> Vec<String> {
+fn roll_row(roll: &Rollout) -> Vec<String> {
     let at_most = match roll.at_most {
-        AtMost::Machines(count) => format!("{count} a zone"),
-        AtMost::Share(proportion) => format!("{} of a zone", percent(proportion)),
+        MaxOutOfUse::Machines(count) => format!("{count} a zone"),
+        MaxOutOfUse::Share(proportion) => format!("{} of a zone", percent(proportion)),
     };
     let state = match roll.state {
-        RollState::Halted => "HALTED".into(),
+        RolloutState::Halted => "HALTED".into(),
         other => variant_name(&other),
     };
     vec![
--- a/crates/ctl/src/show/jobs.rs
+++ b/crates/ctl/src/show/jobs.rs
@@ -1,7 +1,7 @@
 //! The table of live jobs.
 
 use super::{duration, optional_duration, table, variant_name, EMPTY_CELL};
-use foxspur_wire::admin::{JobRow, Jobs, Standing};
+use foxspur_wire::admin::{JobHealth, JobRow, Jobs};
 
 const HEADER: [&str; 10] = [
     "state", "job", "class", "team", "age", "slack", "done", "runs", "waits", "why",
@@ -19,7 +19,7 @@
 
 fn row(job: &JobRow) -> Vec<String> {
     let standing = match job.standing {
-        Standing::Ok => "ok".to_string(),
+        JobHealth::Ok => "ok".to_string(),
         problem => variant_name(&problem).to_uppercase(),
     };
     vec![
--- a/crates/ctl/src/watch/draw.rs
+++ b/crates/ctl/src/watch/draw.rs
@@ -3,7 +3,7 @@
 use super::screen::Screen;
 use crate::show::{duration, variant_name};
 use foxspur_wire::admin::{
-    Answer, DrainRow, DrainState, JobRow, Jobs, ShareRow, Standing, TeamRow,
+    Answer, DrainRow, DrainState, JobHealth, JobRow, Jobs, ShardRow, TeamRow,
 };
 use ratatui::layout::{Constraint, Layout, Rect};
 use ratatui::style::{Color, Modifier, Style};
@@ -11,11 +11,11 @@
 use ratatui::widgets::{Block, Cell, Gauge, Paragraph, Row, Table};
 use ratatui::Frame;
 
-fn style_of(standing: Standing) -> Style {
+fn style_of(standing: JobHealth) -> Style {
     match standing {
-        Standing::Stuck | Standing::Failing => alarm_style(),
-        Standing::Late => warning_style(),
-        Standing::Ok => Style::new(),
+        JobHealth::Stuck | JobHealth::Failing => alarm_style(),
+        JobHealth::Late => warning_style(),
+        JobHealth::Ok => Style::new(),
     }
 }
 
@@ -40,7 +40,7 @@
     Line::from(spans)
 }
 
-fn counts(jobs: &Answer<Jobs>, shares: Option<&Answer<Vec<ShareRow>>>) -> Vec<Span<'static>> {
+fn counts(jobs: &Answer<Jobs>, shares: Option<&Answer<Vec<ShardRow>>>) -> Vec<Span<'static>> {
     let leader = jobs.owner.clone().unwrap_or_else(|| "nobody".into());
     let mut spans = vec![Span::raw(format!(
         " {} live, {} stuck, {} failing, {} late   owner {leader}, term {}",
--- a/crates/ctl/src/watch/screen.rs
+++ b/crates/ctl/src/watch/screen.rs
@@ -1,7 +1,7 @@
 //! The data of the terminal view, and how keys change what is shown.
 
 use crate::api::Api;
-use foxspur_wire::admin::{Answer, DrainRow, Jobs, MachineState, ShareRow, TeamRow};
+use foxspur_wire::admin::{Answer, DrainRow, Jobs, MachineState, ShardRow, TeamRow};
 use ratatui::crossterm::event::KeyCode;
 use serde::de::DeserializeOwned;
 
@@ -17,7 +17,7 @@
     /// Drains and their progress.
     pub drains: Option<Answer<Vec<DrainRow>>>,
     /// Shards as the answering controller sees them.
-    pub shares: Option<Answer<Vec<ShareRow>>>,
+    pub shares: Option<Answer<Vec<ShardRow>>>,
     /// The error of the last refresh, if it failed.
     pub error: Option<String>,
     /// Index of the first job that is shown.
--- a/crates/ctl/tests/view.rs
+++ b/crates/ctl/tests/view.rs
@@ -6,16 +6,16 @@
 use foxctl::cli::{at_most, Cli};
 use foxctl::run::run;
 use foxctl::watch::{draw, Screen};
-use foxspur_wire::admin::{Answer, JobRow, Jobs, Standing};
+use foxspur_wire::admin::{Answer, JobHealth, JobRow, Jobs};
 use foxspur_wire::job::Urgency;
-use foxspur_wire::roll::AtMost;
+use foxspur_wire::rollout::MaxOutOfUse;
 use ratatui::backend::TestBackend;
 use ratatui::crossterm::event::KeyCode;
 use ratatui::Terminal;
 use std::io::{Read, Write};
 use std::net::TcpListener;
 
-fn row(id: &str, standing: Standing, why: &str) -> JobRow {
+fn row(id: &str, standing: JobHealth, why: &str) -> JobRow {
     JobRow {
         id: id.into(),
         class: "reminders".into(),
@@ -44,8 +44,8 @@
             failing: 0,
             late: 0,
             rows: vec![
-                row("run-7", Standing::Stuck, "its team is at its limit"),
-                row("run-8", Standing::Ok, "all tasks are on machines"),
+                row("run-7", JobHealth::Stuck, "its team is at its limit"),
+                row("run-8", JobHealth::Ok, "all tasks are on machines"),
             ],
         },
     }
@@ -132,8 +132,8 @@
         let line = std::iter::once(&"foxctl").chain(invalid);
         assert!(Cli::try_parse_from(line).is_err(), "{invalid:?}");
     }
-    assert_eq!(at_most("3"), Ok(AtMost::Machines(3)));
-    assert_eq!(at_most("10%"), Ok(AtMost::Share(0.1)));
+    assert_eq!(at_most("3"), Ok(MaxOutOfUse::Machines(3)));
+    assert_eq!(at_most("10%"), Ok(MaxOutOfUse::Share(0.1)));
 }
 
 /// Renders the screen as text. Also draws it on very small terminals, which must not panic.
--- a/crates/plan/examples/calibrate.rs
+++ b/crates/plan/examples/calibrate.rs
@@ -9,7 +9,7 @@
 
 use clap::Parser;
 use foxspur::coordination::scheduler::snapshot::{ClassError, SnapJob, SnapTask, Snapshot};
-use foxspur::protocol::admin::Rest;
+use foxspur::protocol::admin::RemainingWork;
 use foxspur::protocol::cloud::MachineType;
 use foxspur::protocol::job::{JobSpec, Shape, Urgency};
 use foxspur_plan::samples::late_jobs;
@@ -305,7 +305,7 @@
     let order = Order {
         hosts: hosts.map(|machine| machine.info.id.clone()).collect(),
         deadline_s: Some(DEADLINE_S),
-        rest: Rest::Stop,
+        rest: RemainingWork::Stop,
         start_s: 0.0,
     };
     let options = Options {
@@ -330,7 +330,12 @@
     };
     let seed = REFERENCE_SEED + plan.options.seed;
     let without = late_jobs(&reference, &run(&reference, &scenario, seed), HORIZON_S);
-    let drain = |host: &String| (0.0, support::drain(host, Some(DEADLINE_S), Rest::Stop));
+    let drain = |host: &String| {
+        (
+            0.0,
+            support::drain(host, Some(DEADLINE_S), RemainingWork::Stop),
+        )
+    };
     scenario.drains = plan.order.hosts.iter().map(drain).collect();
     let outcome = run(&reference, &scenario, seed);
     let with = late_jobs(&reference, &outcome, HORIZON_S);
--- a/crates/plan/src/machine.rs
+++ b/crates/plan/src/machine.rs
@@ -5,7 +5,7 @@
 use crate::cluster::{AttemptKey, Cluster, TaskKey};
 use crate::scenario::{Span, TaskStart};
 use foxspur::protocol::job::Shape;
-use foxspur::protocol::worker::{Cause, Command, Phase, Report, Shown};
+use foxspur::protocol::worker::{AttemptStatus, Cause, Command, Phase, Report};
 use foxspur::storage::records::MachineInfo;
 use std::collections::{BTreeMap, HashSet};
 
@@ -64,7 +64,7 @@
     /// The machine's next heartbeat.
     pub fn heartbeat(&mut self) -> Report {
         self.heartbeat_number += 1;
-        let tasks = self.attempts.iter().map(|(key, attempt)| Shown {
+        let tasks = self.attempts.iter().map(|(key, attempt)| AttemptStatus {
             task: format!("{}/{}", key.task.job, key.task.index),
             attempt: key.number,
             phase: attempt.phase,
--- a/crates/plan/src/order.rs
+++ b/crates/plan/src/order.rs
@@ -1,7 +1,7 @@
 //! The order to be planned, the options of the simulation, and checks of both.
 
 use foxspur::coordination::scheduler::snapshot::Snapshot;
-use foxspur::protocol::admin::Rest;
+use foxspur::protocol::admin::RemainingWork;
 use serde::{Deserialize, Serialize};
 
 /// The longest horizon of a plan, in seconds.
@@ -16,7 +16,7 @@
     /// Seconds from the drain's start until it should be complete.
     pub deadline_s: Option<f64>,
     /// What happens to tasks that are still on a machine at the deadline.
-    pub rest: Rest,
+    pub rest: RemainingWork,
     /// Seconds from the snapshot until the drain starts.
     pub start_s: f64,
 }
--- a/crates/plan/tests/plan.rs
+++ b/crates/plan/tests/plan.rs
@@ -5,7 +5,7 @@
 use foxspur::coordination::scheduler::snapshot::{
     ClassError, SnapJob, SnapMachine, SnapTask, Snapshot,
 };
-use foxspur::protocol::admin::Rest;
+use foxspur::protocol::admin::RemainingWork;
 use foxspur::protocol::job::{Shape, Urgency};
 use foxspur_plan::scenario::{Outcome, Scenario};
 use foxspur_plan::simulation::run;
@@ -43,7 +43,7 @@
     });
 }
 
-fn order(hosts: &[&str], deadline_s: Option<f64>, rest: Rest) -> Order {
+fn order(hosts: &[&str], deadline_s: Option<f64>, rest: RemainingWork) -> Order {
     Order {
         hosts: hosts.iter().map(std::string::ToString::to_string).collect(),
         deadline_s,
@@ -69,7 +69,7 @@
         name: "without a deadline the task runs to its end",
         change: |_| {},
         deadline_s: None,
-        rest: Rest::Leave,
+        rest: RemainingWork::Leave,
         drained: true,
         moved: false,
         late: false,
@@ -98,7 +98,7 @@
             name: "the operator orders tasks to be stopped at the deadline",
             change: |s| s.jobs[0].spec.deadline_s = Some(140.0),
             deadline_s: Some(20.0),
-            rest: Rest::Stop,
+            rest: RemainingWork::Stop,
             moved: true,
             late: true,
             ..as_is
@@ -138,7 +138,7 @@
     name: &'static str,
     change: fn(&mut Snapshot),
     deadline_s: Option<f64>,
-    rest: Rest,
+    rest: RemainingWork,
     /// Whether the machine is drained in time.
     drained: bool,
     /// Whether the job is moved.
@@ -187,25 +187,25 @@
         vec![job(0, 1, 10.0)],
     );
     shard.machines[1].alive = false;
-    let plain = order(&["m-0"], None, Rest::Leave);
+    let plain = order(&["m-0"], None, RemainingWork::Leave);
     let cases = [
         (
-            order(&[], None, Rest::Leave),
+            order(&[], None, RemainingWork::Leave),
             small_options(),
             PlanError::NoMachines,
         ),
         (
-            order(&["m-9"], None, Rest::Leave),
+            order(&["m-9"], None, RemainingWork::Leave),
             small_options(),
             PlanError::UnknownMachine("m-9".into()),
         ),
         (
-            order(&["m-1"], None, Rest::Leave),
+            order(&["m-1"], None, RemainingWork::Leave),
             small_options(),
             PlanError::SilentMachine("m-1".into()),
         ),
         (
-            order(&["m-0"], Some(-1.0), Rest::Leave),
+            order(&["m-0"], Some(-1.0), RemainingWork::Leave),
             small_options(),
             PlanError::InvalidField("deadline", "must be above 0 s"),
         ),
@@ -262,7 +262,7 @@
     for job in &mut shard.jobs {
         job.spec.deadline_s = Some(240.0);
     }
-    let order = order(&["m-0"], Some(10.0), Rest::Stop);
+    let order = order(&["m-0"], Some(10.0), RemainingWork::Stop);
     let drain_plan = plan(
         &shard,
         &order,
@@ -422,7 +422,7 @@
     fn simulations_violate_no_rule(input in random_shard()) {
         let mut shard = build_shard(&input);
         let host = format!("m-{}", input.drained % input.machines.len());
-        let rest = if input.stop { Rest::Stop } else { Rest::Leave };
+        let rest = if input.stop { RemainingWork::Stop } else { RemainingWork::Leave };
         let mut scenario = Scenario { horizon_s: 400.0, ..Scenario::default() };
         let without = run(&shard, &scenario, input.seed);
         scenario.drains = vec![(0.0, drain(&host, input.deadline_s, rest))];
--- a/crates/plan/tests/support/mod.rs
+++ b/crates/plan/tests/support/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use foxspur::coordination::scheduler::snapshot::{SnapJob, SnapMachine, Snapshot};
-use foxspur::protocol::admin::{Drain, Rest};
+use foxspur::protocol::admin::{Drain, RemainingWork};
 use foxspur::protocol::cloud::MachineType;
 use foxspur::protocol::job::{JobSpec, Shape, Urgency};
 use foxspur::protocol::policy::Policy;
@@ -112,7 +112,7 @@
 }
 
 /// A drain that is ordered when the snapshot is taken.
-pub fn drain(host: &str, deadline_s: Option<f64>, rest: Rest) -> Drain {
+pub fn drain(host: &str, deadline_s: Option<f64>, rest: RemainingWork) -> Drain {
     Drain {
         host: host.into(),
         order: "o".into(),
--- a/crates/testbed/src/cloud.rs
+++ b/crates/testbed/src/cloud.rs
@@ -3,7 +3,7 @@
 
 use crate::machines::{LaunchRefusal, Machines};
 use actix_web::{web, HttpResponse};
-use foxspur_wire::cloud::{Names, Page, Rental, TypeList};
+use foxspur_wire::cloud::{LaunchRequest, ListPage, MachineNames, TypeList};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -35,12 +35,12 @@
     HttpResponse::Ok().json(TypeList { types })
 }
 
-async fn launch(machines: Data, rental: web::Json<Rental>) -> HttpResponse {
+async fn launch(machines: Data, rental: web::Json<LaunchRequest>) -> HttpResponse {
     if let Some(outage) = outage(&machines) {
         return outage;
     }
     match machines.launch(&rental) {
-        Ok(machines) => HttpResponse::Ok().json(Names { machines }),
+        Ok(machines) => HttpResponse::Ok().json(MachineNames { machines }),
         Err(LaunchRefusal::NoSuchType) => {
             HttpResponse::BadRequest().json(json!({"error": "no such type"}))
         }
@@ -50,7 +50,7 @@
     }
 }
 
-async fn terminate(machines: Data, names: web::Json<Names>) -> HttpResponse {
+async fn terminate(machines: Data, names: web::Json<MachineNames>) -> HttpResponse {
     if let Some(outage) = outage(&machines) {
         return outage;
     }
@@ -73,7 +73,7 @@
     let page_size = range.limit.unwrap_or(MAX_PAGE).min(MAX_PAGE);
     let more = listed.len() > page_size;
     listed.truncate(page_size);
-    HttpResponse::Ok().json(Page {
+    HttpResponse::Ok().json(ListPage {
         machines: listed,
         more,
     })
--- a/crates/testbed/src/machines/faults.rs
+++ b/crates/testbed/src/machines/faults.rs
@@ -2,7 +2,7 @@
 
 use super::machine::Machine;
 use super::Machines;
-use foxspur_wire::worker::Direct;
+use foxspur_wire::worker::DirectCommands;
 use rand::Rng;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -85,7 +85,7 @@
 
     /// While duplicates are injected, delivers delayed copies of some direct calls. The worker may
     /// execute or reject a copy; the result is ignored.
-    pub(crate) fn maybe_duplicate_call(&self, addr: SocketAddr, direct: &Direct) {
+    pub(crate) fn maybe_duplicate_call(&self, addr: SocketAddr, direct: &DirectCommands) {
         let now = self.history.now();
         if now >= self.lock().duplicate_calls_until || !Self::draw_duplicate() {
             return;
--- a/crates/testbed/src/machines/heartbeat.rs
+++ b/crates/testbed/src/machines/heartbeat.rs
@@ -144,7 +144,7 @@
     /// other known controller.
     async fn follow_redirect(&mut self, body: &[u8]) {
         let redirect: Option<Redirect> = serde_json::from_slice(body).ok();
-        let leader = redirect.and_then(|redirect| redirect.to);
+        let leader = redirect.and_then(|redirect| redirect.leader);
         let mut controllers = self.machines.controllers.iter();
         let index = leader.and_then(|name| controllers.position(|c| c.name == name));
         match index.filter(|index| *index != self.controller) {
--- a/crates/testbed/src/machines/machine.rs
+++ b/crates/testbed/src/machines/machine.rs
@@ -5,9 +5,9 @@
 //! session.
 
 use crate::history::{Event, History};
-use foxspur_wire::cloud::{Listed, ListedState, MachineType};
+use foxspur_wire::cloud::{ListedMachine, ListedState, MachineType};
 use foxspur_wire::job::JobSpec;
-use foxspur_wire::worker::{Cause, Command, Direct, Phase, Reply, Report, Shown};
+use foxspur_wire::worker::{AttemptStatus, Cause, Command, DirectCommands, Phase, Reply, Report};
 use rand::Rng;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -116,14 +116,14 @@
     }
 
     /// Its entry in the cloud's list, or none while the list does not show it yet.
-    pub fn listed(&self, now: f64, list_lag_s: f64) -> Option<Listed> {
+    pub fn listed(&self, now: f64, list_lag_s: f64) -> Option<ListedMachine> {
         let age_s = now - self.launched_at;
         let state = match (self.dead, now < self.up_at) {
             (true, _) => ListedState::Failed,
             (_, true) => ListedState::Booting,
             _ => ListedState::Running,
         };
-        (age_s > list_lag_s).then(|| Listed {
+        (age_s > list_lag_s).then(|| ListedMachine {
             id: self.name.clone(),
             kind: self.kind.name.clone(),
             zone: self.zone.clone(),
@@ -204,7 +204,7 @@
     /// Handles a direct call.
     pub fn accept_direct_call(
         &mut self,
-        direct: &Direct,
+        direct: &DirectCommands,
         lease_s: f64,
         jobs: &JobSpecs,
         history: &History,
@@ -228,13 +228,16 @@
 
     fn report(&mut self) -> Report {
         self.heartbeat_number += 1;
-        let tasks = self.tasks.iter().map(|((task, attempt), state)| Shown {
-            task: task.clone(),
-            attempt: *attempt,
-            phase: state.phase,
-            cause: state.cause,
-            saved: None,
-        });
+        let tasks = self
+            .tasks
+            .iter()
+            .map(|((task, attempt), state)| AttemptStatus {
+                task: task.clone(),
+                attempt: *attempt,
+                phase: state.phase,
+                cause: state.cause,
+                saved: None,
+            });
         Report {
             machine: self.name.clone(),
             addr: self.addr.to_string(),
--- a/crates/testbed/src/machines/mod.rs
+++ b/crates/testbed/src/machines/mod.rs
@@ -10,9 +10,9 @@
 
 use crate::history::History;
 use crate::site::Site;
-use foxspur_wire::cloud::{Listed, MachineType, Rental};
+use foxspur_wire::cloud::{LaunchRequest, ListedMachine, MachineType};
 use foxspur_wire::job::JobSpec;
-use foxspur_wire::worker::Direct;
+use foxspur_wire::worker::DirectCommands;
 use heartbeat::HeartbeatLoop;
 use machine::{JobSpecs, Launch, Machine};
 use rand::Rng;
@@ -125,7 +125,7 @@
 
     /// Launches as many of the requested machines as there is capacity for and returns their
     /// names. A repeated request returns the result of the first one.
-    pub(crate) fn launch(&self, rental: &Rental) -> Result<Vec<String>, LaunchRefusal> {
+    pub(crate) fn launch(&self, rental: &LaunchRequest) -> Result<Vec<String>, LaunchRefusal> {
         if let Some(names) = self.lock().launched.get(&rental.request) {
             return Ok(names.clone());
         }
@@ -190,7 +190,7 @@
 
     /// The cloud's list of machines whose names sort after `since`, in order of names. A new
     /// machine does not appear until the site's `list_lag_s` is over.
-    pub(crate) fn list(&self, since: Option<&str>) -> Vec<Listed> {
+    pub(crate) fn list(&self, since: Option<&str>) -> Vec<ListedMachine> {
         let now = self.history.now();
         let list_lag_s = self.site.cloud.list_lag_s;
         let pool = self.lock();
@@ -200,7 +200,7 @@
     }
 
     /// Handles a direct call that arrives at a worker's address.
-    pub(crate) fn direct_call(&self, addr: SocketAddr, direct: &Direct) -> DirectCall {
+    pub(crate) fn direct_call(&self, addr: SocketAddr, direct: &DirectCommands) -> DirectCall {
         let now = self.history.now();
         let mut pool = self.lock();
         let Pool { machines, jobs, .. } = &mut *pool;
--- a/crates/testbed/src/state.rs
+++ b/crates/testbed/src/state.rs
@@ -3,7 +3,7 @@
 
 use crate::store::{Refusal, Store};
 use actix_web::{web, HttpResponse};
-use foxspur_wire::state::{Entry, Event, Lease, LeaseRequest, Listing, News, Revision, Txn};
+use foxspur_wire::state::{Entry, Event, Lease, LeaseRequest, Listing, Revision, Txn, WatchReply};
 use serde::Deserialize;
 use serde_json::json;
 use std::collections::HashMap;
@@ -316,7 +316,7 @@
             let events = changes_after(&inner.store, since, &range.under);
             if !events.is_empty() || service.now() >= waits_until {
                 let revision = inner.store.revision;
-                return HttpResponse::Ok().json(News { revision, events });
+                return HttpResponse::Ok().json(WatchReply { revision, events });
             }
         }
         actix_web::rt::time::sleep(WATCH_POLL).await;
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store.rs
@@ -128,7 +128,7 @@
         {
             return Err(Refusal::NoLease);
         }
-        let failed: Vec<String> = (txn.conds.iter())
+        let failed: Vec<String> = (txn.conditions.iter())
             .filter(|cond| self.version(&cond.key) != cond.version)
             .map(|cond| cond.key.clone())
             .collect();
--- a/crates/testbed/src/worker_api.rs
+++ b/crates/testbed/src/worker_api.rs
@@ -4,7 +4,7 @@
 use crate::machines::{DirectCall, Machines};
 use crate::server::LocalAddr;
 use actix_web::{web, HttpRequest, HttpResponse};
-use foxspur_wire::worker::Direct;
+use foxspur_wire::worker::DirectCommands;
 use std::time::Duration;
 
 /// How often a call to a hanging machine is tried again.
@@ -20,7 +20,7 @@
 async fn commands(
     machines: web::Data<Machines>,
     request: HttpRequest,
-    direct: web::Json<Direct>,
+    direct: web::Json<DirectCommands>,
 ) -> HttpResponse {
     let Some(LocalAddr(addr)) = request.conn_data::<LocalAddr>().copied() else {
         return HttpResponse::InternalServerError().finish();
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -34,7 +34,7 @@
 /// machine can take in time.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, Default)]
 #[serde(rename_all = "kebab-case")]
-pub enum Rest {
+pub enum RemainingWork {
     /// They keep running, and the drain is reported as overdue.
     #[default]
     Leave,
@@ -60,7 +60,7 @@
     #[serde(default)]
     pub deadline_ms: Option<u64>,
     /// What happens to tasks that are left at the deadline.
-    pub rest: Rest,
+    pub rest: RemainingWork,
     /// The proof that the machine is drained; `None` until there is one.
     #[serde(default)]
     pub drained: Option<Drained>,
@@ -111,7 +111,7 @@
     pub deadline_s: Option<f64>,
     /// What happens to tasks that are left at the deadline.
     #[serde(default)]
-    pub rest: Rest,
+    pub rest: RemainingWork,
     /// The leader's term at which the drain was planned. A leader with another term refuses the
     /// order.
     #[serde(default)]
@@ -158,7 +158,7 @@
 /// Health of a job, worst first.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum JobHealth {
     /// None of its tasks has run for several lease durations.
     Stuck,
     /// Its tasks have failed on every machine that they were tried on.
@@ -181,7 +181,7 @@
     /// Its priority.
     pub urgency: crate::job::Urgency,
     /// Its health.
-    pub standing: Standing,
+    pub standing: JobHealth,
     /// The reason for its health.
     pub why: String,
     /// Seconds since it was accepted.
@@ -203,11 +203,11 @@
 pub struct Jobs {
     /// Number of live jobs.
     pub live: usize,
-    /// Number of live jobs that are [`Standing::Stuck`].
+    /// Number of live jobs that are [`JobHealth::Stuck`].
     pub stuck: usize,
-    /// Number of live jobs that are [`Standing::Failing`].
+    /// Number of live jobs that are [`JobHealth::Failing`].
     pub failing: usize,
-    /// Number of live jobs that are [`Standing::Late`].
+    /// Number of live jobs that are [`JobHealth::Late`].
     pub late: usize,
     /// The first jobs of the list, up to the requested number.
     pub rows: Vec<JobRow>,
@@ -289,7 +289,7 @@
 
 /// A shard as seen by the controller that answers.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub struct ShareRow {
+pub struct ShardRow {
     /// Number of the shard.
     pub share: u32,
     /// The leader, if it is known.
@@ -327,7 +327,7 @@
 
 /// Quantiles of a distribution, in seconds.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub struct Spread {
+pub struct Quantiles {
     /// What was measured.
     pub name: String,
     /// Number of values.
@@ -346,7 +346,7 @@
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Default)]
 pub struct Waits {
     /// For each class, the times from a job's acceptance until its first task runs.
-    pub first_start: Vec<Spread>,
+    pub first_start: Vec<Quantiles>,
     /// How long the controller that answers took to accept jobs.
-    pub acceptance: Option<Spread>,
+    pub acceptance: Option<Quantiles>,
 }
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -45,7 +45,7 @@
 
 /// A request to launch machines.
 #[derive(Serialize, Deserialize, Clone, Debug)]
-pub struct Rental {
+pub struct LaunchRequest {
     /// An idempotency key: a request repeated with the same key launches nothing more.
     #[serde(rename = "booking")]
     pub request: String,
@@ -65,7 +65,7 @@
 
 /// Names of machines: those that a launch created, or those to terminate.
 #[derive(Serialize, Deserialize, Clone, Debug)]
-pub struct Names {
+pub struct MachineNames {
     /// The machines' names.
     #[serde(rename = "hosts")]
     pub machines: Vec<String>,
@@ -87,7 +87,7 @@
 
 /// A machine in the cloud's list.
 #[derive(Serialize, Deserialize, Clone, Debug)]
-pub struct Listed {
+pub struct ListedMachine {
     /// The machine's name.
     #[serde(rename = "name_id")]
     pub id: String,
@@ -110,10 +110,10 @@
 
 /// A page of the cloud's list of machines.
 #[derive(Serialize, Deserialize, Clone, Debug)]
-pub struct Page {
+pub struct ListPage {
     /// Machines, sorted by name.
     #[serde(rename = "hosts")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     /// Whether more machines follow.
     #[serde(default)]
     pub more: bool,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -8,6 +8,6 @@
 pub mod admin;
 pub mod cloud;
 pub mod job;
-pub mod roll;
+pub mod rollout;
 pub mod state;
 pub mod worker;
--- a/crates/wire/src/roll.rs
+++ b/crates/wire/src/rollout.rs
@@ -1,13 +1,13 @@
 //! Rollouts (rolls on the wire), as operators order and see them. A rollout drains machines one
 //! after the other and limits how many machines of a zone are out of use at once.
 
-use crate::admin::Rest;
+use crate::admin::RemainingWork;
 use serde::{Deserialize, Serialize};
 
 /// How many machines of a zone may be out of use at once, for whatever reason.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq)]
 #[serde(rename_all = "kebab-case")]
-pub enum AtMost {
+pub enum MaxOutOfUse {
     /// This number of machines.
     Machines(u32),
     /// This proportion of the zone's machines (0 to 1), but at least one machine.
@@ -17,7 +17,7 @@
 /// State of a rollout.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum RollState {
+pub enum RolloutState {
     /// It is draining machines.
     Running,
     /// An operator or the rollout itself has halted it. It drains no further machines until it is
@@ -32,7 +32,7 @@
 /// What the plan of a rollout predicted. The rollout halts itself if a prediction is exceeded.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Default)]
 #[serde(deny_unknown_fields)]
-pub struct Promise {
+pub struct RolloutExpectation {
     /// How many more jobs miss their objectives than did when the rollout began.
     #[serde(default)]
     pub late: u32,
@@ -46,7 +46,7 @@
 
 /// A rollout, as stored in the state service.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
-pub struct Roll {
+pub struct Rollout {
     /// Its name.
     pub name: String,
     /// The operator who ordered it.
@@ -58,16 +58,16 @@
     /// Names of the machines, in the order in which they are drained.
     pub hosts: Vec<String>,
     /// How many machines of a zone may be out of use at once.
-    pub at_most: AtMost,
+    pub at_most: MaxOutOfUse,
     /// What happens to tasks that are left at a drain's deadline.
-    pub rest: Rest,
+    pub rest: RemainingWork,
     /// Seconds from a drain's start until its deadline.
     #[serde(default)]
     pub deadline_s: Option<f64>,
     /// What its plan predicted.
-    pub promise: Promise,
+    pub promise: RolloutExpectation,
     /// State of the rollout.
-    pub state: RollState,
+    pub state: RolloutState,
     /// Why it is halted.
     #[serde(default)]
     pub reason: String,
@@ -83,7 +83,7 @@
 /// Selects the machines of a rollout: all that match every criterion that is given.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq, Default)]
 #[serde(deny_unknown_fields)]
-pub struct Among {
+pub struct MachineSelector {
     /// Names of machines; an empty list selects any.
     #[serde(default)]
     pub hosts: Vec<String>,
@@ -98,7 +98,7 @@
 /// An order to begin a rollout.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct RollOrder {
+pub struct RolloutOrder {
     /// Name of the rollout. An order repeated with the same name has no further effect.
     pub name: String,
     /// The operator who orders it.
@@ -106,24 +106,24 @@
     /// The reason.
     pub why: String,
     /// Which machines are drained.
-    pub among: Among,
+    pub among: MachineSelector,
     /// How many machines of a zone may be out of use at once.
-    pub at_most: AtMost,
+    pub at_most: MaxOutOfUse,
     /// What happens to tasks that are left at a drain's deadline.
     #[serde(default)]
-    pub rest: Rest,
+    pub rest: RemainingWork,
     /// Seconds from a drain's start until its deadline.
     #[serde(default)]
     pub deadline_s: Option<f64>,
     /// What its plan predicts. The rollout halts itself if a prediction is exceeded.
     #[serde(default)]
-    pub promise: Promise,
+    pub promise: RolloutExpectation,
 }
 
 /// What to do with an existing rollout.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Turn {
+pub enum RolloutAction {
     /// Drain no further machines until it is resumed.
     Halt,
     /// Continue a halted rollout.
@@ -137,11 +137,11 @@
 /// An order about an existing rollout.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct TurnOrder {
+pub struct RolloutActionOrder {
     /// Name of the rollout.
     pub name: String,
     /// The operator who orders it.
     pub by: String,
     /// What to do with it.
-    pub turn: Turn,
+    pub turn: RolloutAction,
 }
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -46,7 +46,7 @@
 /// A condition of a transaction: the key has this version. Version 0 means that the key does not
 /// exist.
 #[derive(Serialize, Deserialize, Clone, Debug)]
-pub struct Cond {
+pub struct Condition {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
@@ -114,7 +114,7 @@
 pub struct Txn {
     /// Conditions, all of which must hold (compare-and-swap).
     #[serde(rename = "when", default)]
-    pub conds: Vec<Cond>,
+    pub conditions: Vec<Condition>,
     /// Changes. Either all of them are made or none.
     #[serde(rename = "apply", default, skip_serializing_if = "Vec::is_empty")]
     pub changes: Vec<Change>,
@@ -123,7 +123,7 @@
 impl Txn {
     /// Adds a condition.
     pub fn when(mut self, key: &str, version: u64) -> Self {
-        self.conds.push(Cond {
+        self.conditions.push(Condition {
             key: key.into(),
             version,
         });
@@ -201,7 +201,7 @@
 
 /// What a watched change did.
 #[derive(Debug)]
-pub enum Seen {
+pub enum WatchedChange {
     /// A key was written.
     Put(Entry),
     /// A key was deleted.
@@ -230,15 +230,15 @@
     }
 
     /// What the change did; `None` if the event is neither a put nor a deletion.
-    pub fn seen(self) -> Option<Seen> {
+    pub fn change(self) -> Option<WatchedChange> {
         let version = self.version;
         match (self.set, self.value, self.delete) {
-            (Some(key), Some(value), None) => Some(Seen::Put(Entry {
+            (Some(key), Some(value), None) => Some(WatchedChange::Put(Entry {
                 key,
                 value,
                 version,
             })),
-            (None, _, Some(key)) => Some(Seen::Deleted { key, version }),
+            (None, _, Some(key)) => Some(WatchedChange::Deleted { key, version }),
             _ => None,
         }
     }
@@ -246,7 +246,7 @@
 
 /// The answer to a watch.
 #[derive(Serialize, Deserialize, Clone, Debug)]
-pub struct News {
+pub struct WatchReply {
     /// Revision of the store up to which the events are complete.
     #[serde(rename = "revno")]
     pub revision: u64,
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -54,7 +54,7 @@
 
 /// One attempt in a heartbeat.
 #[derive(Serialize, Deserialize, Clone, Debug)]
-pub struct Shown {
+pub struct AttemptStatus {
     /// The task's id: the job's id, a slash, and its index.
     #[serde(rename = "shard")]
     pub task: String,
@@ -104,7 +104,7 @@
     pub notice_s: Option<f64>,
     /// All attempts on the machine.
     #[serde(rename = "shards")]
-    pub tasks: Vec<Shown>,
+    pub tasks: Vec<AttemptStatus>,
 }
 
 /// A worker's heartbeat with its task list left unparsed. Most heartbeats repeat the task list of
@@ -213,7 +213,7 @@
 
 /// A direct call: commands sent straight to a worker.
 #[derive(Serialize, Deserialize, Clone, Debug)]
-pub struct Direct {
+pub struct DirectCommands {
     /// Fencing token of the leader that calls. The worker refuses the call if it has seen a higher
     /// token.
     #[serde(rename = "epoch")]
@@ -232,5 +232,5 @@
 pub struct Redirect<'a> {
     /// The leader's host name, if it is known.
     #[serde(rename = "steward", default, skip_serializing_if = "Option::is_none")]
-    pub to: Option<&'a str>,
+    pub leader: Option<&'a str>,
 }
--- a/src/admin/rollouts.rs
+++ b/src/admin/rollouts.rs
@@ -9,7 +9,10 @@
 use super::SharedNode;
 use crate::coordination::fleet::rollout::round_robin_by_zone;
 use crate::coordination::node::Node;
-use crate::protocol::roll::{Among, AtMost, Roll, RollOrder, RollState, Turn, TurnOrder};
+use crate::protocol::rollout::{
+    MachineSelector, MaxOutOfUse, Rollout, RolloutAction, RolloutActionOrder, RolloutOrder,
+    RolloutState,
+};
 use crate::protocol::state::Txn;
 use crate::storage::records::{self, MachineInfo};
 use crate::transport::clients::{Priority, ServiceError};
@@ -31,7 +34,7 @@
 ///
 /// # Errors
 /// A field is invalid. The error names the first such field.
-pub fn check(order: &RollOrder) -> Result<(), OrderError> {
+pub fn check(order: &RolloutOrder) -> Result<(), OrderError> {
     check_name("name", &order.name)?;
     if order.name.contains(['/', ' ']) {
         return invalid("name", "holds a slash or a space");
@@ -39,8 +42,10 @@
     check_name("by", &order.by)?;
     check_name("why", &order.why)?;
     match order.at_most {
-        AtMost::Machines(0) => return invalid("at_most", "is 0: nothing would ever be drained"),
-        AtMost::Share(s) if !(s > 0.0 && s <= 1.0) => {
+        MaxOutOfUse::Machines(0) => {
+            return invalid("at_most", "is 0: nothing would ever be drained")
+        }
+        MaxOutOfUse::Share(s) if !(s > 0.0 && s <= 1.0) => {
             return invalid("at_most", "is no share above 0 and up to 1")
         }
         _ => {}
@@ -54,7 +59,7 @@
             return invalid(name, "is not above 0");
         }
     }
-    let Among { hosts, kind, zone } = &order.among;
+    let MachineSelector { hosts, kind, zone } = &order.among;
     if hosts.is_empty() && kind.is_none() && zone.is_none() {
         return invalid("among", "names neither machines nor a type nor a zone");
     }
@@ -63,7 +68,10 @@
 
 /// The names of the machines that the order selects, in the sequence in which the rollout drains
 /// them.
-fn selected_hosts(among: &Among, machines: &[&MachineInfo]) -> Result<Vec<String>, OrderError> {
+fn selected_hosts(
+    among: &MachineSelector,
+    machines: &[&MachineInfo],
+) -> Result<Vec<String>, OrderError> {
     let is_recorded = |host: &&String| machines.iter().any(|m| m.id == **host);
     if let Some(host) = among.hosts.iter().find(|host| !is_recorded(host)) {
         return Err(OrderError::NotFound(format!("no machine {host} is in use")));
@@ -87,7 +95,7 @@
 
 /// A rollout's record.
 struct RecordedRollout {
-    rollout: Roll,
+    rollout: Rollout,
     version: u64,
 }
 
@@ -107,10 +115,10 @@
 
 /// The rollout that an order begins, with those of the currently recorded machines that the order
 /// selects.
-async fn new_rollout(node: &Node, order: &RollOrder) -> Result<Roll, OrderError> {
+async fn new_rollout(node: &Node, order: &RolloutOrder) -> Result<Rollout, OrderError> {
     let record = recorded_machines(node).await?;
     let machines: Vec<&MachineInfo> = record.machines().collect();
-    let rollout = Roll {
+    let rollout = Rollout {
         name: order.name.clone(),
         by: order.by.clone(),
         why: order.why.clone(),
@@ -120,7 +128,7 @@
         rest: order.rest,
         deadline_s: order.deadline_s,
         promise: order.promise,
-        state: RollState::Running,
+        state: RolloutState::Running,
         reason: String::new(),
         next: 0,
         late_before: None,
@@ -147,7 +155,7 @@
     }
 }
 
-async fn begin_rollout(node: &Rc<Node>, order: &RollOrder) -> Result<Roll, OrderError> {
+async fn begin_rollout(node: &Rc<Node>, order: &RolloutOrder) -> Result<Rollout, OrderError> {
     check(order)?;
     for _ in 0..MAX_ATTEMPTS {
         let shard = shard_version(node).await?;
@@ -181,25 +189,28 @@
 ///
 /// # Errors
 /// The order is not allowed in the rollout's current state.
-pub fn apply_turn(rollout: &Roll, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
+pub fn apply_turn(
+    rollout: &Rollout,
+    order: &RolloutActionOrder,
+) -> Result<Option<Rollout>, OrderError> {
     let mut next = rollout.clone();
     match (order.turn, rollout.state) {
-        (Turn::Halt, RollState::Running) => {
-            next.state = RollState::Halted;
+        (RolloutAction::Halt, RolloutState::Running) => {
+            next.state = RolloutState::Halted;
             next.reason = format!("halted by {}", order.by);
         }
-        (Turn::Resume, RollState::Halted) => {
-            next.state = RollState::Running;
+        (RolloutAction::Resume, RolloutState::Halted) => {
+            next.state = RolloutState::Running;
             next.reason = String::new();
             // The operator who resumes the rollout accepts the number of jobs that are late now.
             // `None` makes the leader count the late jobs again.
             next.late_before = None;
         }
-        (Turn::Back, RollState::Running | RollState::Halted) => {
-            next.state = RollState::Back;
+        (RolloutAction::Back, RolloutState::Running | RolloutState::Halted) => {
+            next.state = RolloutState::Back;
             next.reason = format!("taken back by {}", order.by);
         }
-        (Turn::Forget, RollState::Done) => return Ok(None),
+        (RolloutAction::Forget, RolloutState::Done) => return Ok(None),
         (turn, state) => {
             let reason = format!("cannot {turn:?} a roll that is {state:?}").to_lowercase();
             return Err(OrderError::Conflict(reason));
@@ -208,7 +219,10 @@
     Ok(Some(next))
 }
 
-async fn change_rollout(node: &Rc<Node>, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
+async fn change_rollout(
+    node: &Rc<Node>,
+    order: &RolloutActionOrder,
+) -> Result<Option<Rollout>, OrderError> {
     check_name("name", &order.name)?;
     check_name("by", &order.by)?;
     for _ in 0..MAX_ATTEMPTS {
@@ -245,7 +259,7 @@
     let (rollouts, term) = {
         let leadership = node.leadership.borrow();
         let view = &leadership.view;
-        let mut rollouts: Vec<Roll> = view.rollouts.values().map(|(r, _)| r.clone()).collect();
+        let mut rollouts: Vec<Rollout> = view.rollouts.values().map(|(r, _)| r.clone()).collect();
         rollouts.sort_by(|a, b| a.name.cmp(&b.name));
         (rollouts, view.shard.as_ref().map_or(0, |(s, _)| s.term))
     };
@@ -254,7 +268,7 @@
 
 /// `POST /admin/v1/rolls`: begins a rollout.
 pub(super) async fn begin(node: SharedNode, body: Bytes) -> HttpResponse {
-    match parse_order::<RollOrder>(&body) {
+    match parse_order::<RolloutOrder>(&body) {
         Ok(order) => respond(begin_rollout(&node, &order).await),
         Err(error) => error.response(),
     }
@@ -262,7 +276,7 @@
 
 /// `POST /admin/v1/rolls/turn`: halts, resumes, cancels (`back`) or forgets a rollout.
 pub(super) async fn change(node: SharedNode, body: Bytes) -> HttpResponse {
-    match parse_order::<TurnOrder>(&body) {
+    match parse_order::<RolloutActionOrder>(&body) {
         Ok(order) => respond(change_rollout(&node, &order).await),
         Err(error) => error.response(),
     }
--- a/src/admin/views.rs
+++ b/src/admin/views.rs
@@ -5,8 +5,8 @@
 use super::SharedNode;
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::state::Scheduler;
-use crate::coordination::scheduler::views::spread;
-use crate::protocol::admin::{Jobs, ServiceRow, ShareRow, Waits};
+use crate::coordination::scheduler::views::quantiles;
+use crate::protocol::admin::{Jobs, ServiceRow, ShardRow, Waits};
 use crate::protocol::mesh::{PeerRequest, PeerResponse, Topic};
 use crate::transport::clients::CallStatistics;
 use actix_web::{web, HttpResponse};
@@ -145,7 +145,7 @@
     answer(&node, row.term, 0.0, vec![row])
 }
 
-fn shard_row(node: &Node) -> ShareRow {
+fn shard_row(node: &Node) -> ShardRow {
     let now = node.now();
     let scheduler = node.scheduler.borrow();
     let leadership = node.leadership.borrow();
@@ -153,7 +153,7 @@
     let mut alive: Vec<String> = leadership.view.alive.keys().cloned().collect();
     alive.sort();
     let former_leaders = shard.map(|s| s.former_leaders.iter().map(|l| l.host.clone()).collect());
-    ShareRow {
+    ShardRow {
         share: 0,
         owner: shard.map(|s| s.leader.clone()),
         term: shard.map_or(0, |s| s.term),
@@ -202,6 +202,6 @@
         return leader_unreadable();
     };
     let acceptance_ms = node.acceptance_ms.borrow();
-    waits.acceptance = acceptance_ms.as_ref().map(|h| spread("accepted", h));
+    waits.acceptance = acceptance_ms.as_ref().map(|h| quantiles("accepted", h));
     answer(&node, view.term, view.age_s, waits)
 }
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -4,7 +4,7 @@
 use crate::coordination::scheduler::job::{AttemptId, Name};
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus, MessageId};
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::worker::{Cause, Command, Direct, Phase};
+use crate::protocol::worker::{Cause, Command, DirectCommands, Phase};
 use crate::storage::records::TOKENS_PER_TERM;
 
 /// The commands in the answer to a heartbeat, by kind, and the answer's token.
@@ -166,7 +166,7 @@
 
     /// Returns the worker's address and the direct call that is due for the machine; `None` if no
     /// call is due.
-    pub fn next_direct_call(&mut self, name: &Name, now: f64) -> Option<(String, Direct)> {
+    pub fn next_direct_call(&mut self, name: &Name, now: f64) -> Option<(String, DirectCommands)> {
         let term = self.term;
         let machine = self.machines.get_mut(name)?;
         if machine.call_in_flight || machine.status == MachineStatus::Expired {
@@ -184,7 +184,7 @@
         if !machine.fenced {
             machine.probed_at.get_or_insert(now);
         }
-        let call = Direct {
+        let call = DirectCommands {
             token,
             session: machine.last_message.session,
             commands,
--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -8,7 +8,7 @@
 use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
 use crate::coordination::scheduler::machine::{Machine, MachineStatus, MessageId};
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::worker::{Command, Direct, Report};
+use crate::protocol::worker::{Command, DirectCommands, Report};
 
 /// How a direct call ended.
 #[derive(Debug)]
@@ -53,7 +53,7 @@
 /// Commands that were not executed are sent again in the answer to the next heartbeat.
 fn settle_starts(
     machine: &mut Machine,
-    call: &Direct,
+    call: &DirectCommands,
     result: &CallResult,
     outdated_answer: bool,
     now: f64,
@@ -85,7 +85,7 @@
     pub fn direct_call_finished(
         &mut self,
         name: &Name,
-        call: &Direct,
+        call: &DirectCommands,
         result: CallResult,
         now: f64,
     ) {
--- a/src/coordination/agents/dispatcher.rs
+++ b/src/coordination/agents/dispatcher.rs
@@ -4,7 +4,7 @@
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::worker::Direct;
+use crate::protocol::worker::DirectCommands;
 use crate::transport::clients::DirectOutcome;
 use actix::prelude::*;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
     base_term: u64,
     machine: Name,
     addr: String,
-    call: Direct,
+    call: DirectCommands,
 }
 
 /// Sends all direct calls that are due, without waiting for their results.
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -11,7 +11,7 @@
 use crate::coordination::scheduler::machine::{Attempt, Machine, MessageId};
 use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::worker::{Phase, Report, Shown};
+use crate::protocol::worker::{AttemptStatus, Phase, Report};
 
 /// How a report reached the leader.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -218,7 +218,7 @@
 
     /// Combines a report's entry with the resources that a task of its job takes. Returns `None` if
     /// the task's name does not parse.
-    fn shown_task(&self, entry: &Shown) -> Option<ShownTask> {
+    fn shown_task(&self, entry: &AttemptStatus) -> Option<ShownTask> {
         let (job, index) = TaskId::split(&entry.task)?;
         let known = self.jobs.get_key_value(job);
         let resources = known
--- a/src/coordination/fleet/fleet_state.rs
+++ b/src/coordination/fleet/fleet_state.rs
@@ -2,7 +2,7 @@
 
 use super::scale_out::{boot_s, Offer};
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::cloud::{Listed, ListedState};
+use crate::protocol::cloud::{ListedMachine, ListedState};
 use crate::storage::records::MachineInfo;
 use std::collections::{BTreeSet, HashMap};
 
@@ -41,16 +41,16 @@
     sold_out: HashMap<Offer, SoldOut>,
     /// Names of the machines to return. Each stays here until the cloud has confirmed its return.
     pending_returns: BTreeSet<String>,
-    /// Number of the last rental request. A number is never used twice.
+    /// Number of the last launch request. A number is never used twice.
     last_request_number: u64,
     /// When the cloud's list was received, in seconds of [`crate::coordination::node::Node::now`].
     listed_at: f64,
     /// The cloud's list of machines.
-    cloud_list: Vec<Listed>,
+    cloud_list: Vec<ListedMachine>,
 }
 
 impl FleetState {
-    /// Clears the state, for the beginning of a new term. The numbering of rental requests
+    /// Clears the state, for the beginning of a new term. The numbering of launch requests
     /// continues.
     pub(super) fn reset(&mut self) {
         *self = FleetState {
@@ -65,14 +65,14 @@
     }
 
     /// Replaces the cloud's list of machines.
-    pub(super) fn record_list(&mut self, list: Vec<Listed>, now: f64) {
+    pub(super) fn record_list(&mut self, list: Vec<ListedMachine>, now: f64) {
         self.listed_at = now;
         self.cloud_list = list;
     }
 
     /// The cloud's list of machines, without the machines that were returned after the list was
     /// received.
-    pub(super) fn cloud_list(&self) -> &[Listed] {
+    pub(super) fn cloud_list(&self) -> &[ListedMachine] {
         &self.cloud_list
     }
 
@@ -158,7 +158,7 @@
         }
     }
 
-    /// A new number for a rental request.
+    /// A new number for a launch request.
     pub(super) fn next_request_number(&mut self) -> u64 {
         self.last_request_number += 1;
         self.last_request_number
--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -8,7 +8,7 @@
 use super::scale_out::{self, Demand, RentalPlan};
 use crate::coordination::agents::dispatcher;
 use crate::coordination::node::Node;
-use crate::protocol::cloud::Rental;
+use crate::protocol::cloud::LaunchRequest;
 use crate::transport::clients::ServiceError;
 use actix::prelude::*;
 use std::rc::Rc;
@@ -151,7 +151,7 @@
 async fn scale_out(node: &Rc<Node>, state: &mut FleetState) {
     let now = node.now();
     for RentalPlan { offer, count } in plan_rentals(node, state, now) {
-        let rental = Rental {
+        let rental = LaunchRequest {
             request: format!(
                 "{}-{:x}-{}",
                 node.settings.host_name,
@@ -194,7 +194,7 @@
 }
 
 /// Sends a rental request. Returns the names of the machines that the cloud provided.
-async fn rent(node: &Node, rental: &Rental) -> Vec<String> {
+async fn rent(node: &Node, rental: &LaunchRequest) -> Vec<String> {
     match node.cloud.scale_out(rental).await {
         Ok(rented) => rented.machines,
         Err(ServiceError::Refused) => Vec::new(),
--- a/src/coordination/fleet/rollout.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -9,7 +9,7 @@
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::admin::Drain;
-use crate::protocol::roll::{AtMost, Roll, RollState};
+use crate::protocol::rollout::{MaxOutOfUse, Rollout, RolloutState};
 use std::collections::HashMap;
 
 /// Machine counts of one zone.
@@ -40,7 +40,7 @@
 
 impl FleetView {
     /// The drains that this rollout ordered.
-    fn drains_ordered_by(&self, rollout: &Roll) -> Vec<&Drain> {
+    fn drains_ordered_by(&self, rollout: &Rollout) -> Vec<&Drain> {
         self.drains
             .values()
             .map(|(drain, _)| drain)
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutStep {
     /// The rollout's new record.
-    pub rollout: Roll,
+    pub rollout: Rollout,
     /// Names of the machines whose drains begin.
     pub begin: Vec<String>,
     /// Names of the machines whose drains end.
@@ -67,17 +67,17 @@
 
 /// Maximum number of machines that may be out of use at the same time in a zone with this many
 /// `machines`.
-fn max_out_of_use(at_most: AtMost, machines: u32) -> u32 {
+fn max_out_of_use(at_most: MaxOutOfUse, machines: u32) -> u32 {
     match at_most {
-        AtMost::Machines(n) => n,
-        AtMost::Share(share) => ((f64::from(machines) * share) as u32).max(1),
+        MaxOutOfUse::Machines(n) => n,
+        MaxOutOfUse::Share(share) => ((f64::from(machines) * share) as u32).max(1),
     }
 }
 
 /// Describes the broken promise of the rollout's plan that makes the rollout halt: more jobs are
 /// late than promised, or one of its machines takes longer than promised. `None` if all promises
 /// hold.
-fn halt_reason(rollout: &Roll, fleet: &FleetView, rollout_drains: &[&Drain]) -> Option<String> {
+fn halt_reason(rollout: &Rollout, fleet: &FleetView, rollout_drains: &[&Drain]) -> Option<String> {
     let promise = &rollout.promise;
     let late_before = rollout.late_before.unwrap_or(fleet.late_jobs);
     if fleet.late_jobs > late_before + promise.late {
@@ -93,7 +93,7 @@
 
 /// Describes which state the machine of this drain has not reached in the promised time. `None` if
 /// the machine is within the promised times.
-fn overdue_reason(rollout: &Roll, fleet: &FleetView, drain: &Drain) -> Option<String> {
+fn overdue_reason(rollout: &Rollout, fleet: &FleetView, drain: &Drain) -> Option<String> {
     let promise = &rollout.promise;
     let host = &drain.host;
     let (since_ms, limit_s, missing_state) = match &drain.drained {
@@ -109,15 +109,15 @@
 /// The next step of the rollout; `None` if the step would change nothing. In total at most
 /// `max_drain_changes` drains begin or end in one step.
 pub fn next_step(
-    rollout: &Roll,
+    rollout: &Rollout,
     fleet: &FleetView,
     max_drain_changes: usize,
 ) -> Option<RolloutStep> {
     let rollout_drains = fleet.drains_ordered_by(rollout);
     let step = match rollout.state {
-        RollState::Halted | RollState::Done => return None,
-        RollState::Back => rollback_step(rollout, &rollout_drains, max_drain_changes),
-        RollState::Running => match halt_reason(rollout, fleet, &rollout_drains) {
+        RolloutState::Halted | RolloutState::Done => return None,
+        RolloutState::Back => rollback_step(rollout, &rollout_drains, max_drain_changes),
+        RolloutState::Running => match halt_reason(rollout, fleet, &rollout_drains) {
             Some(reason) => return Some(halt_step(rollout, fleet, reason)),
             None => forward_step(rollout, fleet, &rollout_drains, max_drain_changes),
         },
@@ -127,10 +127,10 @@
 }
 
 /// The step that halts the rollout for this reason. The rollout's drains stay as they are.
-fn halt_step(rollout: &Roll, fleet: &FleetView, reason: String) -> RolloutStep {
+fn halt_step(rollout: &Rollout, fleet: &FleetView, reason: String) -> RolloutStep {
     let mut next = rollout.clone();
     next.late_before.get_or_insert(fleet.late_jobs);
-    next.state = RollState::Halted;
+    next.state = RolloutState::Halted;
     next.reason = reason;
     RolloutStep {
         rollout: next,
@@ -142,13 +142,13 @@
 /// The next step of a rollout that is being rolled back: ends at most `max_drain_changes` of its
 /// drains. When no drain is left, the rollout is done.
 fn rollback_step(
-    rollout: &Roll,
+    rollout: &Rollout,
     rollout_drains: &[&Drain],
     max_drain_changes: usize,
 ) -> RolloutStep {
     let mut next = rollout.clone();
     if rollout_drains.is_empty() {
-        next.state = RollState::Done;
+        next.state = RolloutState::Done;
     }
     let end = rollout_drains
         .iter()
@@ -164,7 +164,7 @@
 /// The next step of a running rollout: ends the drains of machines that have restarted and begins
 /// the next drains.
 fn forward_step(
-    rollout: &Roll,
+    rollout: &Rollout,
     fleet: &FleetView,
     rollout_drains: &[&Drain],
     max_drain_changes: usize,
@@ -184,7 +184,7 @@
     let end = sort_and_truncate(end, max_drain_changes.saturating_sub(begin.len()));
     let all_begun = next.next >= rollout.hosts.len() && begin.is_empty();
     if all_begun && rollout_drains.len() == end.len() {
-        next.state = RollState::Done;
+        next.state = RolloutState::Done;
     }
     RolloutStep {
         rollout: next,
@@ -196,7 +196,7 @@
 /// Advances the rollout's position in its list of machines. Returns the names of the machines whose
 /// drains begin, at most `max_hosts`. Stops before the first machine whose zone has reached the
 /// rollout's limit. Skips machines that no longer exist or already have a drain.
-fn take_next_hosts(rollout: &mut Roll, fleet: &FleetView, max_hosts: usize) -> Vec<String> {
+fn take_next_hosts(rollout: &mut Rollout, fleet: &FleetView, max_hosts: usize) -> Vec<String> {
     let mut hosts = Vec::new();
     let mut begun_by_zone: HashMap<&str, u32> = HashMap::new();
     while let Some(host) = rollout.hosts.get(rollout.next) {
--- a/src/coordination/fleet/rollout_writer.rs
+++ b/src/coordination/fleet/rollout_writer.rs
@@ -6,7 +6,7 @@
 use crate::coordination::leadership::failover::reread_shard;
 use crate::coordination::node::Node;
 use crate::protocol::admin::Drain;
-use crate::protocol::roll::{Roll, RollState};
+use crate::protocol::rollout::{Rollout, RolloutState};
 use crate::protocol::state::Txn;
 use crate::storage::records;
 use crate::transport::clients::{Priority, ServiceError};
@@ -30,7 +30,8 @@
     let leadership = node.leadership.borrow();
     let scheduler = node.scheduler.borrow();
     let rollouts = &leadership.view.rollouts;
-    let is_active = |rollout: &Roll| matches!(rollout.state, RollState::Running | RollState::Back);
+    let is_active =
+        |rollout: &Rollout| matches!(rollout.state, RolloutState::Running | RolloutState::Back);
     if !rollouts.values().any(|(rollout, _)| is_active(rollout)) {
         return None;
     }
@@ -52,7 +53,7 @@
 }
 
 /// The drain record that the rollout writes for a machine.
-fn ordered_drain(rollout: &Roll, host: &str, now_ms: u64) -> Drain {
+fn ordered_drain(rollout: &Rollout, host: &str, now_ms: u64) -> Drain {
     Drain {
         host: host.into(),
         order: format!("{}/{host}", rollout.name),
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -7,7 +7,7 @@
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::cloud::{Listed, ListedState};
+use crate::protocol::cloud::{ListedMachine, ListedState};
 use crate::protocol::policy::Policy;
 
 /// A machine that has been booting for longer than this multiple of the boot time of its type is
@@ -22,9 +22,13 @@
 
 /// Names of the machines in the cloud's list that have failed, have been booting for too long, or
 /// have been unreachable for too long.
-pub(super) fn broken_machines(scheduler: &Scheduler, list: &[Listed], now: f64) -> Vec<String> {
+pub(super) fn broken_machines(
+    scheduler: &Scheduler,
+    list: &[ListedMachine],
+    now: f64,
+) -> Vec<String> {
     let partitioned_zones = scheduler.partitioned_zones(now);
-    let is_broken = |listed: &&Listed| {
+    let is_broken = |listed: &&ListedMachine| {
         let machine = scheduler.machines.get(listed.id.as_str());
         let boot_s = boot_s(&scheduler.types, &listed.kind);
         match listed.state {
@@ -58,7 +62,7 @@
 /// Names of the machines with an expired lease that the cloud no longer lists.
 pub(super) fn vanished_machines(
     scheduler: &Scheduler,
-    list: &[Listed],
+    list: &[ListedMachine],
     list_lag_s: f64,
     now: f64,
 ) -> Vec<Name> {
--- a/src/coordination/jobs/live_job_watch.rs
+++ b/src/coordination/jobs/live_job_watch.rs
@@ -9,7 +9,7 @@
 use crate::coordination::node::Node;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::settings::Workers;
-use crate::protocol::state::{Entry, News, Seen};
+use crate::protocol::state::{Entry, WatchReply, WatchedChange};
 use crate::storage::completed_tasks::CompletedTasks;
 use crate::storage::records::{self, LiveJob};
 use crate::transport::clients::{Priority, ServiceError};
@@ -71,12 +71,12 @@
     }
 
     /// Applies the changes in the response to a request that was sent at `requested_at`.
-    fn apply(&mut self, changes: News, requested_at: f64) {
+    fn apply(&mut self, changes: WatchReply, requested_at: f64) {
         self.revision = changes.revision;
         for event in changes.events {
-            match event.seen() {
-                Some(Seen::Put(entry)) => self.apply_put(entry),
-                Some(Seen::Deleted { key, .. }) => self.apply_deletion(&key),
+            match event.change() {
+                Some(WatchedChange::Put(entry)) => self.apply_put(entry),
+                Some(WatchedChange::Deleted { key, .. }) => self.apply_deletion(&key),
                 None => {}
             }
         }
--- a/src/coordination/leadership/cluster_view.rs
+++ b/src/coordination/leadership/cluster_view.rs
@@ -4,7 +4,7 @@
 
 use crate::protocol::admin::Drain;
 use crate::protocol::cloud::{MachineType, TypeList};
-use crate::protocol::roll::Roll;
+use crate::protocol::rollout::Rollout;
 use crate::protocol::state::Entry;
 use crate::storage::records::{self, AliveRecord, ShardRecord, TermCounter};
 use std::collections::HashMap;
@@ -27,7 +27,7 @@
     /// Drains of machines, by the machine's host name, each with the version of its record.
     pub drains: HashMap<String, (Drain, u64)>,
     /// Rollouts by name, each with the version of its record.
-    pub rollouts: HashMap<String, (Roll, u64)>,
+    pub rollouts: HashMap<String, (Rollout, u64)>,
     /// The number of changes of `drains` so far.
     pub drains_generation: u64,
 }
@@ -58,7 +58,7 @@
                 self.types = Some(list.types);
             }
         } else if key.starts_with(records::ROLLOUTS_PREFIX) {
-            if let Ok(rollout) = entry.read::<Roll>() {
+            if let Ok(rollout) = entry.read::<Rollout>() {
                 self.update_rollout(rollout, entry.version);
             }
         } else if let Some(host) = key.strip_prefix(records::DRAINS_PREFIX) {
@@ -91,7 +91,7 @@
     }
 
     /// Updates a rollout, unless a newer version is known.
-    fn update_rollout(&mut self, rollout: Roll, version: u64) {
+    fn update_rollout(&mut self, rollout: Rollout, version: u64) {
         let known_version = self
             .rollouts
             .get(&rollout.name)
--- a/src/coordination/leadership/loops/control_watch.rs
+++ b/src/coordination/leadership/loops/control_watch.rs
@@ -4,7 +4,7 @@
 use super::sleep;
 use crate::coordination::leadership::cluster_view::ClusterView;
 use crate::coordination::node::Node;
-use crate::protocol::state::Seen;
+use crate::protocol::state::WatchedChange;
 use crate::storage::records;
 use crate::transport::clients::{Priority, ServiceError};
 use std::rc::Rc;
@@ -56,7 +56,7 @@
                 revision = changes.revision;
                 let view = &mut node.leadership.borrow_mut().view;
                 for event in changes.events {
-                    apply(view, event.seen());
+                    apply(view, event.change());
                 }
                 view.advance_to(revision);
             }
@@ -72,10 +72,10 @@
     }
 }
 
-fn apply(view: &mut ClusterView, change: Option<Seen>) {
+fn apply(view: &mut ClusterView, change: Option<WatchedChange>) {
     match change {
-        Some(Seen::Put(entry)) => view.apply_entry(&entry),
-        Some(Seen::Deleted { key, version }) => view.apply_deletion(&key, version),
+        Some(WatchedChange::Put(entry)) => view.apply_entry(&entry),
+        Some(WatchedChange::Deleted { key, version }) => view.apply_deletion(&key, version),
         None => {}
     }
 }
--- a/src/coordination/scheduler/active_drain.rs
+++ b/src/coordination/scheduler/active_drain.rs
@@ -1,7 +1,7 @@
 //! The scheduler's state for the drain of a machine. The code that carries out drains is in
 //! `fleet::drains`.
 
-use crate::protocol::admin::{Drain, Rest};
+use crate::protocol::admin::{Drain, RemainingWork};
 
 /// A drain of a machine, as carried out by the leader.
 #[derive(Debug, Clone, PartialEq)]
@@ -19,6 +19,6 @@
     /// operator chose to stop the attempts that remain at the deadline.
     pub(crate) fn must_stop_now(&self, now: f64) -> bool {
         let is_past_deadline = self.deadline_at.is_some_and(|deadline| now >= deadline);
-        is_past_deadline && self.drain.rest == Rest::Stop
+        is_past_deadline && self.drain.rest == RemainingWork::Stop
     }
 }
--- a/src/coordination/scheduler/overview.rs
+++ b/src/coordination/scheduler/overview.rs
@@ -2,7 +2,7 @@
 //! from `views`.
 
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::admin::Standing;
+use crate::protocol::admin::JobHealth;
 use std::fmt::Write;
 
 /// Maximum number of jobs in the table.
@@ -28,7 +28,7 @@
             "of"
         );
         for row in &jobs.rows {
-            let state = if row.standing == Standing::Ok {
+            let state = if row.standing == JobHealth::Ok {
                 "ok"
             } else {
                 "STUCK"
--- a/src/coordination/scheduler/views.rs
+++ b/src/coordination/scheduler/views.rs
@@ -8,7 +8,7 @@
 use crate::coordination::scheduler::state::Scheduler;
 use crate::coordination::scheduler::team_usage::TeamUsage;
 use crate::protocol::admin::{
-    JobRow, Jobs, MachineRow, MachineState, Spread, Standing, TeamRow, Waits,
+    JobHealth, JobRow, Jobs, MachineRow, MachineState, Quantiles, TeamRow, Waits,
 };
 use crate::protocol::settings::Team;
 use hdrhistogram::Histogram;
@@ -18,9 +18,9 @@
 const STUCK_AGE_LEASES: f64 = 3.0;
 
 /// Summarizes a histogram of durations in milliseconds as quantiles in seconds.
-pub fn spread(name: &str, histogram_ms: &Histogram<u32>) -> Spread {
+pub fn quantiles(name: &str, histogram_ms: &Histogram<u32>) -> Quantiles {
     let quantile_s = |quantile| histogram_ms.value_at_quantile(quantile) as f64 / 1000.0;
-    Spread {
+    Quantiles {
         name: name.into(),
         count: histogram_ms.len(),
         p50_s: quantile_s(0.5),
@@ -30,17 +30,17 @@
     }
 }
 
-fn class_spreads(histograms_ms: &ClassHistograms) -> Vec<Spread> {
+fn class_quantiles(histograms_ms: &ClassHistograms) -> Vec<Quantiles> {
     let classes = histograms_ms.classes().into_iter();
     classes
         .filter(|(name, _)| *name != ALL_CLASSES)
-        .map(|(name, histogram)| spread(name, histogram))
+        .map(|(name, histogram)| quantiles(name, histogram))
         .collect()
 }
 
 /// A job with its standing, for the sorted list that operators see.
 struct RankedJob<'a> {
-    standing: Standing,
+    standing: JobHealth,
     id: &'a str,
     job: &'a Job,
 }
@@ -93,17 +93,17 @@
     /// Whether and why the job needs an operator's attention: it is suspected to be faulty; tasks
     /// wait and none runs although the job is older than several leases; or the job can no
     /// longer meet any of its objectives.
-    fn standing(&self, job: &Job, now: f64) -> Standing {
+    fn standing(&self, job: &Job, now: f64) -> JobHealth {
         let only_waits = job.running == 0 && job.unplaced_tasks() > 0;
         let stuck_age_s = STUCK_AGE_LEASES * self.config.lease_s;
         if job.is_suspect() {
-            Standing::Failing
+            JobHealth::Failing
         } else if only_waits && now - job.accepted_at > stuck_age_s {
-            Standing::Stuck
+            JobHealth::Stuck
         } else if !self.has_reachable_objective(job, now) {
-            Standing::Late
+            JobHealth::Late
         } else {
-            Standing::Ok
+            JobHealth::Ok
         }
     }
 
@@ -112,15 +112,15 @@
     pub fn job_rows(&self, now: f64, limit: usize) -> Jobs {
         let usage = self.count_usage();
         let ranked = self.ranked_jobs(now);
-        let count = |standing: Standing| {
+        let count = |standing: JobHealth| {
             let of_standing = ranked.iter().filter(|ranked| ranked.standing == standing);
             of_standing.count()
         };
         Jobs {
             live: ranked.len(),
-            stuck: count(Standing::Stuck),
-            failing: count(Standing::Failing),
-            late: count(Standing::Late),
+            stuck: count(JobHealth::Stuck),
+            failing: count(JobHealth::Failing),
+            late: count(JobHealth::Late),
             rows: ranked
                 .iter()
                 .take(limit)
@@ -287,7 +287,7 @@
     /// How long jobs of each class waited until their first task started.
     pub fn waits(&self) -> Waits {
         Waits {
-            first_start: class_spreads(&self.predictor.wait_ms),
+            first_start: class_quantiles(&self.predictor.wait_ms),
             acceptance: None,
         }
     }
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -74,7 +74,7 @@
 fn redirect_to_leader(node: &Node) -> HttpResponse {
     let leader = node.other_leader();
     let redirect = Redirect {
-        to: leader.as_deref(),
+        leader: leader.as_deref(),
     };
     json_response(StatusCode::MISDIRECTED_REQUEST, &redirect)
 }
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -9,7 +9,7 @@
 //! - [`settings`]: the settings file that the platform provides.
 //! - [`policy`]: the policy file that operators write.
 
-pub use foxspur_wire::{admin, cloud, job, roll, state, worker};
+pub use foxspur_wire::{admin, cloud, job, rollout, state, worker};
 
 pub mod mesh;
 pub mod policy;
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -13,7 +13,7 @@
 //! and their meaning are therefore a stable storage format, and new fields have defaults.
 
 use super::completed_tasks::CompletedTasks;
-use crate::protocol::admin::{Drain, Rest};
+use crate::protocol::admin::{Drain, RemainingWork};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::{JobSpec, JobState};
 use crate::protocol::state::Txn;
@@ -286,7 +286,7 @@
         why: "a record that this version cannot read".into(),
         at_ms: 0,
         deadline_ms: None,
-        rest: Rest::Leave,
+        rest: RemainingWork::Leave,
         drained: None,
         roll: None,
     }
--- a/src/transport/clients/cloud.rs
+++ b/src/transport/clients/cloud.rs
@@ -3,7 +3,7 @@
 
 use super::service::{self, Request, Service};
 use super::{CallStatistics, Priority, ServiceError};
-use crate::protocol::cloud::{Listed, Names, Page, Rental, TypeList};
+use crate::protocol::cloud::{LaunchRequest, ListPage, ListedMachine, MachineNames, TypeList};
 use crate::protocol::settings::Settings;
 use crate::transport::http::{HttpClient, Response};
 use crate::transport::token_bucket::TokenBucket;
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     /// The call failed.
-    pub async fn scale_out(&self, rental: &Rental) -> Result<Names, ServiceError> {
+    pub async fn scale_out(&self, rental: &LaunchRequest) -> Result<MachineNames, ServiceError> {
         let body = service::encode(rental)?;
         service::decode(&self.call(Method::POST, "/rentals", Some(body)).await?)
     }
@@ -106,7 +106,7 @@
     /// # Errors
     /// The call failed.
     pub async fn scale_in(&self, machines: Vec<String>) -> Result<(), ServiceError> {
-        let body = service::encode(&Names { machines })?;
+        let body = service::encode(&MachineNames { machines })?;
         let returned = self.call(Method::POST, "/rentals/return", Some(body));
         returned.await.map(|_| ())
     }
@@ -115,14 +115,14 @@
     ///
     /// # Errors
     /// A call failed.
-    pub async fn machines(&self) -> Result<Vec<Listed>, ServiceError> {
-        let mut machines: Vec<Listed> = Vec::new();
+    pub async fn machines(&self) -> Result<Vec<ListedMachine>, ServiceError> {
+        let mut machines: Vec<ListedMachine> = Vec::new();
         loop {
             let since = machines
                 .last()
                 .map(|machine| format!("&since={}", machine.id));
             let path = format!("/rentals?limit=500{}", since.unwrap_or_default());
-            let page: Page = service::decode(&self.call(Method::GET, &path, None).await?)?;
+            let page: ListPage = service::decode(&self.call(Method::GET, &path, None).await?)?;
             let has_more = page.more && !page.machines.is_empty();
             machines.extend(page.machines);
             if !has_more {
--- a/src/transport/clients/state.rs
+++ b/src/transport/clients/state.rs
@@ -4,7 +4,9 @@
 use super::service::{self, Request, Service};
 use super::{CallStatistics, Priority, ServiceError, TimedResult};
 use crate::protocol::settings::Settings;
-use crate::protocol::state::{Conflict, Entry, Lease, LeaseRequest, Listing, News, Revision, Txn};
+use crate::protocol::state::{
+    Conflict, Entry, Lease, LeaseRequest, Listing, Revision, Txn, WatchReply,
+};
 use crate::transport::http::{HttpClient, Response};
 use crate::transport::token_bucket::TokenBucket;
 use actix_rt::time::Instant;
@@ -296,7 +298,12 @@
     /// # Errors
     /// The call failed, or the changes after `since` have been compacted
     /// ([`ServiceError::Compacted`]).
-    pub async fn watch(&self, prefix: &str, since: u64, wait_s: f64) -> Result<News, ServiceError> {
+    pub async fn watch(
+        &self,
+        prefix: &str,
+        since: u64,
+        wait_s: f64,
+    ) -> Result<WatchReply, ServiceError> {
         self.wait_for_tokens(0, Priority::Control).await?;
         let wait_ms = (wait_s * 1000.0) as u64;
         let request = Request {
--- a/src/transport/clients/workers.rs
+++ b/src/transport/clients/workers.rs
@@ -2,7 +2,7 @@
 //! that are kept open.
 
 use crate::protocol::settings::Settings;
-use crate::protocol::worker::{Direct, Report};
+use crate::protocol::worker::{DirectCommands, Report};
 use crate::transport::http::{CallError, HttpClient, Response};
 use crate::transport::sockets::SocketBudget;
 use awc::http::Method;
@@ -103,7 +103,7 @@
     }
 
     /// Sends direct commands to a worker.
-    pub async fn send(&self, addr: SocketAddr, direct: &Direct) -> DirectOutcome {
+    pub async fn send(&self, addr: SocketAddr, direct: &DirectCommands) -> DirectOutcome {
         let Ok(body) = serde_json::to_vec(direct) else {
             return DirectOutcome::NotSent;
         };
--- a/tests/cancel.rs
+++ b/tests/cancel.rs
@@ -373,7 +373,7 @@
             panic!("{case}: {start:?}");
         };
         scheduler.direct_call_finished(&name, &start, CallResult::Unknown, 4.1);
-        let probe = foxspur::protocol::worker::Direct {
+        let probe = foxspur::protocol::worker::DirectCommands {
             token: 5,
             session: 3,
             commands: Vec::new(),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use foxspur::protocol::job::{JobSpec, Shape, Urgency};
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Team;
-use foxspur::protocol::worker::{Cause, Phase, Report, Shown};
+use foxspur::protocol::worker::{AttemptStatus, Cause, Phase, Report};
 use foxspur::storage::completed_tasks::CompletedTasks;
 use foxspur::storage::records::{LiveJob, MachineInfo};
 
@@ -181,7 +181,7 @@
         notice_s: None,
         tasks: tasks
             .iter()
-            .map(|(task, attempt, phase, cause)| Shown {
+            .map(|(task, attempt, phase, cause)| AttemptStatus {
                 task: task.to_string(),
                 attempt: *attempt,
                 phase: *phase,
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -17,17 +17,18 @@
 };
 use foxspur::coordination::leadership::cluster_view::ClusterView;
 use foxspur::coordination::scheduler::state::Scheduler;
-use foxspur::protocol::admin::{Drain, DrainOrder, DrainState, Drained, Proof, Rest};
+use foxspur::protocol::admin::{Drain, DrainOrder, DrainState, Drained, Proof, RemainingWork};
 use foxspur::protocol::job::{Shape, Urgency};
-use foxspur::protocol::roll::{
-    Among, AtMost, Promise, Roll, RollOrder, RollState, Turn, TurnOrder,
+use foxspur::protocol::rollout::{
+    MachineSelector, MaxOutOfUse, Rollout, RolloutAction, RolloutActionOrder, RolloutExpectation,
+    RolloutOrder, RolloutState,
 };
 use foxspur::protocol::state::Entry;
 use foxspur::protocol::worker::{Cause, Command, Phase};
 use foxspur::storage::records;
 use std::collections::HashMap;
 
-fn drain_record(host: &str, deadline_s: Option<f64>, rest: Rest) -> Drain {
+fn drain_record(host: &str, deadline_s: Option<f64>, rest: RemainingWork) -> Drain {
     Drain {
         host: host.into(),
         order: "o".into(),
@@ -129,7 +130,7 @@
         rerun_s: 101.0,
         due_in_s: [None, None],
         until_deadline_s: None,
-        at_deadline: Rest::Leave,
+        at_deadline: RemainingWork::Leave,
         relocation: Relocation::Possible,
     };
     let before_predicted_end = Some(30.0);
@@ -227,7 +228,7 @@
             "deadline has passed, and the attempt must stop",
             AttemptOutlook {
                 until_deadline_s: Some(0.0),
-                at_deadline: Rest::Stop,
+                at_deadline: RemainingWork::Stop,
                 relocation: Relocation::NotAllowed,
                 ..base
             },
@@ -246,7 +247,11 @@
     submit(&mut scheduler, "run-1", 10, 1.0, 0.0);
     scheduler.place_all(0.2);
     assert_eq!(scheduler.jobs["run-1"].queued.len(), 2);
-    scheduler.set_drains(&records_by_host(&[drain_record("m-0", None, Rest::Leave)]));
+    scheduler.set_drains(&records_by_host(&[drain_record(
+        "m-0",
+        None,
+        RemainingWork::Leave,
+    )]));
     assert!(
         scheduler.jobs["run-1"].queued.is_empty(),
         "the queue of the cordoned machine is cleared"
@@ -278,7 +283,11 @@
             .unwrap()
             .number
     };
-    scheduler.set_drains(&records_by_host(&[drain_record("m-0", None, Rest::Leave)]));
+    scheduler.set_drains(&records_by_host(&[drain_record(
+        "m-0",
+        None,
+        RemainingWork::Leave,
+    )]));
     assert!(
         scheduler.machines["m-0"].queue.is_empty(),
         "the queue of the cordoned machine is cleared"
@@ -337,7 +346,7 @@
     scheduler.set_drains(&records_by_host(&[drain_record(
         host,
         Some(1.0),
-        Rest::Stop,
+        RemainingWork::Stop,
     )]));
     // The machine hangs: it sends no heartbeats and does not answer the stop command.
     for n in 0..9 {
@@ -391,7 +400,7 @@
             7,
         );
         scheduler.set_types(&types());
-        let mut cordoned = drain_record("m-1", None, Rest::Leave);
+        let mut cordoned = drain_record("m-1", None, RemainingWork::Leave);
         cordoned.drained = proven.then_some(reported_empty(0));
         scheduler.set_drains(&records_by_host(&[cordoned]));
         for id in ["m-0", "m-1"] {
@@ -448,8 +457,8 @@
     scheduler.handle_heartbeat(&report(host, 1, 2, 5, &running), 0.5);
     // Both machines are cordoned: no machine can take the replica, so it stays.
     let both = records_by_host(&[
-        drain_record("m-0", None, Rest::Leave),
-        drain_record("m-1", None, Rest::Leave),
+        drain_record("m-0", None, RemainingWork::Leave),
+        drain_record("m-1", None, RemainingWork::Leave),
     ]);
     scheduler.set_drains(&both);
     scheduler.tick(1.0, 1.0);
@@ -478,7 +487,11 @@
     // The drain of the other machine ends: the replica is stopped on the draining machine, and
     // started on the other one only after it has stopped. A notice from the cloud in the meantime
     // that it takes the machine back changes nothing.
-    scheduler.set_drains(&records_by_host(&[drain_record(host, None, Rest::Leave)]));
+    scheduler.set_drains(&records_by_host(&[drain_record(
+        host,
+        None,
+        RemainingWork::Leave,
+    )]));
     scheduler.handle_heartbeat(&report(other_host, 1, 2, 5, &[]), 1.5);
     scheduler.place_all(1.6);
     scheduler.tick(1.7, 1.7);
@@ -511,7 +524,7 @@
         by: "someone".into(),
         why: "a new kernel".into(),
         deadline_s: None,
-        rest: Rest::Leave,
+        rest: RemainingWork::Leave,
         term: None,
     };
     assert!(check(&valid).is_ok());
@@ -541,27 +554,27 @@
 /// Guards against invalid rollout orders being accepted. The error names the invalid field.
 #[test]
 fn rollout_orders_are_validated() {
-    let valid = RollOrder {
+    let valid = RolloutOrder {
         name: "kernel".into(),
         by: "someone".into(),
         why: "a new kernel".into(),
-        among: Among {
+        among: MachineSelector {
             zone: Some("a".into()),
-            ..Among::default()
+            ..MachineSelector::default()
         },
-        at_most: AtMost::Machines(1),
-        rest: Rest::Leave,
+        at_most: MaxOutOfUse::Machines(1),
+        rest: RemainingWork::Leave,
         deadline_s: None,
-        promise: Promise::default(),
+        promise: RolloutExpectation::default(),
     };
     assert!(rollouts::check(&valid).is_ok());
-    type InvalidateRollout = fn(&mut RollOrder);
+    type InvalidateRollout = fn(&mut RolloutOrder);
     let cases: [(&str, InvalidateRollout); 5] = [
         ("name", |o| o.name = "a/b".into()),
-        ("at_most", |o| o.at_most = AtMost::Machines(0)),
-        ("at_most", |o| o.at_most = AtMost::Share(1.5)),
+        ("at_most", |o| o.at_most = MaxOutOfUse::Machines(0)),
+        ("at_most", |o| o.at_most = MaxOutOfUse::Share(1.5)),
         ("promise.step_s", |o| o.promise.step_s = Some(-1.0)),
-        ("among", |o| o.among = Among::default()),
+        ("among", |o| o.among = MachineSelector::default()),
     ];
     for (field, invalidate) in cases {
         let mut order = valid.clone();
@@ -582,7 +595,8 @@
 fn drain_updates_apply_in_any_order() {
     let entry = |version: u64| Entry {
         key: records::drain_key("m-0"),
-        value: serde_json::value::to_raw_value(&drain_record("m-0", None, Rest::Leave)).unwrap(),
+        value: serde_json::value::to_raw_value(&drain_record("m-0", None, RemainingWork::Leave))
+            .unwrap(),
         version,
     };
     type Change = fn(&mut ClusterView, Entry, Entry);
@@ -651,22 +665,22 @@
 }
 
 /// A running rollout over these machines that has not taken a step yet.
-fn rollout(hosts: &[&str], at_most: AtMost) -> Roll {
-    Roll {
+fn rollout(hosts: &[&str], at_most: MaxOutOfUse) -> Rollout {
+    Rollout {
         name: "kernel".into(),
         by: "someone".into(),
         why: "a new kernel".into(),
         at_ms: 0,
         hosts: hosts.iter().map(std::string::ToString::to_string).collect(),
         at_most,
-        rest: Rest::Leave,
+        rest: RemainingWork::Leave,
         deadline_s: None,
-        promise: Promise {
+        promise: RolloutExpectation {
             late: 1,
             step_s: Some(60.0),
             back_s: Some(300.0),
         },
-        state: RollState::Running,
+        state: RolloutState::Running,
         reason: String::new(),
         next: 0,
         late_before: None,
@@ -706,27 +720,27 @@
     /// Drains before the step, by machine name, each with the version of its record.
     drains: Vec<(String, (Drain, u64))>,
     /// Further changes to the rollout and the fleet before the step.
-    change: fn(&mut Roll, &mut FleetView),
+    change: fn(&mut Rollout, &mut FleetView),
     /// Machines whose drains are expected to begin.
     begin: &'a [&'a str],
     /// Machines whose drains are expected to end.
     end: &'a [&'a str],
     /// Expected state of the rollout after the step.
-    state: RollState,
+    state: RolloutState,
 }
 
 impl RolloutCase<'_> {
     /// Computes the next step of a rollout over these machines and asserts the expected result.
     fn check(self, hosts: &[&str]) {
         let name = self.name;
-        let mut rollout = rollout(hosts, AtMost::Machines(1));
+        let mut rollout = rollout(hosts, MaxOutOfUse::Machines(1));
         let mut fleet = fleet_view(self.out_of_use);
         fleet.drains = self.drains.into_iter().collect();
         (self.change)(&mut rollout, &mut fleet);
         match next_step(&rollout, &fleet, 20) {
             Some(step) => {
                 let reason = &step.rollout.reason;
-                let halted = self.state == RollState::Halted;
+                let halted = self.state == RolloutState::Halted;
                 assert_eq!(step.begin, self.begin, "{name}");
                 assert_eq!(step.end, self.end, "{name}");
                 assert_eq!(step.rollout.state, self.state, "{name}: {reason}");
@@ -741,7 +755,7 @@
 }
 
 /// Guards against a rollout that drains more machines of a zone than its limit allows, that
-/// continues although a promise of its plan is broken, or that never ends.
+/// continues although an expectation of its plan is exceeded, or that never ends.
 #[test]
 #[allow(clippy::too_many_lines, reason = "one table of cases")]
 fn rollout_steps() {
@@ -752,11 +766,11 @@
             at_ms,
             drained,
             roll: Some("kernel".into()),
-            ..drain_record(host, None, Rest::Leave)
+            ..drain_record(host, None, RemainingWork::Leave)
         };
         (host.to_string(), (drain, 3))
     };
-    use RollState::{Back, Done, Halted, Running};
+    use RolloutState::{Back, Done, Halted, Running};
     let cases: Vec<RolloutCase> = vec![
         RolloutCase {
             name: "one machine of each zone",
@@ -780,7 +794,7 @@
             name: "two machines of each zone",
             out_of_use: [0, 0],
             drains: vec![],
-            change: |rollout, _| rollout.at_most = AtMost::Machines(2),
+            change: |rollout, _| rollout.at_most = MaxOutOfUse::Machines(2),
             begin: &["m-0", "m-3", "m-1", "m-4"],
             end: &[],
             state: Running,
@@ -789,7 +803,7 @@
             name: "two thirds of each zone",
             out_of_use: [0, 0],
             drains: vec![],
-            change: |rollout, _| rollout.at_most = AtMost::Share(0.67),
+            change: |rollout, _| rollout.at_most = MaxOutOfUse::Share(0.67),
             begin: &["m-0", "m-3", "m-1", "m-4"],
             end: &[],
             state: Running,
@@ -798,7 +812,7 @@
             name: "a fraction below one machine",
             out_of_use: [0, 0],
             drains: vec![],
-            change: |rollout, _| rollout.at_most = AtMost::Share(0.01),
+            change: |rollout, _| rollout.at_most = MaxOutOfUse::Share(0.01),
             begin: &["m-0", "m-3"],
             end: &[],
             state: Running,
@@ -920,9 +934,9 @@
     }
     // A rollout that is halted or done takes no step.
     for state in [Halted, Done] {
-        let rollout = Roll {
+        let rollout = Rollout {
             state,
-            ..rollout(&hosts, AtMost::Machines(1))
+            ..rollout(&hosts, MaxOutOfUse::Machines(1))
         };
         assert_eq!(next_step(&rollout, &fleet_view([0, 0]), 20), None);
     }
@@ -935,27 +949,27 @@
 /// its present state.
 #[test]
 fn rollout_orders_allow_only_valid_state_changes() {
-    use RollState::{Back, Done, Halted, Running};
+    use RolloutState::{Back, Done, Halted, Running};
     let cases = [
-        (Turn::Halt, Running, Some(Halted)),
-        (Turn::Halt, Halted, None),
-        (Turn::Resume, Halted, Some(Running)),
-        (Turn::Resume, Done, None),
-        (Turn::Back, Running, Some(Back)),
-        (Turn::Back, Halted, Some(Back)),
-        (Turn::Back, Done, None),
-        (Turn::Forget, Running, None),
+        (RolloutAction::Halt, Running, Some(Halted)),
+        (RolloutAction::Halt, Halted, None),
+        (RolloutAction::Resume, Halted, Some(Running)),
+        (RolloutAction::Resume, Done, None),
+        (RolloutAction::Back, Running, Some(Back)),
+        (RolloutAction::Back, Halted, Some(Back)),
+        (RolloutAction::Back, Done, None),
+        (RolloutAction::Forget, Running, None),
     ];
     for (turn, state, expected) in cases {
-        let order = TurnOrder {
+        let order = RolloutActionOrder {
             name: "kernel".into(),
             by: "someone".into(),
             turn,
         };
-        let rollout = Roll {
+        let rollout = Rollout {
             state,
             late_before: Some(3),
-            ..rollout(&["m-0"], AtMost::Machines(1))
+            ..rollout(&["m-0"], MaxOutOfUse::Machines(1))
         };
         let next = rollouts::apply_turn(&rollout, &order);
         match (next, expected) {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -11,7 +11,7 @@
 use foxspur::coordination::leadership::confirmed_cancellations::ConfirmedCancellations;
 use foxspur::coordination::recent::RecentMap;
 use foxspur::coordination::scheduler::state::Scheduler;
-use foxspur::protocol::admin::{DrainOrder, Rest};
+use foxspur::protocol::admin::{DrainOrder, RemainingWork};
 use foxspur::protocol::job::{JobState, Urgency};
 use foxspur::protocol::mesh::{self, Topic};
 use foxspur::protocol::worker::Phase;
@@ -111,7 +111,7 @@
         by: "operator".into(),
         why: "the site moves".into(),
         deadline_s: None,
-        rest: Rest::Leave,
+        rest: RemainingWork::Leave,
         term: None,
     };
     assert_eq!(
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -110,7 +110,7 @@
         let version = if is_known { 7 } else { 0 };
         let key = machine_chunk_key(*number);
         let condition = transaction
-            .conds
+            .conditions
             .iter()
             .find(|condition| condition.key == key);
         assert_eq!(
--- a/tests/simulated/state.rs
+++ b/tests/simulated/state.rs
@@ -2,7 +2,9 @@
 //! and watches.
 
 use super::{Call, Cluster, WATCH_POLL_INTERVAL};
-use foxspur::protocol::state::{Entry, Event, Lease, LeaseRequest, Listing, News, Revision, Txn};
+use foxspur::protocol::state::{
+    Entry, Event, Lease, LeaseRequest, Listing, Revision, Txn, WatchReply,
+};
 use foxspur::storage::records;
 use foxspur_testbed::store::Refusal;
 use serde_json::json;
@@ -124,11 +126,11 @@
     }
 
     /// The changes of keys under `prefix` after the revision `since`.
-    fn changes(&self, prefix: &str, since: u64) -> News {
+    fn changes(&self, prefix: &str, since: u64) -> WatchReply {
         let store = self.store.borrow();
         let changes = store.log.iter();
         let wanted = changes.filter(|logged| logged.0 > since && logged.1.starts_with(prefix));
-        News {
+        WatchReply {
             revision: store.revision,
             events: wanted
                 .map(|logged| Event::new(logged.1.clone(), logged.2.clone(), logged.0))
--- a/tests/simulation/leader.rs
+++ b/tests/simulation/leader.rs
@@ -73,7 +73,7 @@
             let Some(worker) = self.workers.iter().position(|w| *w.id == *name) else {
                 continue;
             };
-            let to_worker = |call: Direct, timed_out: bool| Message::Call {
+            let to_worker = |call: DirectCommands, timed_out: bool| Message::Call {
                 worker,
                 leader: base_term,
                 call,
@@ -228,9 +228,9 @@
                 at_ms: 0,
                 deadline_ms: Some(((self.now + deadline_in_s) * 1000.0) as u64),
                 rest: if self.rng.random_bool(0.5) {
-                    Rest::Stop
+                    RemainingWork::Stop
                 } else {
-                    Rest::Leave
+                    RemainingWork::Leave
                 },
                 drained: None,
                 roll: None,
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -20,9 +20,11 @@
 use foxspur::coordination::scheduler::job::Name;
 use foxspur::coordination::scheduler::machine::{Attempt, MachineStatus};
 use foxspur::coordination::scheduler::state::Scheduler;
-use foxspur::protocol::admin::{Drain, Rest};
+use foxspur::protocol::admin::{Drain, RemainingWork};
 use foxspur::protocol::job::{JobSpec, Urgency};
-use foxspur::protocol::worker::{Cause, Command, Direct, Phase, Reply, Report, Shown};
+use foxspur::protocol::worker::{
+    AttemptStatus, Cause, Command, DirectCommands, Phase, Reply, Report,
+};
 use foxspur::storage::completed_tasks::CompletedTasks;
 use foxspur::storage::records::{LiveJob, MachineInfo, TOKENS_PER_TERM};
 use leader::{JobAnnouncement, Leader};
--- a/tests/simulation/network.rs
+++ b/tests/simulation/network.rs
@@ -27,14 +27,14 @@
     Call {
         worker: usize,
         leader: u64,
-        call: Direct,
+        call: DirectCommands,
         /// Whether the sender awaits no answer: the call has timed out, or this message is a copy.
         timed_out: bool,
     },
     CallEnded {
         worker: usize,
         leader: u64,
-        call: Direct,
+        call: DirectCommands,
         result: CallResult,
     },
 }
@@ -58,7 +58,7 @@
     }
 
     /// The end of a call by a time-out, as the caller notices it.
-    pub(crate) fn no_answer(worker: usize, leader: u64, call: Direct) -> Message {
+    pub(crate) fn no_answer(worker: usize, leader: u64, call: DirectCommands) -> Message {
         Message::CallEnded {
             worker,
             leader,
@@ -358,7 +358,13 @@
         self.execute(index, &reply.commands);
     }
 
-    fn worker_receives_call(&mut self, index: usize, leader: u64, call: Direct, timed_out: bool) {
+    fn worker_receives_call(
+        &mut self,
+        index: usize,
+        leader: u64,
+        call: DirectCommands,
+        timed_out: bool,
+    ) {
         let now = self.now;
         let hung_until = self.workers[index].hung_until;
         if hung_until > now {
@@ -412,7 +418,7 @@
         let machine = receiver.and_then(|l| l.scheduler.machines.get(&*report.machine));
         let first = machine.is_some_and(|m| m.last_message == MessageId::NONE);
         let worker = &self.workers[index];
-        let is_gone = |t: &Shown| !worker.tasks.contains_key(&(t.task.clone(), t.attempt));
+        let is_gone = |t: &AttemptStatus| !worker.tasks.contains_key(&(t.task.clone(), t.attempt));
         let earlier = report.session < worker.session;
         let gone = report.tasks.iter().any(is_gone);
         let coincidences = &mut self.coincidences;
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -2,7 +2,7 @@
 //! connection pool keeps connections to workers open for later calls, also to workers that no
 //! longer exist. Therefore the client must close such connections.
 
-use foxspur::protocol::worker::Direct;
+use foxspur::protocol::worker::DirectCommands;
 use foxspur::transport::clients::WorkerClient;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -47,7 +47,7 @@
 /// of connections that were open at a time.
 async fn call_workers_of_a_changing_fleet() {
     let client = WorkerClient::with_sockets(64, 1.0);
-    let commands = Direct {
+    let commands = DirectCommands {
         token: 1,
         session: 1,
         commands: Vec::new(),
