--- a/crates/plan/src/simulation.rs
+++ b/crates/plan/src/simulation.rs
@@ -325,7 +325,7 @@
 fn job_facts(scheduler: &Scheduler, spec: Rc<JobSpec>) -> JobFacts {
     let known = scheduler.jobs.get(spec.id.as_str());
     JobFacts {
-        predicted_s: known.map_or(0.0, |known| scheduler.predict(known)),
+        predicted_s: known.map_or(0.0, |known| scheduler.predicted_run_time_s(known)),
         spec,
     }
 }
--- a/examples/owner.rs
+++ b/examples/owner.rs
@@ -122,7 +122,7 @@
         return false;
     };
     if let HeartbeatReply::Commands(reply) = scheduler.handle_heartbeat(&report, now) {
-        scheduler.remember_heartbeat(&report.machine, MessageId::of(&report), tasks.get());
+        scheduler.store_task_list(&report.machine, MessageId::of(&report), tasks.get());
         worker.token = reply.token;
         worker.execute(&reply.commands, now, rng);
     }
--- a/src/app.rs
+++ b/src/app.rs
@@ -47,7 +47,7 @@
 
 /// Starts the front server, which serves users, workers and health checks.
 async fn serve_front(node: &Rc<Node>) -> std::io::Result<()> {
-    let sockets = node.workers.process_sockets();
+    let sockets = node.workers.socket_budget();
     // Within two worker leases, workers send several heartbeats and users poll several times.
     let idle_timeout_s = (2.0 * node.settings.cluster.workers.lease_s).max(MIN_IDLE_TIMEOUT_S);
     let idle_timeout = Duration::from_secs_f64(idle_timeout_s);
@@ -62,7 +62,7 @@
 
 /// Starts the mesh server, which serves the other controllers.
 async fn serve_mesh(node: &Rc<Node>) -> std::io::Result<()> {
-    let sockets = node.workers.process_sockets();
+    let sockets = node.workers.socket_budget();
     let app = App::new()
         .app_data(Data::new(node.clone()))
         .app_data(PayloadConfig::new(MAX_BODY))
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -18,14 +18,14 @@
 
 fn start_command(key: &AttemptId) -> Command {
     Command::Start {
-        task: key.task.wire(),
+        task: key.task.wire_name(),
         attempt: key.number,
     }
 }
 
 fn stop_command(key: &AttemptId, grace_s: f64) -> Command {
     Command::Stop {
-        task: key.task.wire(),
+        task: key.task.wire_name(),
         attempt: key.number,
         grace_s,
     }
@@ -33,7 +33,7 @@
 
 fn forget_command(key: &AttemptId) -> Command {
     Command::Forget {
-        task: key.task.wire(),
+        task: key.task.wire_name(),
         attempt: key.number,
     }
 }
--- a/src/coordination/agents/dispatcher.rs
+++ b/src/coordination/agents/dispatcher.rs
@@ -137,14 +137,14 @@
             scheduler.collect_garbage();
             let workers = &self.node.workers;
             let (incoming_connections, worker_connections) = (
-                workers.process_sockets().incoming.get(),
+                workers.socket_budget().incoming.get(),
                 workers.kept_connections(),
             );
             tracing::info!(
                 incoming_connections,
                 worker_connections,
                 "load {}",
-                scheduler.summary()
+                scheduler.load_summary()
             );
         }
     }
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -45,7 +45,7 @@
 struct HeartbeatTiming {
     now: f64,
     /// The time since which this process has received messages without a pause of its own.
-    listening_since: f64,
+    receiving_since: f64,
     lease_s: f64,
     /// Maximum time by which a newer message can precede a heartbeat that is not a copy, in
     /// seconds.
@@ -70,7 +70,7 @@
         // session may be from the present or the previous incarnation. A heartbeat of the
         // next session is unambiguous.
         let ambiguous = machine.session_numbering_restarted && same_or_older_session;
-        let newest_at = machine.heard_at.max(timing.listening_since);
+        let newest_at = machine.heard_at.max(timing.receiving_since);
         let too_old = stale && timing.now - newest_at > timing.max_overtaken_s;
         if early || lower_token || ambiguous || too_old {
             HeartbeatClass::OtherIncarnation
@@ -119,7 +119,7 @@
             machine.last_message.seq = head.seq;
             machine.heard_at = now;
             machine.answered_at = Some(now);
-            machine.delivery.answered(token);
+            machine.delivery.record_reply(token);
             self.advance_clock(now);
         }
         repeats.then_some(token)
@@ -127,7 +127,7 @@
 
     /// Stores the heartbeat's task list in its received form, if a further heartbeat with the
     /// same list would bring no new information and need no command.
-    pub fn remember_heartbeat(&mut self, name: &str, message: MessageId, tasks: &str) {
+    pub fn store_task_list(&mut self, name: &str, message: MessageId, tasks: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
             let steady = machine.last_message == message
                 && machine.attempts.values().all(Attempt::is_steady);
@@ -174,7 +174,7 @@
     fn heartbeat_timing(&self, now: f64) -> HeartbeatTiming {
         HeartbeatTiming {
             now,
-            listening_since: self.listening_since(now),
+            receiving_since: self.receiving_since(now),
             lease_s: self.config.lease_s,
             // A heartbeat that is not a copy can be overtaken only while its worker waits
             // for the answer. After that time the worker sends its next heartbeat.
@@ -219,9 +219,7 @@
     /// direct calls started in the meantime.
     fn doubt_delivery(&mut self, name: &Name, now: f64) {
         if let Some(machine) = self.machines.get_mut(name) {
-            machine
-                .delivery
-                .message_received(Evidence::Undelivered, now);
+            machine.delivery.record_evidence(Evidence::Undelivered, now);
             machine.restart_suspected_at.get_or_insert(now);
         }
         self.machines_with_doubtful_delivery.insert(name.clone());
@@ -242,7 +240,7 @@
         if let Some(machine) = self.machines.get_mut(name) {
             token = machine.token_under(self.term);
             machine.answered_at = Some(now);
-            machine.delivery.answered(token);
+            machine.delivery.record_reply(token);
             machine.unchanged_task_list = None;
         }
         Reply { token, commands }
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -55,17 +55,17 @@
     now: f64,
     evidence: &mut EvidenceSummary,
 ) {
-    let highest_sent_term = machine.delivery.highest_sent_term;
-    if report.token < highest_sent_term {
+    let highest_sent_token = machine.delivery.highest_sent_token;
+    if report.token < highest_sent_token {
         evidence.add(Evidence::Undelivered);
-    } else if machine.seen_token < highest_sent_term {
+    } else if machine.seen_token < highest_sent_token {
         evidence.add(Evidence::Delivered);
     }
     machine
         .delivery
-        .next_heartbeat_after(now - machine.heard_at);
+        .record_heartbeat_interval(now - machine.heard_at);
     let newer_session = report.session > machine.last_message.session;
-    if newer_session && machine.delivery.session_ended() && ended_session_counts {
+    if newer_session && machine.delivery.record_session_end() && ended_session_counts {
         evidence.add(Evidence::Undelivered);
     }
 }
@@ -146,7 +146,7 @@
         now: f64,
     ) {
         // A session that ended while this process was paused is no evidence on delivery.
-        let listening_steadily = now - self.listening_since(now) > self.config.lease_s;
+        let listening_steadily = now - self.receiving_since(now) > self.config.lease_s;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -258,9 +258,7 @@
             machine.idle_since = now;
         }
         let doubted_before = machine.delivery.is_doubtful();
-        machine
-            .delivery
-            .message_received(evidence.conclusion(), now);
+        machine.delivery.record_evidence(evidence.conclusion(), now);
         let doubted = machine.delivery.is_doubtful();
         if doubted != doubted_before {
             tracing::info!(
--- a/src/coordination/agents/task_reconciliation.rs
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -66,7 +66,7 @@
         return false;
     }
     attempt.counted_as_running = runs;
-    let is_first = runs && job.note_running();
+    let is_first = runs && job.record_running();
     job.running = if runs {
         job.running + 1
     } else {
@@ -195,7 +195,7 @@
                 }
             }
         }
-        machine.used_image(&spec.image, spec.image_gb, cache_gb);
+        machine.record_image_use(&spec.image, spec.image_gb, cache_gb);
     }
 
     /// Reconciles an attempt that has ended since the previous message.
@@ -283,7 +283,7 @@
     /// not know the job's description. `cause` says which.
     fn start_refused(&mut self, name: &Name, task: &TaskId, cause: Cause, now: f64) {
         tracing::info!(
-            task = %task.wire(),
+            task = %task.wire_name(),
             machine = %name,
             cause = ?Some(cause),
             "worker refused to start task"
--- a/src/coordination/agents/unhealthy_machines.rs
+++ b/src/coordination/agents/unhealthy_machines.rs
@@ -51,7 +51,7 @@
             return true;
         };
         let ran_s = now - running_since;
-        let remaining_s = (self.predict(job) - ran_s).max(0.0);
+        let remaining_s = (self.predicted_run_time_s(job) - ran_s).max(0.0);
         let ends_in_time = remaining_s <= terminated_at - now;
         let saves_checkpoints = job.spec.checkpoint_s > 0.0;
         !ends_in_time && saves_checkpoints
--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -134,7 +134,7 @@
         let now = self.now;
         let spec = &job.spec;
         let ran_s = attempt.running_since.map_or(0.0, |t| now - t);
-        let predicted_s = self.predict(job);
+        let predicted_s = self.predicted_run_time_s(job);
         let (lost_cpu_s, grace_s) = stop_loss_and_grace(spec, ran_s, false);
         // On another machine the task must fetch its image and repeat the work that this attempt
         // has done since its last checkpoint.
@@ -150,7 +150,7 @@
             rerun_s: self.image_fetch_s(machine, spec) + grace_s + remaining_s,
             due_in_s: self.next_due_times(job, now),
             until_deadline_s: active_drain.deadline_at.map(|d| d - now),
-            at_deadline: active_drain.drain.rest,
+            deadline_action: active_drain.drain.rest,
             relocation: self.relocation(job),
         })
     }
@@ -209,7 +209,7 @@
         let names: Vec<Name> = self.drains.keys().cloned().collect();
         for name in names {
             for Eviction { attempt, cost } in self.due_evictions(&name) {
-                tracing::info!(task = %attempt.task.wire(), machine = %name, lost_cpu_s = cost.lost_cpu_s, "evicted from a draining machine");
+                tracing::info!(task = %attempt.task.wire_name(), machine = %name, lost_cpu_s = cost.lost_cpu_s, "evicted from a draining machine");
                 self.stop_attempt(&name, &attempt, cost.grace_s);
             }
         }
@@ -312,7 +312,7 @@
         let keep_reason = decisions
             .into_iter()
             .find_map(|(key, decision)| match decision {
-                DrainDecision::Keep(why) => Some(format!("{}: {why}", key.task.wire())),
+                DrainDecision::Keep(why) => Some(format!("{}: {why}", key.task.wire_name())),
                 _ => None,
             });
         let overdue = active_drain.deadline_at.is_some_and(|d| now > d);
--- a/src/coordination/fleet/eviction.rs
+++ b/src/coordination/fleet/eviction.rs
@@ -56,7 +56,7 @@
     /// Time until the drain's deadline; negative after the deadline, `None` if the drain has none.
     pub until_deadline_s: Option<f64>,
     /// Whether the attempt is stopped at the drain's deadline if it still runs then.
-    pub at_deadline: RemainingWork,
+    pub deadline_action: RemainingWork,
     /// Whether the attempt's task can run on another machine.
     pub relocation: Relocation,
 }
@@ -76,7 +76,7 @@
     /// deadline.
     fn must_stop_now(&self) -> bool {
         let past_deadline = self.until_deadline_s.is_some_and(|left| left <= 0.0);
-        past_deadline && self.at_deadline == RemainingWork::Stop
+        past_deadline && self.deadline_action == RemainingWork::Stop
     }
 
     /// Whether the attempt is expected to end by itself before the drain's deadline.
--- a/src/coordination/fleet/machine_record_writer.rs
+++ b/src/coordination/fleet/machine_record_writer.rs
@@ -68,7 +68,7 @@
     scheduler.machine_record_dirty = has_more;
     changes.truncate(fitting_count);
     Some(RecordWrite {
-        txn: machine_record::txn(&written, &changes, shard_version),
+        txn: machine_record::write_txn(&written, &changes, shard_version),
         base_term: scheduler.fence.base_term,
         changes,
         has_more,
@@ -96,7 +96,7 @@
     let mut written = node.machine_record.borrow_mut();
     for (chunk, machines) in write.changes {
         scheduler.machine_record_written(&machines);
-        written.set(chunk, machines, version);
+        written.record_chunk(chunk, machines, version);
     }
     write.has_more
 }
--- a/src/coordination/fleet/scale_out.rs
+++ b/src/coordination/fleet/scale_out.rs
@@ -1,7 +1,7 @@
 //! Scaling out: pure functions that decide which additional machines to rent.
 
 use crate::coordination::scheduler::machine::MachineStatus;
-use crate::coordination::scheduler::state::{Scheduler, Types};
+use crate::coordination::scheduler::state::{MachineTypes, Scheduler};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::job::JobSpec;
 use crate::storage::records::{fits_type, MachineInfo};
@@ -67,7 +67,7 @@
 }
 
 /// Boot time of a machine of the type with this name, in seconds.
-pub(super) fn boot_s(types: &Types, kind: &str) -> f64 {
+pub(super) fn boot_s(types: &MachineTypes, kind: &str) -> f64 {
     types.get(kind).map_or(DEFAULT_BOOT_S, |t| t.boot_s)
 }
 
@@ -132,7 +132,7 @@
 /// for spot machines), shortest first.
 fn candidates(
     demand: &Demand,
-    types: &Types,
+    types: &MachineTypes,
     available: impl Fn(&Offer) -> bool,
 ) -> Vec<Candidate> {
     let mut candidates = Vec::new();
@@ -166,7 +166,7 @@
 /// until they cover the missing CPUs. `headroom` is the reserve as a fraction of the needed CPUs.
 pub fn plan(
     demand: &Demand,
-    types: &Types,
+    types: &MachineTypes,
     headroom: f64,
     available: impl Fn(&Offer) -> bool,
 ) -> Vec<RentalPlan> {
--- a/src/coordination/jobs/live_job_watch.rs
+++ b/src/coordination/jobs/live_job_watch.rs
@@ -22,7 +22,7 @@
 
 /// Starts a watch that applies the changes of live jobs after `revision` to the scheduler of
 /// `term`, for as long as that scheduler exists.
-pub fn follow(node: Rc<Node>, term: u64, revision: u64) {
+pub fn watch_live_jobs(node: Rc<Node>, term: u64, revision: u64) {
     let mut watch = LiveJobWatch {
         wait_s: watch_wait_s(&node.settings.cluster.workers),
         node,
--- a/src/coordination/jobs/lookup.rs
+++ b/src/coordination/jobs/lookup.rs
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 /// The state service could not be read, or its responses came too late to be passed on.
-pub async fn find(node: &Rc<Node>, id: &str) -> Result<JobLookup, ServiceError> {
+pub async fn look_up(node: &Rc<Node>, id: &str) -> Result<JobLookup, ServiceError> {
     for _ in 0..MAX_READS {
         if let Some(state) = node.terminal_states.borrow().get(id) {
             return Ok(JobLookup::Terminal(state));
--- a/src/coordination/leadership/loops/failover.rs
+++ b/src/coordination/leadership/loops/failover.rs
@@ -222,5 +222,5 @@
     let revision = scheduler.watched_revision;
     *node.machine_record.borrow_mut() = machine_record;
     *node.scheduler.borrow_mut() = Some(scheduler);
-    live_job_watch::follow(node.clone(), term, revision);
+    live_job_watch::watch_live_jobs(node.clone(), term, revision);
 }
--- a/src/coordination/leadership/loops/leader_loop.rs
+++ b/src/coordination/leadership/loops/leader_loop.rs
@@ -94,13 +94,13 @@
     let mut scheduler = node.scheduler.borrow_mut();
     let unfenced = scheduler
         .as_mut()
-        .filter(|scheduler| scheduler.fence.former_leaders_silent_since.is_none());
+        .filter(|scheduler| scheduler.fence.former_leaders_stopped_since.is_none());
     let Some(scheduler) = unfenced else {
         return;
     };
     let (now, now_ms) = (node.now(), node.wall_ms());
     if node.leadership.borrow().former_leaders_fenced(now, now_ms) {
         tracing::info!(term = scheduler.term, "all former leaders are fenced");
-        scheduler.fence.former_leaders_silent_since = Some(now);
+        scheduler.fence.former_leaders_stopped_since = Some(now);
     }
 }
--- a/src/coordination/leadership/loops/peer_calls.rs
+++ b/src/coordination/leadership/loops/peer_calls.rs
@@ -60,7 +60,7 @@
         .scheduler
         .borrow()
         .as_ref()
-        .is_some_and(|scheduler| scheduler.fence.former_leaders_silent_since.is_none());
+        .is_some_and(|scheduler| scheduler.fence.former_leaders_stopped_since.is_none());
     if !unfenced {
         return;
     }
--- a/src/coordination/leadership/peer_queries.rs
+++ b/src/coordination/leadership/peer_queries.rs
@@ -101,7 +101,7 @@
     /// may still be carried out, because the takeover assumes that the leader stops answering
     /// workers.
     pub fn may_report_cancellations_to(&self, term: u64) -> bool {
-        self.knows_no_later_leader(term)
+        self.knows_no_higher_term(term)
             && self
                 .attempted_version
                 .is_none_or(|version| self.view.shard_version() > version)
--- a/src/coordination/leadership/state.rs
+++ b/src/coordination/leadership/state.rs
@@ -159,7 +159,7 @@
 
     /// Whether we know of no leader with a term higher than `term`. False until the control
     /// prefix has been listed.
-    pub fn knows_no_later_leader(&self, term: u64) -> bool {
+    pub fn knows_no_higher_term(&self, term: u64) -> bool {
         let known_term = self.view.shard.as_ref().map_or(0, |(shard, _)| shard.term);
         self.view.loaded && known_term <= term && self.promised_term <= term
     }
--- a/src/coordination/scheduler/capacity_index.rs
+++ b/src/coordination/scheduler/capacity_index.rs
@@ -9,7 +9,7 @@
 //! `CapacityIndex::entries` holds each machine's position in the two lists of its pool.
 
 use crate::coordination::scheduler::job::Name;
-use crate::coordination::scheduler::resources::{Resources, Types, ROUNDING_TOLERANCE};
+use crate::coordination::scheduler::resources::{MachineTypes, Resources, ROUNDING_TOLERANCE};
 use crate::protocol::job::JobSpec;
 use crate::storage::records::{fits_type, MachineInfo};
 use foldhash::fast::RandomState;
@@ -89,7 +89,7 @@
 pub(crate) struct Availability {
     pub free_cpus: f64,
     /// Whether the machine's queue has room for another task.
-    pub has_short_queue: bool,
+    pub has_queue_room: bool,
 }
 
 /// The position of a machine in the index.
@@ -125,7 +125,7 @@
     fn availability(&self) -> Availability {
         Availability {
             free_cpus: self.free_cpus,
-            has_short_queue: self.short_queue_position.is_some(),
+            has_queue_room: self.short_queue_position.is_some(),
         }
     }
 }
@@ -167,7 +167,7 @@
         }
         let Availability {
             free_cpus,
-            has_short_queue,
+            has_queue_room,
         } = availability;
         self.remove(name);
         // An indexed machine stays in its pool.
@@ -189,9 +189,9 @@
         let entry = IndexEntry {
             pool: pool_index,
             free_cpus,
-            short_queue_position: has_short_queue.then_some(pool.short_queue.len()),
+            short_queue_position: has_queue_room.then_some(pool.short_queue.len()),
         };
-        if has_short_queue {
+        if has_queue_room {
             pool.short_queue.push(name.clone());
         }
         self.entries.insert(name.clone(), entry);
@@ -219,7 +219,7 @@
     pub(crate) fn pools_for(
         &self,
         spec: &JobSpec,
-        types: &Types,
+        types: &MachineTypes,
         allows_zone: impl Fn(&str) -> bool,
     ) -> Vec<usize> {
         let is_usable = |pool: &MachinePool| {
@@ -300,7 +300,7 @@
 
 /// Whether the job may use machines of the type `kind` in this zone, regardless of free capacity.
 /// Spot machines are only for jobs that accept them.
-fn is_allowed(spec: &JobSpec, kind: &str, zone: &str, spot: bool, types: &Types) -> bool {
+fn is_allowed(spec: &JobSpec, kind: &str, zone: &str, spot: bool, types: &MachineTypes) -> bool {
     (spec.spot || !spot)
         && spec.zone.as_ref().is_none_or(|required| required == zone)
         && types
@@ -309,6 +309,6 @@
 }
 
 /// Whether the job may use the machine, regardless of free capacity.
-pub(crate) fn may_use(spec: &JobSpec, info: &MachineInfo, types: &Types) -> bool {
+pub(crate) fn may_use(spec: &JobSpec, info: &MachineInfo, types: &MachineTypes) -> bool {
     is_allowed(spec, &info.kind, &info.zone, info.spot, types)
 }
--- a/src/coordination/scheduler/delivery.rs
+++ b/src/coordination/scheduler/delivery.rs
@@ -68,22 +68,22 @@
     /// reply arrived.
     awaiting_effect: bool,
     /// Highest fencing token in a reply to the machine so far.
-    pub highest_sent_term: u64,
+    pub highest_sent_token: u64,
 }
 
 impl Delivery {
     /// Records that a reply with this fencing token is sent to the machine.
-    pub fn answered(&mut self, token: u64) {
-        self.highest_sent_term = self.highest_sent_term.max(token);
+    pub fn record_reply(&mut self, token: u64) {
+        self.highest_sent_token = self.highest_sent_token.max(token);
         self.awaiting_effect = true;
     }
 
     /// Records the evidence from a message that is newer than all earlier messages.
-    pub fn message_received(&mut self, evidence: Evidence, now: f64) {
+    pub fn record_evidence(&mut self, evidence: Evidence, now: f64) {
         match evidence {
             Evidence::Delivered => {
                 *self = Delivery {
-                    highest_sent_term: self.highest_sent_term,
+                    highest_sent_token: self.highest_sent_token,
                     ..Delivery::default()
                 }
             }
@@ -98,7 +98,7 @@
     /// Records that a heartbeat arrived `interval_s` seconds after the previous message. If this
     /// interval is shorter than the time-out of the worker, the worker must have received the
     /// reply to its previous heartbeat.
-    pub fn next_heartbeat_after(&mut self, interval_s: f64) {
+    pub fn record_heartbeat_interval(&mut self, interval_s: f64) {
         if interval_s < ANSWER_TIMEOUT_S {
             self.awaiting_effect = false;
         }
@@ -106,7 +106,7 @@
 
     /// Records that a newer session began. Returns true if heartbeats of the previous session
     /// were answered, but the session ended without evidence that a reply arrived.
-    pub fn session_ended(&mut self) -> bool {
+    pub fn record_session_end(&mut self) -> bool {
         std::mem::take(&mut self.awaiting_effect)
     }
 
--- a/src/coordination/scheduler/fence.rs
+++ b/src/coordination/scheduler/fence.rs
@@ -12,17 +12,17 @@
     pub base_term: u64,
     /// The time after which no former leader can have answered a worker; `None` while this time
     /// is unknown.
-    pub former_leaders_silent_since: Option<f64>,
+    pub former_leaders_stopped_since: Option<f64>,
     /// Placement is allowed, since no machine blocked it any more. Once true, this stays true.
     pub placement_allowed: bool,
 }
 
 impl Fence {
     /// A fence that blocks placement after a takeover under the term `base_term`.
-    pub fn new(base_term: u64, former_leaders_silent_since: Option<f64>) -> Fence {
+    pub fn new(base_term: u64, former_leaders_stopped_since: Option<f64>) -> Fence {
         Fence {
             base_term,
-            former_leaders_silent_since,
+            former_leaders_stopped_since,
             placement_allowed: false,
         }
     }
@@ -31,7 +31,7 @@
     /// lease, with its safety margin, after the last time at which a former leader could have
     /// renewed the machine's lease. `None` while that last time is unknown.
     pub fn empty_from(&self, lease_with_margin_s: f64) -> Option<f64> {
-        self.former_leaders_silent_since
+        self.former_leaders_stopped_since
             .map(|since| since + lease_with_margin_s)
     }
 }
--- a/src/coordination/scheduler/job.rs
+++ b/src/coordination/scheduler/job.rs
@@ -49,7 +49,7 @@
 
 impl TaskId {
     /// The task's name in the worker protocol: `job/index`.
-    pub fn wire(&self) -> String {
+    pub fn wire_name(&self) -> String {
         format!("{}/{}", self.job, self.index)
     }
 
@@ -268,7 +268,7 @@
 
     /// Records that a task of the job runs. Returns true if no task of the job was reported as
     /// running or completed before.
-    pub fn note_running(&mut self) -> bool {
+    pub fn record_running(&mut self) -> bool {
         self.description_unknown = false;
         !std::mem::replace(&mut self.started, true) && self.completed.is_empty()
     }
--- a/src/coordination/scheduler/load.rs
+++ b/src/coordination/scheduler/load.rs
@@ -49,7 +49,7 @@
 
     /// Describes the load in one log line: the capacity of the machines, then for each class
     /// of jobs the occupied CPUs and the number of waiting tasks.
-    pub fn summary(&self) -> String {
+    pub fn load_summary(&self) -> String {
         let mut classes: BTreeMap<&str, ClassLoad> = BTreeMap::new();
         for job in self.jobs.values().filter(|job| !job.finished) {
             let load = classes.entry(&job.spec.class).or_default();
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -37,7 +37,7 @@
     /// Predicted run time of the task, in seconds.
     pub predicted_s: f64,
     /// When the task was queued.
-    pub since: f64,
+    pub queued_at: f64,
     /// Why the task is in this queue.
     pub reason: QueueReason,
 }
@@ -193,7 +193,7 @@
 
     /// Records that an image of `image_gb` gigabytes was used. Evicts the least recently used
     /// of the other images while the total size exceeds `cache_gb`.
-    pub fn used_image(&mut self, image: &str, image_gb: f64, cache_gb: f64) {
+    pub fn record_image_use(&mut self, image: &str, image_gb: f64, cache_gb: f64) {
         self.images.retain(|(name, _)| name != image);
         self.images.push((image.to_string(), image_gb));
         let total_gb =
@@ -292,6 +292,6 @@
 }
 
 /// The machine's name, as a key for the scheduler's maps.
-pub fn name(info: &MachineInfo) -> Name {
+pub fn machine_name(info: &MachineInfo) -> Name {
     info.id.as_str().into()
 }
--- a/src/coordination/scheduler/machines.rs
+++ b/src/coordination/scheduler/machines.rs
@@ -26,7 +26,7 @@
 
     /// Adds a machine that the machine record listed at the takeover.
     pub fn add_recorded_machine(&mut self, info: MachineInfo, now: f64) {
-        let name = machine::name(&info);
+        let name = machine::machine_name(&info);
         let cordoned = self.drains.contains_key(&name);
         // A machine that was drained and proven empty does not block placement. No leader
         // starts tasks on such a machine while its drain record exists. A controller that
@@ -56,7 +56,7 @@
         if usable {
             let availability = Availability {
                 free_cpus: free.cpus,
-                has_short_queue: machine.queue.len() < queue_depth,
+                has_queue_room: machine.queue.len() < queue_depth,
             };
             self.capacity_index
                 .insert_or_move(key, &machine.info, availability);
@@ -66,7 +66,7 @@
         let has_grown = !machine.indexed || !machine.free_capacity.fits(&free);
         if usable && has_grown {
             self.capacity_index.capacity_grew(&free);
-            self.capacity_changes.grown.push(free);
+            self.capacity_changes.grown_free_capacity.push(free);
             if !machine.queue.is_empty() {
                 self.capacity_changes.freed_machines.insert(key.clone());
             }
@@ -86,7 +86,7 @@
         machine.idle_since = self.now;
         let attempts = std::mem::take(&mut machine.attempts);
         let live_attempts = attempts.iter().filter(|(_, attempt)| !attempt.has_exited());
-        let lost_tasks: Vec<String> = live_attempts.map(|(id, _)| id.task.wire()).collect();
+        let lost_tasks: Vec<String> = live_attempts.map(|(id, _)| id.task.wire_name()).collect();
         if !lost_tasks.is_empty() {
             tracing::info!(
                 machine = name,
@@ -160,7 +160,7 @@
             }
             machine.recorded = true;
             if machine.blocks_placement() {
-                self.unfenced.insert(machine::name(info));
+                self.unfenced.insert(machine::machine_name(info));
             }
             self.update_capacity(&info.id);
             self.placement_due = true;
--- a/src/coordination/scheduler/order_refresh.rs
+++ b/src/coordination/scheduler/order_refresh.rs
@@ -138,7 +138,7 @@
         if job.is_complete() {
             return Some(left_s >= 0.0);
         }
-        (left_s < self.predict(job)).then_some(false)
+        (left_s < self.predicted_run_time_s(job)).then_some(false)
     }
 
     /// Raises the rank of the first jobs of each underserved group until the unfinished tasks of
@@ -249,7 +249,8 @@
         let mut rates: Vec<ReleaseRate> = Vec::new();
         for job in self.jobs.values().filter(|job| !job.placed.is_empty()) {
             let task_cpus = job.spec.cpus;
-            let cpus_per_s = job.placed.len() as f64 * task_cpus / self.predict(job).max(1.0);
+            let cpus_per_s =
+                job.placed.len() as f64 * task_cpus / self.predicted_run_time_s(job).max(1.0);
             match rates.iter_mut().find(|rate| rate.task_cpus == task_cpus) {
                 Some(rate) => rate.cpus_per_s += cpus_per_s,
                 None => rates.push(ReleaseRate {
--- a/src/coordination/scheduler/overview.rs
+++ b/src/coordination/scheduler/overview.rs
@@ -17,7 +17,7 @@
             jobs.live,
             jobs.stuck + jobs.failing + jobs.late,
             self.term,
-            self.summary(),
+            self.load_summary(),
             "state",
             "job",
             "class",
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -74,10 +74,10 @@
 
     fn run_pass(&mut self, now: f64, kind: PassKind) {
         self.now = now;
-        if !self.fencing_complete() {
+        if !self.allow_placement_if_fenced() {
             // The first pass after fencing treats all jobs as new, so the recorded capacity
             // changes are not needed.
-            self.capacity_changes.grown.clear();
+            self.capacity_changes.grown_free_capacity.clear();
             return;
         }
         self.placement_due = false;
--- a/src/coordination/scheduler/placement_pass.rs
+++ b/src/coordination/scheduler/placement_pass.rs
@@ -39,7 +39,7 @@
     pub freed_machines: Names,
     /// For each machine whose free capacity has grown since the last pass: its free capacity
     /// after the growth.
-    pub grown: Vec<Resources>,
+    pub grown_free_capacity: Vec<Resources>,
 }
 
 /// Selects the jobs of a pass, and the effort for each.
@@ -71,7 +71,7 @@
         if self.kind == PassKind::Full || job.has_new_tasks.get() {
             return Some(Effort::Thorough);
         }
-        let mut grown = self.changes.grown.iter();
+        let mut grown = self.changes.grown_free_capacity.iter();
         if !grown.any(|free| free.fits(&job.requirements)) {
             return None;
         }
--- a/src/coordination/scheduler/precedence.rs
+++ b/src/coordination/scheduler/precedence.rs
@@ -51,7 +51,7 @@
     fn job_times(&self, job: &Job, now: f64) -> JobTimes {
         JobTimes {
             age_s: now - job.accepted_at,
-            predicted_s: self.predict(job),
+            predicted_s: self.predicted_run_time_s(job),
         }
     }
 
--- a/src/coordination/scheduler/prediction.rs
+++ b/src/coordination/scheduler/prediction.rs
@@ -10,7 +10,7 @@
     /// Predicted run time of a task in seconds: the job's estimate, else the recent median of
     /// its class, else the recent median over all classes, else the duration of a worker's lease.
     /// For a service, the prediction is always the estimate.
-    pub fn predict(&self, job: &Job) -> f64 {
+    pub fn predicted_run_time_s(&self, job: &Job) -> f64 {
         if job.spec.estimate_s > 0.0 || job.spec.shape == Shape::Service {
             return job.spec.estimate_s;
         }
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -172,7 +172,7 @@
         let machine = plan.machine;
         for PlannedStop { attempt, grace_s } in plan.stops {
             let task = &attempt.task;
-            tracing::info!(task = %task.wire(), machine = %machine, for_job, "stopped to make room");
+            tracing::info!(task = %task.wire_name(), machine = %machine, for_job, "stopped to make room");
             if let Some(victim) = self.jobs.get_mut(&task.job) {
                 *victim.preemptions.entry(task.index).or_default() += 1;
             }
@@ -230,7 +230,7 @@
         !pass
             .usage
             .of(team)
-            .less(freed)
+            .minus(freed)
             .admits(Some(limit), spec, 1.0)
     }
 
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -43,8 +43,8 @@
         };
         let queued = QueuedTask {
             rank: self.precedence(job, now).rank,
-            predicted_s: self.predict(job),
-            since: now,
+            predicted_s: self.predicted_run_time_s(job),
+            queued_at: now,
             reason,
             task,
         };
@@ -126,8 +126,8 @@
             .live_attempts()
             .any(|(_, attempt)| attempt.stop_grace_s.is_some());
         let is_expired = |queued: &&QueuedTask| {
-            let keeps_place =
-                now - queued.since < max_time_s || queued.is_reserved() && has_stopping_attempts;
+            let keeps_place = now - queued.queued_at < max_time_s
+                || queued.is_reserved() && has_stopping_attempts;
             is_unusable || !keeps_place
         };
         let expired = machine.queue.iter().filter(is_expired);
@@ -257,7 +257,7 @@
         a.rank
             .cmp(&b.rank)
             .then(a.predicted_s.total_cmp(&b.predicted_s))
-            .then(a.since.total_cmp(&b.since))
+            .then(a.queued_at.total_cmp(&b.queued_at))
     });
     reserved
 }
--- a/src/coordination/scheduler/resources.rs
+++ b/src/coordination/scheduler/resources.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 /// Machine types by name.
-pub type Types = HashMap<String, MachineType, RandomState>;
+pub type MachineTypes = HashMap<String, MachineType, RandomState>;
 
 /// Tolerance when comparing amounts, since sums of decimal fractions have rounding errors.
 pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -28,7 +28,7 @@
 pub use crate::coordination::scheduler::config::{
     lease_with_margin_s, worker_retry_round_s, SchedulerConfig,
 };
-pub use crate::coordination::scheduler::resources::Types;
+pub use crate::coordination::scheduler::resources::MachineTypes;
 
 /// Maximum number of remembered names of machines that were returned to the cloud: 1.5
 /// times the number of machines in a fleet of 6,000.
@@ -57,7 +57,7 @@
     /// Machines by name, whether or not the written machine record lists them.
     pub machines: ByName<Machine>,
     /// Machine types that the cloud offers.
-    pub types: Types,
+    pub types: MachineTypes,
     /// Machines to call directly as soon as possible, without waiting for their next
     /// heartbeat.
     pub outbox: Names,
@@ -80,7 +80,7 @@
     /// End of this process's latest pause, in seconds of monotonic time. A paused process
     /// receives no messages, so the time before the end of the pause does not count as silence
     /// of the machines.
-    listening_since: f64,
+    receiving_since: f64,
     /// Usable machines by free capacity.
     pub(crate) capacity_index: CapacityIndex,
     /// Work list: machines with tasks in their queue.
@@ -131,7 +131,7 @@
             fence,
             jobs: ByName::default(),
             machines: ByName::default(),
-            types: Types::default(),
+            types: MachineTypes::default(),
             outbox: Names::default(),
             unsaved_jobs: Names::default(),
             placement_due: true,
@@ -140,7 +140,7 @@
             watched_revision: 0,
             finished_jobs: RecentMap::new(MAX_FINISHED_JOBS),
             now: 0.0,
-            listening_since: f64::NEG_INFINITY,
+            receiving_since: f64::NEG_INFINITY,
             capacity_index: CapacityIndex::default(),
             machines_with_queue: Names::default(),
             image_holders: HashMap::default(),
@@ -164,23 +164,23 @@
 
     /// Advances the clock to `now`, and detects whether this process was paused before `now`.
     pub(crate) fn advance_clock(&mut self, now: f64) {
-        self.listening_since = self.listening_since(now);
+        self.receiving_since = self.receiving_since(now);
         self.now = now;
     }
 
     /// End of this process's latest pause, as known at `now`. If the clock is about to advance
     /// to `now` by more than a heartbeat interval plus a margin, the latest pause ends at `now`.
-    pub(crate) fn listening_since(&self, now: f64) -> f64 {
+    pub(crate) fn receiving_since(&self, now: f64) -> f64 {
         if now - self.now > self.config.heartbeat_s + PAUSE_MARGIN_S {
             now
         } else {
-            self.listening_since
+            self.receiving_since
         }
     }
 
     /// Duration of the silence, in seconds, of a machine whose last message arrived at
     /// `heard_at`. The time before the end of this process's latest pause is not counted.
     pub(crate) fn silent_for(&self, heard_at: f64, now: f64) -> f64 {
-        now - heard_at.max(self.listening_since(now))
+        now - heard_at.max(self.receiving_since(now))
     }
 }
--- a/src/coordination/scheduler/team_usage.rs
+++ b/src/coordination/scheduler/team_usage.rs
@@ -22,7 +22,7 @@
     }
 
     /// This usage minus `other`.
-    pub(crate) fn less(self, other: Usage) -> Usage {
+    pub(crate) fn minus(self, other: Usage) -> Usage {
         Usage {
             cpus: self.cpus - other.cpus,
             gpus: self.gpus - other.gpus,
--- a/src/coordination/scheduler/terms.rs
+++ b/src/coordination/scheduler/terms.rs
@@ -23,7 +23,7 @@
     /// allowed. During a takeover this method is called after every heartbeat. For that reason
     /// machines that no longer block placement are removed from `unfenced` and not examined
     /// again.
-    pub fn fencing_complete(&mut self) -> bool {
+    pub fn allow_placement_if_fenced(&mut self) -> bool {
         if self.fence.placement_allowed {
             return true;
         }
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -1,7 +1,7 @@
 //! Submissions, polls and cancellations of jobs.
 //!
 //! Every controller answers requests about any job. Each answer is based either on a look-up with
-//! [`lookup::find`], after which the handler awaits nothing else, or on a write by the handler.
+//! [`lookup::look_up`], after which the handler awaits nothing else, or on a write by the handler.
 
 use super::reply::{json_response, no_such_job, read_body, refuse, unavailable_to_user};
 use super::SharedNode;
@@ -124,14 +124,14 @@
 /// response is its current state, even if this submission is invalid or differs from the accepted
 /// one. If the job was never accepted, the response is `refusal`.
 async fn respond_with_state_or(node: &Rc<Node>, id: &str, refusal: HttpResponse) -> HttpResponse {
-    let mut lookup_result = lookup::find(node, id).await;
+    let mut lookup_result = lookup::look_up(node, id).await;
     let mut counts = None;
     if matches!(lookup_result, Ok(JobLookup::Live(..))) {
         // Most jobs that reach this function are unknown or over. Only a live job needs the
         // leader's counts. The wait for the counts makes the look-up stale, so the job is looked
         // up again.
         counts = task_counts(node, id).await;
-        lookup_result = lookup::find(node, id).await;
+        lookup_result = lookup::look_up(node, id).await;
     }
     match lookup_result {
         Ok(JobLookup::Live(..)) => accepted_response(StatusCode::OK, id, live_state(counts)),
@@ -178,7 +178,7 @@
         return no_such_job();
     }
     let counts = task_counts(&node, &id).await;
-    match lookup::find(&node, &id).await {
+    match lookup::look_up(&node, &id).await {
         Ok(JobLookup::Live(versioned)) => {
             // The job's record supplies the counts if the leader does not. The record's count
             // omits completed tasks that are stored in separate chunks. For the largest jobs the
@@ -225,7 +225,7 @@
     // The transaction conflicts if the version of the job's record changes concurrently, for
     // example because completed tasks are recorded.
     for _ in 0..MAX_CANCEL_ATTEMPTS {
-        let (record, version) = match lookup::find(&node, &id).await {
+        let (record, version) = match lookup::look_up(&node, &id).await {
             Ok(JobLookup::Live(versioned)) => (Some(versioned.record), versioned.version),
             Ok(JobLookup::Unreadable(version)) => (None, version),
             Ok(JobLookup::Terminal(terminal)) => {
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -27,7 +27,7 @@
         }),
         PeerRequest::View(topic) => ask_scheduler(node, |scheduler| view(node, scheduler, topic)),
         PeerRequest::ExtendLease(term) => {
-            agreed_if(node.leadership.borrow().knows_no_later_leader(term))
+            agreed_if(node.leadership.borrow().knows_no_higher_term(term))
         }
         PeerRequest::Promise(term) => {
             leadership::promise(node, term);
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -67,7 +67,7 @@
         return HeartbeatReply::Refuse;
     };
     let reply = scheduler.handle_heartbeat(report, now);
-    scheduler.remember_heartbeat(&report.machine, MessageId::of(report), tasks);
+    scheduler.store_task_list(&report.machine, MessageId::of(report), tasks);
     reply
 }
 
--- a/src/storage/machine_record.rs
+++ b/src/storage/machine_record.rs
@@ -40,7 +40,9 @@
         for entry in listed {
             let number = records::chunk_number(&entry.key);
             match (number, entry.read::<MachineChunk>()) {
-                (Some(number), Ok(chunk)) => record.set(number, chunk.machines, entry.version),
+                (Some(number), Ok(chunk)) => {
+                    record.record_chunk(number, chunk.machines, entry.version);
+                }
                 _ => tracing::error!(key = %entry.key, "unreadable machine record"),
             }
         }
@@ -60,7 +62,7 @@
 
     /// Records that the chunk held these machines and had this version when it was read or
     /// written. The chunk is no longer uncertain.
-    pub fn set(&mut self, chunk: usize, machines: Vec<MachineInfo>, version: u64) {
+    pub fn record_chunk(&mut self, chunk: usize, machines: Vec<MachineInfo>, version: u64) {
         if self.chunks.len() <= chunk {
             self.chunks.resize_with(chunk + 1, Default::default);
         }
@@ -93,7 +95,7 @@
 /// version `shard_version` and that each chunk still has the version in `written`. Without the
 /// conditions on the chunks, a write that was abandoned and is executed minutes later would
 /// overwrite a newer list with an old one, and tasks would run on machines that are in no record.
-pub fn txn(written: &MachineRecord, changes: &[Change], shard_version: u64) -> Txn {
+pub fn write_txn(written: &MachineRecord, changes: &[Change], shard_version: u64) -> Txn {
     let mut txn = Txn::default().when(records::SHARD_KEY, shard_version);
     for (chunk, machines) in changes {
         let key = records::machine_chunk_key(*chunk);
--- a/src/transport/clients/workers.rs
+++ b/src/transport/clients/workers.rs
@@ -23,7 +23,7 @@
 #[derive(Clone)]
 pub struct WorkerClient {
     pool: Rc<RefCell<Pool>>,
-    process_sockets: SocketBudget,
+    socket_budget: SocketBudget,
     /// Maximum number of calls in progress at a time.
     pub max_concurrent_calls: usize,
     timeout_s: f64,
@@ -62,15 +62,15 @@
     /// A client for a process that may have at most `max_sockets` sockets open, with a timeout of
     /// `timeout_s` seconds per call.
     pub fn with_sockets(max_sockets: usize, timeout_s: f64) -> WorkerClient {
-        let process_sockets = SocketBudget::new(max_sockets);
-        let max_concurrent_calls = (process_sockets.limit / 4).clamp(8, 128);
+        let socket_budget = SocketBudget::new(max_sockets);
+        let max_concurrent_calls = (socket_budget.limit / 4).clamp(8, 128);
         let pool = Pool {
             http: HttpClient::new(timeout_s / 2.0, max_concurrent_calls),
             addresses: HashSet::new(),
         };
         WorkerClient {
             pool: Rc::new(RefCell::new(pool)),
-            process_sockets,
+            socket_budget,
             max_concurrent_calls,
             timeout_s,
         }
@@ -82,8 +82,8 @@
     }
 
     /// The socket budget of the process.
-    pub fn process_sockets(&self) -> &SocketBudget {
-        &self.process_sockets
+    pub fn socket_budget(&self) -> &SocketBudget {
+        &self.socket_budget
     }
 
     /// The pool for a call to this address. If the current pool may hold too many connections, it is
@@ -93,7 +93,7 @@
         // The number can be above the limit, because the limit may have been higher when the other
         // connections were opened.
         let other_addresses = pool.addresses.len() - usize::from(pool.addresses.contains(&addr));
-        if other_addresses >= self.process_sockets.max_to_workers() {
+        if other_addresses >= self.socket_budget.max_to_workers() {
             pool.addresses.clear();
             // The old pool is dropped when its last call has ended.
             pool.http = HttpClient::new(self.timeout_s / 2.0, self.max_concurrent_calls);
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -354,7 +354,7 @@
 fn start_scheduler(controller: &Controller) {
     let teams = vec![team("vision", 8.0, 16.0)];
     *controller.node.scheduler.borrow_mut() = Some(scheduler(teams, 1, &["m-0"]));
-    live_job_watch::follow(controller.node.clone(), 1, 0);
+    live_job_watch::watch_live_jobs(controller.node.clone(), 1, 0);
 }
 
 /// Runs the scenario of one seed, and checks its answers.
--- a/tests/delivery.rs
+++ b/tests/delivery.rs
@@ -230,7 +230,7 @@
                 .collect();
             scheduler.machine_record_written(&written);
         }
-        if scheduler.fencing_complete() {
+        if scheduler.allow_placement_if_fenced() {
             placement_allowed_at.get_or_insert(now);
         }
     }
@@ -404,7 +404,7 @@
     submit(&mut scheduler, 1, 0.0);
     let old_tasks = [("run-1/0", 9, Phase::Running, None)];
     scheduler.handle_heartbeat(&report("m1", 1, 4, 3, &old_tasks), 1.0);
-    assert!(!scheduler.fencing_complete());
+    assert!(!scheduler.allow_placement_if_fenced());
     // The machine no longer reports the task, so a start of the task is sent.
     let HeartbeatReply::Commands(reply) =
         scheduler.handle_heartbeat(&report("m1", 1, 9, 5, &[]), 2.0)
--- a/tests/drains.rs
+++ b/tests/drains.rs
@@ -130,7 +130,7 @@
         rerun_s: 101.0,
         due_in_s: [None, None],
         until_deadline_s: None,
-        at_deadline: RemainingWork::Leave,
+        deadline_action: RemainingWork::Leave,
         relocation: Relocation::Possible,
     };
     let before_predicted_end = Some(30.0);
@@ -228,7 +228,7 @@
             "deadline has passed, and the attempt must stop",
             AttemptOutlook {
                 until_deadline_s: Some(0.0),
-                at_deadline: RemainingWork::Stop,
+                deadline_action: RemainingWork::Stop,
                 relocation: Relocation::NotAllowed,
                 ..base
             },
@@ -279,7 +279,7 @@
         let attempts = &scheduler.machines["m-0"].attempts;
         attempts
             .keys()
-            .find(|id| id.task.wire() == task)
+            .find(|id| id.task.wire_name() == task)
             .unwrap()
             .number
     };
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -163,7 +163,7 @@
         );
         let term = pair.leader.extension_due(10.0).expect("no contact");
         assert_eq!(
-            pair.standby.knows_no_later_leader(term),
+            pair.standby.knows_no_higher_term(term),
             leader_saw_write,
             "term {term}"
         );
@@ -180,7 +180,7 @@
     let mut pair = Pair::new();
     assert!(pair.standby.may_report_cancellations_to(1));
     let late_attempt = pair.expire_lease_and_attempt_takeover();
-    assert!(pair.standby.knows_no_later_leader(1) && !pair.standby.may_report_cancellations_to(1));
+    assert!(pair.standby.knows_no_higher_term(1) && !pair.standby.may_report_cancellations_to(1));
     // The leader has a new lease and the shard record is unchanged: the attempt is still valid.
     let since = pair.store.revision;
     pair.get_new_lease();
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -24,8 +24,8 @@
     // them.
     let live = scheduler.machines[machine].live_attempts();
     live.map(|(key, _)| match exit_cause(&key.task.job) {
-        Some(cause) => (key.task.wire(), key.number, Phase::Exited, Some(cause)),
-        None => (key.task.wire(), key.number, Phase::Running, None),
+        Some(cause) => (key.task.wire_name(), key.number, Phase::Exited, Some(cause)),
+        None => (key.task.wire_name(), key.number, Phase::Running, None),
     })
     .collect()
 }
--- a/tests/pause/checks.rs
+++ b/tests/pause/checks.rs
@@ -9,7 +9,9 @@
         };
         let fenced_term = |controller: &Controller| {
             let acting = controller.acting?;
-            acting.former_leaders_silent_since.map(|_| acting.base_term)
+            acting
+                .former_leaders_stopped_since
+                .map(|_| acting.base_term)
         };
         let awake = self.controllers.iter().filter(is_awake);
         let highest_fenced = awake.filter_map(fenced_term).max();
@@ -104,7 +106,7 @@
         let leaders = self.answering_leaders().filter(|controller| {
             controller
                 .acting
-                .is_some_and(|acting| acting.former_leaders_silent_since.is_some())
+                .is_some_and(|acting| acting.former_leaders_stopped_since.is_some())
         });
         assert_eq!(
             leaders.count(),
--- a/tests/pause/controller.rs
+++ b/tests/pause/controller.rs
@@ -11,7 +11,7 @@
     pub(crate) base_term: u64,
     /// The time since which no former leader can answer a worker; `None` until the leader knows
     /// this.
-    pub(crate) former_leaders_silent_since: Option<f64>,
+    pub(crate) former_leaders_stopped_since: Option<f64>,
 }
 
 /// The cancelled jobs that a running takeover has read, and the time of its request, by the
@@ -191,7 +191,7 @@
         let controller = &mut self.controllers[node];
         let fenced = controller.leadership.former_leaders_fenced(now, now_ms);
         if let Some(acting) = controller.acting.as_mut().filter(|_| fenced) {
-            acting.former_leaders_silent_since.get_or_insert(self.now);
+            acting.former_leaders_stopped_since.get_or_insert(self.now);
         }
     }
 
@@ -217,7 +217,7 @@
         let no_former_leaders = shard.is_some_and(|(shard, _)| shard.former_leaders.is_empty());
         controller.acting = Some(Acting {
             base_term: term,
-            former_leaders_silent_since: no_former_leaders.then_some(self.now),
+            former_leaders_stopped_since: no_former_leaders.then_some(self.now),
         });
     }
 
--- a/tests/pause/peers.rs
+++ b/tests/pause/peers.rs
@@ -36,7 +36,7 @@
         let extension = controller.leadership.extension_due(now);
         let unfenced = controller
             .acting
-            .is_some_and(|acting| acting.former_leaders_silent_since.is_none());
+            .is_some_and(|acting| acting.former_leaders_stopped_since.is_none());
         let promise = match unfenced {
             true => controller.leadership.promise_due(now),
             false => None,
@@ -95,7 +95,7 @@
         }
         let leadership = &mut self.controllers[call.to].leadership;
         let agrees = match query {
-            AgreementQuery::ExtendLease(term) => leadership.knows_no_later_leader(term),
+            AgreementQuery::ExtendLease(term) => leadership.knows_no_higher_term(term),
             AgreementQuery::Promise(term) => {
                 leadership.promise(term);
                 self.react_to_shard_changes(call.to);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -10,7 +10,7 @@
 use foxspur::coordination::scheduler::state::Scheduler;
 use foxspur::protocol::job::{JobSpec, Urgency};
 use foxspur::protocol::worker::{Cause, Command, Phase, Report, ReportHead};
-use foxspur::storage::machine_record::{changes_that_fit, plan, txn, MachineRecord};
+use foxspur::storage::machine_record::{changes_that_fit, plan, write_txn, MachineRecord};
 use foxspur::storage::records::{chunk_number, machine_chunk_key, MachineInfo};
 
 /// A job of the urgency `Standard`.
@@ -66,7 +66,7 @@
     let mut written = MachineRecord::default();
     for (number, chunk) in &first_changes {
         assert!(serde_json::to_vec(chunk).unwrap().len() < 16 * 1024);
-        written.set(*number, chunk.clone(), 7);
+        written.record_chunk(*number, chunk.clone(), 7);
     }
     assert_eq!(written.machines().count(), fleet.len());
     let fitting = changes_that_fit(&first_changes, 24, 48 * 1024);
@@ -88,7 +88,7 @@
             .collect::<Vec<_>>(),
         [2]
     );
-    written.set(2, repeated[0].1.clone(), 7);
+    written.record_chunk(2, repeated[0].1.clone(), 7);
     assert!(plan(&written, &references(&fleet), 14_000).is_empty());
     // One machine is removed, one is added, and the address of one changes: only the chunks
     // of these machines are written.
@@ -104,7 +104,7 @@
     );
     // Each chunk is written on the condition that its stored version is still the known one.
     // An old write that is carried out late therefore cannot overwrite a newer chunk.
-    let transaction = txn(&written, &changes, 9);
+    let transaction = write_txn(&written, &changes, 9);
     for (number, _) in &changes {
         let is_known = first_changes.iter().any(|(known, _)| known == number);
         let version = if is_known { 7 } else { 0 };
@@ -121,7 +121,7 @@
     }
     let mut updated = written;
     for (number, chunk) in changes {
-        updated.set(number, chunk, 10);
+        updated.record_chunk(number, chunk, 10);
     }
     let mut recorded: Vec<_> = updated.machines().cloned().collect();
     recorded.sort_by(|a, b| a.id.cmp(&b.id));
@@ -160,7 +160,7 @@
         scheduler.place_all(0.6);
         scheduler.place_all(0.7);
         let (id, _) = scheduler.machines["m1"].attempts.first_key_value().unwrap();
-        let (task, attempt) = (id.task.wire(), id.number);
+        let (task, attempt) = (id.task.wire_name(), id.number);
         let completed = [(task.as_str(), attempt, Phase::Exited, Some(Cause::Done))];
         let started = starts_in_reply(&mut scheduler, &report("m1", 1, 3, 5, &completed), 1.0);
         assert_eq!(
@@ -200,7 +200,7 @@
         let running = [("run-1/0", 7, Phase::Running, None)];
         scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &running), 0.5);
         scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &running), 1.0);
-        scheduler.remember_heartbeat("m1", MessageId { session: 1, seq: 2 }, tasks);
+        scheduler.store_task_list("m1", MessageId { session: 1, seq: 2 }, tasks);
         if job_finished {
             scheduler.finish_job("run-1");
         }
@@ -229,7 +229,7 @@
     // The task still runs, although a stop command was sent.
     scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &running), 0.3);
     scheduler.place_all(0.4);
-    assert!(scheduler.fencing_complete());
+    assert!(scheduler.allow_placement_if_fenced());
     assert!(starts_in_reply_to_empty(&mut scheduler, "m2", 2, 0.5).is_empty());
     scheduler.handle_heartbeat(&report("m1", 1, 3, 5, &[]), 0.6);
     scheduler.place_all(0.7);
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -105,10 +105,10 @@
     // term.
     assert!(heartbeat(&mut scheduler, &report("m1", 1, 1, 4, &[]), 1.0).is_empty());
     assert!(heartbeat(&mut scheduler, &report("m1", 1, 2, 5, &[]), 2.0).is_empty());
-    assert!(!scheduler.fencing_complete());
+    assert!(!scheduler.allow_placement_if_fenced());
     let reported = [("run-1/0", 9, Phase::Running, None)];
     assert!(heartbeat(&mut scheduler, &report("m2", 1, 7, 5, &reported), 3.0).is_empty());
-    assert!(scheduler.fencing_complete());
+    assert!(scheduler.allow_placement_if_fenced());
     // The task runs on m2, so m1 gets no start.
     assert!(heartbeat(&mut scheduler, &report("m1", 1, 3, 5, &[]), 4.0).is_empty());
     assert_eq!(task_counts(&scheduler, "run-1"), Some((0, 1)));
@@ -129,10 +129,10 @@
         (Some(60.0), 70.2, true),
     ] {
         let mut scheduler = scheduler(unlimited_team(), 5, &["m1"]);
-        scheduler.fence.former_leaders_silent_since = silent_since;
+        scheduler.fence.former_leaders_stopped_since = silent_since;
         scheduler.tick(now, now);
         assert_eq!(
-            scheduler.fencing_complete(),
+            scheduler.allow_placement_if_fenced(),
             complete,
             "former leaders silent since {silent_since:?}, now {now}"
         );
--- a/tests/simulation/leader.rs
+++ b/tests/simulation/leader.rs
@@ -123,8 +123,8 @@
         let alone = self.leaders.len() == 1;
         if let Some(leader) = self.leaders.last_mut() {
             let fence = &mut leader.scheduler.fence;
-            if alone && fence.former_leaders_silent_since.is_none() {
-                fence.former_leaders_silent_since = Some(now);
+            if alone && fence.former_leaders_stopped_since.is_none() {
+                fence.former_leaders_stopped_since = Some(now);
             }
         }
     }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -63,7 +63,7 @@
         }
         max_open = max_open.max(open.get());
     }
-    let limit = client.process_sockets().max_to_workers();
+    let limit = client.socket_budget().max_to_workers();
     assert!(
         max_open > limit / 2 && max_open <= 2 * limit,
         "{max_open} connections open, limit {limit}"
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -60,7 +60,7 @@
             HeartbeatReply::Commands(_)
         ));
     }
-    assert!(scheduler.fencing_complete());
+    assert!(scheduler.allow_placement_if_fenced());
     assert_eq!(
         machines_with_starts(&mut scheduler, 1.1),
         Vec::<String>::new()
