--- a/src/admin/rollouts.rs
+++ b/src/admin/rollouts.rs
@@ -1,13 +1,18 @@
-//! Operators' orders about rollouts: begun, halted, resumed, taken back. As with drains the
-//! record is all that is written here; whoever leads the shard carries it on.
+//! Operators' orders that begin, halt, resume, cancel (`back`) and forget rollouts.
+//!
+//! A rollout drains its machines step by step. An order only writes or deletes the rollout's
+//! record; the shard's leader reads the record and executes the rollout.
 
 use super::error::{OrderError, OUTCOME_UNKNOWN, STATE_UNAVAILABLE, TOO_MANY_CONFLICTS};
-use super::orders::{check_name, read, recorded_machines, shard_version, MAX_ATTEMPTS};
+use super::orders::{check_name, parse_order, recorded_machines, shard_version, MAX_ATTEMPTS};
 use super::reply::answer;
-use super::Shared;
+use super::SharedNode;
 use crate::coordination::fleet::rollout::round_robin_by_zone;
 use crate::coordination::node::Node;
-use crate::protocol::roll::{Among, AtMost, Roll, RollOrder, RollState, Turn, TurnOrder};
+use crate::protocol::rollout::{
+    MachineSelector, MaxOutOfUse, Rollout, RolloutAction, RolloutActionOrder, RolloutOrder,
+    RolloutState,
+};
 use crate::protocol::state::Txn;
 use crate::storage::records::{self, MachineInfo};
 use crate::transport::clients::{Priority, ServiceError};
@@ -15,21 +20,21 @@
 use actix_web::HttpResponse;
 use std::rc::Rc;
 
-/// Rollouts at most.
+/// Maximum number of rollouts at a time.
 const MAX_ROLLOUTS: usize = 100;
-/// Share of a value that a new record may fill; the rest stays free for what is added to
-/// it on the way.
-const VALUE_FILL: f64 = 0.9;
+/// Maximum size of a new rollout's record, as a fraction of the maximum size of a value in the
+/// state service. The rest is left for data that are added to the record as the rollout proceeds.
+const MAX_RECORD_FRACTION: f64 = 0.9;
 
 fn invalid<T>(field: &'static str, reason: &str) -> Result<T, OrderError> {
     Err(OrderError::invalid(field, reason))
 }
 
-/// Checks what can be told from the order alone.
+/// Checks the fields of an order by themselves, without the recorded state.
 ///
 /// # Errors
-/// The first field that is wrong.
-pub fn check(order: &RollOrder) -> Result<(), OrderError> {
+/// A field is invalid. The error names the first such field.
+pub fn check(order: &RolloutOrder) -> Result<(), OrderError> {
     check_name("name", &order.name)?;
     if order.name.contains(['/', ' ']) {
         return invalid("name", "holds a slash or a space");
@@ -37,8 +42,10 @@
     check_name("by", &order.by)?;
     check_name("why", &order.why)?;
     match order.at_most {
-        AtMost::Machines(0) => return invalid("at_most", "is 0: nothing would ever be drained"),
-        AtMost::Share(s) if !(s > 0.0 && s <= 1.0) => {
+        MaxOutOfUse::Machines(0) => {
+            return invalid("at_most", "is 0: nothing would ever be drained")
+        }
+        MaxOutOfUse::Share(s) if !(s > 0.0 && s <= 1.0) => {
             return invalid("at_most", "is no share above 0 and up to 1")
         }
         _ => {}
@@ -52,17 +59,21 @@
             return invalid(name, "is not above 0");
         }
     }
-    let Among { hosts, kind, zone } = &order.among;
+    let MachineSelector { hosts, kind, zone } = &order.among;
     if hosts.is_empty() && kind.is_none() && zone.is_none() {
         return invalid("among", "names neither machines nor a type nor a zone");
     }
     Ok(())
 }
 
-/// The machines that the order is for, in the order in which they are drained.
-fn selected_hosts(among: &Among, machines: &[&MachineInfo]) -> Result<Vec<String>, OrderError> {
-    let is_known = |host: &&String| machines.iter().any(|m| m.id == **host);
-    if let Some(host) = among.hosts.iter().find(|host| !is_known(host)) {
+/// The names of the machines that the order selects, in the sequence in which the rollout drains
+/// them.
+fn selected_hosts(
+    among: &MachineSelector,
+    machines: &[&MachineInfo],
+) -> Result<Vec<String>, OrderError> {
+    let is_recorded = |host: &&String| machines.iter().any(|m| m.id == **host);
+    if let Some(host) = among.hosts.iter().find(|host| !is_recorded(host)) {
         return Err(OrderError::NotFound(format!("no machine {host} is in use")));
     }
     let is_selected = |m: &&&MachineInfo| {
@@ -84,11 +95,11 @@
 
 /// A rollout's record.
 struct RecordedRollout {
-    rollout: Roll,
+    rollout: Rollout,
     version: u64,
 }
 
-/// The record of the rollout of this name, if there is one.
+/// Reads the record of the rollout with this name, if there is one.
 async fn recorded_rollout(node: &Node, name: &str) -> Result<Option<RecordedRollout>, OrderError> {
     let key = records::rollout_key(name);
     let entry = node.state.get(&key, Priority::Data).await;
@@ -102,11 +113,12 @@
     }))
 }
 
-/// The rollout that the order describes, on the machines that are recorded now.
-async fn new_rollout(node: &Node, order: &RollOrder) -> Result<Roll, OrderError> {
+/// The rollout that an order begins, with those of the currently recorded machines that the order
+/// selects.
+async fn new_rollout(node: &Node, order: &RolloutOrder) -> Result<Rollout, OrderError> {
     let record = recorded_machines(node).await?;
     let machines: Vec<&MachineInfo> = record.machines().collect();
-    let rollout = Roll {
+    let rollout = Rollout {
         name: order.name.clone(),
         by: order.by.clone(),
         why: order.why.clone(),
@@ -116,20 +128,20 @@
         rest: order.rest,
         deadline_s: order.deadline_s,
         promise: order.promise,
-        state: RollState::Running,
+        state: RolloutState::Running,
         reason: String::new(),
         next: 0,
         late_before: None,
     };
     let bytes = serde_json::to_vec(&rollout).map_or(usize::MAX, |json| json.len());
-    if bytes as f64 > node.settings.cluster.state.value_kb * 1024.0 * VALUE_FILL {
+    if bytes as f64 > node.settings.cluster.state.value_kb * 1024.0 * MAX_RECORD_FRACTION {
         let reason = "too many machines for one record: roll zone by zone";
         return invalid("among", reason);
     }
     Ok(rollout)
 }
 
-/// How a write ended that may be tried again.
+/// The result of a write that the caller may retry after a conflict.
 enum WriteOutcome {
     Written,
     Conflict,
@@ -143,12 +155,12 @@
     }
 }
 
-async fn begin_rollout(node: &Rc<Node>, order: &RollOrder) -> Result<Roll, OrderError> {
+async fn begin_rollout(node: &Rc<Node>, order: &RolloutOrder) -> Result<Rollout, OrderError> {
     check(order)?;
     for _ in 0..MAX_ATTEMPTS {
         let shard = shard_version(node).await?;
         if let Some(RecordedRollout { rollout, .. }) = recorded_rollout(node, &order.name).await? {
-            // The same order again: its answer was lost.
+            // The operator repeated the order, for example because the answer was lost.
             if rollout.by == order.by && rollout.why == order.why {
                 return Ok(rollout);
             }
@@ -172,28 +184,33 @@
     Err(TOO_MANY_CONFLICTS)
 }
 
-/// What becomes of a rollout by an order; `None` if its record is deleted.
+/// Applies an order to halt, resume, cancel (`back`) or forget a rollout. Returns the changed
+/// rollout; `None` if the rollout's record must be deleted.
 ///
 /// # Errors
-/// A rollout in this state cannot be turned like that.
-pub fn turned(rollout: &Roll, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
+/// The order is not allowed in the rollout's current state.
+pub fn apply_turn(
+    rollout: &Rollout,
+    order: &RolloutActionOrder,
+) -> Result<Option<Rollout>, OrderError> {
     let mut next = rollout.clone();
     match (order.turn, rollout.state) {
-        (Turn::Halt, RollState::Running) => {
-            next.state = RollState::Halted;
+        (RolloutAction::Halt, RolloutState::Running) => {
+            next.state = RolloutState::Halted;
             next.reason = format!("halted by {}", order.by);
         }
-        (Turn::Resume, RollState::Halted) => {
-            next.state = RollState::Running;
+        (RolloutAction::Resume, RolloutState::Halted) => {
+            next.state = RolloutState::Running;
             next.reason = String::new();
-            // What was lost until now is known to whoever resumes it.
+            // The operator who resumes the rollout accepts the number of jobs that are late now.
+            // `None` makes the leader count the late jobs again.
             next.late_before = None;
         }
-        (Turn::Back, RollState::Running | RollState::Halted) => {
-            next.state = RollState::Back;
+        (RolloutAction::Back, RolloutState::Running | RolloutState::Halted) => {
+            next.state = RolloutState::Back;
             next.reason = format!("taken back by {}", order.by);
         }
-        (Turn::Forget, RollState::Done) => return Ok(None),
+        (RolloutAction::Forget, RolloutState::Done) => return Ok(None),
         (turn, state) => {
             let reason = format!("cannot {turn:?} a roll that is {state:?}").to_lowercase();
             return Err(OrderError::Conflict(reason));
@@ -202,7 +219,10 @@
     Ok(Some(next))
 }
 
-async fn turn(node: &Rc<Node>, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
+async fn change_rollout(
+    node: &Rc<Node>,
+    order: &RolloutActionOrder,
+) -> Result<Option<Rollout>, OrderError> {
     check_name("name", &order.name)?;
     check_name("by", &order.by)?;
     for _ in 0..MAX_ATTEMPTS {
@@ -211,7 +231,7 @@
             let reason = format!("there is no roll {}", order.name);
             return Err(OrderError::NotFound(reason));
         };
-        let next = turned(&recorded.rollout, order)?;
+        let next = apply_turn(&recorded.rollout, order)?;
         let key = records::rollout_key(&order.name);
         let condition = Txn::default()
             .when(records::SHARD_KEY, shard.version)
@@ -234,12 +254,12 @@
     }
 }
 
-/// `GET /admin/v1/rolls`: all rollouts, by name.
-pub(super) async fn list(node: Shared) -> HttpResponse {
+/// `GET /admin/v1/rolls`: lists all rollouts, sorted by name.
+pub(super) async fn list(node: SharedNode) -> HttpResponse {
     let (rollouts, term) = {
         let leadership = node.leadership.borrow();
         let view = &leadership.view;
-        let mut rollouts: Vec<Roll> = view.rollouts.values().map(|(r, _)| r.clone()).collect();
+        let mut rollouts: Vec<Rollout> = view.rollouts.values().map(|(r, _)| r.clone()).collect();
         rollouts.sort_by(|a, b| a.name.cmp(&b.name));
         (rollouts, view.shard.as_ref().map_or(0, |(s, _)| s.term))
     };
@@ -247,17 +267,17 @@
 }
 
 /// `POST /admin/v1/rolls`: begins a rollout.
-pub(super) async fn start(node: Shared, body: Bytes) -> HttpResponse {
-    match read::<RollOrder>(&body) {
+pub(super) async fn begin(node: SharedNode, body: Bytes) -> HttpResponse {
+    match parse_order::<RolloutOrder>(&body) {
         Ok(order) => respond(begin_rollout(&node, &order).await),
         Err(error) => error.response(),
     }
 }
 
-/// `POST /admin/v1/rolls/turn`: halts, resumes, takes back or forgets a rollout.
-pub(super) async fn change(node: Shared, body: Bytes) -> HttpResponse {
-    match read::<TurnOrder>(&body) {
-        Ok(order) => respond(turn(&node, &order).await),
+/// `POST /admin/v1/rolls/turn`: halts, resumes, cancels (`back`) or forgets a rollout.
+pub(super) async fn change(node: SharedNode, body: Bytes) -> HttpResponse {
+    match parse_order::<RolloutActionOrder>(&body) {
+        Ok(order) => respond(change_rollout(&node, &order).await),
         Err(error) => error.response(),
     }
 }
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -4,7 +4,7 @@
 use crate::coordination::scheduler::job::{AttemptId, Name};
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus, MessageId};
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::worker::{Cause, Command, Direct, Phase};
+use crate::protocol::worker::{Cause, Command, DirectCommands, Phase};
 use crate::storage::records::TOKENS_PER_TERM;
 
 /// The commands in the answer to a heartbeat, by kind, and the answer's token.
@@ -18,14 +18,14 @@
 
 fn start_command(key: &AttemptId) -> Command {
     Command::Start {
-        task: key.task.wire(),
+        task: key.task.wire_name(),
         attempt: key.number,
     }
 }
 
 fn stop_command(key: &AttemptId, grace_s: f64) -> Command {
     Command::Stop {
-        task: key.task.wire(),
+        task: key.task.wire_name(),
         attempt: key.number,
         grace_s,
     }
@@ -33,43 +33,43 @@
 
 fn forget_command(key: &AttemptId) -> Command {
     Command::Forget {
-        task: key.task.wire(),
+        task: key.task.wire_name(),
         attempt: key.number,
     }
 }
 
-/// The token of an answer that tells the worker to forget an exited attempt. It is above the
-/// token of every direct call with the attempt's start. `None` if the worker would refuse a
-/// call that is in flight because of the higher token, or if the term has no higher token
-/// left.
+/// The token of an answer that tells the worker to forget an exited attempt. The token is above
+/// that of every direct call with the attempt's start. `None` if the higher token would make the
+/// worker refuse a call that is in flight, or if the term has no higher token left.
 ///
-/// A worker that has forgotten an attempt starts it again when a copy of a direct call with
-/// its start arrives, however late. (In this way a task of a job cancelled long before ran,
-/// and another task ran twice.) Once the worker has seen the higher token, it refuses such
-/// copies.
+/// A worker that has forgotten an attempt starts it again when a copy of a direct call with its
+/// start arrives, however late. (Such copies once started a task of a job that had been cancelled
+/// long before, and ran another task twice.) Once the worker has seen the higher token, it
+/// refuses such copies.
 fn forget_token(machine: &Machine, attempt: &Attempt, term: u64) -> Option<u64> {
     let token = machine.token_under(term);
-    let above = attempt
+    let forget_token = attempt
         .duplicate_starts_up_to
         .map_or(token, |call_token| token.max(call_token + 1));
-    let available = above == token || !machine.call_in_flight && above < term + TOKENS_PER_TERM;
-    available.then_some(above)
+    let is_available =
+        forget_token == token || !machine.call_in_flight && forget_token < term + TOKENS_PER_TERM;
+    is_available.then_some(forget_token)
 }
 
-/// Records that the answer tells the machine to stop its unwanted attempts and to forget
-/// these exited ones. A later message must show the effect.
-fn mark_told(machine: &mut Machine, forgets: &[AttemptId]) {
+/// Records that the answer tells the machine to stop its unwanted attempts and to forget the
+/// exited attempts in `forgets`. A later message must show the effect.
+fn mark_commands_sent(machine: &mut Machine, forgets: &[AttemptId]) {
     for attempt in machine.attempts.values_mut() {
         if !attempt.call_in_flight {
             attempt.unsent = false;
         }
-        // A task that is saving was already told to stop.
+        // A task that is saving has already received the stop command.
         let stoppable = !matches!(attempt.phase, None | Some(Phase::Saving | Phase::Exited));
-        attempt.told_to_end = stoppable && attempt.stop_grace_s.is_some();
+        attempt.end_command_sent = stoppable && attempt.stop_grace_s.is_some();
     }
     for key in forgets {
         if let Some(attempt) = machine.attempts.get_mut(key) {
-            attempt.told_to_end = true;
+            attempt.end_command_sent = true;
         }
     }
 }
@@ -126,9 +126,9 @@
         machine.raised_token = answer.token;
         if answer.token == last_token {
             // The term has no higher token left; `raise_overdue_tokens` requests a new term.
-            self.unresolved_starts.insert(name.clone());
+            self.machines_with_unresolved_starts.insert(name.clone());
         }
-        mark_told(machine, &answer.forgets);
+        mark_commands_sent(machine, &answer.forgets);
         let mut commands: Vec<Command> = answer.forgets.iter().map(forget_command).collect();
         commands.extend(answer.stops);
         for key in answer.starts {
@@ -164,8 +164,9 @@
         answer
     }
 
-    /// Returns the direct call that is due for the machine, if any, with the worker's address.
-    pub fn next_direct_call(&mut self, name: &Name, now: f64) -> Option<(String, Direct)> {
+    /// Returns the worker's address and the direct call that is due for the machine; `None` if no
+    /// call is due.
+    pub fn next_direct_call(&mut self, name: &Name, now: f64) -> Option<(String, DirectCommands)> {
         let term = self.term;
         let machine = self.machines.get_mut(name)?;
         if machine.call_in_flight || machine.status == MachineStatus::Expired {
@@ -183,7 +184,7 @@
         if !machine.fenced {
             machine.probed_at.get_or_insert(now);
         }
-        let call = Direct {
+        let call = DirectCommands {
             token,
             session: machine.last_message.session,
             commands,
@@ -194,15 +195,15 @@
     /// Probes machines that our answers may not reach. The answer to a probe proves that the
     /// machine receives our messages. A machine that does not answer is probed again after a
     /// quarter of a lease.
-    pub(crate) fn probe_suspects(&mut self, now: f64) {
+    pub(crate) fn probe_machines_with_doubtful_delivery(&mut self, now: f64) {
         let machines = &self.machines;
-        self.suspects
+        self.machines_with_doubtful_delivery
             .retain(|name| machines.get(name).is_some_and(|m| m.delivery.is_doubtful()));
         let interval_s = self.config.lease_s / 4.0;
         let is_due =
             |machine: &Machine| !machine.call_in_flight && now - machine.called_at >= interval_s;
         let due: Vec<Name> = self
-            .suspects
+            .machines_with_doubtful_delivery
             .iter()
             .filter(|name| machines.get(*name).is_some_and(is_due))
             .cloned()
@@ -217,10 +218,12 @@
         self.unfenced
             .retain(|name| machines.get(name).is_some_and(Machine::blocks_placement));
         // Workers that lost their leader try another controller every second and are
-        // redirected here, so most of them report without a probe. While many do, probing
-        // them as well would double the work of a takeover.
-        let reported = self.unfenced_before.saturating_sub(self.unfenced.len());
-        self.unfenced_before = self.unfenced.len();
+        // redirected here, so most of them report without a probe. While many workers report by
+        // themselves, probing the others as well would double the work of a takeover.
+        let reported = self
+            .unfenced_count_at_last_prune
+            .saturating_sub(self.unfenced.len());
+        self.unfenced_count_at_last_prune = self.unfenced.len();
         if reported > max_probes / 4 {
             return;
         }
--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -8,7 +8,7 @@
 use crate::coordination::scheduler::job::{AttemptId, Name, TaskId};
 use crate::coordination::scheduler::machine::{Machine, MachineStatus, MessageId};
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::worker::{Command, Direct, Report};
+use crate::protocol::worker::{Command, DirectCommands, Report};
 
 /// How a direct call ended.
 #[derive(Debug)]
@@ -32,17 +32,17 @@
     }
 }
 
-/// Detects that a machine has restarted its session numbers: its answer has a lower number
-/// than the newest message known when the call was made. That message was then from an
-/// earlier incarnation of the machine. If both are of the same session, this answer is the
-/// valid one. (Guards against a heartbeat of an earlier incarnation, delayed by a partition,
+/// Detects that a machine has restarted its session numbering: its answer has a lower number
+/// than the newest message that was known when the call was made. The newest message was then
+/// from an earlier incarnation of the machine. If both have the same session number, the answer
+/// is the valid one. (Guards against a heartbeat of an earlier incarnation, delayed by a partition,
 /// that showed an empty machine, so that its tasks were started elsewhere as well.)
-fn detect_renumbering(machine: &mut Machine, report: &Report) {
+fn detect_numbering_restart(machine: &mut Machine, report: &Report) {
     let message = MessageId::of(report);
     if report.machine != machine.info.id || message >= machine.called_at_message {
         return;
     }
-    machine.renumbers = true;
+    machine.session_numbering_restarted = true;
     let nothing_newer_since = machine.last_message == machine.called_at_message;
     if message.session == machine.last_message.session && nothing_newer_since {
         machine.last_message.seq = message.seq.saturating_sub(1);
@@ -53,7 +53,7 @@
 /// Commands that were not executed are sent again in the answer to the next heartbeat.
 fn settle_starts(
     machine: &mut Machine,
-    call: &Direct,
+    call: &DirectCommands,
     result: &CallResult,
     outdated_answer: bool,
     now: f64,
@@ -85,27 +85,27 @@
     pub fn direct_call_finished(
         &mut self,
         name: &Name,
-        call: &Direct,
+        call: &DirectCommands,
         result: CallResult,
         now: f64,
     ) {
         self.advance_clock(now);
         if !matches!(result, CallResult::NotSent | CallResult::Rejected(_)) {
-            self.unresolved_starts.insert(name.clone());
+            self.machines_with_unresolved_starts.insert(name.clone());
         }
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
         machine.call_in_flight = false;
         // The worker executed the call, but its answer is older than the newest known message.
-        // The machine has restarted its session numbers, and it is not known whether the
+        // The machine has restarted its session numbering, and it is not known whether the
         // started tasks run.
         let outdated_answer = matches!(
             &result,
             CallResult::Executed(report) if MessageId::of(report) <= machine.last_message
         );
         match result.report() {
-            Some(report) => detect_renumbering(machine, report),
+            Some(report) => detect_numbering_restart(machine, report),
             None => machine.unanswered_calls += 1,
         }
         settle_starts(machine, call, &result, outdated_answer, now);
@@ -116,8 +116,8 @@
                 && !early;
             if report.machine == **name && newer {
                 if machine.status == MachineStatus::Expired {
-                    // If the session is new, its own heartbeat readmits the machine. If it is
-                    // the expired session, the late answer means nothing.
+                    // A new session readmits the machine by its own heartbeat. A late answer of
+                    // the expired session is ignored.
                     return;
                 }
                 self.reconcile_report(name, report, ReportSource::DirectCall, now);
@@ -126,8 +126,8 @@
         self.remove_unstarted(name);
     }
 
-    /// Removes attempts that are to be stopped and that no message has shown, once no start
-    /// of them may still be executed.
+    /// Removes attempts that are to be stopped and that no message has shown, once the worker can
+    /// no longer execute a start of them.
     pub fn remove_unstarted(&mut self, name: &Name) {
         let Some(machine) = self.machines.get(name) else {
             return;
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -32,22 +32,23 @@
 enum HeartbeatClass {
     /// Newer than every known message of the machine.
     Current,
-    /// A newer message overtook it. It is answered, but changes nothing.
+    /// Overtaken by a newer message. Such a heartbeat is answered, but changes nothing.
     Overtaken,
-    /// A late copy, or a heartbeat of a machine that lost its counters and restarted its
-    /// session numbers. Its session may be of another incarnation than the one we know.
+    /// A late copy, or a heartbeat of a machine that lost its counters and restarted its session
+    /// numbering. The session may belong to an incarnation other than the known one.
     OtherIncarnation,
     /// From a session whose lease was declared expired.
     ExpiredSession,
 }
 
-/// The times, in seconds, by which a heartbeat is classified.
+/// The times and durations, in seconds, that are needed to classify a heartbeat.
 struct HeartbeatTiming {
     now: f64,
-    /// Since when this process has received messages without a pause of its own.
-    listening_since: f64,
+    /// The time since which this process has received messages without a pause of its own.
+    receiving_since: f64,
     lease_s: f64,
-    /// Longest time by which a newer message can precede a heartbeat that is not a copy.
+    /// Maximum time by which a newer message can precede a heartbeat that is not a copy, in
+    /// seconds.
     max_overtaken_s: f64,
 }
 
@@ -63,13 +64,13 @@
             !expired && machine.is_early_session(report.session, timing.lease_s, timing.now);
         // A machine keeps the highest token it has seen. A heartbeat that looks newer but
         // has a lower token is from another incarnation of a machine that restarted its
-        // session numbers.
+        // session numbering.
         let lower_token = !stale && report.token < machine.seen_token;
-        // If a machine is known to restart its session numbers, a heartbeat of the known
+        // If a machine is known to restart its session numbering, a heartbeat of the known
         // session may be from the present or the previous incarnation. A heartbeat of the
         // next session is unambiguous.
-        let ambiguous = machine.renumbers && same_or_older_session;
-        let newest_at = machine.heard_at.max(timing.listening_since);
+        let ambiguous = machine.session_numbering_restarted && same_or_older_session;
+        let newest_at = machine.heard_at.max(timing.receiving_since);
         let too_old = stale && timing.now - newest_at > timing.max_overtaken_s;
         if early || lower_token || ambiguous || too_old {
             HeartbeatClass::OtherIncarnation
@@ -93,8 +94,8 @@
 
 impl Scheduler {
     /// Handles a heartbeat that repeats the previous one while there are no commands for the
-    /// worker. The heartbeat is recorded, and the answer is the returned token without
-    /// commands. Returns `None` if the heartbeat needs `handle_heartbeat`. Most heartbeats
+    /// worker. Records the heartbeat and returns the token for an answer without commands.
+    /// Returns `None` if the heartbeat must be passed to `handle_heartbeat`. Most heartbeats
     /// of a large fleet are repetitions, so this path parses and allocates nothing.
     pub fn handle_repeated_heartbeat(&mut self, head: &ReportHead, now: f64) -> Option<u64> {
         let machine = self.machines.get_mut(&*head.machine)?;
@@ -105,7 +106,7 @@
             && machine.unknown_attempts == 0
             && machine.indexed
             && !machine.delivery.is_doubtful()
-            && !machine.renumbers
+            && !machine.session_numbering_restarted
             && machine.notice_at.is_none()
             && head.notice_s.is_none()
             && head.token == machine.seen_token
@@ -113,24 +114,24 @@
             && head.session == machine.last_message.session
             && head.seq > machine.last_message.seq
             && head.addr == machine.info.addr
-            && machine.repeatable_tasks.as_deref() == Some(head.tasks.get());
+            && machine.unchanged_task_list.as_deref() == Some(head.tasks.get());
         if repeats {
             machine.last_message.seq = head.seq;
             machine.heard_at = now;
             machine.answered_at = Some(now);
-            machine.delivery.answered(token);
+            machine.delivery.record_reply(token);
             self.advance_clock(now);
         }
         repeats.then_some(token)
     }
 
-    /// Remembers the heartbeat's task list as received, if a heartbeat with the same list
-    /// would bring no new information and need no command.
-    pub fn remember_heartbeat(&mut self, name: &str, message: MessageId, tasks: &str) {
+    /// Stores the heartbeat's task list in its received form, if a further heartbeat with the
+    /// same list would bring no new information and need no command.
+    pub fn store_task_list(&mut self, name: &str, message: MessageId, tasks: &str) {
         if let Some(machine) = self.machines.get_mut(name) {
             let steady = machine.last_message == message
                 && machine.attempts.values().all(Attempt::is_steady);
-            machine.repeatable_tasks = steady.then(|| tasks.into());
+            machine.unchanged_task_list = steady.then(|| tasks.into());
         }
     }
 
@@ -173,7 +174,7 @@
     fn heartbeat_timing(&self, now: f64) -> HeartbeatTiming {
         HeartbeatTiming {
             now,
-            listening_since: self.listening_since(now),
+            receiving_since: self.receiving_since(now),
             lease_s: self.config.lease_s,
             // A heartbeat that is not a copy can be overtaken only while its worker waits
             // for the answer. After that time the worker sends its next heartbeat.
@@ -181,9 +182,9 @@
         }
     }
 
-    /// Returns the machine of this heartbeat, and adds it if it is unknown. Nothing can have
-    /// been started on an unknown machine. It becomes usable once the machine record that
-    /// lists it is written.
+    /// Returns the machine of this heartbeat, and adds the machine if it is unknown. Nothing can
+    /// have been started on an unknown machine. The machine becomes usable once a machine record
+    /// that lists it is written.
     fn find_or_register(&mut self, name: &Name, report: &Report, now: f64) -> &Machine {
         let drains = &self.drains;
         let machine_record_dirty = &mut self.machine_record_dirty;
@@ -196,7 +197,7 @@
         })
     }
 
-    /// Readmits a machine whose lease expired when its next session begins. The expiry
+    /// When a machine whose lease expired begins a new session, readmits it. The expiry
     /// removed the machine from the machine record, so it must be recorded again before
     /// tasks start on it.
     fn readmit_expired(&mut self, name: &Name) {
@@ -211,24 +212,22 @@
         }
     }
 
-    /// Marks the delivery to a machine as doubtful after a heartbeat from another
-    /// incarnation. Such a heartbeat doesn't show what the machine runs now. The machine's
-    /// lease must end, so the heartbeat is not answered: an answer might renew the lease.
-    /// The lease is counted from now on, because until it ends the machine may run tasks
-    /// that our direct calls started in the meantime.
+    /// Marks the delivery to a machine as doubtful after a heartbeat from another incarnation.
+    /// Such a heartbeat doesn't show what the machine runs now. The machine's lease must end, so
+    /// the heartbeat is not answered: an answer might renew the lease. The duration of the lease
+    /// is counted from `now`, because until the lease ends the machine may run tasks that our
+    /// direct calls started in the meantime.
     fn doubt_delivery(&mut self, name: &Name, now: f64) {
         if let Some(machine) = self.machines.get_mut(name) {
-            machine
-                .delivery
-                .message_received(Evidence::Undelivered, now);
-            machine.renumbered_at.get_or_insert(now);
+            machine.delivery.record_evidence(Evidence::Undelivered, now);
+            machine.restart_suspected_at.get_or_insert(now);
         }
-        self.suspects.insert(name.clone());
+        self.machines_with_doubtful_delivery.insert(name.clone());
         self.update_capacity(name);
     }
 
     /// Builds the answer that renews the machine's lease. Only the answer to a current
-    /// message carries commands; `message` is `None` for an overtaken one.
+    /// message carries commands; `message` is `None` if the heartbeat was overtaken.
     fn answer_heartbeat(&mut self, name: &Name, message: Option<MessageId>, now: f64) -> Reply {
         let mut commands = Vec::new();
         if let Some(message) = message {
@@ -241,8 +240,8 @@
         if let Some(machine) = self.machines.get_mut(name) {
             token = machine.token_under(self.term);
             machine.answered_at = Some(now);
-            machine.delivery.answered(token);
-            machine.repeatable_tasks = None;
+            machine.delivery.record_reply(token);
+            machine.unchanged_task_list = None;
         }
         Reply { token, commands }
     }
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -1,9 +1,9 @@
 //! Reconciles a worker's report with the leader's state of its machine.
 //!
 //! A report lists all attempts that the worker has. An attempt that is not listed is not on
-//! the machine, unless a command that starts it may still be in flight. The effects of our
-//! earlier answers that the report shows, or lacks, are evidence of whether answers reach
-//! the machine (see `scheduler::delivery`).
+//! the machine, unless a command that starts it may still be in flight. Whether the report
+//! shows the effects of our earlier answers is evidence of whether answers reach the machine
+//! (see `scheduler::delivery`).
 
 use super::task_reconciliation::ShownTask;
 use crate::coordination::scheduler::delivery::{Evidence, EvidenceSummary};
@@ -11,7 +11,7 @@
 use crate::coordination::scheduler::machine::{Attempt, Machine, MessageId};
 use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::worker::{Phase, Report, Shown};
+use crate::protocol::worker::{AttemptStatus, Phase, Report};
 
 /// How a report reached the leader.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -55,17 +55,17 @@
     now: f64,
     evidence: &mut EvidenceSummary,
 ) {
-    let told_term = machine.delivery.told_term;
-    if report.token < told_term {
+    let highest_sent_token = machine.delivery.highest_sent_token;
+    if report.token < highest_sent_token {
         evidence.add(Evidence::Undelivered);
-    } else if machine.seen_token < told_term {
+    } else if machine.seen_token < highest_sent_token {
         evidence.add(Evidence::Delivered);
     }
     machine
         .delivery
-        .next_heartbeat_after(now - machine.heard_at);
+        .record_heartbeat_interval(now - machine.heard_at);
     let newer_session = report.session > machine.last_message.session;
-    if newer_session && machine.delivery.session_ended() && ended_session_counts {
+    if newer_session && machine.delivery.record_session_end() && ended_session_counts {
         evidence.add(Evidence::Undelivered);
     }
 }
@@ -73,12 +73,12 @@
 /// Records the report's session, sequence number, token and termination notice.
 fn record_message(machine: &mut Machine, report: &Report, now: f64) {
     machine.heard_at = now;
-    machine.renumbered_at = None;
+    machine.restart_suspected_at = None;
     machine.unanswered_calls = 0;
-    machine.repeatable_tasks = None;
+    machine.unchanged_task_list = None;
     if report.session > machine.last_message.session {
         machine.session_seen_at = now;
-        machine.renumbers = false;
+        machine.session_numbering_restarted = false;
     }
     machine.last_message = MessageId::of(report);
     machine.seen_token = machine.seen_token.max(report.token);
@@ -86,8 +86,9 @@
 }
 
 /// Adds the evidence on the delivery of our answers that follows from the presence or
-/// absence of this attempt in the machine's newest message (`shown`). Clears the pending
-/// starts which that message proves executed or dropped.
+/// absence of this attempt in the machine's newest message. `shown` is true if the message lists
+/// the attempt. Clears the attempt's unresolved call if the message proves that the worker can no
+/// longer execute that call.
 fn settle_commands(
     attempt: &mut Attempt,
     shown: bool,
@@ -96,7 +97,7 @@
     evidence: &mut EvidenceSummary,
 ) {
     // The worker executed or dropped the answers to earlier heartbeats before it sent this
-    // one. The answer to a direct call doesn't prove that.
+    // heartbeat. The answer to a direct call proves nothing about earlier answers.
     if source == ReportSource::Heartbeat && attempt.sent_in_reply_to.take().is_some() {
         evidence.add(if shown {
             Evidence::Delivered
@@ -104,7 +105,7 @@
             Evidence::Undelivered
         });
     }
-    if attempt.told_to_end && !shown {
+    if attempt.end_command_sent && !shown {
         evidence.add(Evidence::Delivered);
     }
     if attempt
@@ -116,7 +117,7 @@
 }
 
 /// Settles the commands to all attempts of the machine. Returns the attempts that are gone:
-/// the newest message does not list them, and no start of them may still be executed.
+/// the newest message does not list them, and the worker can no longer execute a start of them.
 fn settle_attempts(
     machine: &mut Machine,
     source: ReportSource,
@@ -145,7 +146,7 @@
         now: f64,
     ) {
         // A session that ended while this process was paused is no evidence on delivery.
-        let listening_steadily = now - self.listening_since(now) > self.config.lease_s;
+        let listening_steadily = now - self.receiving_since(now) > self.config.lease_s;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -171,8 +172,8 @@
         self.update_capacity(name);
     }
 
-    /// Records the machine's address, and that it is fenced once it has seen our term: from
-    /// then on it drops the answers and calls of all former leaders.
+    /// Records the machine's address. Also records the machine as fenced if it has seen our term:
+    /// from then on the machine drops the answers and calls of all former leaders.
     fn record_fencing_and_address(&mut self, name: &Name, report: &Report, now: f64) {
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -215,9 +216,9 @@
         }
     }
 
-    /// Combines a report's entry with the resources that its job takes. Returns `None` if
+    /// Combines a report's entry with the resources that a task of its job takes. Returns `None` if
     /// the task's name does not parse.
-    fn shown_task(&self, entry: &Shown) -> Option<ShownTask> {
+    fn shown_task(&self, entry: &AttemptStatus) -> Option<ShownTask> {
         let (job, index) = TaskId::split(&entry.task)?;
         let known = self.jobs.get_key_value(job);
         let resources = known
@@ -257,13 +258,15 @@
             machine.idle_since = now;
         }
         let doubted_before = machine.delivery.is_doubtful();
-        machine
-            .delivery
-            .message_received(evidence.conclusion(), now);
+        machine.delivery.record_evidence(evidence.conclusion(), now);
         let doubted = machine.delivery.is_doubtful();
         if doubted != doubted_before {
-            tracing::info!(machine = %name, doubted, "delivery of answers doubted or confirmed");
-            self.suspects.insert(name.clone());
+            tracing::info!(
+                machine = %name,
+                doubted,
+                "delivery of answers to machine became doubtful or was confirmed"
+            );
+            self.machines_with_doubtful_delivery.insert(name.clone());
             self.placement_due = true;
         }
     }
@@ -274,7 +277,7 @@
         let mut removed = None;
         if let Some(machine) = self.machines.get_mut(name) {
             removed = machine.attempts.remove(key);
-            machine.repeatable_tasks = None;
+            machine.unchanged_task_list = None;
             machine.idle_since = self.now;
         }
         if let Some(mut attempt) = removed {
--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -1,33 +1,39 @@
-//! Drains: machines that operators cordoned, and the graceful eviction of what runs there.
+//! Drains: operators cordon machines, and the leader gracefully evicts the tasks on them.
 //!
-//! A drain is a record in the state service, written before anything is done about it;
-//! what is here works out, at each tick, the difference between that record and what is on
-//! the machine.
+//! A drain is a record in the state service, which is written before the leader acts on the
+//! drain. At each tick the scheduler compares the record with the attempts on the machine and
+//! evicts the attempts that are due for eviction.
 //!
-//! - Nothing new starts on a cordoned machine, from the moment its record is known; the
-//!   next leader reads the records before it places.
-//! - What runs there may finish in time, else it is evicted, least loss first and a
-//!   quarter of it at once (see `eviction`).
-//! - The machine is *drained* once it is proven empty, as in fencing, and the proof is
-//!   recorded. It holds as long as the drain's record stands, since no leader starts
-//!   anything there: so a machine that is switched off then holds up no takeover, and is
-//!   not returned to the cloud.
+//! - No new task starts on a cordoned machine once the leader knows the drain record. A new
+//!   leader reads the drain records before it places any task.
+//! - An attempt that is expected to end before the drain's deadline may finish. Any other attempt
+//!   is evicted unless there is a reason to keep it (see `eviction`). Attempts that lose the least
+//!   work are evicted first, and at most a quarter of the machine's attempts, rounded up, are
+//!   being stopped at a time. All attempts are stopped at once when the deadline has passed, if
+//!   the operator ordered this.
+//! - The machine is *drained* once it is proven empty, by the same proofs as in fencing, and the
+//!   proof is recorded. The proof holds as long as the drain record exists, because until then no
+//!   leader starts a task on the machine. If a drained machine is switched off, it delays no
+//!   takeover and is not returned to the cloud.
 
 use super::eviction::{decide, AttemptOutlook, DrainDecision, Relocation, StopCost};
-use crate::coordination::scheduler::drain_target::DrainTarget;
+use crate::coordination::scheduler::active_drain::ActiveDrain;
 use crate::coordination::scheduler::job::{AttemptId, Job, Name};
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
-use crate::coordination::scheduler::preemption::loss;
+use crate::coordination::scheduler::preemption::stop_loss_and_grace;
 use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::admin::{Drain, DrainRow, DrainState, Drained, Proof};
 use crate::protocol::job::{JobSpec, Shape};
 use std::collections::HashMap;
 
-/// One part of the attempts in so many is evicted at once: the next ones are weighed with
-/// the room that is left when these have found theirs.
+/// The number of attempts of a machine that are being stopped at a time is at most the number of
+/// its live attempts divided by this number, rounded up. The limit spreads evictions over time:
+/// later evictions are decided with the capacity that is left on other machines after the tasks
+/// evicted earlier are placed.
 const EVICTION_DIVISOR: usize = 4;
-/// Least speed at which a machine fetches images, in GB/s.
+/// Lower bound for the speed at which a machine fetches images, in GB/s, which guards against a
+/// division by zero.
 const MIN_FETCH_GB_PER_S: f64 = 1e-3;
 
 /// An attempt that is to be evicted.
@@ -39,43 +45,44 @@
 impl Scheduler {
     /// Whether the machine is drained: cordoned and recorded as proven empty.
     pub(crate) fn is_drained(&self, name: &str) -> bool {
-        let target = self.drains.get(name);
-        target.is_some_and(|t| t.drain.drained.is_some())
+        let active_drain = self.drains.get(name);
+        active_drain.is_some_and(|active| active.drain.drained.is_some())
     }
 
-    /// Takes in the records of all drains, each with its version.
-    pub fn set_drains(&mut self, wanted: &HashMap<String, (Drain, u64)>) {
+    /// Replaces the drains with the complete set of drain records. The map holds each record with
+    /// its version, under the machine's name.
+    pub fn set_drains(&mut self, records: &HashMap<String, (Drain, u64)>) {
         let ended: Vec<Name> = self
             .drains
             .keys()
-            .filter(|name| !wanted.contains_key(&***name))
+            .filter(|name| !records.contains_key(&***name))
             .cloned()
             .collect();
         for name in ended {
             self.uncordon(&name);
         }
-        let mut hosts: Vec<&String> = wanted.keys().collect();
+        let mut hosts: Vec<&String> = records.keys().collect();
         hosts.sort();
         for host in hosts {
-            let (drain, version) = &wanted[host];
-            let known = self.drains.get(host.as_str()).map(|t| t.version);
-            if known == Some(*version) {
+            let (drain, version) = &records[host];
+            let known_version = self.drains.get(host.as_str()).map(|t| t.version);
+            if known_version == Some(*version) {
                 continue;
             }
             let deadline_at = drain
                 .deadline_ms
                 .map(|ms| ms as f64 / 1000.0 - self.wall_clock_offset_s);
-            let target = DrainTarget {
+            let active_drain = ActiveDrain {
                 drain: drain.clone(),
                 version: *version,
                 deadline_at,
             };
-            self.drains.insert(host.as_str().into(), target);
+            self.drains.insert(host.as_str().into(), active_drain);
             self.cordon(host);
         }
     }
 
-    /// The machine's drain has ended: it takes tasks again.
+    /// Ends the machine's drain: tasks may start on it again.
     fn uncordon(&mut self, name: &Name) {
         self.drains.swap_remove(name);
         if let Some(machine) = self.machines.get_mut(name) {
@@ -87,8 +94,9 @@
         self.placement_due = true;
     }
 
-    /// Nothing new on the machine from now on; what it was told to start but is
-    /// not seen to have is stopped, lest a repeated command starts it later.
+    /// Cordons the machine: no new task starts on it from now on. Attempts that the machine has not
+    /// reported are stopped even if their start command was sent, because a repetition of the
+    /// command could otherwise start them later.
     fn cordon(&mut self, host: &str) {
         let Some((name, _)) = self.machines.get_key_value(host) else {
             return;
@@ -98,27 +106,27 @@
             return;
         };
         machine.cordoned = true;
-        machine.repeatable_tasks = None;
-        let unseen: Vec<AttemptId> = machine
+        machine.unchanged_task_list = None;
+        let unreported: Vec<AttemptId> = machine
             .live_attempts()
             .filter(|(_, a)| a.phase.is_none())
             .map(|(key, _)| key.clone())
             .collect();
         tracing::info!(machine = %name, term = self.term, "cordoned");
         self.clear_queue(&name);
-        for key in &unseen {
+        for key in &unreported {
             self.stop_attempt(&name, key, 0.0);
         }
         self.remove_unstarted(&name);
         self.placement_due = true;
     }
 
-    /// What the decision on an attempt follows from; `None` for one whose job is
-    /// over, which is being stopped anyway.
+    /// The facts on which the decision about an attempt is based. `None` if the attempt's job has
+    /// finished, because the attempts of such a job are being stopped anyway.
     fn attempt_outlook(
         &self,
         machine: &Machine,
-        target: &DrainTarget,
+        active_drain: &ActiveDrain,
         key: &AttemptId,
         attempt: &Attempt,
     ) -> Option<AttemptOutlook> {
@@ -126,12 +134,13 @@
         let now = self.now;
         let spec = &job.spec;
         let ran_s = attempt.running_since.map_or(0.0, |t| now - t);
-        let predicted_s = self.predict(job);
-        let (lost_cpu_s, grace_s) = loss(spec, ran_s, false);
-        // Elsewhere it fetches its image, and does again what it did not save.
+        let predicted_s = self.predicted_run_time_s(job);
+        let (lost_cpu_s, grace_s) = stop_loss_and_grace(spec, ran_s, false);
+        // On another machine the task must fetch its image and repeat the work that this attempt
+        // has done since its last checkpoint.
         let remaining_s = (predicted_s - checkpointed_s(spec, ran_s)).max(0.0);
         Some(AttemptOutlook {
-            endless: spec.shape == Shape::Service,
+            runs_indefinitely: spec.shape == Shape::Service,
             ran_s,
             predicted_s,
             stop_cost: StopCost {
@@ -139,14 +148,15 @@
                 grace_s,
             },
             rerun_s: self.image_fetch_s(machine, spec) + grace_s + remaining_s,
-            due_s: self.next_due_times(job, now),
-            until_deadline_s: target.deadline_at.map(|d| d - now),
-            rest: target.drain.rest,
+            due_in_s: self.next_due_times(job, now),
+            until_deadline_s: active_drain.deadline_at.map(|d| d - now),
+            deadline_action: active_drain.drain.rest,
             relocation: self.relocation(job),
         })
     }
 
-    /// How long fetching the job's image takes on a machine of this type.
+    /// Time to fetch the job's image on a machine of the same type as `machine`, in seconds; 0 if
+    /// the type is unknown.
     fn image_fetch_s(&self, machine: &Machine, spec: &JobSpec) -> f64 {
         let machine_type = self.types.get(&machine.info.kind);
         machine_type.map_or(0.0, |t| {
@@ -154,7 +164,7 @@
         })
     }
 
-    /// Whether a task of the job can run on a machine that is not cordoned.
+    /// Whether a task of the job can run on another machine that is not cordoned.
     fn relocation(&self, job: &Job) -> Relocation {
         let spec = &job.spec;
         let zones = self.zone_constraint(job);
@@ -174,50 +184,52 @@
         }
     }
 
-    /// What becomes of each attempt on the machine that is not being stopped.
+    /// The decisions about the machine's live attempts, without attempts that are already being
+    /// stopped and without attempts of finished jobs.
     fn drain_decisions(
         &self,
         machine: &Machine,
-        target: &DrainTarget,
+        active_drain: &ActiveDrain,
     ) -> Vec<(AttemptId, DrainDecision)> {
         machine
             .live_attempts()
             .filter(|(_, attempt)| attempt.stop_grace_s.is_none())
             .filter_map(|(key, attempt)| {
-                let outlook = self.attempt_outlook(machine, target, key, attempt)?;
+                let outlook = self.attempt_outlook(machine, active_drain, key, attempt)?;
                 Some((key.clone(), decide(&outlook)))
             })
             .collect()
     }
 
-    /// Evicts what is due on draining machines.
+    /// Stops the attempts that are due for eviction, on all machines with a drain.
     pub(crate) fn advance_drains(&mut self) {
-        if self.drains.is_empty() || !self.fence.open {
+        if self.drains.is_empty() || !self.fence.placement_allowed {
             return;
         }
         let names: Vec<Name> = self.drains.keys().cloned().collect();
         for name in names {
             for Eviction { attempt, cost } in self.due_evictions(&name) {
-                tracing::info!(task = %attempt.task.wire(), machine = %name, lost = cost.lost_cpu_s, "evicted from a draining machine");
+                tracing::info!(task = %attempt.task.wire_name(), machine = %name, lost_cpu_s = cost.lost_cpu_s, "evicted from a draining machine");
                 self.stop_attempt(&name, &attempt, cost.grace_s);
             }
         }
     }
 
-    /// The attempts to evict from the machine now, least loss first.
+    /// The attempts to evict from the machine now, sorted by the work that is lost, least first.
     fn due_evictions(&self, name: &Name) -> Vec<Eviction> {
-        let (Some(machine), Some(target)) = (self.machines.get(name), self.drains.get(name)) else {
+        let (Some(machine), Some(active_drain)) = (self.machines.get(name), self.drains.get(name))
+        else {
             return Vec::new();
         };
-        let accountable = machine.status == MachineStatus::Up && machine.fenced;
-        if !accountable || machine.attempts.is_empty() {
+        let reports_under_term = machine.status == MachineStatus::Up && machine.fenced;
+        if !reports_under_term || machine.attempts.is_empty() {
             return Vec::new();
         }
         let mut evictions: Vec<Eviction> = self
-            .drain_decisions(machine, target)
+            .drain_decisions(machine, active_drain)
             .into_iter()
             .filter_map(|(attempt, decision)| match decision {
-                DrainDecision::Moves(cost) => Some(Eviction { attempt, cost }),
+                DrainDecision::Evict(cost) => Some(Eviction { attempt, cost }),
                 _ => None,
             })
             .collect();
@@ -230,7 +242,7 @@
             .live_attempts()
             .filter(|(_, attempt)| attempt.stop_grace_s.is_some())
             .count();
-        let max_stopping = if target.must_stop_now(self.now) {
+        let max_stopping = if active_drain.must_stop_now(self.now) {
             live
         } else {
             live.div_ceil(EVICTION_DIVISOR)
@@ -239,7 +251,8 @@
         evictions
     }
 
-    /// What proves the cordoned machine empty now, if anything does.
+    /// The proof that the machine is empty; `None` if there is no proof yet or the machine is not
+    /// cordoned.
     fn proof_of_emptiness(&self, machine: &Machine) -> Option<Proof> {
         if !machine.cordoned || !machine.attempts.is_empty() || machine.unknown_attempts > 0 {
             return None;
@@ -251,15 +264,16 @@
         }
     }
 
-    /// Drains whose machine is proven empty while their record does not say so
-    /// yet: the record to write, and the version that it replaces.
-    pub fn proven_drains(&self, now_ms: u64, most: usize) -> Vec<(Drain, u64)> {
-        if !self.fence.open {
+    /// Finds drains whose machine is proven empty although the drain record does not say so yet.
+    /// Returns at most `max_drains` of them, each as the drain record to write and the version of
+    /// the record that it replaces.
+    pub fn proven_drains(&self, now_ms: u64, max_drains: usize) -> Vec<(Drain, u64)> {
+        if !self.fence.placement_allowed {
             return Vec::new();
         }
-        let proven = self.drains.iter().filter_map(|(name, target)| {
+        let proven = self.drains.iter().filter_map(|(name, active_drain)| {
             let machine = self.machines.get(name)?;
-            if target.drain.drained.is_some() {
+            if active_drain.drain.drained.is_some() {
                 return None;
             }
             let drained = Some(Drained {
@@ -268,54 +282,56 @@
                 proof: self.proof_of_emptiness(machine)?,
                 session: machine.last_message.session,
             });
-            let drain = target.drain.clone();
-            Some((Drain { drained, ..drain }, target.version))
+            let drain = active_drain.drain.clone();
+            Some((Drain { drained, ..drain }, active_drain.version))
         });
-        // An unreadable record is not ours to overwrite.
+        // An empty order name marks a drain record that could not be parsed. Such a record is not
+        // overwritten.
         proven
             .filter(|(drain, _)| !drain.order.is_empty())
-            .take(most)
+            .take(max_drains)
             .collect()
     }
 
-    /// All drains with their progress, by machine.
+    /// The drains and their progress, as rows of the operators' view, sorted by machine name.
     pub fn drain_rows(&self, now: f64) -> Vec<DrainRow> {
         let mut rows: Vec<DrainRow> = self
             .drains
             .iter()
-            .map(|(name, target)| self.drain_row(name, target, now))
+            .map(|(name, active_drain)| self.drain_row(name, active_drain, now))
             .collect();
         rows.sort_by(|a, b| a.drain.host.cmp(&b.drain.host));
         rows
     }
 
-    fn drain_row(&self, name: &Name, target: &DrainTarget, now: f64) -> DrainRow {
+    /// The row for the drain of this machine.
+    fn drain_row(&self, name: &Name, active_drain: &ActiveDrain, now: f64) -> DrainRow {
         let machine = self.machines.get(name);
         let tasks = machine.map_or(0, |m| m.live_attempts().count() as u32);
-        let decisions = machine.map_or(Vec::new(), |m| self.drain_decisions(m, target));
-        let stays = decisions
+        let decisions = machine.map_or(Vec::new(), |m| self.drain_decisions(m, active_drain));
+        let keep_reason = decisions
             .into_iter()
             .find_map(|(key, decision)| match decision {
-                DrainDecision::Stays(why) => Some(format!("{}: {why}", key.task.wire())),
+                DrainDecision::Keep(why) => Some(format!("{}: {why}", key.task.wire_name())),
                 _ => None,
             });
-        let overdue = target.deadline_at.is_some_and(|d| now > d);
+        let overdue = active_drain.deadline_at.is_some_and(|d| now > d);
         let state = match machine {
-            None if self.fence.open => DrainState::Gone,
-            _ if target.drain.drained.is_some() && tasks == 0 => DrainState::Drained,
+            None if self.fence.placement_allowed => DrainState::Gone,
+            _ if active_drain.drain.drained.is_some() && tasks == 0 => DrainState::Drained,
             _ if overdue => DrainState::Overdue,
             _ => DrainState::Draining,
         };
         DrainRow {
-            drain: target.drain.clone(),
+            drain: active_drain.drain.clone(),
             state,
             tasks,
-            stays: stays.unwrap_or_default(),
+            stays: keep_reason.unwrap_or_default(),
         }
     }
 
-    /// Until the job's next objectives are due, nearest first: two, since the nearest
-    /// is often lost already.
+    /// Seconds until the job's next two objectives are due, nearest first. The nearest objective
+    /// alone is not enough, because often it can no longer be met.
     fn next_due_times(&self, job: &Job, now: f64) -> [Option<f64>; 2] {
         let mut due_times: Vec<f64> = self.due_times(job, now).filter(|d| *d > 0.0).collect();
         due_times.sort_by(f64::total_cmp);
@@ -323,7 +339,8 @@
     }
 }
 
-/// How much of the run time is kept by the last checkpoint, in seconds.
+/// The part of an attempt's run time that its last checkpoint has saved, in seconds. `ran_s` is the
+/// time for which the attempt has run.
 fn checkpointed_s(spec: &JobSpec, ran_s: f64) -> f64 {
     if spec.checkpoint_s > 0.0 {
         ran_s - ran_s % spec.checkpoint_s
--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -1,6 +1,6 @@
-//! The fleet manager: the leader's loop that scales out for what waits, and scales in what
-//! is broken, silent or idle. What to do is decided in `scale_out` and `scale_in`; here
-//! the decisions are carried out.
+//! The fleet manager: a loop of the leader that rents machines for waiting tasks, and returns
+//! machines that are broken, silent or idle. The modules `scale_out` and `scale_in` make the
+//! decisions; this module carries out the decisions.
 
 use super::fleet_state::FleetState;
 use super::machine_types::keep_machine_types;
@@ -8,20 +8,21 @@
 use super::scale_out::{self, Demand, RentalPlan};
 use crate::coordination::agents::dispatcher;
 use crate::coordination::node::Node;
-use crate::protocol::cloud::Rental;
+use crate::protocol::cloud::LaunchRequest;
 use crate::transport::clients::ServiceError;
 use actix::prelude::*;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Between two rounds.
+/// Pause before each round of the fleet manager.
 const ROUND_INTERVAL: Duration = Duration::from_secs(1);
-/// Between two rounds while silent machines hold up all placement after a takeover.
+/// Pause before each round after a takeover, as long as no task is placed because some machines are
+/// not accounted for yet.
 const TAKEOVER_ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The actor that runs the fleet manager.
 pub struct FleetManager {
-    /// The controller whose fleet it manages.
+    /// The controller for which the actor manages the fleet.
     pub node: Rc<Node>,
 }
 
@@ -34,7 +35,8 @@
     }
 }
 
-/// Runs rounds while this controller leads for certain, for ever.
+/// Runs the fleet manager's rounds forever, but skips a round if it is not confirmed that this
+/// controller leads.
 async fn manage_fleet(node: Rc<Node>) {
     let mut state = FleetState::default();
     let mut state_term = 0;
@@ -49,9 +51,9 @@
             TAKEOVER_ROUND_INTERVAL
         };
         actix_rt::time::sleep(pause).await;
-        // Only while nobody can have taken the shard: a deposed leader
-        // would see all machines go silent and return them.
-        let term = scheduler_term(&node).filter(|_| node.is_certain_leader());
+        // To a former leader all machines appear silent, so it would return them to the cloud.
+        // Rounds therefore run only while no other controller can have taken over the shard.
+        let term = scheduler_term(&node).filter(|_| node.is_confirmed_leader());
         let Some(term) = term else {
             continue;
         };
@@ -63,29 +65,35 @@
     }
 }
 
-/// Whether tasks are placed, as all machines are accounted for; `None` without a scheduler.
+/// Whether tasks may be placed, which requires that all machines have been accounted for since the
+/// takeover. `None` if this controller has no scheduler.
 fn is_placing(node: &Node) -> Option<bool> {
     let scheduler = node.scheduler.borrow();
-    scheduler.as_ref().map(|s| s.fence.open)
+    scheduler.as_ref().map(|s| s.fence.placement_allowed)
 }
 
+/// Runs one round: compares the fleet with the cloud's list if it is due, scales in, then scales
+/// out.
 async fn run_round(node: &Rc<Node>, state: &mut FleetState) {
     let list_lag_s = node.settings.cluster.cloud.list_lag_s;
     let placing = is_placing(node).unwrap_or(false);
     if placing && state.list_is_older_than(list_lag_s / 2.0, node.now()) {
         if let Ok(list) = node.cloud.machines().await {
-            state.list_received(list, node.now());
+            state.record_list(list, node.now());
             compare_with_list(node, state);
         }
     }
     scale_in(node, state).await;
-    // Calls that rent take their time, and the shard waits for what is returned.
+    // Calls that rent machines take long, and after a takeover placement may have to wait until the
+    // cloud confirms the return of silent machines. Scaling in therefore comes first, and scaling
+    // out waits until tasks may be placed.
     if placing {
         scale_out(node, state).await;
     }
 }
 
-/// Compares the cloud's machine list with what we know.
+/// Compares the cloud's machine list with the scheduler's machines: requests the return of broken
+/// machines, records booting machines, and removes machines that no longer exist.
 fn compare_with_list(node: &Node, state: &mut FleetState) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
@@ -101,7 +109,7 @@
     }
 }
 
-/// Takes machines out of use that are to be returned.
+/// Selects the machines to return to the cloud, and retires them so that no new task starts there.
 fn retire_machines(node: &Node, state: &mut FleetState) {
     let now = node.now();
     let mut scheduler = node.scheduler.borrow_mut();
@@ -111,20 +119,21 @@
     if let Some(name) = scale_in::idle_machine(scheduler, &node.policy, now) {
         scheduler.retire_machine(&name);
     }
-    state.request_return(scheduler.machines_given_up(now));
+    state.request_return(scheduler.machines_presumed_dead(now));
     state.request_return(scale_in::retired_machines(scheduler, now));
-    for name in state.returning() {
+    for name in state.pending_returns() {
         scheduler.retire_machine(name);
     }
 }
 
-/// Returns machines; only the cloud's confirmation proves them gone.
+/// Returns machines to the cloud. Only the cloud's confirmation proves that the returned machines
+/// no longer run.
 async fn scale_in(node: &Rc<Node>, state: &mut FleetState) {
     if node.scheduler.borrow().is_none() {
         return;
     }
     retire_machines(node, state);
-    let names = state.next_returns();
+    let names = state.next_return_batch();
     if names.is_empty() || node.cloud.scale_in(names.clone()).await.is_err() {
         return;
     }
@@ -134,20 +143,20 @@
             scheduler.confirm_machine_returned(name);
         }
     }
-    state.returns_confirmed(&names);
+    state.record_returned(&names);
     dispatcher::send_due_calls(node);
 }
 
-/// Rents what is wanted.
+/// Rents the machines that the demand requires in addition to the present and booting machines.
 async fn scale_out(node: &Rc<Node>, state: &mut FleetState) {
     let now = node.now();
     for RentalPlan { offer, count } in plan_rentals(node, state, now) {
-        let rental = Rental {
+        let rental = LaunchRequest {
             request: format!(
                 "{}-{:x}-{}",
                 node.settings.host_name,
                 node.leadership.borrow().incarnation(),
-                state.next_rental_request()
+                state.next_request_number()
             ),
             kind: offer.kind.clone(),
             zone: offer.zone.clone(),
@@ -157,9 +166,9 @@
         let rented = rent(node, &rental).await;
         if (rented.len() as u32) < count {
             let first_pause_s = node.settings.cluster.cloud.list_lag_s;
-            state.offer_sold_out(&offer, first_pause_s, now);
+            state.record_sold_out(&offer, first_pause_s, now);
         } else {
-            state.offer_fulfilled(&offer);
+            state.clear_sold_out(&offer);
         }
         if !rented.is_empty() {
             tracing::info!(kind = %offer.kind, zone = %offer.zone, spot = offer.spot, asked = count, got = rented.len(), "scaled out");
@@ -170,13 +179,13 @@
     }
 }
 
-/// What to rent now.
+/// Decides which machines to rent now.
 fn plan_rentals(node: &Node, state: &mut FleetState, now: f64) -> Vec<RentalPlan> {
     let scheduler = node.scheduler.borrow();
     let Some(scheduler) = scheduler.as_ref().filter(|s| !s.types.is_empty()) else {
         return Vec::new();
     };
-    state.drop_booted(scheduler, now);
+    state.prune_booting(scheduler, now);
     let partitioned_zones = scheduler.partitioned_zones(now);
     let demand = Demand::of(scheduler, state.booting(), &partitioned_zones, now);
     scale_out::plan(&demand, &scheduler.types, node.policy.headroom, |offer| {
@@ -184,14 +193,15 @@
     })
 }
 
-/// Rents machines; returns the names of those that the cloud gave.
-async fn rent(node: &Node, rental: &Rental) -> Vec<String> {
+/// Sends a rental request. Returns the names of the machines that the cloud provided.
+async fn rent(node: &Node, rental: &LaunchRequest) -> Vec<String> {
     match node.cloud.scale_out(rental).await {
-        Ok(names) => names.machines,
+        Ok(rented) => rented.machines,
         Err(ServiceError::Refused) => Vec::new(),
         Err(error) => {
-            // It may come true later: unexpected machines are adopted.
-            tracing::info!(%error, "rental request without an answer");
+            // The cloud may still execute the request later. Machines that it then provides are
+            // counted once they appear in the cloud's list, and used once they send heartbeats.
+            tracing::info!(%error, "rental request failed; its outcome is unknown");
             Vec::new()
         }
     }
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -1,36 +1,45 @@
-//! Scaling in: which machines to return to the cloud. Pure code.
+//! Scaling in: pure functions that decide which machines to return to the cloud.
 //!
-//! Only the cloud's confirmation proves a returned machine gone. A machine that an
+//! Only the cloud's confirmation proves that a returned machine no longer runs. A machine that an
 //! operator cordoned is never returned for being silent or idle.
 
 use super::scale_out::boot_s;
 use crate::coordination::scheduler::job::Name;
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::cloud::{Listed, ListedState};
+use crate::protocol::cloud::{ListedMachine, ListedState};
 use crate::protocol::policy::Policy;
 
-/// A machine that boots for longer than so many times its usual boot time is returned. Up
-/// to 1.5 times is usual; some take several times as long.
-const MAX_BOOT_TIMES: f64 = 4.0;
-/// A retired machine may save its tasks for so long, in seconds.
+/// A machine that has been booting for longer than this multiple of the boot time of its type is
+/// returned. Machines usually boot within 1.5 times the boot time of their type, but some take
+/// several times as long.
+const BROKEN_AFTER_BOOT_TIMES: f64 = 4.0;
+/// Maximum time that the tasks of a retired machine get to save their work, in seconds.
 const MAX_RETIREMENT_S: f64 = 60.0;
-/// An expired machine is forgotten when it is missing from the cloud's list and has been
-/// silent for so many times the list's lag.
-const VANISHED_LIST_LAGS: f64 = 4.0;
+/// A machine with an expired lease is removed when it is missing from the cloud's list and has been
+/// silent for longer than this multiple of the lag of the list.
+const VANISHED_AFTER_LIST_LAGS: f64 = 4.0;
 
-/// Listed machines that failed, do not come up or were lost for good.
-pub(super) fn broken_machines(scheduler: &Scheduler, list: &[Listed], now: f64) -> Vec<String> {
+/// Names of the machines in the cloud's list that have failed, have been booting for too long, or
+/// have been unreachable for too long.
+pub(super) fn broken_machines(
+    scheduler: &Scheduler,
+    list: &[ListedMachine],
+    now: f64,
+) -> Vec<String> {
     let partitioned_zones = scheduler.partitioned_zones(now);
-    let is_broken = |listed: &&Listed| {
+    let is_broken = |listed: &&ListedMachine| {
         let machine = scheduler.machines.get(listed.id.as_str());
         let boot_s = boot_s(&scheduler.types, &listed.kind);
         match listed.state {
             ListedState::Failed => true,
-            ListedState::Booting => machine.is_none() && listed.age_s > MAX_BOOT_TIMES * boot_s,
+            ListedState::Booting => {
+                machine.is_none() && listed.age_s > BROKEN_AFTER_BOOT_TIMES * boot_s
+            }
             ListedState::Running => machine.is_some_and(|m| {
-                // Past its lease nothing is lost by waiting a while for a partition to
-                // end; after twice a boot a new one would be up.
+                // Once the machine's lease has expired, its tasks may run elsewhere, so waiting for
+                // a partition to end loses nothing. The wait includes the boot time of a
+                // replacement.
                 let max_silence_s = 2.0 * scheduler.config.lease_s + boot_s;
                 is_lost(m, max_silence_s, now)
                     && !m.cordoned
@@ -42,23 +51,24 @@
     broken.map(|listed| listed.id.clone()).collect()
 }
 
-/// Whether the machine expired, or was out of reach of our answers, and has been so for
-/// longer than this: one that hears nobody is as good as silent.
+/// Whether the machine's lease has expired and the machine has been silent for longer than
+/// `max_silence_s`, or this controller's replies have not reached it for that long. A machine that
+/// receives no replies is as unusable as a silent one.
 fn is_lost(machine: &Machine, max_silence_s: f64, now: f64) -> bool {
     let silent = machine.status == MachineStatus::Expired && now - machine.heard_at > max_silence_s;
     silent || machine.is_unreachable(now, max_silence_s)
 }
 
-/// Expired machines that the cloud does not list any more.
+/// Names of the machines with an expired lease that the cloud no longer lists.
 pub(super) fn vanished_machines(
     scheduler: &Scheduler,
-    list: &[Listed],
+    list: &[ListedMachine],
     list_lag_s: f64,
     now: f64,
 ) -> Vec<Name> {
     let has_vanished = |name: &Name, machine: &Machine| {
         machine.status == MachineStatus::Expired
-            && now - machine.heard_at > VANISHED_LIST_LAGS * list_lag_s
+            && now - machine.heard_at > VANISHED_AFTER_LIST_LAGS * list_lag_s
             && !list.iter().any(|listed| listed.id == **name)
     };
     let machines = scheduler.machines.iter();
@@ -68,7 +78,7 @@
         .collect()
 }
 
-/// Retired machines that are empty, or had their time to save.
+/// Names of the retired machines that no longer run a task or whose time to save work is over.
 pub(super) fn retired_machines(scheduler: &Scheduler, now: f64) -> Vec<String> {
     let is_ready = |machine: &Machine| {
         let empty = machine.live_attempts().next().is_none();
@@ -82,19 +92,21 @@
         .collect()
 }
 
-/// One machine that has been idle for long while nothing waits and much is free.
+/// The name of a machine that has been idle for longer than the policy allows. `None` if there is
+/// no such machine, if any task waits, or if the machines in use have fewer free CPUs than twice
+/// the headroom.
 pub(super) fn idle_machine(scheduler: &Scheduler, policy: &Policy, now: f64) -> Option<Name> {
     let in_use = |m: &Machine| m.status == MachineStatus::Up && !m.cordoned;
     let used_cpus: f64 = scheduler.usage().cpus();
-    let anything_waits = scheduler.jobs.values().any(|job| job.waiting_tasks() > 0);
-    let have_cpus: f64 = scheduler
+    let any_task_waits = scheduler.jobs.values().any(|job| job.waiting_tasks() > 0);
+    let provisioned_cpus: f64 = scheduler
         .machines
         .values()
         .filter(|m| in_use(m))
         .filter_map(|m| scheduler.types.get(&m.info.kind))
         .map(|t| t.cpus)
         .sum();
-    if anything_waits || used_cpus * (1.0 + 2.0 * policy.headroom) > have_cpus {
+    if any_task_waits || used_cpus * (1.0 + 2.0 * policy.headroom) > provisioned_cpus {
         return None;
     }
     let is_idle = |m: &Machine| {
--- a/src/coordination/leadership/loops/reachability_check.rs
+++ b/src/coordination/leadership/loops/reachability_check.rs
@@ -3,40 +3,41 @@
 use super::peer_calls::ask_all;
 use super::sleep;
 use super::step_down::resign;
-use crate::coordination::agents::leader_reachability::out_of_reach;
+use crate::coordination::agents::leader_reachability::should_resign;
 use crate::coordination::node::Node;
 use crate::protocol::mesh::{PeerRequest, PeerResponse};
 use std::rc::Rc;
 
-/// A count of redirected heartbeats that is always high enough to resign, and low enough to be
-/// multiplied without overflow.
+/// A number of redirected heartbeats that always suffices for a resignation, and that can be
+/// multiplied by 8 without overflow.
 const ALWAYS_ENOUGH_REDIRECTED: u32 = u32::MAX / 8;
 
-/// The machines of a leader, and how many of them are silent.
+/// The number of machines that should send heartbeats to a leader, and the number of those that
+/// are silent.
 #[derive(Clone, Copy)]
 struct SilentMachines {
     term: u64,
-    all: usize,
+    total: usize,
     silent: usize,
 }
 
 impl SilentMachines {
-    /// Counts the scheduler's machines; `None` if we do not lead.
+    /// Counts the scheduler's machines. Returns `None` if we do not lead.
     fn of(node: &Node) -> Option<SilentMachines> {
         let now = node.now();
         let scheduler = node.scheduler.borrow();
         let scheduler = scheduler.as_ref()?;
-        let (all, silent) = scheduler.silent_machines(now);
+        let (total, silent) = scheduler.silent_machines(now);
         Some(SilentMachines {
             term: scheduler.term,
-            all,
+            total,
             silent,
         })
     }
 
     /// Whether to resign if the peers recently redirected this many heartbeats.
-    fn out_of_reach(&self, redirected: u32) -> bool {
-        out_of_reach(self.all, self.silent, redirected)
+    fn should_resign(&self, redirected: u32) -> bool {
+        should_resign(self.total, self.silent, redirected)
     }
 }
 
@@ -51,9 +52,9 @@
 
 async fn check(node: &Rc<Node>) {
     // The peers are asked only if so many machines are silent that their answers can matter.
-    let suspicious =
-        SilentMachines::of(node).filter(|machines| machines.out_of_reach(ALWAYS_ENOUGH_REDIRECTED));
-    let Some(machines) = suspicious.filter(|_| node.is_certain_leader()) else {
+    let suspicious = SilentMachines::of(node)
+        .filter(|machines| machines.should_resign(ALWAYS_ENOUGH_REDIRECTED));
+    let Some(machines) = suspicious.filter(|_| node.is_confirmed_leader()) else {
         return;
     };
     let redirected = redirected_heartbeats(node).await;
@@ -62,11 +63,15 @@
         .borrow()
         .as_ref()
         .is_some_and(|scheduler| scheduler.term == machines.term);
-    if still_leads && machines.out_of_reach(redirected) {
-        let SilentMachines { term, all, silent } = machines;
+    if still_leads && machines.should_resign(redirected) {
+        let SilentMachines {
+            term,
+            total,
+            silent,
+        } = machines;
         tracing::warn!(
             term,
-            all,
+            machines = total,
             silent,
             redirected,
             "workers cannot reach this leader but reach its peers; resigning"
@@ -75,7 +80,7 @@
     }
 }
 
-/// How many heartbeats the peers recently redirected to this leader.
+/// The number of heartbeats that the peers recently redirected to this leader.
 async fn redirected_heartbeats(node: &Node) -> u32 {
     let responses = ask_all(node, &PeerRequest::RedirectedHeartbeats).await;
     let counts = responses.into_iter().map(|response| match response {
--- a/src/coordination/scheduler/overview.rs
+++ b/src/coordination/scheduler/overview.rs
@@ -1,11 +1,11 @@
-//! A table of live jobs in plain text, for operators who have only a browser. It renders the
-//! rows of `views`.
+//! A table of live jobs in plain text, for operators who have only a browser. Its rows come
+//! from `views`.
 
 use crate::coordination::scheduler::state::Scheduler;
-use crate::protocol::admin::Standing;
+use crate::protocol::admin::JobHealth;
 use std::fmt::Write;
 
-/// Maximum number of jobs shown.
+/// Maximum number of jobs in the table.
 const MAX_ROWS: usize = 200;
 
 impl Scheduler {
@@ -17,7 +17,7 @@
             jobs.live,
             jobs.stuck + jobs.failing + jobs.late,
             self.term,
-            self.summary(),
+            self.load_summary(),
             "state",
             "job",
             "class",
@@ -28,7 +28,7 @@
             "of"
         );
         for row in &jobs.rows {
-            let state = if row.standing == Standing::Ok {
+            let state = if row.standing == JobHealth::Ok {
                 "ok"
             } else {
                 "STUCK"
--- a/src/coordination/scheduler/resources.rs
+++ b/src/coordination/scheduler/resources.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 /// Machine types by name.
-pub type Types = HashMap<String, MachineType, RandomState>;
+pub type MachineTypes = HashMap<String, MachineType, RandomState>;
 
 /// Tolerance when comparing amounts, since sums of decimal fractions have rounding errors.
 pub(crate) const ROUNDING_TOLERANCE: f64 = 1e-6;
@@ -41,21 +41,21 @@
         }
     }
 
-    /// Whether `need` fits into this amount, up to rounding.
+    /// Whether `need` fits into this amount, up to `ROUNDING_TOLERANCE`.
     pub fn fits(&self, need: &Resources) -> bool {
         need.cpus <= self.cpus + ROUNDING_TOLERANCE
             && need.gpus <= self.gpus + ROUNDING_TOLERANCE
             && need.memory_gb <= self.memory_gb + ROUNDING_TOLERANCE
     }
 
-    /// Subtracts `other`; the result may be negative.
+    /// Subtracts `other` from this amount; the result may be negative.
     pub fn subtract(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// Adds `other`.
+    /// Adds `other` to this amount.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -3,14 +3,14 @@
 //! The sibling modules implement the operations on this state, each in its own
 //! `impl Scheduler` block; the [parent module](super) lists them.
 //!
-//! Several sets here are work lists. An entry is added as soon as its condition begins to
-//! hold. It is removed lazily, when the list is next processed, so a list may also contain
-//! entries whose condition no longer holds. This way no event needs a pass over all
-//! machines.
+//! Several fields are work lists: sets of the machines, or of other items, for which some
+//! condition holds. An item is added as soon as the condition begins to hold, and is removed
+//! lazily, when the list is next processed. A list may therefore contain items for which the
+//! condition no longer holds. Because of this, no event needs a pass over all machines.
 
 use crate::coordination::recent::RecentMap;
+use crate::coordination::scheduler::active_drain::ActiveDrain;
 use crate::coordination::scheduler::capacity_index::CapacityIndex;
-use crate::coordination::scheduler::drain_target::DrainTarget;
 use crate::coordination::scheduler::fair_share::FairShare;
 use crate::coordination::scheduler::fence::Fence;
 use crate::coordination::scheduler::job::{AttemptId, ByName, Job, Name, Names};
@@ -25,44 +25,47 @@
 use rand::SeedableRng;
 use std::collections::HashMap;
 
-pub use crate::coordination::scheduler::config::{lease_with_margin_s, round_s, SchedulerConfig};
-pub use crate::coordination::scheduler::resources::Types;
+pub use crate::coordination::scheduler::config::{
+    lease_with_margin_s, worker_retry_round_s, SchedulerConfig,
+};
+pub use crate::coordination::scheduler::resources::MachineTypes;
 
 /// Maximum number of remembered names of machines that were returned to the cloud: 1.5
-/// times a fleet of 6,000 machines.
+/// times the number of machines in a fleet of 6,000.
 const MAX_RETURNED_MACHINES: usize = 9_000;
 
 /// Maximum number of remembered names of finished jobs. A response that arrives after this
 /// many other jobs have finished is minutes old, and its caller has timed out.
 const MAX_FINISHED_JOBS: usize = 8_192;
 
-/// Ticks come at least every 0.5 s. If the clock advances by more than a heartbeat interval
-/// plus this margin (in seconds) at once, this process itself was paused.
+/// Two ticks are at most 0.5 s apart. If the clock advances by more than a heartbeat interval
+/// plus this margin (in seconds) between two events, this process was paused.
 const PAUSE_MARGIN_S: f64 = 1.0;
 
 /// The state of the scheduler on the current leader.
 pub struct Scheduler {
     /// Settings and policy that decisions are based on.
     pub config: SchedulerConfig,
-    /// Current term. Replies and commands to machines carry it as their fencing token,
-    /// unless the machine's token was raised above it.
+    /// Current term. It is the fencing token of replies and commands to each machine whose
+    /// token was not raised above the term.
     pub term: u64,
-    /// Blocks placement after a takeover until no machine can run tasks of a former leader
-    /// that this leader does not know of.
+    /// Blocks placement after a takeover while any machine may run tasks that a former leader
+    /// started and this leader does not know.
     pub fence: Fence,
     /// Live jobs, and finished jobs that may still have attempts on machines.
     pub jobs: ByName<Job>,
     /// Machines by name, whether or not the written machine record lists them.
     pub machines: ByName<Machine>,
     /// Machine types that the cloud offers.
-    pub types: Types,
-    /// Machines that get a direct call now instead of a reply to their next heartbeat.
+    pub types: MachineTypes,
+    /// Machines to call directly as soon as possible, without waiting for their next
+    /// heartbeat.
     pub outbox: Names,
     /// Jobs with completed tasks that are not yet saved in the state service.
     pub unsaved_jobs: Names,
-    /// An event occurred since the last placement pass that may allow tasks to start.
+    /// Since the last placement pass, an event occurred that may allow tasks to start.
     pub placement_due: bool,
-    /// The written machine record differs from the one that should be written.
+    /// The machine record is out of date and must be written again.
     pub machine_record_dirty: bool,
     /// Wall-clock time minus this process's monotonic time, in seconds.
     pub wall_clock_offset_s: f64,
@@ -74,46 +77,47 @@
     pub(crate) finished_jobs: RecentMap<Name, ()>,
     /// Latest time that was passed to `advance_clock`, in seconds of monotonic time.
     pub(crate) now: f64,
-    /// Time since which this process has received messages without a gap. Messages that
-    /// were missed while this process was paused do not count as silence of the machines.
-    listening_since: f64,
+    /// End of this process's latest pause, in seconds of monotonic time. A paused process
+    /// receives no messages, so the time before the end of the pause does not count as silence
+    /// of the machines.
+    receiving_since: f64,
     /// Usable machines by free capacity.
     pub(crate) capacity_index: CapacityIndex,
     /// Work list: machines with tasks in their queue.
     pub(crate) machines_with_queue: Names,
-    /// Work lists by image: machines that have the image cached.
+    /// Work lists, one for each image: machines that have the image cached.
     pub(crate) image_holders: HashMap<String, Vec<Name>, RandomState>,
     /// Capacity that became free since the last placement pass.
     pub(crate) capacity_changes: CapacityChanges,
-    /// Resource usage of teams. It is updated whenever a task is placed or released, and
-    /// recomputed at each full placement pass.
+    /// Resource usage of teams, updated whenever a task is placed or released, and recomputed
+    /// at each full placement pass.
     pub(crate) team_usage: TeamUsage,
-    /// Work list: machines that may block placement after a takeover. While the fence is
-    /// closed it contains every machine that does.
+    /// Work list: candidates for the machines that block placement after a takeover. Until
+    /// placement is allowed, the list contains every machine that blocks it.
     pub(crate) unfenced: Names,
     /// Length of `unfenced` when it was last pruned.
-    pub(crate) unfenced_before: usize,
-    /// Work list: machines that may not receive this leader's replies.
-    pub(crate) suspects: Names,
-    /// Machines whose return the cloud confirmed most recently. Heartbeats that they sent
-    /// before may still arrive.
+    pub(crate) unfenced_count_at_last_prune: usize,
+    /// Work list: machines for which it is doubtful whether they receive this leader's replies.
+    pub(crate) machines_with_doubtful_delivery: Names,
+    /// Machines whose return the cloud confirmed most recently. Heartbeats that these machines
+    /// sent before their return may still arrive.
     pub(crate) returned_machines: RecentMap<Name, ()>,
     /// Work list: machines with a start command whose outcome is unknown.
-    pub(crate) unresolved_starts: Names,
+    pub(crate) machines_with_unresolved_starts: Names,
     /// Work list: attempts that are being stopped.
     pub(crate) stopping_attempts: IndexSet<(Name, AttemptId), RandomState>,
     /// Unfinished jobs in order of precedence.
     pub(crate) job_order: JobOrder,
     /// Tracks which classes and teams meet too few of their objectives.
     pub fair_share: FairShare,
-    /// When the queues of machines were last checked for tasks that waited too long.
-    pub(crate) queues_aged_at: f64,
-    /// How many attempt numbers this leader has assigned.
+    /// When the queues of machines were last checked for tasks that had been queued too long.
+    pub(crate) queues_checked_at: f64,
+    /// Number of attempt numbers that this leader has assigned.
     pub(crate) attempts_numbered: u64,
     /// Predicts run times from statistics of finished tasks.
     pub predictor: RunTimePredictor,
     /// Machines that operators are draining or have drained (see `drains`).
-    pub(crate) drains: ByName<DrainTarget>,
+    pub(crate) drains: ByName<ActiveDrain>,
     /// Source of all random draws, seeded so that a run can be repeated.
     pub(crate) rng: SmallRng,
 }
@@ -127,7 +131,7 @@
             fence,
             jobs: ByName::default(),
             machines: ByName::default(),
-            types: Types::default(),
+            types: MachineTypes::default(),
             outbox: Names::default(),
             unsaved_jobs: Names::default(),
             placement_due: true,
@@ -136,21 +140,21 @@
             watched_revision: 0,
             finished_jobs: RecentMap::new(MAX_FINISHED_JOBS),
             now: 0.0,
-            listening_since: f64::NEG_INFINITY,
+            receiving_since: f64::NEG_INFINITY,
             capacity_index: CapacityIndex::default(),
             machines_with_queue: Names::default(),
             image_holders: HashMap::default(),
             capacity_changes: CapacityChanges::default(),
             team_usage: TeamUsage::default(),
             unfenced: Names::default(),
-            unfenced_before: 0,
-            suspects: Names::default(),
+            unfenced_count_at_last_prune: 0,
+            machines_with_doubtful_delivery: Names::default(),
             returned_machines: RecentMap::new(MAX_RETURNED_MACHINES),
-            unresolved_starts: Names::default(),
+            machines_with_unresolved_starts: Names::default(),
             stopping_attempts: IndexSet::default(),
             job_order: JobOrder::default(),
             fair_share: FairShare::default(),
-            queues_aged_at: f64::NEG_INFINITY,
+            queues_checked_at: f64::NEG_INFINITY,
             attempts_numbered: 0,
             predictor: RunTimePredictor::default(),
             drains: ByName::default(),
@@ -158,24 +162,25 @@
         }
     }
 
-    /// Advances the clock, and detects whether this process was paused.
+    /// Advances the clock to `now`, and detects whether this process was paused before `now`.
     pub(crate) fn advance_clock(&mut self, now: f64) {
-        self.listening_since = self.listening_since(now);
+        self.receiving_since = self.receiving_since(now);
         self.now = now;
     }
 
-    /// Time since which this process has received messages without a gap, as of `now`.
-    pub(crate) fn listening_since(&self, now: f64) -> f64 {
+    /// End of this process's latest pause, as known at `now`. If the clock is about to advance
+    /// to `now` by more than a heartbeat interval plus a margin, the latest pause ends at `now`.
+    pub(crate) fn receiving_since(&self, now: f64) -> f64 {
         if now - self.now > self.config.heartbeat_s + PAUSE_MARGIN_S {
             now
         } else {
-            self.listening_since
+            self.receiving_since
         }
     }
 
-    /// For how many seconds a machine has been silent whose last message arrived at
+    /// Duration of the silence, in seconds, of a machine whose last message arrived at
     /// `heard_at`. The time before the end of this process's latest pause is not counted.
     pub(crate) fn silent_for(&self, heard_at: f64, now: f64) -> f64 {
-        now - heard_at.max(self.listening_since(now))
+        now - heard_at.max(self.receiving_since(now))
     }
 }
--- a/src/coordination/scheduler/views.rs
+++ b/src/coordination/scheduler/views.rs
@@ -1,25 +1,26 @@
 //! Views of the scheduler for operators: jobs, teams, machines and waiting times. Each view
 //! is computed from the current state when it is requested.
 
-use crate::coordination::scheduler::drain_target::DrainTarget;
+use crate::coordination::scheduler::active_drain::ActiveDrain;
 use crate::coordination::scheduler::job::Job;
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::run_time_predictor::{ClassHistograms, ALL_CLASSES};
 use crate::coordination::scheduler::state::Scheduler;
 use crate::coordination::scheduler::team_usage::TeamUsage;
 use crate::protocol::admin::{
-    JobRow, Jobs, MachineRow, MachineState, Spread, Standing, TeamRow, Waits,
+    JobHealth, JobRow, Jobs, MachineRow, MachineState, Quantiles, TeamRow, Waits,
 };
 use crate::protocol::settings::Team;
 use hdrhistogram::Histogram;
 
-/// A job without running tasks is stuck once it is older than this many leases.
+/// A job with waiting but no running tasks is reported as stuck once it is older than the
+/// duration of a worker's lease times this number.
 const STUCK_AGE_LEASES: f64 = 3.0;
 
-/// Summarizes a histogram of milliseconds for operators, in seconds.
-pub fn spread(name: &str, histogram_ms: &Histogram<u32>) -> Spread {
+/// Summarizes a histogram of durations in milliseconds as quantiles in seconds.
+pub fn quantiles(name: &str, histogram_ms: &Histogram<u32>) -> Quantiles {
     let quantile_s = |quantile| histogram_ms.value_at_quantile(quantile) as f64 / 1000.0;
-    Spread {
+    Quantiles {
         name: name.into(),
         count: histogram_ms.len(),
         p50_s: quantile_s(0.5),
@@ -29,31 +30,31 @@
     }
 }
 
-fn class_spreads(histograms_ms: &ClassHistograms) -> Vec<Spread> {
+fn class_quantiles(histograms_ms: &ClassHistograms) -> Vec<Quantiles> {
     let classes = histograms_ms.classes().into_iter();
     classes
         .filter(|(name, _)| *name != ALL_CLASSES)
-        .map(|(name, histogram)| spread(name, histogram))
+        .map(|(name, histogram)| quantiles(name, histogram))
         .collect()
 }
 
 /// A job with its standing, for the sorted list that operators see.
 struct RankedJob<'a> {
-    standing: Standing,
+    standing: JobHealth,
     id: &'a str,
     job: &'a Job,
 }
 
 impl Scheduler {
-    /// Why no more tasks of the job start at present.
+    /// The reason why no further task of the job starts at present.
     fn reason(&self, job: &Job, usage: &TeamUsage, now: f64) -> String {
-        if !self.fence.open {
-            return "waits after a takeover until all machines are fenced or proven empty".into();
+        if !self.fence.placement_allowed {
+            return "waits until all machines are accounted for after a takeover".into();
         }
         if job.is_suspect() {
             let (failures, machines) = (job.failures, job.failed_on.len());
             return format!(
-                "fails on every machine it was tried on ({failures} failures on {machines} machines): check the job"
+                "fails on every machine it was tried on ({failures} failures on {machines} machines): look at the job"
             );
         }
         if job.unplaced_tasks() == 0 {
@@ -72,13 +73,14 @@
         self.capacity_reason(job).into()
     }
 
-    /// Which kind of capacity a job lacks that nothing else keeps from starting.
+    /// The reason why a job whose tasks wait only for capacity finds none: no machine that it
+    /// may use has enough free capacity, or none is usable.
     fn capacity_reason(&self, job: &Job) -> &'static str {
         let pools = self
             .capacity_index
             .pools_for(&job.spec, &self.types, |_| true);
         if !pools.is_empty() {
-            return "waits for free capacity";
+            return "waits for room";
         }
         let mut machines = self.machines.values();
         if machines.any(|machine| machine.cordoned && self.may_use(&job.spec, machine)) {
@@ -88,36 +90,37 @@
         }
     }
 
-    /// Whether the job needs attention. It does if it only fails, if tasks wait and none runs
-    /// although several leases have passed, or if it can no longer meet any of its objectives.
-    fn standing(&self, job: &Job, now: f64) -> Standing {
+    /// Whether and why the job needs an operator's attention: it is suspected to be faulty; tasks
+    /// wait and none runs although the job is older than several leases; or the job can no
+    /// longer meet any of its objectives.
+    fn standing(&self, job: &Job, now: f64) -> JobHealth {
         let only_waits = job.running == 0 && job.unplaced_tasks() > 0;
         let stuck_age_s = STUCK_AGE_LEASES * self.config.lease_s;
         if job.is_suspect() {
-            Standing::Failing
+            JobHealth::Failing
         } else if only_waits && now - job.accepted_at > stuck_age_s {
-            Standing::Stuck
+            JobHealth::Stuck
         } else if !self.has_reachable_objective(job, now) {
-            Standing::Late
+            JobHealth::Late
         } else {
-            Standing::Ok
+            JobHealth::Ok
         }
     }
 
-    /// Counts of live jobs, and rows of at most `limit` of them. Jobs that most need attention
-    /// come first.
+    /// Numbers of live jobs by standing, and the rows of the first `limit` live jobs. Jobs are
+    /// sorted by standing (those that need attention come first), then by age, oldest first.
     pub fn job_rows(&self, now: f64, limit: usize) -> Jobs {
         let usage = self.count_usage();
         let ranked = self.ranked_jobs(now);
-        let count = |standing: Standing| {
+        let count = |standing: JobHealth| {
             let of_standing = ranked.iter().filter(|ranked| ranked.standing == standing);
             of_standing.count()
         };
         Jobs {
             live: ranked.len(),
-            stuck: count(Standing::Stuck),
-            failing: count(Standing::Failing),
-            late: count(Standing::Late),
+            stuck: count(JobHealth::Stuck),
+            failing: count(JobHealth::Failing),
+            late: count(JobHealth::Late),
             rows: ranked
                 .iter()
                 .take(limit)
@@ -194,29 +197,30 @@
         row
     }
 
-    /// A machine's state, and the reason for it.
+    /// A machine's state, and the reason for that state.
     fn machine_state(&self, machine: &Machine, now: f64) -> (MachineState, String) {
-        if let Some(target) = self.drains.get(&*machine.info.id) {
-            return drain_state(target);
+        if let Some(active_drain) = self.drains.get(&*machine.info.id) {
+            return drain_state(active_drain);
         }
         match machine.status {
             MachineStatus::Draining => {
                 let failures = machine.recent_failures.len();
-                let why = format!("taken out of use; {failures} consecutive failures");
+                let why = format!("taken out of use; {failures} failures in a row");
                 (MachineState::Returning, why)
             }
             MachineStatus::Expired => {
-                let why = "its lease expired and cannot have been renewed";
+                let why = "silent for a lease that nobody can have renewed";
                 (MachineState::Expired, why.into())
             }
             MachineStatus::Up => self.up_state(machine, now),
         }
     }
 
-    /// The state of a machine with the status `Up`, and the reason for it.
+    /// The state of a machine with the status `Up`, and the reason for that state; the reason is
+    /// empty if the machine is usable.
     fn up_state(&self, machine: &Machine, now: f64) -> (MachineState, String) {
         if !machine.recorded {
-            let why = "not yet in the written machine record";
+            let why = "not in our written record yet";
             return (MachineState::Unproven, why.into());
         }
         if !machine.fenced {
@@ -225,12 +229,12 @@
         }
         if machine.unknown_attempts > 0 {
             let attempts = machine.unknown_attempts;
-            let why = format!("runs {attempts} tasks of unknown jobs");
+            let why = format!("runs {attempts} tasks of jobs that we do not know");
             return (MachineState::Unproven, why);
         }
         if let Some(notice_at) = machine.notice_at {
             let left_s = notice_at - now;
-            let why = format!("the cloud takes the machine back in {left_s:.0} s");
+            let why = format!("the cloud takes it in {left_s:.0} s");
             return (MachineState::Noticed, why);
         }
         let silent_s = self.silent_for(machine.heard_at, now);
@@ -240,7 +244,7 @@
         (MachineState::Usable, String::new())
     }
 
-    /// Rows of all machines. The least usable ones come first.
+    /// Rows of all machines, in descending order of state: usable machines come last.
     pub fn machine_rows(&self, now: f64) -> Vec<MachineRow> {
         let machines = self.machines.values();
         let mut rows: Vec<MachineRow> = machines
@@ -266,7 +270,7 @@
         }
     }
 
-    /// How many machines are in each state.
+    /// The number of machines in each state, without states that no machine is in.
     pub fn machine_counts(&self, now: f64) -> Vec<(MachineState, usize)> {
         let mut counts: Vec<(MachineState, usize)> = Vec::new();
         for machine in self.machines.values() {
@@ -283,15 +287,15 @@
     /// How long jobs of each class waited until their first task started.
     pub fn waits(&self) -> Waits {
         Waits {
-            first_start: class_spreads(&self.predictor.wait_ms),
+            first_start: class_quantiles(&self.predictor.wait_ms),
             acceptance: None,
         }
     }
 }
 
-/// The state of a machine that an operator drains, and the reason for it.
-fn drain_state(target: &DrainTarget) -> (MachineState, String) {
-    let drain = &target.drain;
+/// The state of a machine that an operator drains, and the reason for that state.
+fn drain_state(active_drain: &ActiveDrain) -> (MachineState, String) {
+    let drain = &active_drain.drain;
     let state = if drain.drained.is_some() {
         MachineState::Drained
     } else {
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -1,4 +1,4 @@
-//! Messages of other controllers (see [`crate::protocol::mesh`]).
+//! Handles messages from other controllers (see [`crate::protocol::mesh`]).
 
 use super::SharedNode;
 use crate::admin;
@@ -11,30 +11,30 @@
 use actix_web::HttpResponse;
 use std::rc::Rc;
 
-/// `POST /mesh`: one message in `bincode`.
-pub async fn call(node: SharedNode, body: Bytes) -> HttpResponse {
+/// `POST /mesh`: handles one message, encoded with `bincode`.
+pub async fn message(node: SharedNode, body: Bytes) -> HttpResponse {
     match mesh::decode::<PeerRequest>(&body) {
-        Some(request) => HttpResponse::Ok().body(mesh::encode(&answer(&node, request))),
+        Some(request) => HttpResponse::Ok().body(mesh::encode(&handle(&node, request))),
         None => HttpResponse::BadRequest().finish(),
     }
 }
 
-fn answer(node: &Rc<Node>, request: PeerRequest) -> PeerResponse {
+fn handle(node: &Rc<Node>, request: PeerRequest) -> PeerResponse {
     match request {
-        PeerRequest::Progress(id) => ask_scheduler(node, |scheduler| progress(scheduler, &id)),
+        PeerRequest::Progress(id) => ask_scheduler(node, |scheduler| task_progress(scheduler, &id)),
         PeerRequest::Overview => ask_scheduler(node, |scheduler| {
             Some(PeerResponse::Overview(scheduler.overview(node.now())))
         }),
         PeerRequest::View(topic) => ask_scheduler(node, |scheduler| view(node, scheduler, topic)),
         PeerRequest::ExtendLease(term) => {
-            agreed_if(node.leadership.borrow().knows_no_later_leader(term))
+            agreed_if(node.leadership.borrow().knows_no_higher_term(term))
         }
         PeerRequest::Promise(term) => {
             leadership::promise(node, term);
             PeerResponse::Agreed
         }
         PeerRequest::Contact => {
-            let contact_s = node.readiness.borrow().contact_for(node.now());
+            let contact_s = node.readiness.borrow().contact_duration_s(node.now());
             PeerResponse::Contact((contact_s.max(0.0) * 1000.0) as u64)
         }
         PeerRequest::RedirectedHeartbeats => {
@@ -42,19 +42,20 @@
             PeerResponse::RedirectedHeartbeats(recent)
         }
         PeerRequest::JobCancelled(id) => {
-            job_cancelled(node, &id);
+            apply_cancellation(node, &id);
             PeerResponse::Agreed
         }
-        PeerRequest::ConfirmedCancellations(term, for_ms) => {
-            confirmed_cancellations(node, term, for_ms)
+        PeerRequest::ConfirmedCancellations(term, period_ms) => {
+            confirmed_cancellations(node, term, period_ms)
         }
     }
 }
 
-/// Another controller has recorded a cancellation.
-fn job_cancelled(node: &Rc<Node>, id: &str) {
-    // Guards against a takeover that is reading the shard: the list of live jobs may have
-    // the job already, and the scheduler, which is not there yet, would start it.
+/// Stops a job whose cancellation another controller has recorded.
+fn apply_cancellation(node: &Rc<Node>, id: &str) {
+    // A takeover by this controller may be in progress: the job may already have been read from
+    // the list of live jobs, while the scheduler does not exist yet. Without this entry the new
+    // scheduler would start the cancelled job.
     node.relayed_cancellations
         .borrow_mut()
         .record(id, node.now());
@@ -64,7 +65,8 @@
     dispatcher::send_due_calls(node);
 }
 
-/// What the leader's scheduler says, if this controller leads.
+/// The response that `ask` gets from the scheduler; `NotLeader` if this controller does not lead
+/// or `ask` returns `None`.
 fn ask_scheduler(
     node: &Node,
     ask: impl FnOnce(&Scheduler) -> Option<PeerResponse>,
@@ -84,7 +86,7 @@
     }
 }
 
-fn progress(scheduler: &Scheduler, id: &str) -> Option<PeerResponse> {
+fn task_progress(scheduler: &Scheduler, id: &str) -> Option<PeerResponse> {
     let counts = scheduler.progress(id)?;
     Some(PeerResponse::Progress {
         done: counts.done,
@@ -97,17 +99,19 @@
     Some(PeerResponse::View(scheduler.term, text))
 }
 
-/// The cancellations that this controller told users of, for a leader that has no other
-/// way to learn them.
-fn confirmed_cancellations(node: &Node, term: u64, for_ms: u64) -> PeerResponse {
+/// The cancellations that this controller confirmed to users in the last `period_ms` milliseconds.
+/// The leader of `term` requests them while it cannot learn of cancellations from the state
+/// service. `NotLeader` if this controller may not report to that leader or does not remember all
+/// of these cancellations.
+fn confirmed_cancellations(node: &Node, term: u64, period_ms: u64) -> PeerResponse {
     if !node.leadership.borrow().may_report_cancellations_to(term) {
         return PeerResponse::NotLeader;
     }
-    let for_s = for_ms as f64 / 1000.0;
+    let period_s = period_ms as f64 / 1000.0;
     match node
         .confirmed_cancellations
         .borrow()
-        .within(for_s, node.now())
+        .within(period_s, node.now())
     {
         Some(jobs) => PeerResponse::ConfirmedCancellations(jobs),
         None => PeerResponse::NotLeader,
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats.
+//! Heartbeats of workers.
 
 use super::reply::{json_response, read_body, refuse, unavailable};
 use super::SharedNode;
@@ -14,13 +14,14 @@
 use actix_web::HttpResponse;
 use std::rc::Rc;
 
-/// `POST /hello`: answered by the leader alone; others name it.
-pub async fn hello(node: SharedNode, payload: web::Payload) -> HttpResponse {
+/// `POST /hello`: handles a worker's heartbeat. Only the leader handles heartbeats; other
+/// controllers redirect the worker to the leader.
+pub async fn heartbeat(node: SharedNode, payload: web::Payload) -> HttpResponse {
     let body = match read_body(payload).await {
         Ok(body) => body,
         Err(refusal) => return refusal,
     };
-    wait_until_entitled(&node).await;
+    wait_for_expected_takeover(&node).await;
     if !node.may_answer_workers() {
         return redirect_to_leader(&node);
     }
@@ -28,67 +29,72 @@
         return refuse(StatusCode::BAD_REQUEST, "not a report");
     };
     let now = node.now();
-    if let Some(response) = reply_to_repeated(&node, &head, now) {
+    if let Some(response) = reply_to_repeated_heartbeat(&node, &head, now) {
         return response;
     }
     let tasks = head.tasks;
     let Some(report) = head.read() else {
         return refuse(StatusCode::BAD_REQUEST, "not a report");
     };
-    match handle(&node, &report, tasks.get(), now) {
+    match handle_heartbeat(&node, &report, tasks.get(), now) {
         HeartbeatReply::Commands(reply) => {
             dispatcher::send_due_calls(&node);
             json_response(StatusCode::OK, &reply)
         }
         HeartbeatReply::Refuse => unavailable(),
         HeartbeatReply::Superseded => {
-            leadership::superseded(&node);
+            leadership::step_down_after_higher_term(&node);
             unavailable()
         }
     }
 }
 
-/// A heartbeat whose tasks are those of the one before, which need not be read: most are.
-fn reply_to_repeated(node: &Node, head: &ReportHead, now: f64) -> Option<HttpResponse> {
+/// Replies to a heartbeat that repeats the worker's previous one while there are no commands for
+/// the worker. Most heartbeats are such repetitions; their task lists are not parsed. `None` if
+/// the heartbeat must be passed to [`handle_heartbeat`].
+fn reply_to_repeated_heartbeat(node: &Node, head: &ReportHead, now: f64) -> Option<HttpResponse> {
     let mut scheduler = node.scheduler.borrow_mut();
     let token = scheduler.as_mut()?.handle_repeated_heartbeat(head, now)?;
     let commands = Vec::new();
     Some(json_response(StatusCode::OK, &Reply { token, commands }))
 }
 
-/// Passes a heartbeat to the scheduler, and remembers its tasks as they came, so that the
-/// next one can be compared with them.
-fn handle(node: &Node, report: &Report, tasks: &str, now: f64) -> HeartbeatReply {
+/// Passes a heartbeat to the scheduler, and stores the heartbeat's unparsed task list for the
+/// comparison with the next heartbeat.
+fn handle_heartbeat(node: &Node, report: &Report, tasks: &str, now: f64) -> HeartbeatReply {
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut() else {
         return HeartbeatReply::Refuse;
     };
     let reply = scheduler.handle_heartbeat(report, now);
-    scheduler.remember_heartbeat(&report.machine, MessageId::of(report), tasks);
+    scheduler.store_task_list(&report.machine, MessageId::of(report), tasks);
     reply
 }
 
 fn redirect_to_leader(node: &Node) -> HttpResponse {
     let leader = node.other_leader();
     let redirect = Redirect {
-        to: leader.as_deref(),
+        leader: leader.as_deref(),
     };
     json_response(StatusCode::MISDIRECTED_REQUEST, &redirect)
 }
 
-/// A takeover may be under way here, or due because workers do not reach the leader: a
-/// worker turned away would connect anew and wait once more.
-async fn wait_until_entitled(node: &Rc<Node>) {
+/// Delays the answer to a heartbeat while a change of leader is expected, up to a timeout. If a
+/// takeover by this controller is in progress, waits until the takeover has ended. If so many
+/// heartbeats were redirected recently that workers seem unable to reach the leader, waits until
+/// the leader changes. Without this wait, a worker would be redirected at once, and would have to
+/// connect again and wait again.
+async fn wait_for_expected_takeover(node: &Rc<Node>) {
     if node.may_answer_workers() {
         return;
     }
-    node.takeover_settled().await;
+    node.wait_for_takeover().await;
     if node.may_answer_workers() {
         return;
     }
     let now = node.now();
     let recently_redirected = node.redirected_heartbeats.borrow_mut().add(now);
-    if leader_reachability::leader_unreached(recently_redirected) {
-        node.leader_changed().await;
+    if leader_reachability::is_leader_unreachable(recently_redirected) {
+        node.wait_for_leader_change().await;
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,18 @@
-//! foxspur: a cluster scheduler. Each task samples two fitting machines, starts
-//! at once on one with free room, else joins the one with fewer bound waiting
-//! tasks; a queue starts the smallest prediction first (see `docs/design.md`).
+//! foxspur: a cluster scheduler.
 //!
-//! Layers, each of which imports only those before it:
+//! For each task the scheduler samples a few suitable machines, by default two. If a sampled
+//! machine has enough free resources, the task starts there at once; otherwise the task joins the
+//! queue of the sampled machine with the fewest waiting tasks. In a queue, the task with the
+//! smallest predicted run time starts first (see `docs/design.md`).
 //!
-//! - [`protocol`]: messages and settings, as they are exchanged with other programs.
-//! - [`storage`]: the records in the state service, and their keys.
-//! - [`transport`]: HTTP, and the clients of the outside services.
-//! - [`coordination`]: leadership, scheduling, workers, jobs and the fleet.
-//! - [`handlers`] and [`admin`]: the calls of users, workers, controllers and operators.
-//! - [`app`]: ties all together into a process.
+//! The program consists of the following layers. Each layer imports only layers listed before it:
+//!
+//! - [`protocol`]: the messages exchanged with other programs, the settings and the policy.
+//! - [`storage`]: the records in the state service and their keys.
+//! - [`transport`]: HTTP, and the clients of external services.
+//! - [`coordination`]: leadership, scheduling, workers, jobs and the fleet of machines.
+//! - [`handlers`] and [`admin`]: the HTTP APIs for users, workers, controllers and operators.
+//! - [`app`]: assembles the controller process.
 
 #![warn(clippy::unwrap_used)]
 
--- a/src/protocol/mesh.rs
+++ b/src/protocol/mesh.rs
@@ -1,94 +1,103 @@
-//! Messages between controllers (bincode): hints that make answers fresher or faster, and
-//! lease extensions for a leader without contact to the state service. A message that is
-//! lost never breaks a rule.
+//! Messages between controllers, encoded with bincode. Some messages only make answers to users
+//! more recent or faster; others extend the lease of a leader without contact to the state
+//! service. No guarantee of the scheduler depends on the delivery of a message.
 //!
-//! The order of the variants and of their fields is the wire format: new ones go to the
-//! end.
+//! The order of the variants and of their fields defines the wire format: new variants and fields
+//! must be appended at the end.
 
 use serde::{Deserialize, Serialize};
 
 /// A request to another controller.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum PeerRequest {
-    /// How many tasks of the job run, if you lead?
+    /// Asks the leader how many tasks of the job are completed and running. The field is the
+    /// job's id.
     Progress(String),
-    /// The overview of live jobs, as text.
+    /// Asks the leader for the overview of live jobs, as text.
     Overview,
-    /// I lead under this term and have no contact to the state service: do you know of a
-    /// later leader? A quorum that does not extends the leader's lease.
+    /// The sender leads and has no contact to the state service. Asks the receiver to agree that it
+    /// knows of no leader with a higher term. Agreement by a quorum extends the sender's lease. The
+    /// field is the sender's term.
     ExtendLease(u64),
-    /// I took over under this term: never extend the lease of an earlier leader.
+    /// The sender has taken over as leader. Asks the receiver to promise that it will never again
+    /// extend the lease of a leader with a lower term. The field is the sender's term.
     Promise(u64),
-    /// How many heartbeats of workers did you redirect lately?
+    /// Asks how many heartbeats from workers the receiver redirected recently.
     RedirectedHeartbeats,
-    /// What do operators see of the shard that you lead?
+    /// Asks the leader for an operators' view of its shard.
     View(Topic),
-    /// For how long have you had contact to the state service without a gap?
+    /// Asks how long the receiver has had uninterrupted contact to the state service.
     Contact,
-    /// This job's cancellation is written: stop what you run of it.
+    /// Notifies the leader that the cancellation of a job is recorded, so that the leader stops the
+    /// job's tasks. The field is the job's id.
     JobCancelled(String),
-    /// I lead under this term and hear nothing of cancellations: which did you confirm to
-    /// users, over so many milliseconds?
+    /// The sender leads, but its watch of the state service reports no cancellations. Asks which
+    /// cancellations the receiver has confirmed to users recently. The first field is the sender's
+    /// term. The second field is the length of the period before now, in milliseconds.
     ConfirmedCancellations(u64, u64),
 }
 
-/// What operators look at.
+/// What an operators' view shows.
 #[derive(Serialize, Deserialize, Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// Live jobs, the worst first, at most so many.
+    /// Live jobs; unhealthy jobs (stuck, failing or late) come first. The field is the maximum
+    /// number of jobs.
     Jobs(u32),
-    /// Quotas of teams and what they use.
+    /// The teams: their quotas and their use of resources.
     Teams,
-    /// Machines, and what is known of each.
+    /// The machines, with the state of each.
     Machines,
-    /// How many machines are in each state.
+    /// The number of machines in each state.
     Fleet,
-    /// How long jobs wait.
+    /// How long jobs wait for their first start.
     Waits,
-    /// Machines that are drained.
+    /// All drains, with their progress.
     Drains,
-    /// What a plan is made from.
+    /// The data from which a plan is computed.
     Snapshot,
 }
 
-/// The response of a controller.
+/// A response to a request from another controller.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub enum PeerResponse {
-    /// Done and running tasks.
+    /// The progress of a job.
     Progress {
-        /// Completed tasks.
+        /// Number of completed tasks.
         done: u32,
-        /// Running tasks.
+        /// Number of running tasks.
         running: u32,
     },
     /// The overview of live jobs, as text.
     Overview(String),
-    /// No later leader is known, or the promise is given.
+    /// To `ExtendLease`: the responder knows of no leader with a higher term. To `Promise`: the
+    /// responder has given the promise. To `JobCancelled`: the responder has applied the
+    /// cancellation.
     Agreed,
-    /// So many, lately.
+    /// Number of heartbeats from workers that were redirected recently.
     RedirectedHeartbeats(u32),
-    /// The term and the data, as JSON.
+    /// The leader's term, and the view as JSON.
     View(u64, String),
-    /// The asked controller does not lead, or does not agree.
+    /// The responder does not lead, does not agree, or cannot give a complete answer.
     NotLeader,
-    /// For so many milliseconds.
+    /// Duration of the uninterrupted contact to the state service, in milliseconds.
     Contact(u64),
-    /// Cancelled jobs that users were told of: all within the time asked for.
+    /// Ids of all jobs whose cancellation was confirmed to users within the requested time.
     ConfirmedCancellations(Vec<String>),
 }
 
-/// Encodes a message.
+/// Encodes a message. Returns no bytes if the message cannot be encoded.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     bincode::serde::encode_to_vec(message, bincode::config::standard()).unwrap_or_default()
 }
 
-/// Largest message taken: a snapshot of 6,000 machines with a dozen tasks each.
-const MAX_BYTES: usize = 16 << 20;
+/// Maximum size of a message that is decoded, in bytes. A snapshot of 6,000 machines with a dozen
+/// tasks each fits into this size.
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
 
-/// Decodes a message, bounded, since peers are not trusted to be of our version; `None` if
-/// it is none of ours.
+/// Decodes a message; `None` if the bytes are not a valid message. The size is limited, because the
+/// message of a controller with another program version may be misread as one of a huge length.
 pub fn decode<T: serde::de::DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    let config = bincode::config::standard().with_limit::<MAX_BYTES>();
+    let config = bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>();
     bincode::serde::decode_from_slice(bytes, config)
         .ok()
         .map(|(message, _)| message)
--- a/src/protocol/policy.rs
+++ b/src/protocol/policy.rs
@@ -1,50 +1,60 @@
-//! The operators' own settings, an optional file of S-expressions:
+//! The scheduling policy that operators set, in an optional file of S-expressions:
 //!
 //! ```text
 //! ((sample . 2) (queue-depth . 2) (age-reports . 1.0))
 //! ```
 //!
-//! Every field has a default; an unknown or impossible one is an error, since
-//! nobody but the operator writes this file.
+//! Every field has a default. An unknown field or an invalid value is an error. Unknown fields are
+//! not ignored, because only operators write this file, so an unknown field must be a mistake.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Open points of the design, as settings.
+/// Parameters of scheduling and leadership that operators may change.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Policy {
-    /// Machines sampled for a task. Two: the step from one to two choices is
-    /// the large one (paper, section 1).
+    /// Number of machines sampled for a task. The default is two, because the step from one machine
+    /// to two brings most of the gain (section 1 of the paper by Mitzenmacher and Dell'Amico that
+    /// the module `coordination::scheduler::placement` names).
     pub sample: usize,
-    /// Waiting tasks bound to a machine at most.
+    /// Maximum number of waiting tasks in the queue of a machine.
     pub queue_depth: usize,
-    /// Half the age of a bound task, in heartbeat intervals, at which it is unbound
-    /// and placed again.
+    /// Half of the time after which a task is removed from a machine's queue and machines are
+    /// sampled for it again, as a multiple of the heartbeat interval.
     pub age_reports: f64,
-    /// Time to live of a controller's lease in the state service, in workers' leases.
+    /// Time to live of a controller's lease in the state service, as a multiple of the time to
+    /// live of a worker's lease.
     pub member_leases: f64,
-    /// For how many workers' leases a leader without contact to the state
-    /// service goes on answering its workers.
+    /// How long a leader without contact to the state service continues to answer workers, as a
+    /// multiple of the time to live of a worker's lease.
     pub quiet_leases: f64,
-    /// Part of the fleet kept free by scaling out ahead of demand.
+    /// Capacity that is rented ahead of demand, as a fraction of the capacity that placed and
+    /// waiting tasks need.
     pub headroom: f64,
-    /// For how long a machine may idle before the fleet is scaled in, in boot times.
+    /// How long a machine may be idle before it is returned to the cloud, as a multiple of the
+    /// boot time of its type.
     pub idle_boots: f64,
-    /// Errors in a row after which a machine is cordoned.
+    /// Number of recent task failures on a machine after which the machine is no longer used. Only
+    /// failures since the machine last completed a task count. The failures of a job that has not
+    /// completed any task count as one, and the failures of a job that fails on several machines
+    /// do not count.
     pub cordon_errors: u32,
-    /// How often a task may be preempted, under one leader.
+    /// Maximum number of times that a task is preempted under the same leader.
     pub max_stops: u32,
-    /// Room that comes free by itself is waited for, for this part of the time
-    /// that a job has left until it misses an objective; 0: others are preempted at once.
+    /// How long a job waits for capacity that other tasks free when they end, as a fraction of the
+    /// time left until the job misses an objective. Other tasks are preempted for the job only if
+    /// too little capacity is predicted to become free within this time. 0: other tasks may be
+    /// preempted at once.
     pub patience: f64,
-    /// Part of the fleet on which a class or team below its fair share goes
-    /// first; 0: none.
+    /// Fraction of the fleet's CPUs on which classes and teams below their fair share take
+    /// precedence over others. 0: they take precedence nowhere.
     pub floor_share: f64,
-    /// Within this many seconds the first task of every job should start; half of it
-    /// before, the task goes ahead of others. 0: none does.
+    /// Time within which the first task of every job should start, in seconds. Once half of this
+    /// time has passed, the job's first task takes precedence over all other tasks. 0: first tasks
+    /// get no such precedence.
     pub begin_s: f64,
-    /// Where the operators' API listens; without it there is none.
+    /// Address on which the operators' API listens. Without an address there is no such API.
     pub admin: Option<SocketAddr>,
 }
 
@@ -68,73 +78,90 @@
     }
 }
 
-/// Why the operators' file is not usable.
+/// Why the policy file is not usable.
 #[derive(thiserror::Error, Debug)]
 pub enum PolicyError {
-    /// The file cannot be read as settings.
+    /// The text cannot be parsed.
     #[error("operators' settings: {0}")]
     Malformed(String),
-    /// A field has an impossible value: its name, and what is wrong with it.
+    /// A field has an invalid value. Holds the field's name and what the value must be.
     #[error("operators' settings: {0}: {1}")]
     Field(&'static str, &'static str),
 }
 
-/// Shortest time to live of a controller's lease, in seconds: five renewals, each with time
-/// for a slow answer.
+/// Minimum time to live of a controller's lease, in seconds. A lease is renewed five times within
+/// its time to live, and each renewal needs time for a slow answer.
 const MIN_LEASE_TTL_S: f64 = 2.0;
-/// Longest time to live of a controller's lease, in seconds.
+/// Maximum time to live of a controller's lease, in seconds.
 const MAX_LEASE_TTL_S: f64 = 600.0;
 
 impl Policy {
-    /// Time to live of a controller's lease in the state service, in seconds, where that of
-    /// a worker's lease is `lease_s`.
-    pub fn lease_ttl_s(&self, lease_s: f64) -> f64 {
-        (self.member_leases * lease_s).clamp(MIN_LEASE_TTL_S, MAX_LEASE_TTL_S)
+    /// Time to live of a controller's lease in the state service, in seconds.
+    /// `worker_lease_s` is the time to live of a worker's lease.
+    pub fn lease_ttl_s(&self, worker_lease_s: f64) -> f64 {
+        (self.member_leases * worker_lease_s).clamp(MIN_LEASE_TTL_S, MAX_LEASE_TTL_S)
     }
 
-    /// Reads and checks the file's text.
+    /// Parses and checks the text of the policy file.
     ///
     /// # Errors
-    /// It is malformed, or a field is unknown or impossible.
+    /// The text is malformed, a field is unknown, or a value is invalid.
     pub fn parse(text: &str) -> Result<Policy, PolicyError> {
-        let policy: Policy =
-            serde_lexpr::from_str(text).map_err(|e| PolicyError::Malformed(e.to_string()))?;
+        let policy: Policy = serde_lexpr::from_str(text)
+            .map_err(|error| PolicyError::Malformed(error.to_string()))?;
         policy.check()?;
         Ok(policy)
     }
 
-    /// The order of the checks decides which of several errors is named.
+    /// Checks every value, and reports the first error. The order of the checks therefore decides
+    /// which of several errors is reported.
     fn check(&self) -> Result<(), PolicyError> {
-        require(self.sample > 0, "sample", "is 0")?;
-        require(self.queue_depth <= 1000, "queue-depth", "is above 1000")?;
+        require(self.sample > 0, "sample", "must be at least 1")?;
+        require(
+            self.queue_depth <= 1000,
+            "queue-depth",
+            "must be at most 1000",
+        )?;
         for (name, value) in [
             ("age-reports", self.age_reports),
             ("member-leases", self.member_leases),
             ("quiet-leases", self.quiet_leases),
             ("idle-boots", self.idle_boots),
         ] {
-            require(value.is_finite() && value > 0.0, name, "is not above 0")?;
+            require(
+                value.is_finite() && value > 0.0,
+                name,
+                "must be finite and greater than 0",
+            )?;
         }
-        let headroom = (0.0..=10.0).contains(&self.headroom);
-        require(headroom, "headroom", "is not within 0 and 10")?;
-        // All of the fleet would turn the order of urgencies around.
-        let floor_share = (0.0..=0.5).contains(&self.floor_share);
-        require(floor_share, "floor-share", "is not within 0 and 0.5")?;
-        let patience = (0.0..=1.0).contains(&self.patience);
-        require(patience, "patience", "is not within 0 and 1")?;
-        let begin_s = self.begin_s.is_finite() && self.begin_s >= 0.0;
-        require(begin_s, "begin-s", "is below 0")?;
-        // Without a preemption urgent work could get room from nobody.
-        require(self.max_stops > 0, "max-stops", "is 0")?;
-        require(self.cordon_errors > 0, "cordon-errors", "is 0")
+        let headroom_valid = (0.0..=10.0).contains(&self.headroom);
+        require(headroom_valid, "headroom", "must be between 0 and 10")?;
+        // With the whole fleet, fair shares would override the order by urgency.
+        let floor_share_valid = (0.0..=0.5).contains(&self.floor_share);
+        require(
+            floor_share_valid,
+            "floor-share",
+            "must be between 0 and 0.5",
+        )?;
+        let patience_valid = (0.0..=1.0).contains(&self.patience);
+        require(patience_valid, "patience", "must be between 0 and 1")?;
+        let begin_s_valid = self.begin_s.is_finite() && self.begin_s >= 0.0;
+        require(begin_s_valid, "begin-s", "must be finite and at least 0")?;
+        // Without preemption, urgent jobs could not get capacity from other jobs.
+        require(self.max_stops > 0, "max-stops", "must be at least 1")?;
+        require(
+            self.cordon_errors > 0,
+            "cordon-errors",
+            "must be at least 1",
+        )
     }
 }
 
-/// Fails with the field's name unless its value is possible.
-fn require(possible: bool, field: &'static str, problem: &'static str) -> Result<(), PolicyError> {
-    if possible {
+/// Returns an error with the field's name and the requirement on its value if `valid` is false.
+fn require(valid: bool, field: &'static str, requirement: &'static str) -> Result<(), PolicyError> {
+    if valid {
         Ok(())
     } else {
-        Err(PolicyError::Field(field, problem))
+        Err(PolicyError::Field(field, requirement))
     }
 }
--- a/src/transport/clients/peers.rs
+++ b/src/transport/clients/peers.rs
@@ -1,43 +1,46 @@
-//! Client of the other controllers: messages over the mesh.
+//! Client of the other controllers: sends them the messages of [`crate::protocol::mesh`].
 
 use crate::protocol::mesh::{self, PeerRequest, PeerResponse};
-use crate::transport::http::Http;
+use crate::transport::http::HttpClient;
 use awc::http::Method;
 use std::net::SocketAddr;
 
-/// Bound on the time to connect, in seconds.
+/// Maximum time to connect, in seconds.
 const CONNECT_TIMEOUT_S: f64 = 0.2;
-/// Connections kept open at most.
-const MAX_SOCKETS: usize = 8;
-/// Timeout of hints, which are worth no long wait, in seconds.
-const HINT_TIMEOUT_S: f64 = 0.3;
+/// Maximum number of connections.
+const MAX_CONNECTIONS: usize = 8;
+/// Timeout of a request if the caller does not set another one, in seconds. Most such requests ask
+/// for hints, which are not worth a long wait.
+const DEFAULT_TIMEOUT_S: f64 = 0.3;
 
 /// Client of the other controllers.
 #[derive(Clone)]
 pub struct MeshClient {
-    http: Http,
+    http: HttpClient,
 }
 
 impl Default for MeshClient {
     fn default() -> Self {
         MeshClient {
-            http: Http::new(CONNECT_TIMEOUT_S, MAX_SOCKETS),
+            http: HttpClient::new(CONNECT_TIMEOUT_S, MAX_CONNECTIONS),
         }
     }
 }
 
 impl MeshClient {
-    /// A client with another carrier of its calls.
-    pub fn over(http: Http) -> MeshClient {
+    /// A client whose calls are made by `http`.
+    pub fn with_http(http: HttpClient) -> MeshClient {
         MeshClient { http }
     }
 
-    /// Asks a peer for a hint; `None` without an answer soon.
+    /// Sends a request to another controller; `None` if there is no valid response within the
+    /// default timeout of 0.3 seconds.
     pub async fn ask(&self, addr: SocketAddr, request: &PeerRequest) -> Option<PeerResponse> {
-        self.ask_within(addr, request, HINT_TIMEOUT_S).await
+        self.ask_within(addr, request, DEFAULT_TIMEOUT_S).await
     }
 
-    /// Asks a peer; `None` without an answer within `timeout_s` seconds.
+    /// Sends a request to another controller; `None` if there is no valid response within
+    /// `timeout_s` seconds.
     pub async fn ask_within(
         &self,
         addr: SocketAddr,
--- a/src/transport/clients/service.rs
+++ b/src/transport/clients/service.rs
@@ -1,8 +1,8 @@
-//! What the clients of the outside services share: a call and its statistics, request
-//! bodies, responses.
+//! Functions that the clients of the state service and of the cloud share: calls with statistics,
+//! encoding of request bodies, decoding of responses.
 
 use super::ServiceError;
-use crate::transport::http::{Http, Response};
+use crate::transport::http::{HttpClient, Response};
 use actix_rt::time::Instant;
 use awc::http::Method;
 use serde::de::DeserializeOwned;
@@ -11,28 +11,28 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A call of a service.
+/// A request to a service.
 pub(super) struct Request<'a> {
     pub(super) method: Method,
     pub(super) path: &'a str,
     pub(super) body: Option<Vec<u8>>,
-    /// Bound on the time from sending to the end of the response, in seconds.
+    /// Maximum time from sending the request to the end of the response, in seconds.
     pub(super) timeout_s: f64,
 }
 
-/// One outside service: its address, and how calls of it went. Clones share the
-/// statistics.
+/// An external service: its address, and statistics of the calls to it. Clones of the value share
+/// the statistics.
 #[derive(Clone)]
 pub(super) struct Service {
-    http: Http,
+    http: HttpClient,
     addr: SocketAddr,
-    /// Origin of [`Service::now`].
+    /// The time at which [`Service::now`] is 0.
     start: Instant,
     statistics: Rc<RefCell<CallStatistics>>,
 }
 
 impl Service {
-    pub(super) fn new(http: Http, addr: SocketAddr) -> Service {
+    pub(super) fn new(http: HttpClient, addr: SocketAddr) -> Service {
         Service {
             http,
             addr,
@@ -41,12 +41,13 @@
         }
     }
 
-    /// The time that token buckets are passed, in seconds.
+    /// The current time for token buckets: the time since this value was created, in seconds.
     pub(super) fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Makes a call and counts how it went; `check` says which responses are failures.
+    /// Makes a call and counts it as answered or failed. `check` returns an error if the response
+    /// is a failure.
     pub(super) async fn call(
         &self,
         request: Request<'_>,
@@ -57,10 +58,10 @@
         result
     }
 
-    /// Makes a call over a carrier of its own, without counting it.
+    /// Makes a call through the client `http`, without counting the call in the statistics.
     pub(super) async fn send(
         &self,
-        http: &Http,
+        http: &HttpClient,
         request: Request<'_>,
     ) -> Result<Response, ServiceError> {
         let Request {
@@ -73,13 +74,14 @@
         response.map_err(ServiceError::from)
     }
 
-    /// How calls went so far.
+    /// Statistics of the calls so far.
     pub(super) fn statistics(&self) -> CallStatistics {
         *self.statistics.borrow()
     }
 }
 
-/// Fails on refusals because of overload (429, 503): nothing was done.
+/// Returns an error if the service refused the request because of overload (429, 503). A refused
+/// request has not been executed.
 pub(super) fn not_overloaded(response: Response) -> Result<Response, ServiceError> {
     match response.status {
         429 | 503 => Err(ServiceError::Refused),
@@ -87,17 +89,19 @@
     }
 }
 
-/// The body of a request. Our requests are plain structs, which always serialise.
+/// Encodes the body of a request as JSON. The requests are plain structs, which always
+/// serialise.
 pub(super) fn encode<T: Serialize>(body: &T) -> Result<Vec<u8>, ServiceError> {
     serde_json::to_vec(body).map_err(|_| ServiceError::Status(0))
 }
 
-/// Reads the body of a response.
+/// Decodes the JSON body of a response.
 pub(super) fn decode<T: DeserializeOwned>(response: &Response) -> Result<T, ServiceError> {
     serde_json::from_slice(&response.body).map_err(|_| ServiceError::Unknown)
 }
 
-/// How calls of a service went: counts, and when the last ones were.
+/// Statistics of the calls to a service: the numbers of answered and failed calls, and when the
+/// last call of each kind ended.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct CallStatistics {
     /// Calls that were answered.
@@ -111,6 +115,7 @@
 }
 
 impl CallStatistics {
+    /// Counts a call that ends now.
     fn record<T>(&mut self, result: &Result<T, ServiceError>) {
         let now = Some(Instant::now());
         if result.is_ok() {
--- a/src/transport/clients/workers.rs
+++ b/src/transport/clients/workers.rs
@@ -1,9 +1,10 @@
-//! Client of the workers: direct commands, over a bounded number of kept connections.
+//! Client of the workers: sends direct commands, and limits the number of connections to workers
+//! that are kept open.
 
 use crate::protocol::settings::Settings;
-use crate::protocol::worker::{Direct, Report};
-use crate::transport::http::{CallError, Http, Response};
-use crate::transport::sockets::Sockets;
+use crate::protocol::worker::{DirectCommands, Report};
+use crate::transport::http::{CallError, HttpClient, Response};
+use crate::transport::sockets::SocketBudget;
 use awc::http::Method;
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -12,89 +13,97 @@
 
 /// Client of the workers.
 ///
-/// A connection to a worker is kept for later calls, and the pool closes none before the
-/// next call to the same address: machines that are gone leave theirs behind, and with
-/// as many machines as sockets the process had none left (for its own lease, say). So
-/// the addresses that the pool may hold are counted, and where they are as many as there
-/// are sockets to spare, all are closed and the pool begins anew.
+/// The pool keeps a connection to a worker open for later calls, and closes an expired connection
+/// only at the next call to the same address. So connections to machines that no longer exist stay
+/// open. As machines come and go, these connections would use up all sockets of the process, and
+/// the process could not even renew its own lease. Therefore the client counts the addresses to
+/// which the pool may hold a connection. When their number reaches the limit
+/// ([`SocketBudget::max_to_workers`]), the client replaces the pool; this closes all connections
+/// of the old pool.
 #[derive(Clone)]
 pub struct WorkerClient {
     pool: Rc<RefCell<Pool>>,
-    process_sockets: Sockets,
-    /// Calls that can be under way at once.
-    pub sockets: usize,
+    socket_budget: SocketBudget,
+    /// Maximum number of calls in progress at a time.
+    pub max_concurrent_calls: usize,
     timeout_s: f64,
 }
 
 /// The connection pool.
 struct Pool {
-    http: Http,
-    /// Addresses to which it may hold a connection.
+    http: HttpClient,
+    /// Addresses to which the pool may hold a connection.
     addresses: HashSet<SocketAddr>,
 }
 
-/// Outcome of direct commands.
+/// Outcome of sending direct commands.
 #[derive(Debug)]
 pub enum DirectOutcome {
-    /// Executed; the heartbeat is from after them.
+    /// The worker executed the commands, and then generated the heartbeat that this variant holds.
     Executed(Report),
-    /// Not executed, now or ever; the heartbeat says why.
+    /// The worker refused the commands and will never execute them. This variant holds its
+    /// heartbeat, which shows why.
     Rejected(Report),
-    /// Never sent.
+    /// The commands will never be executed: they were not sent, or the worker answered with status
+    /// 400.
     NotSent,
-    /// May be executed at any time while token and session match.
+    /// The worker may have executed the commands, or may execute them at any later time, as long as
+    /// their token and session equal those of the worker.
     Unknown,
 }
 
 impl WorkerClient {
-    /// A client with the sockets and the timeout that the settings allow.
+    /// A client whose limits and timeout are derived from the settings.
     pub fn new(settings: &Settings) -> WorkerClient {
         let timeout_s = settings.cluster.workers.report_s.clamp(1.0, 4.0);
         WorkerClient::with_sockets(settings.cluster.quota.max_sockets, timeout_s)
     }
 
-    /// A client in a process of so many sockets; a call may take `timeout_s` seconds.
-    pub fn with_sockets(all: usize, timeout_s: f64) -> WorkerClient {
-        let process_sockets = Sockets::new(all);
-        let sockets = (process_sockets.all / 4).clamp(8, 128);
+    /// A client for a process that may have at most `max_sockets` sockets open, with a timeout of
+    /// `timeout_s` seconds per call.
+    pub fn with_sockets(max_sockets: usize, timeout_s: f64) -> WorkerClient {
+        let socket_budget = SocketBudget::new(max_sockets);
+        let max_concurrent_calls = (socket_budget.limit / 4).clamp(8, 128);
         let pool = Pool {
-            http: Http::new(timeout_s / 2.0, sockets),
+            http: HttpClient::new(timeout_s / 2.0, max_concurrent_calls),
             addresses: HashSet::new(),
         };
         WorkerClient {
             pool: Rc::new(RefCell::new(pool)),
-            process_sockets,
-            sockets,
+            socket_budget,
+            max_concurrent_calls,
             timeout_s,
         }
     }
 
-    /// How many addresses a connection may be kept to.
+    /// Number of addresses to which a connection may be kept open.
     pub fn kept_connections(&self) -> usize {
         self.pool.borrow().addresses.len()
     }
 
-    /// The process's sockets.
-    pub fn process_sockets(&self) -> &Sockets {
-        &self.process_sockets
+    /// The socket budget of the process.
+    pub fn socket_budget(&self) -> &SocketBudget {
+        &self.socket_budget
     }
 
-    /// The pool for a call to this address.
-    fn pool(&self, addr: SocketAddr) -> Http {
+    /// The pool for a call to this address. If the current pool may hold too many connections, it is
+    /// replaced first.
+    fn pool(&self, addr: SocketAddr) -> HttpClient {
         let mut pool = self.pool.borrow_mut();
-        // There may be fewer to spare than when the others were kept.
-        let others = pool.addresses.len() - usize::from(pool.addresses.contains(&addr));
-        if others >= self.process_sockets.to_workers() {
+        // The number can be above the limit, because the limit may have been higher when the other
+        // connections were opened.
+        let other_addresses = pool.addresses.len() - usize::from(pool.addresses.contains(&addr));
+        if other_addresses >= self.socket_budget.max_to_workers() {
             pool.addresses.clear();
-            // The old one goes with its last call.
-            pool.http = Http::new(self.timeout_s / 2.0, self.sockets);
+            // The old pool is dropped when its last call has ended.
+            pool.http = HttpClient::new(self.timeout_s / 2.0, self.max_concurrent_calls);
         }
         pool.addresses.insert(addr);
         pool.http.clone()
     }
 
     /// Sends direct commands to a worker.
-    pub async fn send(&self, addr: SocketAddr, direct: &Direct) -> DirectOutcome {
+    pub async fn send(&self, addr: SocketAddr, direct: &DirectCommands) -> DirectOutcome {
         let Ok(body) = serde_json::to_vec(direct) else {
             return DirectOutcome::NotSent;
         };
@@ -108,14 +117,14 @@
     }
 }
 
-/// What a worker's response says of the commands.
+/// The outcome of the commands, according to the worker's response.
 fn outcome(response: &Response) -> DirectOutcome {
-    let of_report = |outcome: fn(Report) -> DirectOutcome| {
-        serde_json::from_slice(&response.body).map_or(DirectOutcome::Unknown, outcome)
+    let with_report = |variant: fn(Report) -> DirectOutcome| {
+        serde_json::from_slice(&response.body).map_or(DirectOutcome::Unknown, variant)
     };
     match response.status {
-        200 => of_report(DirectOutcome::Executed),
-        409 => of_report(DirectOutcome::Rejected),
+        200 => with_report(DirectOutcome::Executed),
+        409 => with_report(DirectOutcome::Rejected),
         400 => DirectOutcome::NotSent,
         _ => DirectOutcome::Unknown,
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use foxspur::protocol::job::{JobSpec, Shape, Urgency};
 use foxspur::protocol::policy::Policy;
 use foxspur::protocol::settings::Team;
-use foxspur::protocol::worker::{Cause, Phase, Report, Shown};
+use foxspur::protocol::worker::{AttemptStatus, Cause, Phase, Report};
 use foxspur::storage::completed_tasks::CompletedTasks;
 use foxspur::storage::records::{LiveJob, MachineInfo};
 
@@ -56,6 +56,7 @@
 pub const LEASE_S: f64 = 10.0;
 pub const CANCEL_S: f64 = 40.0;
 
+/// A team with a guarantee of `cpus` CPUs and a limit of `cpus_max` CPUs (0: no limit).
 pub fn team(name: &str, cpus: f64, cpus_max: f64) -> Team {
     Team {
         name: name.into(),
@@ -78,6 +79,7 @@
     }
 }
 
+/// The machine types that the cloud offers: a single type `small` with 8 CPUs.
 pub fn types() -> Vec<MachineType> {
     vec![MachineType {
         name: "small".into(),
@@ -93,6 +95,7 @@
     }]
 }
 
+/// The description of a sweep of `tasks` tasks that need `cpus` CPUs each.
 pub fn spec(id: &str, team: &str, urgency: Urgency, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
         id: id.into(),
@@ -118,14 +121,16 @@
     }
 }
 
-pub fn live(spec: JobSpec, at_s: f64) -> LiveJob {
+/// The record of a live job without completed tasks that was accepted at `accepted_at_s`.
+pub fn live(spec: JobSpec, accepted_at_s: f64) -> LiveJob {
     LiveJob {
         spec: spec.into(),
-        at_ms: (at_s * 1000.0) as u64,
+        accepted_at_ms: (accepted_at_s * 1000.0) as u64,
         done: String::new(),
     }
 }
 
+/// A machine of the type `small`.
 pub fn machine(id: &str, zone: &str, spot: bool) -> MachineInfo {
     MachineInfo {
         id: id.into(),
@@ -136,7 +141,7 @@
     }
 }
 
-/// A scheduler with these machines in its machine record. None of them is fenced yet.
+/// A scheduler with these machines in its machine record. No machine is fenced yet.
 pub fn scheduler(teams: Vec<Team>, term: u64, machines: &[&str]) -> Scheduler {
     let mut scheduler = Scheduler::new(
         scheduler_config(teams),
@@ -151,11 +156,12 @@
     scheduler
 }
 
-pub fn add(scheduler: &mut Scheduler, spec: JobSpec, at_s: f64) {
-    scheduler.add_job(live(spec, at_s), 1, CompletedTasks::default());
+/// Adds a live job with this specification that was accepted at `accepted_at_s`.
+pub fn add(scheduler: &mut Scheduler, spec: JobSpec, accepted_at_s: f64) {
+    scheduler.add_job(live(spec, accepted_at_s), 1, CompletedTasks::default());
 }
 
-/// A report of a machine. Each task is given as (name, attempt number, phase, cause).
+/// A report of the machine `id`. Each task is a tuple (name, attempt number, phase, cause).
 pub fn report(
     id: &str,
     session: u64,
@@ -175,7 +181,7 @@
         notice_s: None,
         tasks: tasks
             .iter()
-            .map(|(task, attempt, phase, cause)| Shown {
+            .map(|(task, attempt, phase, cause)| AttemptStatus {
                 task: task.to_string(),
                 attempt: *attempt,
                 phase: *phase,
@@ -186,8 +192,8 @@
     }
 }
 
-/// The seeds to simulate. The environment variable `SEEDS` gives either their number or a
-/// range `FROM..TO`; without it they are `0..default_count`.
+/// The seeds to simulate. The environment variable `SEEDS` contains either the number of seeds
+/// or a range `FROM..TO`. Without this variable the seeds are `0..default_count`.
 pub fn seeds(default_count: u64) -> std::ops::Range<u64> {
     let requested = std::env::var("SEEDS").unwrap_or_default();
     match requested.split_once("..") {
@@ -196,8 +202,8 @@
     }
 }
 
-/// Whether `SEEDS` gives a range. A range may be small or arbitrary, so the tests then do not
-/// check how often certain situations occurred.
-pub fn own_seeds() -> bool {
+/// Whether the environment variable `SEEDS` contains a range. A range may be small or
+/// arbitrary, so in this case the tests do not check how often certain situations occurred.
+pub fn seed_range_is_given() -> bool {
     std::env::var("SEEDS").is_ok_and(|requested| requested.contains(".."))
 }
--- a/tests/leader_reachability.rs
+++ b/tests/leader_reachability.rs
@@ -1,10 +1,10 @@
-//! A leader that its workers cannot reach resigns, and no other leader does.
+//! A leader resigns if its workers cannot reach it, and only then.
 
 mod common;
 
 use common::*;
 use foxspur::coordination::agents::leader_reachability::{
-    leader_unreached, out_of_reach, RedirectCounter,
+    is_leader_unreachable, should_resign, RedirectCounter,
 };
 use foxspur::coordination::scheduler::state::Scheduler;
 
@@ -23,8 +23,11 @@
         (7, 7, 7, false),
         (0, 0, 9, false),
     ] {
-        let actual = out_of_reach(machines, silent, redirected);
-        assert_eq!(actual, resigns, "{machines} {silent} {redirected}");
+        let actual = should_resign(machines, silent, redirected);
+        assert_eq!(
+            actual, resigns,
+            "{machines} machines, {silent} silent, {redirected} heartbeats redirected"
+        );
     }
 }
 
@@ -45,7 +48,8 @@
 #[test]
 fn many_redirects_show_an_unreachable_leader() {
     let mut redirects = RedirectCounter::default();
-    let unreachable = |redirects: &mut RedirectCounter, now| leader_unreached(redirects.add(now));
+    let unreachable =
+        |redirects: &mut RedirectCounter, now| is_leader_unreachable(redirects.add(now));
     assert!((0..7).all(|n| !unreachable(&mut redirects, 100.0 + f64::from(n) * 0.1)));
     assert!(unreachable(&mut redirects, 101.0));
     assert!(!unreachable(&mut redirects, 120.0));
@@ -55,8 +59,8 @@
 #[test]
 fn redirects_are_counted_in_windows() {
     let mut redirects = RedirectCounter::default();
-    for at in [100.0, 101.0, 106.0] {
-        redirects.add(at);
+    for redirected_at in [100.0, 101.0, 106.0] {
+        redirects.add(redirected_at);
     }
     for (now, recent) in [(106.0, 3), (109.0, 3), (112.0, 1), (130.0, 0)] {
         assert_eq!(redirects.recent(now), recent, "at {now}");
@@ -68,7 +72,7 @@
 struct Assessment {
     silent: usize,
     partitioned_zones: usize,
-    given_up: usize,
+    presumed_dead: usize,
 }
 
 impl Assessment {
@@ -77,14 +81,14 @@
         Assessment {
             silent,
             partitioned_zones: scheduler.partitioned_zones(now).len(),
-            given_up: scheduler.machines_given_up(now).len(),
+            presumed_dead: scheduler.machines_presumed_dead(now).len(),
         }
     }
 }
 
-/// Guards against a leader whose process was paused and that takes its own pause for silence
-/// of its machines: after such a pause leaders resigned or returned machines. Heartbeats
-/// that are missing after the pause count as silence.
+/// Guards against a leader that takes a pause of its own process for silence of its machines:
+/// after such a pause leaders resigned or returned machines. Heartbeats that are missing after the
+/// pause do count as silence.
 #[test]
 fn own_pause_does_not_count_as_silence() {
     let names = ["m1", "m2", "m3", "m4", "m5", "m6", "m7", "m8", "m9"];
@@ -92,7 +96,7 @@
     for name in names {
         scheduler.handle_heartbeat(&report(name, 1, 1, 5, &[]), 1.0);
     }
-    // Checks before the first tick after the pause, and after it.
+    // The silence is assessed before the first tick after the pause, and again after this tick.
     assert_eq!(Assessment::at(&scheduler, 9.0), Assessment::default());
     scheduler.tick(9.0, 0.0);
     scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &[]), 9.1);
@@ -107,7 +111,7 @@
     let one_silent = Assessment {
         silent: 1,
         partitioned_zones: 0,
-        given_up: 1,
+        presumed_dead: 1,
     };
     assert_eq!(Assessment::at(&scheduler, 13.5), one_silent);
 }
--- a/tests/pause/peers.rs
+++ b/tests/pause/peers.rs
@@ -1,21 +1,21 @@
-//! The queries that controllers send to each other, and what follows from their answers.
+//! The queries that controllers send to each other, and the effects of the answers.
 
 use super::*;
 use foxspur::coordination::leadership::queries::{CancellationQuery, PeerAnswer};
 
-/// How long a message to another controller takes, in seconds.
+/// Delay of a message to another controller, in seconds.
 const PEER_DELAY_S: f64 = 0.005;
 
 /// A query to which a peer can agree.
 #[derive(Clone, Copy)]
 pub(crate) enum AgreementQuery {
-    /// Extend the lease of the leader that asks, under this term.
+    /// Extend the lease of the asking leader, which acts under this term.
     ExtendLease(u64),
-    /// Promise not to extend the lease of a leader under an earlier term.
+    /// Promise not to extend the lease of a leader under a term earlier than this one.
     Promise(u64),
 }
 
-/// A call from one controller to another, and when it was sent by the caller's clock.
+/// A call from one controller to another, and its send time by the caller's clock.
 #[derive(Clone, Copy)]
 pub(crate) struct Call {
     pub(crate) from: usize,
@@ -36,7 +36,7 @@
         let extension = controller.leadership.extension_due(now);
         let unfenced = controller
             .acting
-            .is_some_and(|acting| acting.former_leaders_silent_since.is_none());
+            .is_some_and(|acting| acting.former_leaders_stopped_since.is_none());
         let promise = match unfenced {
             true => controller.leadership.promise_due(now),
             false => None,
@@ -95,7 +95,7 @@
         }
         let leadership = &mut self.controllers[call.to].leadership;
         let agrees = match query {
-            AgreementQuery::ExtendLease(term) => leadership.knows_no_later_leader(term),
+            AgreementQuery::ExtendLease(term) => leadership.knows_no_higher_term(term),
             AgreementQuery::Promise(term) => {
                 leadership.promise(term);
                 self.react_to_shard_changes(call.to);
--- a/tests/simulated/state.rs
+++ b/tests/simulated/state.rs
@@ -1,27 +1,30 @@
-//! The state service as it answers one request: keys, transactions, leases, watches.
+//! The model of the state service: its responses to requests about keys, transactions, leases
+//! and watches.
 
-use super::{Call, Cluster, WATCH_STEP};
-use foxspur::protocol::state::{Entry, Event, Lease, LeaseRequest, Listing, News, Revision, Txn};
+use super::{Call, Cluster, WATCH_POLL_INTERVAL};
+use foxspur::protocol::state::{
+    Entry, Event, Lease, LeaseRequest, Listing, Revision, Txn, WatchReply,
+};
 use foxspur::storage::records;
 use foxspur_testbed::store::Refusal;
 use serde_json::json;
 use tokio::time::Instant;
 
-/// A status and a body.
+/// The HTTP status and the body of a response.
 type Answer = (u16, Vec<u8>);
 
-fn json(status: u16, body: serde_json::Value) -> Answer {
+fn json_answer(status: u16, body: serde_json::Value) -> Answer {
     (status, body.to_string().into_bytes())
 }
 
-/// The value of a field of the query, as the path ends with it.
-fn query_field<'a>(path: &'a str, name: &str) -> Option<&'a str> {
+/// The value of a query parameter in a path.
+fn query_parameter<'a>(path: &'a str, name: &str) -> Option<&'a str> {
     let (_, value) = path.split_once(&format!("{name}="))?;
     value.split('&').next()
 }
 
 impl Cluster {
-    /// One request to the state service, as it arrives there.
+    /// Executes a request other than a watch, and returns the response.
     pub(super) fn execute(&self, from: usize, call: &Call) -> Answer {
         let now = self.start.elapsed().as_secs_f64();
         self.store.borrow_mut().tick(now);
@@ -43,55 +46,59 @@
         let id: Option<u64> = id.unwrap_or_default().parse().ok();
         match (call.method.as_str(), id) {
             ("POST", None) => {
-                let wanted: LeaseRequest =
+                let request: LeaseRequest =
                     serde_json::from_slice(&call.body).expect("a lease request");
-                let lease = store.grant(wanted.ttl_ms as f64 / 1000.0, now);
-                json(200, json!(Lease { lease }))
+                let lease = store.grant(request.ttl_ms as f64 / 1000.0, now);
+                json_answer(200, json!(Lease { lease }))
             }
-            ("POST", Some(id)) if store.extend(id, now) => json(200, json!({})),
+            ("POST", Some(id)) if store.extend(id, now) => json_answer(200, json!({})),
             ("DELETE", Some(id)) => {
                 store.end(id);
-                json(200, json!({}))
+                json_answer(200, json!({}))
             }
-            _ => json(404, json!({})),
+            _ => json_answer(404, json!({})),
         }
     }
 
+    /// Executes a transaction.
     fn transaction(&self, call: &Call) -> Answer {
         let store = &mut *self.store.borrow_mut();
         let txn: Txn = serde_json::from_slice(&call.body).expect("a transaction");
         match store.apply(&txn) {
-            Ok(revision) => json(200, json!(Revision { revision })),
+            Ok(revision) => json_answer(200, json!(Revision { revision })),
             Err(Refusal::Conflict(failed)) => {
-                json(409, json!({"failed": failed, "revno": store.revision}))
+                json_answer(409, json!({"failed": failed, "revno": store.revision}))
             }
-            Err(Refusal::NoLease) => json(400, json!({"error": "no such lease"})),
+            Err(Refusal::NoLease) => json_answer(400, json!({"error": "no such lease"})),
         }
     }
 
+    /// Reads one key.
     fn read(&self, key: &str) -> Answer {
         let store = self.store.borrow();
         let revision = store.revision;
         match store.get(key) {
-            Some(entry) => json(200, json!(entry)),
-            None => json(404, json!(Revision { revision })),
+            Some(entry) => json_answer(200, json!(entry)),
+            None => json_answer(404, json!(Revision { revision })),
         }
     }
 
-    /// One page of a listing.
+    /// Returns a page of a listing. The page begins with the first key after the parameter `since`.
     fn list(&self, from: usize, path: &str) -> Answer {
-        let under = query_field(path, "under").expect("a prefix");
-        let since = query_field(path, "since").unwrap_or_default();
+        let under = query_parameter(path, "under").expect("a prefix");
+        let since = query_parameter(path, "since").unwrap_or_default();
         let store = self.store.borrow();
         let mut items: Vec<Entry> = store.list(under);
         items.retain(|e| &*e.key > since);
-        let more = items.len() > self.page.get();
-        items.truncate(self.page.get());
+        let more = items.len() > self.listing_page_size.get();
+        items.truncate(self.listing_page_size.get());
         if more && under == records::LIVE_PREFIX {
-            self.pages.borrow_mut().push((from, Instant::now()));
+            self.partial_listing_reads
+                .borrow_mut()
+                .push((from, Instant::now()));
         }
         let revision = store.revision;
-        json(
+        json_answer(
             200,
             json!(Listing {
                 items,
@@ -101,31 +108,32 @@
         )
     }
 
-    /// A watch: changes under a prefix after a revision, as soon as there are any.
+    /// Executes a watch: as soon as there are changes under the prefix after the revision, returns
+    /// them. If there are none within the watch's timeout, returns an empty list.
     pub(super) async fn watch(&self, path: &str) -> Answer {
-        let field = |name| query_field(path, name).expect("a field");
-        let since: u64 = field("since").parse().expect("a revision");
-        let wait_ms: u64 = field("wait_ms").parse().expect("a time");
-        let prefix = field("under");
-        for _ in 0..=wait_ms / WATCH_STEP.as_millis() as u64 {
-            let news = self.changes(prefix, since);
-            if !news.events.is_empty() {
-                return (200, json!(news).to_string().into());
+        let parameter = |name| query_parameter(path, name).expect("a query parameter");
+        let since: u64 = parameter("since").parse().expect("a revision");
+        let wait_ms: u64 = parameter("wait_ms").parse().expect("a timeout");
+        let prefix = parameter("under");
+        for _ in 0..=wait_ms / WATCH_POLL_INTERVAL.as_millis() as u64 {
+            let changes = self.changes(prefix, since);
+            if !changes.events.is_empty() {
+                return (200, json!(changes).to_string().into());
             }
-            tokio::time::sleep(WATCH_STEP).await;
+            tokio::time::sleep(WATCH_POLL_INTERVAL).await;
         }
         (200, json!(self.changes(prefix, since)).to_string().into())
     }
 
-    /// The changes under a prefix after a revision.
-    fn changes(&self, prefix: &str, since: u64) -> News {
+    /// The changes of keys under `prefix` after the revision `since`.
+    fn changes(&self, prefix: &str, since: u64) -> WatchReply {
         let store = self.store.borrow();
         let changes = store.log.iter();
-        let wanted = changes.filter(|l| l.0 > since && l.1.starts_with(prefix));
-        News {
+        let wanted = changes.filter(|logged| logged.0 > since && logged.1.starts_with(prefix));
+        WatchReply {
             revision: store.revision,
             events: wanted
-                .map(|l| Event::new(l.1.clone(), l.2.clone(), l.0))
+                .map(|logged| Event::new(logged.1.clone(), logged.2.clone(), logged.0))
                 .collect(),
         }
     }
