--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -63,7 +63,7 @@
     /// For how many seconds tasks of a cancelled job may keep running. No limit applies until the
     /// history states one.
     cancel_s: Option<f64>,
-    /// When each job was cancelled, in seconds of the history.
+    /// When each job was cancelled, in seconds since the history began.
     cancelled_at: HashMap<&'a str, f64>,
     /// The first terminal status that a user was told, by job.
     terminal: HashMap<&'a str, &'a str>,
--- a/crates/testbed/src/consistency_probe.rs
+++ b/crates/testbed/src/consistency_probe.rs
@@ -16,12 +16,12 @@
 /// The switch of the probe. Clones share it.
 #[derive(Clone, Default)]
 pub struct ConsistencyProbe {
-    /// Until when the probe is on, in milliseconds of the history.
+    /// Until when the probe is on, in milliseconds since the history began.
     until_ms: Arc<AtomicU64>,
 }
 
 impl ConsistencyProbe {
-    /// Switches the probe on until this time, in seconds of the history.
+    /// Switches the probe on until this time, in seconds since the history began.
     pub fn enable_until(&self, until_s: f64) {
         let until_ms = (until_s * 1000.0) as u64;
         self.until_ms.store(until_ms, Ordering::Relaxed);
--- a/crates/testbed/src/fault.rs
+++ b/crates/testbed/src/fault.rs
@@ -30,10 +30,12 @@
     MachineDeath,
     /// One machine hangs.
     MachineHang,
-    /// The load balancer cuts some pieces of answers. The amount is their number per thousand. The
-    /// fault lasts until the next `CutAnswers` or `DelayAnswers`.
+    /// The load balancer closes the connection within some of the pieces in which it forwards
+    /// answers. The amount is the number of such pieces per thousand pieces. The fault lasts until
+    /// the next `CutAnswers` or `DelayAnswers`.
     CutAnswers,
-    /// The load balancer cuts the next answer. The amount is the number of bytes before the cut.
+    /// The load balancer closes the connection within the next piece of an answer. The amount is the
+    /// number of bytes of the piece that it forwards before that.
     ResetAnswer,
     /// The load balancer delays each piece of an answer. The amount is the delay in milliseconds.
     /// The fault lasts until the next `CutAnswers` or `DelayAnswers`.
--- a/crates/testbed/src/fault_injection.rs
+++ b/crates/testbed/src/fault_injection.rs
@@ -30,7 +30,7 @@
         self.history.add(Event::Fault { what });
     }
 
-    /// Injects faults at their times, until `until_s` seconds of the history.
+    /// Injects faults at their times, until `until_s` seconds after the history began.
     pub fn schedule(&self, faults: &[Fault], until_s: f64) {
         for fault in faults {
             let (testbed, fault) = (self.clone(), fault.clone());
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -94,7 +94,7 @@
     Looked {
         /// The job's id.
         job: String,
-        /// When the probe was sent, in seconds of the history.
+        /// When the probe was sent, in seconds since the history began.
         begun: f64,
         /// The status in the answer.
         status: Status,
--- a/crates/testbed/src/machines/heartbeat.rs
+++ b/crates/testbed/src/machines/heartbeat.rs
@@ -37,7 +37,7 @@
     name: String,
     /// Index of the controller to which the next heartbeat is sent.
     controller: usize,
-    /// When the next heartbeat is due, in seconds of the history.
+    /// When the next heartbeat is due, in seconds since the history began.
     next_due: f64,
 }
 
--- a/crates/testbed/src/machines/machine.rs
+++ b/crates/testbed/src/machines/machine.rs
@@ -25,7 +25,7 @@
 struct TaskAttempt {
     phase: Phase,
     cause: Option<Cause>,
-    /// When the attempt completes, in seconds of the history.
+    /// When the attempt completes, in seconds since the history began.
     ends_at: f64,
     cpus: f64,
 }
@@ -45,7 +45,7 @@
     /// Address at which the worker listens.
     pub addr: SocketAddr,
     pub now: f64,
-    /// When the machine has booted, in seconds of the history.
+    /// When the machine has booted, in seconds since the history began.
     pub up_at: f64,
 }
 
@@ -61,7 +61,7 @@
     Unreachable,
 }
 
-/// A machine and its worker. All times are in seconds of the history.
+/// A machine and its worker. All times are in seconds since the history began.
 pub(super) struct Machine {
     pub name: String,
     kind: MachineType,
--- a/crates/testbed/src/machines/mod.rs
+++ b/crates/testbed/src/machines/mod.rs
@@ -40,7 +40,7 @@
     NoCapacity,
 }
 
-/// State that all clones of [`Machines`] share. All times are in seconds of the history.
+/// State that all clones of [`Machines`] share. All times are in seconds since the history began.
 struct Pool {
     machines: BTreeMap<String, Machine>,
     /// Names of the machines that each launch request launched, by request id. A repeated request
--- a/crates/wire/src/admin.rs
+++ b/crates/wire/src/admin.rs
@@ -310,7 +310,7 @@
     pub missing: Option<usize>,
 }
 
-/// Calls from the controller that answers to one external service.
+/// Calls to one external service from the controller that sends this answer.
 #[derive(Serialize, Deserialize, Debug, Clone, PartialEq)]
 pub struct ServiceRow {
     /// Its name.
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -21,7 +21,7 @@
 pub enum HeartbeatReply {
     /// Renews the lease and carries these commands.
     Commands(Reply),
-    /// This session must not be answered.
+    /// The heartbeat is refused: the worker's lease is not renewed and no commands are sent.
     Refuse,
     /// The worker has seen a term above ours: we are not the leader any more.
     Superseded,
--- a/src/coordination/leadership/loops/peer_calls.rs
+++ b/src/coordination/leadership/loops/peer_calls.rs
@@ -18,8 +18,8 @@
 }
 
 impl<'a> Response<'a> {
-    /// Converts the response to an answer to a query of this term, with the current time as its
-    /// time of receipt.
+    /// Returns this response as a peer's answer to a query that was sent under `term`. The time of
+    /// receipt is the current time.
     fn answer(&self, term: u64, node: &Node) -> PeerAnswer<'a> {
         PeerAnswer {
             term,
--- a/src/coordination/scheduler/order_refresh.rs
+++ b/src/coordination/scheduler/order_refresh.rs
@@ -18,8 +18,8 @@
 const MAX_REFRESHES_PER_HEARTBEAT: f64 = 20.0;
 
 /// The fleet's CPUs divided by this number are available to prioritized first tasks. The limit
-/// matters when hundreds of jobs wait: one task of each of them takes as many CPUs in total as half
-/// the jobs of a class need.
+/// matters when hundreds of jobs wait: without it, their first tasks would take as many CPUs in
+/// total as half of the jobs of a class need.
 const FIRST_TASKS_CPU_DIVISOR: f64 = 16.0;
 
 /// The rate at which placed tasks of one size are expected to free CPUs.
--- a/tests/leadership.rs
+++ b/tests/leadership.rs
@@ -161,7 +161,10 @@
             None,
             "the raised term was adopted twice"
         );
-        let term = pair.leader.extension_due(10.0).expect("no contact");
+        let term = pair
+            .leader
+            .extension_due(10.0)
+            .expect("a lease extension is due");
         assert_eq!(
             pair.standby.knows_no_higher_term(term),
             leader_saw_write,
--- a/tests/ops.rs
+++ b/tests/ops.rs
@@ -13,15 +13,16 @@
 /// The tasks of a heartbeat, as (name, attempt, phase, cause).
 type ShownTasks = Vec<(String, u64, Phase, Option<Cause>)>;
 
-/// The tasks that a machine reports: all tasks that the scheduler has started there. A task has
-/// exited if `exit_cause` returns a cause for its job, and runs otherwise.
+/// The tasks that a machine reports: all tasks that the scheduler has started there and does not
+/// know to have exited. A task is reported as exited if `exit_cause` returns a cause for its job,
+/// and as running otherwise.
 fn shown_tasks(
     scheduler: &Scheduler,
     machine: &str,
     exit_cause: impl Fn(&str) -> Option<Cause>,
 ) -> ShownTasks {
-    // Exited attempts are left out: the worker has forgotten them since the heartbeat that showed
-    // them.
+    // Attempts that the scheduler knows to have exited are left out: the worker has forgotten them
+    // since the heartbeat that reported their exit.
     let live = scheduler.machines[machine].live_attempts();
     live.map(|(key, _)| match exit_cause(&key.task.job) {
         Some(cause) => (key.task.wire_name(), key.number, Phase::Exited, Some(cause)),
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -36,7 +36,7 @@
 }
 
 /// Handles a heartbeat that shows no tasks and returns the tasks that the reply starts.
-fn starts_in_reply_to_empty(
+fn starts_in_reply_to_empty_heartbeat(
     scheduler: &mut Scheduler,
     machine: &str,
     seq: u64,
@@ -145,13 +145,14 @@
         // Queues are disabled, since a queued task would start without a search for capacity.
         scheduler.config.policy.queue_depth = 0;
         for id in ["m1", "m2"] {
-            starts_in_reply_to_empty(&mut scheduler, id, 1, 0.0);
+            starts_in_reply_to_empty_heartbeat(&mut scheduler, id, 1, 0.0);
         }
         let mut job = standard_job("run-1", 3, cpus);
         job.memory_gb = memory_gb;
         add(&mut scheduler, job, 0.0);
         scheduler.place_all(0.1);
-        let started = ["m1", "m2"].map(|id| starts_in_reply_to_empty(&mut scheduler, id, 2, 0.5));
+        let started =
+            ["m1", "m2"].map(|id| starts_in_reply_to_empty_heartbeat(&mut scheduler, id, 2, 0.5));
         assert_eq!(
             started.concat().len(),
             2,
@@ -222,7 +223,7 @@
 #[test]
 fn a_running_task_of_a_job_that_becomes_known_later_is_not_started_twice() {
     let mut scheduler = unlimited_scheduler(&["m1", "m2"]);
-    starts_in_reply_to_empty(&mut scheduler, "m2", 1, 0.0);
+    starts_in_reply_to_empty_heartbeat(&mut scheduler, "m2", 1, 0.0);
     let running = [("run-1/0", 7, Phase::Running, None)];
     scheduler.handle_heartbeat(&report("m1", 1, 1, 5, &running), 0.1);
     add(&mut scheduler, standard_job("run-1", 1, 1.0), 0.2);
@@ -230,11 +231,12 @@
     scheduler.handle_heartbeat(&report("m1", 1, 2, 5, &running), 0.3);
     scheduler.place_all(0.4);
     assert!(scheduler.allow_placement_if_fenced());
-    assert!(starts_in_reply_to_empty(&mut scheduler, "m2", 2, 0.5).is_empty());
+    assert!(starts_in_reply_to_empty_heartbeat(&mut scheduler, "m2", 2, 0.5).is_empty());
     scheduler.handle_heartbeat(&report("m1", 1, 3, 5, &[]), 0.6);
     scheduler.place_all(0.7);
-    let started = [("m2", 3, 0.8), ("m1", 4, 0.9)]
-        .map(|(machine, seq, now)| starts_in_reply_to_empty(&mut scheduler, machine, seq, now));
+    let started = [("m2", 3, 0.8), ("m1", 4, 0.9)].map(|(machine, seq, now)| {
+        starts_in_reply_to_empty_heartbeat(&mut scheduler, machine, seq, now)
+    });
     assert_eq!(started.concat().len(), 1);
 }
 
--- a/tests/simulation/trouble.rs
+++ b/tests/simulation/trouble.rs
@@ -164,9 +164,9 @@
         (0..TEAMS.len()).all(|team| self.used_cpus(team) + 2.0 > self.team_limits[team] + 1e-6)
     }
 
-    /// Whether the current leader has not accounted for all machines since its takeover, or a
-    /// leader is paused. As `machines_blocking_placement` is `None` once placement is allowed,
-    /// the first condition also holds after that.
+    /// Checks whether a leader is paused, or `machines_blocking_placement` of the current leader is
+    /// anything but `Some(0)`. The second condition holds while machines block placement after a
+    /// takeover, and also whenever placement is allowed, because the value is `None` then.
     pub(crate) fn is_leader_changing(&self) -> bool {
         let leader = self.leaders.last();
         let is_new = leader.is_some_and(|l| l.scheduler.machines_blocking_placement() != Some(0));
