--- a/crates/report/src/bound.rs
+++ b/crates/report/src/bound.rs
@@ -9,7 +9,7 @@
 //! - Tasks run as long as their user estimated.
 //! - The future is known.
 //! - A part of a job counts as the same part of a done job.
-//! - The seconds of a leader change count as usable.
+//! - The time during which the leader changes counts as usable.
 //!
 //! Kept:
 //! - The arrivals.
@@ -37,9 +37,9 @@
 pub struct Job {
     /// Team of the job.
     pub team: String,
-    /// When the job is submitted, in seconds of the day.
+    /// The time from which the job can be served, in seconds since the start of the run.
     pub from_s: f64,
-    /// When the job is due, in seconds of the day.
+    /// When the job is due, in seconds since the start of the run.
     pub due_s: f64,
     /// Number of tasks.
     pub tasks: u32,
--- a/crates/report/src/largest.rs
+++ b/crates/report/src/largest.rs
@@ -1,6 +1,6 @@
 //! Counts of the largest jobs of each class, which a scheduler that prefers small jobs serves last.
-//! A day fails if less than half of them are done. Their first tasks should run within four
-//! minutes.
+//! A day fails if less than half of the largest jobs of any class are done. The first task of each
+//! of these jobs should run within four minutes.
 
 use crate::count::{Day, JobEnd};
 use serde::Serialize;
--- a/crates/report/src/table.rs
+++ b/crates/report/src/table.rs
@@ -67,8 +67,8 @@
         self.reported.unwrap_or(self.share)
     }
 
-    /// Whether less than half met this objective. A class fails only if this is true of all its
-    /// rows.
+    /// Whether less than half of the jobs met the objective of this row. A class fails only if this
+    /// is true of all its rows.
     pub(crate) fn under_half(&self) -> bool {
         self.in_time() < MIN_PROPORTION
     }
@@ -195,12 +195,14 @@
 }
 
 impl Table {
-    /// Classes of which less than half met every objective. If there are any, the day fails.
+    /// Classes in which each objective, taken alone, was met by less than half of the jobs. If
+    /// there are any, the day fails.
     pub fn failed(&self) -> Vec<&str> {
         self.select_classes(|rows| rows.iter().all(|r| r.under_half()))
     }
 
-    /// Classes of whose largest jobs less than half are done. If there are any, the day fails.
+    /// Classes in which less than half of the largest jobs are done, by any of the selections in
+    /// `largest`. If there are any, the day fails.
     pub fn failed_largest(&self) -> Vec<&str> {
         let under = self.largest.iter().filter(|l| l.under_half());
         let mut classes: Vec<&str> = under.map(|l| l.class.as_str()).collect();
@@ -208,7 +210,7 @@
         classes
     }
 
-    /// Classes of which less than half met some of the objectives, but not all of them.
+    /// Classes in which some objectives, but not all, were met by less than half of the jobs.
     pub fn late(&self) -> Vec<&str> {
         self.select_classes(|rows| {
             let under = rows.iter().filter(|r| r.under_half()).count();
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -230,9 +230,9 @@
 
 /// The job and the answer that an entry records, if it records one.
 fn answer(entry: &Entry) -> Option<(&str, Answer)> {
-    // The time of the request is recorded for probes only. Other answers therefore count as
-    // requested before all others: probes sent after them are compared with them, but they are
-    // not compared with earlier answers.
+    // The time of the request is recorded for probes only. Every other answer therefore counts as
+    // requested before the history began: later probes are compared with this answer, but this
+    // answer is not compared with earlier ones.
     let (job, asked_at, status) = match &entry.event {
         Event::Looked { job, begun, status } => (job, *begun, *status),
         Event::Cancelled { job } => (job, f64::NEG_INFINITY, Status::Withdrawn),
--- a/crates/testbed/src/commands/load.rs
+++ b/crates/testbed/src/commands/load.rs
@@ -85,8 +85,9 @@
     read_entries(&text)
 }
 
-/// Appends the entries of the users, whose history has a different start time. They are shifted
-/// behind all other entries, so that no answer comes before the events that it depends on.
+/// Appends the entries of the users, whose history has a different start time. The appended entries
+/// are shifted behind all other entries, so that no answer to a user comes before the events on
+/// which the answer depends.
 fn append_shifted(entries: &mut Vec<Entry>, user_entries: Vec<Entry>) {
     let last = entries.last().map_or(0.0, |entry| entry.at);
     let shift = |entry: Entry| Entry {
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -185,7 +185,7 @@
     history: History,
     upload: Upload,
     counters: LoadCounters,
-    /// How long to wait for each step.
+    /// How long to wait for each step of the job.
     settle: Duration,
     started_at: Instant,
 }
--- a/crates/testbed/src/machines/faults.rs
+++ b/crates/testbed/src/machines/faults.rs
@@ -42,7 +42,7 @@
         Some(machine.name.clone())
     }
 
-    /// Makes the interface of the cloud answer with errors only for a time.
+    /// Makes the interface of the cloud answer every request with an error for a time.
     pub fn make_cloud_unavailable(&self, duration_s: f64) {
         self.lock().cloud_unavailable_until = self.history.now() + duration_s;
     }
@@ -83,8 +83,8 @@
         });
     }
 
-    /// While duplicates are injected, delivers delayed copies of some direct calls. The worker may
-    /// execute or reject a copy; the result is ignored.
+    /// While duplicates are injected, decides at random whether a delayed copy of this direct call
+    /// is delivered. The worker may execute or reject the copy; the result is ignored.
     pub(crate) fn maybe_duplicate_call(&self, addr: SocketAddr, direct: &DirectCommands) {
         let now = self.history.now();
         if now >= self.lock().duplicate_calls_until || !Self::draw_duplicate() {
--- a/crates/testbed/src/machines/machine.rs
+++ b/crates/testbed/src/machines/machine.rs
@@ -55,9 +55,9 @@
     Executed(Report),
     /// The token was too old or the session was not the current one.
     Rejected(Report),
-    /// The machine hangs. The call is repeated until the machine resumes.
+    /// The machine hangs. `worker_api` repeats the call until the machine resumes.
     Hanging,
-    /// No machine answers at this address.
+    /// The call reaches no machine at this address.
     Unreachable,
 }
 
@@ -183,7 +183,8 @@
     }
 
     /// Handles the answer to a heartbeat that was sent at `sent_at` in `session`. Answers with an
-    /// older token or to an earlier session are ignored.
+    /// older token or to an earlier session are ignored, and so are all answers while the machine
+    /// hangs or after it has died.
     pub fn accept_reply(
         &mut self,
         reply: &Reply,
--- a/crates/testbed/src/state.rs
+++ b/crates/testbed/src/state.rs
@@ -14,7 +14,7 @@
 const TRANSACTIONS_PER_LOST_ANSWER: u64 = 4;
 /// How long a connection with a lost answer stays open: longer than any controller waits.
 const LOST_ANSWER_HOLD: Duration = Duration::from_secs(20);
-/// One second may use up this many seconds' worth of the rate limits.
+/// Within one second, requests and written keys may reach this multiple of their limits per second.
 const BURST_S: f64 = 2.0;
 /// The most keys on one page of a list.
 const MAX_PAGE: usize = 1000;
@@ -45,7 +45,7 @@
 #[derive(Default)]
 struct Inner {
     store: Store,
-    /// The second that `used` counts.
+    /// The second to which the counts in `used` apply.
     second: u64,
     /// Requests and written keys in that second.
     used: Rates,
--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -32,11 +32,12 @@
     }
 }
 
-/// Detects that a machine has restarted its session numbering: its answer has a lower number
-/// than the newest message that was known when the call was made. The newest message was then
-/// from an earlier incarnation of the machine. If both have the same session number, the answer
-/// is the valid one. (Guards against a heartbeat of an earlier incarnation, delayed by a partition,
-/// that showed an empty machine, so that its tasks were started elsewhere as well.)
+/// Detects that a machine has restarted its session numbering: its answer to a direct call has a
+/// lower number than the newest message that was known when the call was made. That message was
+/// then from an earlier incarnation of the machine. If the message and the answer have the same
+/// session number, and no newer message has arrived since, the answer counts as the newer one.
+/// (Guards against a heartbeat of an earlier incarnation that was delayed by a partition: it showed
+/// an empty machine, so the machine's tasks were started elsewhere as well.)
 fn detect_numbering_restart(machine: &mut Machine, report: &Report) {
     let message = MessageId::of(report);
     if report.machine != machine.info.id || message >= machine.called_at_message {
@@ -97,9 +98,9 @@
             return;
         };
         machine.call_in_flight = false;
-        // The worker executed the call, but its answer is older than the newest known message.
-        // The machine has restarted its session numbering, and it is not known whether the
-        // started tasks run.
+        // The worker executed the call, but its answer is older than the newest known message. If
+        // no message shows a task that the call started, the machine may have restarted its session
+        // numbering, and it is not known whether the task runs.
         let outdated_answer = matches!(
             &result,
             CallResult::Executed(report) if MessageId::of(report) <= machine.last_message
--- a/src/coordination/agents/failure_detector.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -30,7 +30,7 @@
     /// reach, acts on termination notices and drains, and takes failing machines out of use.
     ///
     /// `confirmed_at` is when the last successful check that we own the shard began. An expired
-    /// lease proves a machine empty only if we still owned the shard after its end.
+    /// lease proves a machine empty only if we still owned the shard after the end of that lease.
     /// Otherwise a new leader may be renewing the lease, and without contact to the state
     /// service we would not know.
     pub fn tick(&mut self, now: f64, confirmed_at: f64) {
--- a/src/coordination/agents/leader_reachability.rs
+++ b/src/coordination/agents/leader_reachability.rs
@@ -1,9 +1,9 @@
 //! Detects a leader that its workers cannot reach.
 //!
 //! Such a leader keeps its lease in the state service, so no other controller takes over the
-//! shard, while the leases of all its workers run out. It resigns when most of its machines
-//! have fallen silent at once and another controller reports that workers go there and are
-//! redirected.
+//! shard, while the leases of all its workers run out. The leader resigns when most of its machines
+//! have fallen silent at once and other controllers report that they redirected workers'
+//! heartbeats to this leader.
 
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
@@ -71,7 +71,8 @@
 impl Scheduler {
     /// Returns the number of machines that should send heartbeats, and the number of silent ones
     /// among them. A machine is silent if its last heartbeat is older than 1.5 heartbeat intervals:
-    /// the maximum interval of 1.25 `report_s`, plus 0.25 for delays.
+    /// the maximum interval of 1.25 `report_s`, plus 0.25 for delays. A machine with doubtful
+    /// delivery is given at least `retry_round_s`.
     pub fn silent_machines(&self, now: f64) -> (usize, usize) {
         // Cordoned machines may be silent because an operator switched them off.
         let expected = |m: &&Machine| m.recorded && !m.cordoned && m.status == MachineStatus::Up;
--- a/src/coordination/agents/task_reconciliation.rs
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -76,8 +76,8 @@
 }
 
 impl Scheduler {
-    /// Reconciles one attempt of a report, which is already recorded as the machine's newest
-    /// message.
+    /// Reconciles one attempt of a report. The report must already be recorded as the machine's
+    /// newest message.
     pub(crate) fn reconcile_task(&mut self, name: &Name, shown: &ShownTask, now: f64) -> Evidence {
         let Some(machine) = self.machines.get_mut(name) else {
             return Evidence::Neutral;
@@ -253,11 +253,11 @@
         }
     }
 
-    /// Backs off a job that fails on several machines: it is retried at growing intervals and
-    /// with one task at a time, so that a job that was suspected wrongly can recover: it is no
-    /// longer suspect once a task is completed. Its failures no longer count against the
-    /// machines, since otherwise a broken job of hundreds of tasks would take a part of a healthy
-    /// fleet out of use.
+    /// Backs off a job that fails on several machines. The job is retried at growing intervals and
+    /// with one task at a time, so that a job that was suspected wrongly can recover: the job is no
+    /// longer suspect once one of its tasks is completed. The job's failures no longer count
+    /// against the machines, since otherwise a broken job of hundreds of tasks would take a part of
+    /// a healthy fleet out of use.
     fn back_off_suspect_job(&mut self, name: &Name, job_name: &Name, now: f64) {
         let Some(job) = self.jobs.get_mut(job_name) else {
             return;
--- a/src/coordination/leadership/lease_extension.rs
+++ b/src/coordination/leadership/lease_extension.rs
@@ -85,7 +85,7 @@
     /// The number of controllers, including this one.
     controllers: usize,
     term: u64,
-    /// For each peer that agreed, when the query was sent to which it agreed.
+    /// For each peer that agreed, the time at which the query that the peer agreed to was sent.
     asked_at: HashMap<String, f64>,
     /// When the answer arrived that completed the first majority; `None` before that.
     majority_at: Option<f64>,
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -17,7 +17,8 @@
 //! - A controller that has promised for a term neither acts under an earlier term nor
 //!   extends the lease of a leader of an earlier term.
 //!
-//! A former leader is called *silent* once it no longer answers workers.
+//! A former leader is called *silent* once it no longer answers workers. A machine is called
+//! *silent* while its heartbeats do not arrive.
 //!
 //! The decisions are pure code, with time passed in:
 //!
--- a/tests/pause/controller.rs
+++ b/tests/pause/controller.rs
@@ -14,8 +14,8 @@
     pub(crate) former_leaders_stopped_since: Option<f64>,
 }
 
-/// The cancelled jobs that a running takeover has read, and the time of its request, by the
-/// controller's clock.
+/// The cancelled jobs that a running takeover has read, and the time at which it requested them,
+/// by the controller's clock.
 #[derive(Default)]
 pub(crate) struct JobListing {
     pub(crate) asked_at: f64,
@@ -39,8 +39,8 @@
     pub(crate) isolated_until: f64,
     pub(crate) down_until: f64,
     pub(crate) taking_over: bool,
-    /// Requests without a response. A response to any other request arrives after its timeout
-    /// and is ignored.
+    /// Requests that have neither been answered nor timed out. A response to any other request is
+    /// ignored.
     pub(crate) pending_requests: Vec<u64>,
     /// The number of incarnations drawn so far.
     pub(crate) incarnations: u64,
--- a/tests/pause/messages.rs
+++ b/tests/pause/messages.rs
@@ -43,7 +43,7 @@
 
 pub(crate) enum Response {
     Lease(u64),
-    /// The request was carried out, at this version.
+    /// The request was carried out, at this version; 0 if the simulation needs no version.
     Done(u64),
     Conflict,
     NoLease,
--- a/tests/simulation/leader.rs
+++ b/tests/simulation/leader.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Ends stale leaders whose time is over. Records in the current leader's fence when no other
-    /// leader is left.
+    /// Ends the stale leaders whose `ends_at` is reached. Once no other leader is left, records the
+    /// time of this in the current leader's fence.
     fn end_stale_leaders(&mut self) {
         let now = self.now;
         let current = self.leaders.last().map(Leader::base_term);
--- a/tests/simulation/main.rs
+++ b/tests/simulation/main.rs
@@ -76,11 +76,12 @@
     usize::from(job.ends_with(['3', '6', '9']))
 }
 
-/// What happens to the session and sequence numbers of machines that restart at once.
+/// Whether machines keep counting their sessions and messages, or may restart with new numbers.
 #[derive(Clone, Copy, PartialEq)]
 enum Counters {
     Kept,
-    /// The numbers start from one again, which violates the protocol.
+    /// Some machines restart without delay and begin their session and sequence numbers again,
+    /// which violates the protocol.
     Lost,
 }
 
@@ -136,15 +137,16 @@
     /// The teams' CPU limits.
     team_limits: [f64; 2],
     delayed_writes: Vec<CompletionsWrite>,
-    /// For some jobs, the time until which no leader writes their completions, so that no newer
-    /// write overtakes a delayed write.
+    /// For some jobs with a delayed write of completed tasks, the time until which no leader writes
+    /// further completions of the job, so that no newer write overtakes the delayed one.
     completions_held_until: BTreeMap<String, f64>,
     /// The time until which almost all writes of the machine record fail.
     machine_record_delayed_until: f64,
     /// When the leader crashes; `f64::MAX` if no crash is scheduled. A new machine may cause a
     /// crash.
     leader_crashes_at: f64,
-    /// The time until which all leaders are paused; `f64::MAX` if they are not paused together.
+    /// The time until which all leaders are paused by one common pause; `f64::MAX` if there is no
+    /// such pause.
     leaders_paused_until: f64,
     /// The heartbeats sent within `HEARTBEAT_HISTORY_S`, oldest first.
     sent_heartbeats: VecDeque<SentHeartbeat>,
@@ -356,9 +358,9 @@
     check_rules(Counters::Kept);
 }
 
-/// Guards against the same violations where machines also restart at once with new session
-/// and sequence numbers, which the protocol rules out. docs/notes/meetings.md lists what this
-/// simulation does not show.
+/// Guards against violations of the safety rules under the same faults if machines also restart
+/// without delay and begin their session and sequence numbers again, which the protocol rules out.
+/// docs/notes/meetings.md lists what this simulation does not show.
 #[test]
 fn rules_hold_when_machines_lose_their_counters() {
     check_rules(Counters::Lost);
--- a/tests/simulation/meetings.rs
+++ b/tests/simulation/meetings.rs
@@ -12,13 +12,13 @@
     /// A cancellation of a job whose tasks had all exited, but whose completion was not written
     /// yet.
     CancelAtJobEnd,
-    /// A cancellation while a leader was paused or its takeover was not complete.
+    /// A cancellation while `Simulation::is_leader_changing` held.
     CancelAtTakeover,
     /// A cancelled task on a machine that hung, that was partitioned, or whose heartbeats were
     /// lost.
     CancelOnUnresponsiveMachine,
-    /// A cancelled task on such an unresponsive machine, while every team was at its limit and the
-    /// leader was changing.
+    /// A cancelled task on such an unresponsive machine, while every team was at its limit and
+    /// `Simulation::is_leader_changing` held.
     CancelAtLimits,
     /// A write of completed tasks whose answer was lost.
     CompletionsAnswerLost,
--- a/tests/simulation/trouble.rs
+++ b/tests/simulation/trouble.rs
@@ -103,7 +103,9 @@
         }
     }
 
-    /// Makes a random machine hang, be partitioned in one or both directions, or restart.
+    /// With some probability, makes a random machine hang, partitions the machine in one or both
+    /// directions, or, with `Counters::Lost`, restarts the machine. The current leader sometimes
+    /// crashes just as the heartbeats of a machine begin to be lost.
     fn draw_machine_fault(&mut self, setup: &Setup) {
         let now = self.now;
         let probability = (0.001 * setup.workers as f64).clamp(0.005, 0.1);
@@ -181,7 +183,8 @@
         own.peek().is_some() && own.all(|(_, t)| t.phase == Phase::Exited)
     }
 
-    /// Lets a user cancel a job. With `at_end` it is a job whose tasks on machines have all exited.
+    /// Lets a user cancel a live job, if there is one. With `at_end` only jobs are considered that
+    /// have tasks on machines and whose tasks there have all exited.
     pub(crate) fn cancel(&mut self, at_end: bool) {
         let mut jobs = self
             .live_jobs
@@ -286,7 +289,8 @@
         }
     }
 
-    /// Ends the pause of all leaders: their processes have ended, and a new leader takes over.
+    /// Ends the common pause of all leaders. None of the paused processes resumes; a new leader
+    /// takes over instead.
     pub(crate) fn replace_paused_leaders(&mut self) {
         self.leaders_paused_until = f64::MAX;
         let expired = |w: &&Worker| w.tasks.is_empty() && self.now - w.session_since < LEASE_S;
--- a/tests/simulation/worker.rs
+++ b/tests/simulation/worker.rs
@@ -331,11 +331,11 @@
         });
     }
 
-    /// Restarts the machine at once, without tasks and with session and sequence numbers that
-    /// begin again. Messages in flight on its old connections are lost. The protocol requires the
-    /// machine to keep the highest token. The machine loses its token only if there is no former
-    /// leader: a machine without the token would obey former leaders again, which no leader can
-    /// prevent.
+    /// Restarts the machine without delay, without tasks and with session and sequence numbers that
+    /// begin again. Calls in flight to the machine are lost. The protocol requires the machine to
+    /// keep the highest token that it has seen. The simulated machine loses this token only if
+    /// there is no former leader: a machine without the token would obey former leaders again,
+    /// which no leader can prevent.
     pub(crate) fn restart(&mut self, index: usize) {
         let now = self.now;
         let worker = &mut self.workers[index];
