--- a/crates/client/examples/measure.rs
+++ b/crates/client/examples/measure.rs
@@ -33,10 +33,10 @@
         });
         let mut clients = Vec::new();
         for n in 0..client_count {
-            let outbox = Outbox::in_memory().expect("memory");
+            let outbox = Outbox::in_memory().expect("cannot create the in-memory outbox");
             let transport = Box::new(cluster.clone());
             let client = Client::with_transport(settings(3), outbox, transport, n as u64);
-            let client = client.expect("settings");
+            let client = client.expect("cannot create the client");
             let batch = vec![work(&format!("k{n}"), "t")];
             let _ = client.submit(batch, Duration::ZERO).await.expect("queued");
             clients.push(client);
--- a/crates/client/src/engine/state.rs
+++ b/crates/client/src/engine/state.rs
@@ -154,6 +154,7 @@
     }
 
     /// Takes the steps that are due and admitted. Due steps that are not admitted are rescheduled.
+    /// Once the limit of attempts in flight is reached, the remaining due steps stay scheduled.
     pub fn take_due(&mut self, now: f64) -> Due {
         let mut attempts = Vec::new();
         while self.schedule.next_at().is_some_and(|at| at <= now) {
--- a/crates/report/src/table.rs
+++ b/crates/report/src/table.rs
@@ -54,8 +54,8 @@
     pub classes: Vec<Row>,
     /// The rows of the teams.
     pub teams: Vec<Row>,
-    /// The proportion that all classes could have had at the same time, each by the strictest
-    /// objective of its jobs.
+    /// The largest proportion of jobs that could have been done in time in all classes at once,
+    /// each job measured by its strictest objective.
     pub together: f64,
     /// The largest jobs of each class.
     pub largest: Vec<Largest>,
@@ -157,7 +157,8 @@
         Row::new(team, "first aims".into(), counts, met, bound)
     }
 
-    /// The proportion that all classes could have had at the same time.
+    /// The largest proportion of jobs that could have been done in time in all classes at once,
+    /// each job measured by its strictest objective.
     fn together(&self) -> f64 {
         let due_s = |class: &str, deadline_s| self.strictest_due_s(class, deadline_s);
         let classes = self.day.classes.keys();
--- a/crates/testbed/examples/against_naive.rs
+++ b/crates/testbed/examples/against_naive.rs
@@ -59,8 +59,9 @@
 /// Submits all jobs, sixteen at a time.
 async fn run(caller: Caller, front: String, site: Arc<Site>) -> Run {
     let client = {
-        let outbox = Outbox::in_memory().expect("memory");
-        Client::with_outbox(Settings::new([front.clone()]), outbox).expect("settings")
+        let outbox = Outbox::in_memory().expect("cannot create the in-memory outbox");
+        Client::with_outbox(Settings::new([front.clone()]), outbox)
+            .expect("cannot create the client")
     };
     let http = reqwest::Client::builder().no_proxy().build().expect("http");
     let next = Arc::new(AtomicUsize::new(0));
--- a/crates/testbed/src/store.rs
+++ b/crates/testbed/src/store.rs
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Extends every lease by its full time, as the service does after an outage.
+    /// Extends all leases: each expires its full time after `now`. The service does this after an
+    /// outage.
     pub fn full_time(&mut self, now: f64) {
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.ttl_s;
--- a/examples/owner.rs
+++ b/examples/owner.rs
@@ -29,7 +29,7 @@
     /// Workers in the fleet.
     #[arg(long, default_value_t = 1204)]
     machines: usize,
-    /// Seconds between two heartbeats of one.
+    /// Seconds between two heartbeats of a worker.
     #[arg(long, default_value_t = 5.0)]
     report_s: f64,
     /// How long it goes on, in seconds of simulated time.
--- a/src/coordination/agents/task_reconciliation.rs
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -137,8 +137,9 @@
         }
     }
 
-    /// Reconciles an attempt that is on the machine: its task is placed on this machine, or
-    /// on this machine as well as on another one.
+    /// Reconciles an attempt that is on the machine: records that its task is placed on this
+    /// machine, in addition to another machine if the task is already placed there. Stops the
+    /// attempt if it is not wanted.
     fn reconcile_live_attempt(
         &mut self,
         name: &Name,
--- a/src/coordination/fleet/rollout.rs
+++ b/src/coordination/fleet/rollout.rs
@@ -4,7 +4,8 @@
 //! Rollouts, and the drains that they order, are records in the state service, so every new leader
 //! of the shard continues them. A rollout begins the drain of a machine only if the number of
 //! machines out of use in that machine's zone, for whatever reason, then stays within the rollout's
-//! limit. A rollout halts by itself as soon as a promise of its plan is broken.
+//! limit. A rollout halts by itself as soon as more jobs have become late than its plan promised,
+//! or one of its machines takes longer to drain or to return to use than promised.
 
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::state::Scheduler;
--- a/src/coordination/fleet/scale_in.rs
+++ b/src/coordination/fleet/scale_in.rs
@@ -78,7 +78,9 @@
         .collect()
 }
 
-/// Names of the retired machines that no longer run a task or whose time to save work is over.
+/// Names of the retired machines (status `Draining`) that have no live attempt, or whose
+/// `idle_since` is more than `MAX_RETIREMENT_S` ago. Each new report that is processed while the
+/// machine has attempts sets `idle_since` to the present time.
 pub(super) fn retired_machines(scheduler: &Scheduler, now: f64) -> Vec<String> {
     let is_ready = |machine: &Machine| {
         let empty = machine.live_attempts().next().is_none();
--- a/src/coordination/jobs/completion_batch.rs
+++ b/src/coordination/jobs/completion_batch.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Whether no further job is added. The next job may take two changes, and possibly more: a
-    /// finished job takes two, a chunked job one plus as many changed chunks as fit.
+    /// Whether there is no room for another job. A job is added only if two changes fit: a finished
+    /// job takes two, and a chunked job takes one, plus one for each changed chunk that fits.
     fn is_full(&self) -> bool {
         !self.has_room_for(2)
     }
--- a/src/coordination/leadership/cluster_view.rs
+++ b/src/coordination/leadership/cluster_view.rs
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Applies one record of the prefix, unless a newer version is known. A record that cannot
-    /// be read is ignored, except for a drain.
+    /// Applies one record of the prefix, unless a newer version is known. A record that cannot be
+    /// parsed is ignored, except for a drain: its machine is cordoned.
     pub fn apply_entry(&mut self, entry: &Entry) {
         let key = entry.key.as_str();
         if key == records::SHARD_KEY {
--- a/src/coordination/leadership/loops/shard_changes.rs
+++ b/src/coordination/leadership/loops/shard_changes.rs
@@ -7,7 +7,8 @@
 use crate::coordination::node::Node;
 use std::rc::Rc;
 
-/// Applies the consequences of the present view of the shard.
+/// Brings this controller in line with its present view of the shard: steps down, adopts a raised
+/// term, announces a new term, applies drains, or starts a takeover, as far as each is needed.
 pub(super) fn react_to_shard_changes(node: &Rc<Node>) {
     if node.leadership.borrow().is_deposed() {
         tracing::warn!("leadership of the shard lost; stepping down");
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -138,7 +138,9 @@
     /// completed task is listed only once, since the job itself may be the cause of its
     /// failures.
     pub recent_failures: Vec<Name>,
-    /// When the machine last became free of attempts.
+    /// The last time at which a new report was processed while the machine had attempts, an
+    /// attempt was removed, the machine was cleared, or its drain ended. At first, the time at
+    /// which the machine became known.
     pub idle_since: f64,
 }
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -388,9 +388,9 @@
     scenario.check(seed, coverage);
 }
 
-/// Guards against an answer that contradicts an earlier one. Possible causes: a poll waits for
-/// the leader's task counts after its read, the answer of an acceptance is delayed, or a look-up
-/// ignores what its own controller learnt while the read was in progress.
+/// Guards against an answer that contradicts an earlier one. Possible causes: a poll reads the job
+/// and then waits for the leader's task counts, the response to an accepted submission is delayed,
+/// or a look-up ignores what its own controller learnt during the read.
 #[test]
 fn later_answers_never_contradict_earlier_ones() {
     let mut coverage = Coverage::default();
--- a/tests/delivery.rs
+++ b/tests/delivery.rs
@@ -358,7 +358,7 @@
             !known_attempts(&scheduler).contains(&attempt),
             "session {session}, sequence number {seq}"
         );
-        // The job is finished so that its task is not started again, which is not tested here.
+        // Finishes the job, because otherwise its task would be started again.
         scheduler.finish_job("run-1");
         let (_, probe) = scheduler.next_direct_call(&name, 1.4).expect("no probe");
         let shown = report("m1", session, seq, 5, &running);
--- a/tests/pause/main.rs
+++ b/tests/pause/main.rs
@@ -45,7 +45,8 @@
 /// The duration of a controller's lease, a quarter of a worker's lease.
 const LEASE_TTL_S: f64 = 4.0;
 /// The maximum time for which a leader answers workers without contact to the state service:
-/// either the default, or a time so short that a takeover that is carried out late matters.
+/// either the default, or a time so short that it may pass before a delayed takeover request is
+/// carried out.
 const MAX_WITHOUT_CONTACT_S: [f64; 3] =
     [6.0 * WORKER_LEASE_S, 0.7 * WORKER_LEASE_S, WORKER_LEASE_S];
 /// The maximum age of a leader's knowledge of cancellations while it answers workers. The ratios
--- a/tests/pause/peers.rs
+++ b/tests/pause/peers.rs
@@ -130,14 +130,14 @@
     pub(crate) fn cancellations_asked(&mut self, call: Call, query: CancellationQuery) {
         let now = self.local_time(call.to);
         let controller = &self.controllers[call.to];
-        let reports = self.is_reachable(call)
+        let may_report = self.is_reachable(call)
             && controller
                 .leadership
                 .may_report_cancellations_to(query.term);
         let confirmed = controller
             .confirmed_cancellations
             .within(query.lookback_s, now);
-        let Some(jobs) = confirmed.filter(|_| reports) else {
+        let Some(jobs) = confirmed.filter(|_| may_report) else {
             return;
         };
         let partitioned_until = controller.partitioned_until;
