--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -78,7 +78,7 @@
     format!("{DRAINS_PREFIX}{host}")
 }
 
-/// Key of a rollout, a [`crate::protocol::roll::Roll`] in the format of the operators' API. A
+/// Key of a rollout, a [`crate::protocol::rollout::Rollout`] in the format of the operators' API. A
 /// rollout drains a list of machines in order, a few at a time.
 ///
 /// Written by any controller for an operator, and by the leader with each step; read by all
