--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -63,7 +63,7 @@
     /// For how many seconds tasks of a cancelled job may keep running. No limit applies until the
     /// history states one.
     cancel_s: Option<f64>,
-    /// When each job was cancelled, in seconds of the history.
+    /// When each job was cancelled, in seconds since the history began.
     cancelled_at: HashMap<&'a str, f64>,
     /// The first terminal status that a user was told, by job.
     terminal: HashMap<&'a str, &'a str>,
@@ -230,9 +230,9 @@
 
 /// The job and the answer that an entry records, if it records one.
 fn answer(entry: &Entry) -> Option<(&str, Answer)> {
-    // The time of the request is recorded for probes only. Other answers therefore count as
-    // requested before all others: probes sent after them are compared with them, but they are
-    // not compared with earlier answers.
+    // The time of the request is recorded for probes only. Every other answer therefore counts as
+    // requested before the history began: later probes are compared with this answer, but this
+    // answer is not compared with earlier ones.
     let (job, asked_at, status) = match &entry.event {
         Event::Looked { job, begun, status } => (job, *begun, *status),
         Event::Cancelled { job } => (job, f64::NEG_INFINITY, Status::Withdrawn),
--- a/crates/testbed/src/machines/machine.rs
+++ b/crates/testbed/src/machines/machine.rs
@@ -25,7 +25,7 @@
 struct TaskAttempt {
     phase: Phase,
     cause: Option<Cause>,
-    /// When the attempt completes, in seconds of the history.
+    /// When the attempt completes, in seconds since the history began.
     ends_at: f64,
     cpus: f64,
 }
@@ -45,7 +45,7 @@
     /// Address at which the worker listens.
     pub addr: SocketAddr,
     pub now: f64,
-    /// When the machine has booted, in seconds of the history.
+    /// When the machine has booted, in seconds since the history began.
     pub up_at: f64,
 }
 
@@ -55,13 +55,13 @@
     Executed(Report),
     /// The token was too old or the session was not the current one.
     Rejected(Report),
-    /// The machine hangs. The call is repeated until the machine resumes.
+    /// The machine hangs. `worker_api` repeats the call until the machine resumes.
     Hanging,
-    /// No machine answers at this address.
+    /// The call reaches no machine at this address.
     Unreachable,
 }
 
-/// A machine and its worker. All times are in seconds of the history.
+/// A machine and its worker. All times are in seconds since the history began.
 pub(super) struct Machine {
     pub name: String,
     kind: MachineType,
@@ -183,7 +183,8 @@
     }
 
     /// Handles the answer to a heartbeat that was sent at `sent_at` in `session`. Answers with an
-    /// older token or to an earlier session are ignored.
+    /// older token or to an earlier session are ignored, and so are all answers while the machine
+    /// hangs or after it has died.
     pub fn accept_reply(
         &mut self,
         reply: &Reply,
