--- a/src/app.rs
+++ b/src/app.rs
@@ -1,5 +1,5 @@
-//! Starts a process: its actors, and the servers that users, workers, health checks and
-//! other controllers call.
+//! Starts a controller process: its actors, and the HTTP servers for users, workers, health
+//! checks, operators and other controllers.
 
 use crate::coordination::agents::dispatcher::Dispatcher;
 use crate::coordination::fleet::manager::FleetManager;
@@ -16,13 +16,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Shortest time for which idle connections of workers and users are kept, in seconds.
-const MIN_IDLE_S: f64 = 30.0;
+/// Minimum idle timeout of connections from workers and users, in seconds.
+const MIN_IDLE_TIMEOUT_S: f64 = 30.0;
 
-/// Starts everything and serves until the process is killed.
+/// Starts the servers and the actors, and serves until the process is killed.
 ///
 /// # Errors
-/// An address cannot be bound.
+/// The address of the front server or of the mesh server cannot be bound.
 pub async fn run(settings: Settings, policy: Policy) -> std::io::Result<()> {
     let node = Node::new(settings, policy);
     serve(&node).await?;
@@ -38,33 +38,34 @@
     std::future::pending().await
 }
 
-/// Opens both servers.
+/// Starts the front server and the mesh server.
 async fn serve(node: &Rc<Node>) -> std::io::Result<()> {
     serve_front(node).await?;
     serve_mesh(node).await
 }
 
-/// The server for users, workers and health checks.
+/// Starts the front server, which serves users, workers and health checks.
 async fn serve_front(node: &Rc<Node>) -> std::io::Result<()> {
     let sockets = node.workers.process_sockets();
-    // Workers send heartbeats and users poll several times in two leases.
-    let idle_s = (2.0 * node.settings.cluster.workers.lease_s).max(MIN_IDLE_S);
-    let idle = Duration::from_secs_f64(idle_s);
+    // Workers send heartbeats and users poll several times within two worker leases.
+    let idle_timeout_s = (2.0 * node.settings.cluster.workers.lease_s).max(MIN_IDLE_TIMEOUT_S);
+    let idle_timeout = Duration::from_secs_f64(idle_timeout_s);
     let app = App::new()
         .app_data(Data::new(node.clone()))
         .app_data(PayloadConfig::new(MAX_BODY))
-        .configure(handlers::front);
-    let (max_connections, open) = (sockets.front(), sockets.incoming.clone());
-    listen::serve(app, node.settings.front, max_connections, open, idle).await
+        .configure(handlers::front_routes);
+    let (max_connections, open_connections) = (sockets.front(), sockets.incoming.clone());
+    let addr = node.settings.front;
+    listen::serve(app, addr, max_connections, open_connections, idle_timeout).await
 }
 
-/// The server for other controllers.
+/// Starts the mesh server, which serves the other controllers.
 async fn serve_mesh(node: &Rc<Node>) -> std::io::Result<()> {
     let sockets = node.workers.process_sockets();
     let app = App::new()
         .app_data(Data::new(node.clone()))
         .app_data(PayloadConfig::new(MAX_BODY))
-        .configure(handlers::mesh);
+        .configure(handlers::mesh_routes);
     let (addr, max_connections) = (node.settings.mesh_addr, sockets.mesh());
     listen::serve(app, addr, max_connections, Rc::default(), listen::IDLE).await
 }
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -1,7 +1,7 @@
-//! Submissions, polls and cancellations.
+//! Submissions, polls and cancellations of jobs.
 //!
-//! Any controller answers for any job. An answer rests on [`lookup::find`], which is
-//! the last thing that a handler waits for, or on a write of its own.
+//! Any controller answers for any job. Every answer is based either on [`lookup::find`], after
+//! which the handler awaits nothing else, or on a write by the handler itself.
 
 use super::reply::{json_response, no_such_job, read_body, refuse, try_elsewhere};
 use super::SharedNode;
@@ -24,14 +24,14 @@
 use actix_web::HttpResponse;
 use std::rc::Rc;
 
-/// How long a user whose cancellation is written waits for the leader to hear of it, in
-/// seconds: a twentieth of the 5 s that users wait for an answer.
+/// Bound on the time that a user's cancellation, once recorded, is delayed by notifying the
+/// leader, in seconds: a twentieth of the 5 s that users wait for an answer.
 const NOTIFY_LEADER_TIMEOUT_S: f64 = 0.25;
 
-/// Attempts to cancel a job whose record changes meanwhile.
+/// Attempts to cancel a job whose record is changed concurrently.
 const MAX_CANCEL_ATTEMPTS: usize = 8;
 
-/// `POST /work`: accepts a job once it is recorded.
+/// `POST /work`: accepts a job after recording it in the state service.
 pub async fn submit(node: SharedNode, payload: web::Payload) -> HttpResponse {
     let received_at = node.now();
     let body = match read_body(payload).await {
@@ -58,11 +58,11 @@
     }
 }
 
-/// Records a valid job and tells the user.
+/// Records a valid job and responds to the user.
 async fn accept(node: &Rc<Node>, spec: JobSpec, received_at: f64) -> HttpResponse {
     let id = spec.id.clone();
-    if let Some(last) = node.terminal_states.borrow().get(&id) {
-        return accepted(StatusCode::OK, &id, last.state);
+    if let Some(terminal) = node.terminal_states.borrow().get(&id) {
+        return accepted_response(StatusCode::OK, &id, terminal.state);
     }
     let record = LiveJob {
         spec: Rc::new(spec),
@@ -73,8 +73,8 @@
         .when(&records::live_key(&id), 0)
         .when(&records::terminal_key(&id), 0)
         .put(&records::live_key(&id), &record);
-    let written = node.state.timed_txn(&txn, Priority::Data).await;
-    match written.result {
+    let write = node.state.timed_txn(&txn, Priority::Data).await;
+    match write.result {
         Ok(version) => {
             log_accepted(&record.spec);
             node.record_acceptance(node.now() - received_at);
@@ -85,13 +85,13 @@
         }
         Err(_) => return try_elsewhere(node),
     }
-    // Guards against an answer that was held up: by now the user may have been told
-    // elsewhere that the job is over.
+    // The response of the state service may have been delayed. Meanwhile another controller
+    // may have told the user that the job is over, so a late acceptance is looked up again.
     let is_over = node.terminal_states.borrow().get(&id).is_some();
-    if is_over || written.sent_at.elapsed() > MAX_READ_AGE {
+    if is_over || write.sent_at.elapsed() > MAX_READ_AGE {
         return state_if_known_or(node, &id, try_elsewhere(node)).await;
     }
-    accepted(StatusCode::CREATED, &id, JobState::Pending)
+    accepted_response(StatusCode::CREATED, &id, JobState::Pending)
 }
 
 fn log_accepted(spec: &JobSpec) {
@@ -99,10 +99,10 @@
     tracing::info!(job = %spec.id, class = %spec.class, team = %spec.team, tasks = spec.tasks, cpus = spec.cpus, estimate_s = spec.estimate_s, due_s, "accepted");
 }
 
-/// A job was just recorded: the scheduler learns of it at once where this controller leads.
+/// Passes a job that was just recorded to the scheduler, if this controller leads.
 fn notify_scheduler(node: &Rc<Node>, record: LiveJob, version: u64) {
-    let read = Rc::new(record.clone());
-    node.record_cache.borrow_mut().insert(&read, version);
+    let cached = Rc::new(record.clone());
+    node.record_cache.borrow_mut().insert(&cached, version);
     if let Some(scheduler) = node.scheduler.borrow_mut().as_mut() {
         scheduler.add_job(record, version, CompletedTasks::default());
         scheduler.place_changed(node.now());
@@ -110,26 +110,26 @@
     dispatcher::send_due_calls(node);
 }
 
-fn accepted(status: StatusCode, id: &str, state: JobState) -> HttpResponse {
+fn accepted_response(status: StatusCode, id: &str, state: JobState) -> HttpResponse {
     let id = id.into();
     json_response(status, &Accepted { id, state })
 }
 
-/// The present state of a job that is known, whatever its repeated submission holds; else
-/// the refusal.
+/// The current state of the job if it is known, whatever its repeated submission contains;
+/// otherwise `refusal`.
 async fn state_if_known_or(node: &Rc<Node>, id: &str, refusal: HttpResponse) -> HttpResponse {
     let mut found = lookup::find(node, id).await;
     let mut counts = None;
     if matches!(found, Ok(JobLookup::Live(..))) {
-        // Most of what comes here is unknown or over; only this needs the leader's counts,
-        // and the job once more, since waiting for them has aged the answer.
+        // Most jobs that reach this function are unknown or over. Only a live job needs the
+        // leader's counts. Waiting for them has made the look-up stale, so it is repeated.
         counts = task_counts(node, id).await;
         found = lookup::find(node, id).await;
     }
     match found {
-        Ok(JobLookup::Live(..)) => accepted(StatusCode::OK, id, live_state(counts)),
-        Ok(JobLookup::Unreadable(_)) => accepted(StatusCode::OK, id, JobState::Pending),
-        Ok(JobLookup::Terminal(last)) => accepted(StatusCode::OK, id, last.state),
+        Ok(JobLookup::Live(..)) => accepted_response(StatusCode::OK, id, live_state(counts)),
+        Ok(JobLookup::Unreadable(_)) => accepted_response(StatusCode::OK, id, JobState::Pending),
+        Ok(JobLookup::Terminal(terminal)) => accepted_response(StatusCode::OK, id, terminal.state),
         Ok(JobLookup::NotFound) => refusal,
         Err(_) => try_elsewhere(node),
     }
@@ -142,8 +142,9 @@
     }
 }
 
-/// Done and running tasks, from the leader. Asked for before the job is looked up: the
-/// counts are for display, and waiting for them afterwards would age the answer.
+/// The numbers of done and running tasks, from the leader. Callers request them before they
+/// look the job up: the counts are for display only, and waiting for them after the look-up
+/// would make its result stale.
 async fn task_counts(node: &Rc<Node>, id: &str) -> Option<TaskCounts> {
     if node.terminal_states.borrow().get(id).is_some() {
         return None;
@@ -171,28 +172,31 @@
     let counts = task_counts(&node, &id).await;
     match lookup::find(&node, &id).await {
         Ok(JobLookup::Live(read)) => {
-            // Where the leader does not answer, what is in the record. Chunks kept apart are
-            // hundreds of KiB for the largest jobs; the counts are worth no such read.
-            let recorded = TaskCounts {
+            // The counts of the job's record are used if the leader does not answer. They omit
+            // completed tasks that are stored in separate chunks: these take hundreds of KiB
+            // for the largest jobs, which is too much to read for a count.
+            let recorded_counts = TaskCounts {
                 done: read.record.completed_count(),
                 running: 0,
             };
-            progress(&id, live_state(counts), counts.unwrap_or(recorded))
+            progress_response(&id, live_state(counts), counts.unwrap_or(recorded_counts))
         }
-        Ok(JobLookup::Unreadable(_)) => progress(&id, JobState::Pending, TaskCounts::default()),
-        Ok(JobLookup::Terminal(last)) => {
+        Ok(JobLookup::Unreadable(_)) => {
+            progress_response(&id, JobState::Pending, TaskCounts::default())
+        }
+        Ok(JobLookup::Terminal(terminal)) => {
             let counts = TaskCounts {
-                done: last.done,
+                done: terminal.done,
                 running: 0,
             };
-            progress(&id, last.state, counts)
+            progress_response(&id, terminal.state, counts)
         }
         Ok(JobLookup::NotFound) => no_such_job(),
         Err(_) => try_elsewhere(&node),
     }
 }
 
-fn progress(id: &str, state: JobState, counts: TaskCounts) -> HttpResponse {
+fn progress_response(id: &str, state: JobState, counts: TaskCounts) -> HttpResponse {
     let body = Progress {
         id: id.into(),
         state,
@@ -202,35 +206,37 @@
     json_response(StatusCode::OK, &body)
 }
 
-/// `POST /work/{id}/cancel`: answers once the cancellation is recorded and the leader has
-/// heard of it, or cannot be reached in a short time.
+/// `POST /work/{id}/cancel`: responds once the cancellation is recorded and the leader has been
+/// notified, or has not answered within [`NOTIFY_LEADER_TIMEOUT_S`].
 pub async fn cancel(node: SharedNode, path: web::Path<String>) -> HttpResponse {
     let id = path.into_inner();
     if !valid_id(&id) {
         return no_such_job();
     }
     let was_known_over = node.terminal_states.borrow().get(&id).is_some();
-    // Completed tasks written meanwhile change the record's version: look again.
+    // The record's version changes when completed tasks are recorded concurrently, and then
+    // the transaction conflicts.
     for _ in 0..MAX_CANCEL_ATTEMPTS {
         let (record, version) = match lookup::find(&node, &id).await {
             Ok(JobLookup::Live(read)) => (Some(read.record), read.version),
             Ok(JobLookup::Unreadable(version)) => (None, version),
-            Ok(JobLookup::Terminal(last)) => {
-                // Carried out before, and the answer was lost: nobody told the leader.
-                if !was_known_over && last.state == JobState::Cancelled {
+            Ok(JobLookup::Terminal(terminal)) => {
+                // An earlier attempt recorded the cancellation but its response was lost, so
+                // the leader may not have been notified.
+                if !was_known_over && terminal.state == JobState::Cancelled {
                     notify_leader(&node, &id).await;
                 }
-                return accepted(StatusCode::OK, &id, last.state);
+                return accepted_response(StatusCode::OK, &id, terminal.state);
             }
             Ok(JobLookup::NotFound) => return no_such_job(),
             Err(_) => return try_elsewhere(&node),
         };
-        let last = cancelled_record(record.as_deref());
-        let txn = cancellation(&id, version, &last);
+        let terminal = cancelled_record(record.as_deref());
+        let txn = cancellation_txn(&id, version, &terminal);
         match node.state.txn(&txn, Priority::Data).await {
             Ok(_) => {
-                cancelled(&node, &id, last).await;
-                return accepted(StatusCode::OK, &id, JobState::Cancelled);
+                publish_cancellation(&node, &id, terminal).await;
+                return accepted_response(StatusCode::OK, &id, JobState::Cancelled);
             }
             Err(ServiceError::Conflict(_)) => continue,
             Err(_) => return try_elsewhere(&node),
@@ -239,8 +245,7 @@
     try_elsewhere(&node)
 }
 
-/// The terminal record of a job that is cancelled; its counts are 0 where its live record
-/// cannot be read.
+/// The terminal record of a cancelled job. Its counts are 0 if the live record cannot be read.
 fn cancelled_record(live: Option<&LiveJob>) -> TerminalRecord {
     TerminalRecord {
         state: JobState::Cancelled,
@@ -249,38 +254,43 @@
     }
 }
 
-/// The transaction that replaces a live record of this version by a terminal one.
-fn cancellation(id: &str, version: u64, last: &TerminalRecord) -> Txn {
+/// The transaction that replaces the live record of this version by the terminal record.
+fn cancellation_txn(id: &str, version: u64, terminal: &TerminalRecord) -> Txn {
     Txn::default()
         .when(&records::live_key(id), version)
         .delete(&records::live_key(id))
-        .put(&records::terminal_key(id), last)
+        .put(&records::terminal_key(id), terminal)
 }
 
-/// A cancellation was recorded, and its user is about to be told.
-async fn cancelled(node: &Rc<Node>, id: &str, last: TerminalRecord) {
+/// Applies a recorded cancellation on this controller and notifies the leader, before the user
+/// receives the response.
+async fn publish_cancellation(node: &Rc<Node>, id: &str, terminal: TerminalRecord) {
     tracing::info!(job = %id, "cancelled");
-    node.learn_terminal_state(id, last);
+    node.learn_terminal_state(id, terminal);
     dispatcher::send_due_calls(node);
-    completed_task_chunks::delete(node.clone(), id.into(), last.tasks);
+    completed_task_chunks::delete(node.clone(), id.into(), terminal.tasks);
     notify_leader(node, id).await;
 }
 
-/// Tells the leader of a cancellation before the user is told, so that it starts no task
-/// of the job afterwards. (It learns it from its watch as well, but later.) The message
-/// may be lost: what bounds the time then is `leadership::cancellation_horizon`.
+/// Notifies the leader of a cancellation before the user receives the response, so that the
+/// leader starts no task of the job afterwards. The leader's watch reports the cancellation
+/// too, but later. If the message is lost, `leadership::cancellation_horizon` bounds the time
+/// until the leader stops the job's tasks.
 async fn notify_leader(node: &Rc<Node>, id: &str) {
     if node.scheduler.borrow().is_some() {
         return;
     }
-    let Some(addr) = node.other_leader().and_then(|o| node.peer_address(&o)) else {
+    let Some(addr) = node
+        .other_leader()
+        .and_then(|leader| node.peer_address(&leader))
+    else {
         return;
     };
     let message = PeerRequest::JobCancelled(id.to_string());
-    let told = node
+    let response = node
         .mesh
         .ask_within(addr, &message, NOTIFY_LEADER_TIMEOUT_S);
-    if told.await.is_none() {
-        tracing::debug!(job = %id, "the leader was not reached with a cancellation");
+    if response.await.is_none() {
+        tracing::debug!(job = %id, "the leader did not confirm the notification of a cancellation");
     }
 }
--- a/src/handlers/mod.rs
+++ b/src/handlers/mod.rs
@@ -1,6 +1,7 @@
-//! The HTTP handlers: what users, workers, health checks and other controllers call.
-//! Each translates a request, asks [`crate::coordination`], and translates its result;
-//! none decides anything.
+//! The HTTP handlers for users, workers, health checks and other controllers.
+//!
+//! A handler decodes the request, calls [`crate::coordination`], and encodes the result. All
+//! decisions are made in [`crate::coordination`].
 
 mod jobs;
 mod peers;
@@ -12,24 +13,24 @@
 use actix_web::web::{self, Data, ServiceConfig};
 use std::rc::Rc;
 
-/// Largest request body by the protocol, in bytes.
+/// Largest request body that the protocol allows, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 
-/// The controller that a handler acts for.
+/// The controller, as actix-web passes it to handlers.
 pub type SharedNode = Data<Rc<Node>>;
 
-/// The routes for users, workers and health checks.
-pub fn front(config: &mut ServiceConfig) {
+/// Adds the routes for users, workers and health checks.
+pub fn front_routes(config: &mut ServiceConfig) {
     config
-        .route("/up", web::get().to(status::up))
+        .route("/up", web::get().to(status::health))
         .route("/overview", web::get().to(status::overview))
-        .route("/hello", web::post().to(reports::hello))
+        .route("/hello", web::post().to(reports::heartbeat))
         .route("/work", web::post().to(jobs::submit))
         .route("/work/{id}", web::get().to(jobs::query))
         .route("/work/{id}/cancel", web::post().to(jobs::cancel));
 }
 
-/// The route for other controllers.
-pub fn mesh(config: &mut ServiceConfig) {
-    config.route("/mesh", web::post().to(peers::call));
+/// Adds the route for other controllers.
+pub fn mesh_routes(config: &mut ServiceConfig) {
+    config.route("/mesh", web::post().to(peers::message));
 }
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -1,4 +1,4 @@
-//! Messages of other controllers (see [`crate::protocol::mesh`]).
+//! Handles messages from other controllers (see [`crate::protocol::mesh`]).
 
 use super::SharedNode;
 use crate::admin;
@@ -11,17 +11,17 @@
 use actix_web::HttpResponse;
 use std::rc::Rc;
 
-/// `POST /mesh`: one message in `bincode`.
-pub async fn call(node: SharedNode, body: Bytes) -> HttpResponse {
+/// `POST /mesh`: handles one message, encoded with `bincode`.
+pub async fn message(node: SharedNode, body: Bytes) -> HttpResponse {
     match mesh::decode::<PeerRequest>(&body) {
-        Some(request) => HttpResponse::Ok().body(mesh::encode(&answer(&node, request))),
+        Some(request) => HttpResponse::Ok().body(mesh::encode(&handle(&node, request))),
         None => HttpResponse::BadRequest().finish(),
     }
 }
 
-fn answer(node: &Rc<Node>, request: PeerRequest) -> PeerResponse {
+fn handle(node: &Rc<Node>, request: PeerRequest) -> PeerResponse {
     match request {
-        PeerRequest::Progress(id) => ask_scheduler(node, |scheduler| progress(scheduler, &id)),
+        PeerRequest::Progress(id) => ask_scheduler(node, |scheduler| task_progress(scheduler, &id)),
         PeerRequest::Overview => ask_scheduler(node, |scheduler| {
             Some(PeerResponse::Overview(scheduler.overview(node.now())))
         }),
@@ -42,7 +42,7 @@
             PeerResponse::RedirectedHeartbeats(recent)
         }
         PeerRequest::JobCancelled(id) => {
-            job_cancelled(node, &id);
+            apply_cancellation(node, &id);
             PeerResponse::Agreed
         }
         PeerRequest::ConfirmedCancellations(term, for_ms) => {
@@ -51,10 +51,11 @@
     }
 }
 
-/// Another controller has recorded a cancellation.
-fn job_cancelled(node: &Rc<Node>, id: &str) {
-    // Guards against a takeover that is reading the shard: the list of live jobs may have
-    // the job already, and the scheduler, which is not there yet, would start it.
+/// Stops a job whose cancellation another controller has recorded.
+fn apply_cancellation(node: &Rc<Node>, id: &str) {
+    // A takeover by this controller may be under way. It may already have read the job from
+    // the list of live jobs, and its scheduler does not exist yet. Without this entry the new
+    // scheduler would start the cancelled job.
     node.relayed_cancellations
         .borrow_mut()
         .record(id, node.now());
@@ -64,7 +65,8 @@
     dispatcher::send_due_calls(node);
 }
 
-/// What the leader's scheduler says, if this controller leads.
+/// The scheduler's response; `NotLeader` if this controller does not lead or `ask` returns
+/// `None`.
 fn ask_scheduler(
     node: &Node,
     ask: impl FnOnce(&Scheduler) -> Option<PeerResponse>,
@@ -84,7 +86,7 @@
     }
 }
 
-fn progress(scheduler: &Scheduler, id: &str) -> Option<PeerResponse> {
+fn task_progress(scheduler: &Scheduler, id: &str) -> Option<PeerResponse> {
     let counts = scheduler.progress(id)?;
     Some(PeerResponse::Progress {
         done: counts.done,
@@ -97,8 +99,8 @@
     Some(PeerResponse::View(scheduler.term, text))
 }
 
-/// The cancellations that this controller told users of, for a leader that has no other
-/// way to learn them.
+/// The cancellations that this controller confirmed to users in the last `for_ms`. The leader
+/// asks for them while it cannot learn of cancellations from the state service.
 fn confirmed_cancellations(node: &Node, term: u64, for_ms: u64) -> PeerResponse {
     if !node.leadership.borrow().may_report_cancellations_to(term) {
         return PeerResponse::NotLeader;
--- a/src/handlers/reply.rs
+++ b/src/handlers/reply.rs
@@ -1,4 +1,4 @@
-//! Responses and request bodies that several handlers share.
+//! Responses that several handlers send, and the reading of request bodies.
 
 use super::MAX_BODY;
 use crate::coordination::node::Node;
@@ -16,26 +16,28 @@
     HttpResponse::build(status).json(body)
 }
 
-/// An error that says why.
+/// An error response with its reason.
 pub fn refuse(status: StatusCode, why: &str) -> HttpResponse {
     json_response(status, &Refusal { error: why.into() })
 }
 
-/// A job of this name was never accepted.
+/// The response for a job id that was never accepted.
 pub fn no_such_job() -> HttpResponse {
     refuse(StatusCode::NOT_FOUND, "no such job")
 }
 
-/// The answer cannot be given or recorded now; the state service is usually back soon.
+/// The response when the request cannot be answered, or its change cannot be recorded, now.
+/// Clients are asked to retry after 1 s, since the state service is usually available again
+/// soon.
 pub fn unavailable() -> HttpResponse {
     HttpResponse::ServiceUnavailable()
         .insert_header(("retry-after", "1"))
         .json(json!({"error": "not available now"}))
 }
 
-/// The same to a user. While only this controller is without contact to the state
-/// service the connection is closed too, so that the next one leads to another
-/// controller.
+/// The response of [`unavailable`], for users. While this controller alone has lost contact to
+/// the state service, the connection is closed as well, so that the user's next connection
+/// reaches another controller.
 pub fn try_elsewhere(node: &Node) -> HttpResponse {
     let mut response = unavailable();
     if node.readiness.borrow().is_not_ready() {
@@ -46,12 +48,12 @@
     response
 }
 
-/// Reads a body of at most [`MAX_BODY`] bytes.
+/// Reads a request body of at most [`MAX_BODY`] bytes.
 ///
 /// # Errors
-/// The response to a body that is too large or cannot be read.
+/// The response for a body that is too large or cannot be read.
 pub async fn read_body(mut payload: web::Payload) -> Result<Bytes, HttpResponse> {
-    // Most bodies come in one piece, which then need not be copied.
+    // Most bodies arrive in one chunk, which is returned without copying.
     let mut first = Bytes::new();
     let mut copied = Vec::new();
     while let Some(chunk) = payload.next().await {
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -1,4 +1,4 @@
-//! Workers' heartbeats.
+//! Heartbeats of workers.
 
 use super::reply::{json_response, read_body, refuse, unavailable};
 use super::SharedNode;
@@ -14,13 +14,14 @@
 use actix_web::HttpResponse;
 use std::rc::Rc;
 
-/// `POST /hello`: answered by the leader alone; others name it.
-pub async fn hello(node: SharedNode, payload: web::Payload) -> HttpResponse {
+/// `POST /hello`: handles a worker's heartbeat. Only the leader handles heartbeats; other
+/// controllers redirect the worker to the leader.
+pub async fn heartbeat(node: SharedNode, payload: web::Payload) -> HttpResponse {
     let body = match read_body(payload).await {
         Ok(body) => body,
         Err(refusal) => return refusal,
     };
-    wait_until_entitled(&node).await;
+    wait_for_expected_takeover(&node).await;
     if !node.may_answer_workers() {
         return redirect_to_leader(&node);
     }
@@ -28,14 +29,14 @@
         return refuse(StatusCode::BAD_REQUEST, "not a report");
     };
     let now = node.now();
-    if let Some(response) = reply_to_repeated(&node, &head, now) {
+    if let Some(response) = reply_to_repeated_heartbeat(&node, &head, now) {
         return response;
     }
     let tasks = head.tasks;
     let Some(report) = head.read() else {
         return refuse(StatusCode::BAD_REQUEST, "not a report");
     };
-    match handle(&node, &report, tasks.get(), now) {
+    match handle_heartbeat(&node, &report, tasks.get(), now) {
         HeartbeatReply::Commands(reply) => {
             dispatcher::send_due_calls(&node);
             json_response(StatusCode::OK, &reply)
@@ -48,17 +49,18 @@
     }
 }
 
-/// A heartbeat whose tasks are those of the one before, which need not be read: most are.
-fn reply_to_repeated(node: &Node, head: &ReportHead, now: f64) -> Option<HttpResponse> {
+/// Replies to a heartbeat whose task list equals that of the previous one, as most do, without
+/// parsing the list. `None` if the heartbeat needs [`handle_heartbeat`].
+fn reply_to_repeated_heartbeat(node: &Node, head: &ReportHead, now: f64) -> Option<HttpResponse> {
     let mut scheduler = node.scheduler.borrow_mut();
     let token = scheduler.as_mut()?.handle_repeated_heartbeat(head, now)?;
     let commands = Vec::new();
     Some(json_response(StatusCode::OK, &Reply { token, commands }))
 }
 
-/// Passes a heartbeat to the scheduler, and remembers its tasks as they came, so that the
-/// next one can be compared with them.
-fn handle(node: &Node, report: &Report, tasks: &str, now: f64) -> HeartbeatReply {
+/// Passes a heartbeat to the scheduler, and remembers its unparsed task list, so that the next
+/// heartbeat can be compared with it.
+fn handle_heartbeat(node: &Node, report: &Report, tasks: &str, now: f64) -> HeartbeatReply {
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut() else {
         return HeartbeatReply::Refuse;
@@ -76,9 +78,10 @@
     json_response(StatusCode::MISDIRECTED_REQUEST, &redirect)
 }
 
-/// A takeover may be under way here, or due because workers do not reach the leader: a
-/// worker turned away would connect anew and wait once more.
-async fn wait_until_entitled(node: &Rc<Node>) {
+/// Waits until a takeover by this controller has ended, or, if so many workers come here that
+/// the leader seems unreachable for them, until the leader changes. A worker that was
+/// redirected at once would have to connect again and wait again.
+async fn wait_for_expected_takeover(node: &Rc<Node>) {
     if node.may_answer_workers() {
         return;
     }
--- a/src/handlers/status.rs
+++ b/src/handlers/status.rs
@@ -1,4 +1,4 @@
-//! Health and the overview of live jobs.
+//! The health check and the overview of live jobs.
 
 use super::reply::{json_response, unavailable};
 use super::SharedNode;
@@ -9,9 +9,9 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// `GET /up`: healthy once the cluster is known, and while the state service does not
-/// refuse this controller alone.
-pub async fn up(node: SharedNode) -> HttpResponse {
+/// `GET /up`: healthy once the cluster's records have been loaded, except while this
+/// controller has lost contact to the state service and the other controllers have not.
+pub async fn health(node: SharedNode) -> HttpResponse {
     let loaded = node.leadership.borrow().view.loaded;
     if loaded && !node.readiness.borrow().is_not_ready() {
         json_response(StatusCode::OK, &json!({"up": true}))
@@ -20,11 +20,11 @@
     }
 }
 
-/// `GET /overview`: live jobs as a table, from the leader.
+/// `GET /overview`: the live jobs as a text table made by the leader.
 pub async fn overview(node: SharedNode) -> HttpResponse {
     let text = match own_overview(&node) {
         Some(text) => Some(text),
-        None => leaders_overview(&node).await,
+        None => overview_from_leader(&node).await,
     };
     match text {
         Some(text) => HttpResponse::Ok()
@@ -34,14 +34,14 @@
     }
 }
 
-/// The overview, if this controller leads.
+/// The overview from the scheduler of this controller; `None` unless this controller leads.
 fn own_overview(node: &Node) -> Option<String> {
     let scheduler = node.scheduler.borrow();
     Some(scheduler.as_ref()?.overview(node.now()))
 }
 
-/// The overview as the leader tells it.
-async fn leaders_overview(node: &Rc<Node>) -> Option<String> {
+/// The overview requested from the leader; `None` if the leader is unknown or does not answer.
+async fn overview_from_leader(node: &Rc<Node>) -> Option<String> {
     let addr = node.peer_address(&node.other_leader()?)?;
     match node.mesh.ask(addr, &PeerRequest::Overview).await? {
         PeerResponse::Overview(text) => Some(text),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,15 +1,18 @@
-//! foxspur: a cluster scheduler. Each task samples two fitting machines, starts
-//! at once on one with free room, else joins the one with fewer bound waiting
-//! tasks; a queue starts the smallest prediction first (see `docs/design.md`).
+//! foxspur: a cluster scheduler.
 //!
-//! Layers, each of which imports only those before it:
+//! For each task the scheduler samples two suitable machines. The task starts at once on one
+//! that has enough free resources; otherwise it joins the queue of the machine with fewer
+//! waiting tasks. A queue starts the task with the smallest predicted run time first (see
+//! `docs/design.md`).
 //!
-//! - [`protocol`]: messages and settings, as they are exchanged with other programs.
-//! - [`storage`]: the records in the state service, and their keys.
-//! - [`transport`]: HTTP, and the clients of the outside services.
-//! - [`coordination`]: leadership, scheduling, workers, jobs and the fleet.
-//! - [`handlers`] and [`admin`]: the calls of users, workers, controllers and operators.
-//! - [`app`]: ties all together into a process.
+//! The layers, each of which imports only the ones listed before it:
+//!
+//! - [`protocol`]: the messages exchanged with other programs, the settings and the policy.
+//! - [`storage`]: the records in the state service and their keys.
+//! - [`transport`]: HTTP, and the clients of external services.
+//! - [`coordination`]: leadership, scheduling, workers, jobs and the fleet of machines.
+//! - [`handlers`] and [`admin`]: the HTTP APIs for users, workers, controllers and operators.
+//! - [`app`]: assembles the controller process.
 
 #![warn(clippy::unwrap_used)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -12,18 +12,18 @@
 #[derive(Parser)]
 #[command(version, about)]
 struct Args {
-    /// The platform's settings file (TOML).
+    /// Settings file of the platform (TOML).
     #[arg(long)]
     config: PathBuf,
-    /// The operators' own settings (S-expressions); all have defaults.
+    /// Policy file of the operators (S-expressions); every setting in it has a default.
     #[arg(long)]
     policy: Option<PathBuf>,
-    /// Check the settings and end.
+    /// Check both files and exit without starting.
     #[arg(long)]
     check: bool,
 }
 
-/// Why the process cannot start.
+/// Why the settings or the policy cannot be loaded.
 #[derive(thiserror::Error, Debug)]
 enum LoadError {
     #[error("{path}: {source}")]
@@ -37,25 +37,25 @@
     Policy(#[from] PolicyError),
 }
 
-fn read(path: &Path) -> Result<String, LoadError> {
+fn read_file(path: &Path) -> Result<String, LoadError> {
     std::fs::read_to_string(path).map_err(|source| LoadError::Unreadable {
         path: path.display().to_string(),
         source,
     })
 }
 
-/// Reads the settings and the policy, and checks that they fit together.
+/// Reads the settings and the policy, and checks them against each other.
 fn load(args: &Args) -> Result<(Settings, Policy), LoadError> {
-    let settings = Settings::parse(&read(&args.config)?)?;
+    let settings = Settings::parse(&read_file(&args.config)?)?;
     let policy = match &args.policy {
-        Some(path) => Policy::parse(&read(path)?)?,
+        Some(path) => Policy::parse(&read_file(path)?)?,
         None => Policy::default(),
     };
     settings.check_policy(&policy)?;
     Ok((settings, policy))
 }
 
-/// The log level that the environment names, or `info`.
+/// The log level from the environment variable `LOG_LEVEL`, or `info`.
 fn log_level() -> tracing::Level {
     std::env::var("LOG_LEVEL")
         .ok()
@@ -84,11 +84,11 @@
         }
     };
     if args.check {
-        eprintln!("foxspur: settings are fine");
+        eprintln!("foxspur: settings are valid");
         return ExitCode::SUCCESS;
     }
-    let served = actix_rt::System::new().block_on(foxspur::app::run(settings, policy));
-    match served {
+    let result = actix_rt::System::new().block_on(foxspur::app::run(settings, policy));
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("foxspur: {error}");
