--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -85,8 +85,9 @@
         }
         Err(_) => return try_elsewhere(node),
     }
-    // The response of the state service may have been delayed. Meanwhile another controller
-    // may have told the user that the job is over, so a late acceptance is looked up again.
+    // The response of the state service may have been delayed. Meanwhile the user may have been
+    // told that the job is over, here or by another controller. In that case, and after a long
+    // delay, the job is looked up again.
     let is_over = node.terminal_states.borrow().get(&id).is_some();
     if is_over || write.sent_at.elapsed() > MAX_READ_AGE {
         return state_if_known_or(node, &id, try_elsewhere(node)).await;
--- a/src/main.rs
+++ b/src/main.rs
@@ -18,7 +18,7 @@
     /// Policy file of the operators (S-expressions); every setting in it has a default.
     #[arg(long)]
     policy: Option<PathBuf>,
-    /// Check both files and exit without starting.
+    /// Check the settings and the policy, and exit.
     #[arg(long)]
     check: bool,
 }
