--- a/crates/plan/src/simulation.rs
+++ b/crates/plan/src/simulation.rs
@@ -75,7 +75,7 @@
 
 impl<'a> Simulation<'a> {
     fn new(snapshot: &Snapshot, scenario: &'a Scenario, seed: u64) -> Simulation<'a> {
-        let mut scheduler = Scheduler::of_snapshot(snapshot, seed);
+        let mut scheduler = Scheduler::from_snapshot(snapshot, seed);
         let facts = snapshot.jobs.iter().map(|job| {
             let facts = job_facts(&scheduler, Rc::new(job.spec.clone()));
             (job.spec.id.clone(), facts)
@@ -211,7 +211,7 @@
         self.version += 1;
         let record = LiveJob {
             spec: spec.clone(),
-            at_ms: (at_s * 1000.0) as u64,
+            accepted_at_ms: (at_s * 1000.0) as u64,
             done: String::new(),
         };
         self.scheduler
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -74,5 +74,12 @@
         .route("/admin/v1/rolls", web::post().to(rollouts::begin))
         .route("/admin/v1/rolls/turn", web::post().to(rollouts::change))
         .route("/admin/v1/undrain", web::post().to(orders::undrain));
-    listen::serve(app, addr, MAX_CONNECTIONS, Rc::default(), listen::IDLE).await
+    listen::serve(
+        app,
+        addr,
+        MAX_CONNECTIONS,
+        Rc::default(),
+        listen::DEFAULT_IDLE_TIMEOUT,
+    )
+    .await
 }
--- a/src/admin/rollouts.rs
+++ b/src/admin/rollouts.rs
@@ -179,7 +179,7 @@
 ///
 /// # Errors
 /// The order is not possible in the rollout's state.
-pub fn turned(rollout: &Roll, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
+pub fn apply_turn(rollout: &Roll, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
     let mut next = rollout.clone();
     match (order.turn, rollout.state) {
         (Turn::Halt, RollState::Running) => {
@@ -215,7 +215,7 @@
             let reason = format!("there is no roll {}", order.name);
             return Err(OrderError::NotFound(reason));
         };
-        let next = turned(&recorded.rollout, order)?;
+        let next = apply_turn(&recorded.rollout, order)?;
         let key = records::rollout_key(&order.name);
         let condition = Txn::default()
             .when(records::SHARD_KEY, shard.version)
--- a/src/app.rs
+++ b/src/app.rs
@@ -54,7 +54,7 @@
         .app_data(Data::new(node.clone()))
         .app_data(PayloadConfig::new(MAX_BODY))
         .configure(handlers::front_routes);
-    let (max_connections, open_connections) = (sockets.front(), sockets.incoming.clone());
+    let (max_connections, open_connections) = (sockets.max_incoming(), sockets.incoming.clone());
     let addr = node.settings.front;
     listen::serve(app, addr, max_connections, open_connections, idle_timeout).await
 }
@@ -66,8 +66,15 @@
         .app_data(Data::new(node.clone()))
         .app_data(PayloadConfig::new(MAX_BODY))
         .configure(handlers::mesh_routes);
-    let (addr, max_connections) = (node.settings.mesh_addr, sockets.mesh());
-    listen::serve(app, addr, max_connections, Rc::default(), listen::IDLE).await
+    let (addr, max_connections) = (node.settings.mesh_addr, sockets.max_from_controllers());
+    listen::serve(
+        app,
+        addr,
+        max_connections,
+        Rc::default(),
+        listen::DEFAULT_IDLE_TIMEOUT,
+    )
+    .await
 }
 
 fn start_actors(node: &Rc<Node>) {
--- a/src/coordination/agents/commands.rs
+++ b/src/coordination/agents/commands.rs
@@ -58,18 +58,18 @@
 
 /// Records that the answer tells the machine to stop its unwanted attempts and to forget
 /// these exited ones. A later message must show the effect.
-fn mark_told(machine: &mut Machine, forgets: &[AttemptId]) {
+fn mark_commands_sent(machine: &mut Machine, forgets: &[AttemptId]) {
     for attempt in machine.attempts.values_mut() {
         if !attempt.call_in_flight {
             attempt.unsent = false;
         }
         // A task that is saving was already told to stop.
         let stoppable = !matches!(attempt.phase, None | Some(Phase::Saving | Phase::Exited));
-        attempt.told_to_end = stoppable && attempt.stop_grace_s.is_some();
+        attempt.end_command_sent = stoppable && attempt.stop_grace_s.is_some();
     }
     for key in forgets {
         if let Some(attempt) = machine.attempts.get_mut(key) {
-            attempt.told_to_end = true;
+            attempt.end_command_sent = true;
         }
     }
 }
@@ -126,9 +126,9 @@
         machine.raised_token = answer.token;
         if answer.token == last_token {
             // The term has no higher token left; `raise_overdue_tokens` requests a new term.
-            self.unresolved_starts.insert(name.clone());
+            self.machines_with_unresolved_starts.insert(name.clone());
         }
-        mark_told(machine, &answer.forgets);
+        mark_commands_sent(machine, &answer.forgets);
         let mut commands: Vec<Command> = answer.forgets.iter().map(forget_command).collect();
         commands.extend(answer.stops);
         for key in answer.starts {
@@ -194,15 +194,15 @@
     /// Probes machines that our answers may not reach. The answer to a probe proves that the
     /// machine receives our messages. A machine that does not answer is probed again after a
     /// quarter of a lease.
-    pub(crate) fn probe_suspects(&mut self, now: f64) {
+    pub(crate) fn probe_machines_with_doubtful_delivery(&mut self, now: f64) {
         let machines = &self.machines;
-        self.suspects
+        self.machines_with_doubtful_delivery
             .retain(|name| machines.get(name).is_some_and(|m| m.delivery.is_doubtful()));
         let interval_s = self.config.lease_s / 4.0;
         let is_due =
             |machine: &Machine| !machine.call_in_flight && now - machine.called_at >= interval_s;
         let due: Vec<Name> = self
-            .suspects
+            .machines_with_doubtful_delivery
             .iter()
             .filter(|name| machines.get(*name).is_some_and(is_due))
             .cloned()
@@ -219,8 +219,10 @@
         // Workers that lost their leader try another controller every second and are
         // redirected here, so most of them report without a probe. While many do, probing
         // them as well would double the work of a takeover.
-        let reported = self.unfenced_before.saturating_sub(self.unfenced.len());
-        self.unfenced_before = self.unfenced.len();
+        let reported = self
+            .unfenced_count_at_last_prune
+            .saturating_sub(self.unfenced.len());
+        self.unfenced_count_at_last_prune = self.unfenced.len();
         if reported > max_probes / 4 {
             return;
         }
--- a/src/coordination/agents/direct_calls.rs
+++ b/src/coordination/agents/direct_calls.rs
@@ -37,12 +37,12 @@
 /// earlier incarnation of the machine. If both are of the same session, this answer is the
 /// valid one. (Guards against a heartbeat of an earlier incarnation, delayed by a partition,
 /// that showed an empty machine, so that its tasks were started elsewhere as well.)
-fn detect_renumbering(machine: &mut Machine, report: &Report) {
+fn detect_numbering_restart(machine: &mut Machine, report: &Report) {
     let message = MessageId::of(report);
     if report.machine != machine.info.id || message >= machine.called_at_message {
         return;
     }
-    machine.renumbers = true;
+    machine.session_numbering_restarted = true;
     let nothing_newer_since = machine.last_message == machine.called_at_message;
     if message.session == machine.last_message.session && nothing_newer_since {
         machine.last_message.seq = message.seq.saturating_sub(1);
@@ -91,7 +91,7 @@
     ) {
         self.advance_clock(now);
         if !matches!(result, CallResult::NotSent | CallResult::Rejected(_)) {
-            self.unresolved_starts.insert(name.clone());
+            self.machines_with_unresolved_starts.insert(name.clone());
         }
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -105,7 +105,7 @@
             CallResult::Executed(report) if MessageId::of(report) <= machine.last_message
         );
         match result.report() {
-            Some(report) => detect_renumbering(machine, report),
+            Some(report) => detect_numbering_restart(machine, report),
             None => machine.unanswered_calls += 1,
         }
         settle_starts(machine, call, &result, outdated_answer, now);
--- a/src/coordination/agents/dispatcher.rs
+++ b/src/coordination/agents/dispatcher.rs
@@ -45,7 +45,10 @@
     };
     // Calls beyond the free sockets would wait for a socket and could time out unsent,
     // which is indistinguishable from a lost command.
-    let free_sockets = node.workers.sockets.saturating_sub(node.direct_calls.get());
+    let free_sockets = node
+        .workers
+        .max_concurrent_calls
+        .saturating_sub(node.direct_calls.get());
     let due = free_sockets.min(scheduler.outbox.len());
     let batch: Vec<Name> = scheduler.outbox.drain(..due).collect();
     for machine in batch {
@@ -112,7 +115,7 @@
         let now = self.node.now();
         if let Some(scheduler) = self.node.scheduler.borrow_mut().as_mut() {
             scheduler.tick(now, self.node.leadership.borrow().confirmed_at());
-            scheduler.probe_unfenced(now, self.node.workers.sockets / 2);
+            scheduler.probe_unfenced(now, self.node.workers.max_concurrent_calls / 2);
             scheduler.place_all(now);
             self.log_and_collect(scheduler);
         }
--- a/src/coordination/agents/failure_detector.rs
+++ b/src/coordination/agents/failure_detector.rs
@@ -36,7 +36,7 @@
     pub fn tick(&mut self, now: f64, confirmed: f64) {
         self.advance_clock(now);
         self.expire_leases(now, confirmed);
-        self.probe_suspects(now);
+        self.probe_machines_with_doubtful_delivery(now);
         self.handle_termination_notices(now);
         self.advance_drains();
         self.retire_failing_machines();
@@ -65,7 +65,7 @@
     /// whole shard, and the tasks of a machine that the cloud took back without notice would
     /// wait for a lease to expire. If many machines are silent at once, the cause is most
     /// likely a partition, and the leader waits for them.
-    pub fn machines_given_up(&self, now: f64) -> Vec<String> {
+    pub fn machines_presumed_dead(&self, now: f64) -> Vec<String> {
         // A machine that an operator drained and that was proven empty may be switched off
         // on purpose, and does not block placement.
         let candidates = self
--- a/src/coordination/agents/heartbeat.rs
+++ b/src/coordination/agents/heartbeat.rs
@@ -68,7 +68,7 @@
         // If a machine is known to restart its session numbers, a heartbeat of the known
         // session may be from the present or the previous incarnation. A heartbeat of the
         // next session is unambiguous.
-        let ambiguous = machine.renumbers && same_or_older_session;
+        let ambiguous = machine.session_numbering_restarted && same_or_older_session;
         let newest_at = machine.heard_at.max(timing.listening_since);
         let too_old = stale && timing.now - newest_at > timing.max_overtaken_s;
         if early || lower_token || ambiguous || too_old {
@@ -105,7 +105,7 @@
             && machine.unknown_attempts == 0
             && machine.indexed
             && !machine.delivery.is_doubtful()
-            && !machine.renumbers
+            && !machine.session_numbering_restarted
             && machine.notice_at.is_none()
             && head.notice_s.is_none()
             && head.token == machine.seen_token
@@ -221,9 +221,9 @@
             machine
                 .delivery
                 .message_received(Evidence::Undelivered, now);
-            machine.renumbered_at.get_or_insert(now);
+            machine.restart_suspected_at.get_or_insert(now);
         }
-        self.suspects.insert(name.clone());
+        self.machines_with_doubtful_delivery.insert(name.clone());
         self.update_capacity(name);
     }
 
--- a/src/coordination/agents/leader_reachability.rs
+++ b/src/coordination/agents/leader_reachability.rs
@@ -53,15 +53,15 @@
 /// Whether so many heartbeats were redirected lately that the workers' leader is most likely
 /// unreachable. Redirecting a worker to such a leader costs it a time-out of 4 s and another
 /// second, while a takeover takes less. A single machine that boots or is cut off from the
-/// leader stays below the limit; a partition of many machines (see `out_of_reach`) does not.
-pub fn leader_unreached(recent_redirects: u32) -> bool {
+/// leader stays below the limit; a partition of many machines (see `should_resign`) does not.
+pub fn is_leader_unreachable(recent_redirects: u32) -> bool {
     recent_redirects >= MIN_REDIRECTS_OF_UNREACHABLE_LEADER
 }
 
 /// Whether a leader should resign: more than three quarters of its `machines` are silent,
 /// which is a partition and not a few dead machines, and the number of heartbeats that other
 /// controllers redirected is at least an eighth of `machines`.
-pub fn out_of_reach(machines: usize, silent: usize, redirected: u32) -> bool {
+pub fn should_resign(machines: usize, silent: usize, redirected: u32) -> bool {
     machines >= MIN_RESIGNATION_MACHINES
         && 4 * silent > 3 * machines
         && 8 * redirected as usize >= machines
--- a/src/coordination/agents/lease_expiry.rs
+++ b/src/coordination/agents/lease_expiry.rs
@@ -19,7 +19,7 @@
         .answered_at
         .map_or(session_seen_at, |at| at.max(session_seen_at));
     let renewed_at = machine
-        .renumbered_at
+        .restart_suspected_at
         .map_or(renewed_at, |at| renewed_at.max(at));
     // A machine may have restarted without our notice just before a call with a start
     // arrived. The started task then lives for one lease from that time.
--- a/src/coordination/agents/reconciliation.rs
+++ b/src/coordination/agents/reconciliation.rs
@@ -55,10 +55,10 @@
     now: f64,
     evidence: &mut EvidenceSummary,
 ) {
-    let told_term = machine.delivery.told_term;
-    if report.token < told_term {
+    let highest_sent_term = machine.delivery.highest_sent_term;
+    if report.token < highest_sent_term {
         evidence.add(Evidence::Undelivered);
-    } else if machine.seen_token < told_term {
+    } else if machine.seen_token < highest_sent_term {
         evidence.add(Evidence::Delivered);
     }
     machine
@@ -73,12 +73,12 @@
 /// Records the report's session, sequence number, token and termination notice.
 fn record_message(machine: &mut Machine, report: &Report, now: f64) {
     machine.heard_at = now;
-    machine.renumbered_at = None;
+    machine.restart_suspected_at = None;
     machine.unanswered_calls = 0;
     machine.repeatable_tasks = None;
     if report.session > machine.last_message.session {
         machine.session_seen_at = now;
-        machine.renumbers = false;
+        machine.session_numbering_restarted = false;
     }
     machine.last_message = MessageId::of(report);
     machine.seen_token = machine.seen_token.max(report.token);
@@ -104,7 +104,7 @@
             Evidence::Undelivered
         });
     }
-    if attempt.told_to_end && !shown {
+    if attempt.end_command_sent && !shown {
         evidence.add(Evidence::Delivered);
     }
     if attempt
@@ -263,7 +263,7 @@
         let doubted = machine.delivery.is_doubtful();
         if doubted != doubted_before {
             tracing::info!(machine = %name, doubted, "delivery of answers doubted or confirmed");
-            self.suspects.insert(name.clone());
+            self.machines_with_doubtful_delivery.insert(name.clone());
             self.placement_due = true;
         }
     }
--- a/src/coordination/agents/task_reconciliation.rs
+++ b/src/coordination/agents/task_reconciliation.rs
@@ -44,8 +44,8 @@
 ) -> Evidence {
     attempt.last_shown = message;
     attempt.resources = shown.resources.unwrap_or_default();
-    let told_to_end = std::mem::take(&mut attempt.told_to_end);
-    let evidence = match told_to_end {
+    let end_command_sent = std::mem::take(&mut attempt.end_command_sent);
+    let evidence = match end_command_sent {
         true if attempt.phase == Some(shown.phase) => Evidence::Undelivered,
         true => Evidence::Delivered,
         false => Evidence::Neutral,
@@ -130,7 +130,7 @@
         tracing::info!(job = %job_name, waited_s, "begun");
         // An adopted task began before this leader knew of it, so its wait is not known.
         if !known.adopted {
-            self.predictor.waited(&job.spec.class, waited_s);
+            self.predictor.record_wait(&job.spec.class, waited_s);
         }
     }
 
--- a/src/coordination/fleet/drains.rs
+++ b/src/coordination/fleet/drains.rs
@@ -16,10 +16,10 @@
 //!   delays no takeover and is not returned to the cloud.
 
 use super::eviction::{decide, AttemptOutlook, DrainDecision, Relocation, StopCost};
-use crate::coordination::scheduler::drain_target::DrainTarget;
+use crate::coordination::scheduler::active_drain::ActiveDrain;
 use crate::coordination::scheduler::job::{AttemptId, Job, Name};
 use crate::coordination::scheduler::machine::{Attempt, Machine, MachineStatus};
-use crate::coordination::scheduler::preemption::loss;
+use crate::coordination::scheduler::preemption::stop_loss_and_grace;
 use crate::coordination::scheduler::resources::Resources;
 use crate::coordination::scheduler::state::Scheduler;
 use crate::protocol::admin::{Drain, DrainRow, DrainState, Drained, Proof};
@@ -41,8 +41,8 @@
 impl Scheduler {
     /// Whether the machine is drained: cordoned and recorded as proven empty.
     pub(crate) fn is_drained(&self, name: &str) -> bool {
-        let target = self.drains.get(name);
-        target.is_some_and(|t| t.drain.drained.is_some())
+        let active_drain = self.drains.get(name);
+        active_drain.is_some_and(|active| active.drain.drained.is_some())
     }
 
     /// Applies the complete set of drain records, each with its version, by machine name.
@@ -67,12 +67,12 @@
             let deadline_at = drain
                 .deadline_ms
                 .map(|ms| ms as f64 / 1000.0 - self.wall_clock_offset_s);
-            let target = DrainTarget {
+            let active_drain = ActiveDrain {
                 drain: drain.clone(),
                 version: *version,
                 deadline_at,
             };
-            self.drains.insert(host.as_str().into(), target);
+            self.drains.insert(host.as_str().into(), active_drain);
             self.cordon(host);
         }
     }
@@ -121,7 +121,7 @@
     fn attempt_outlook(
         &self,
         machine: &Machine,
-        target: &DrainTarget,
+        active_drain: &ActiveDrain,
         key: &AttemptId,
         attempt: &Attempt,
     ) -> Option<AttemptOutlook> {
@@ -130,7 +130,7 @@
         let spec = &job.spec;
         let ran_s = attempt.running_since.map_or(0.0, |t| now - t);
         let predicted_s = self.predict(job);
-        let (lost_cpu_s, grace_s) = loss(spec, ran_s, false);
+        let (lost_cpu_s, grace_s) = stop_loss_and_grace(spec, ran_s, false);
         // On another machine the attempt fetches its image and repeats the work done since its
         // last checkpoint.
         let remaining_s = (predicted_s - checkpointed_s(spec, ran_s)).max(0.0);
@@ -144,8 +144,8 @@
             },
             rerun_s: self.image_fetch_s(machine, spec) + grace_s + remaining_s,
             due_in_s: self.next_due_times(job, now),
-            until_deadline_s: target.deadline_at.map(|d| d - now),
-            at_deadline: target.drain.rest,
+            until_deadline_s: active_drain.deadline_at.map(|d| d - now),
+            at_deadline: active_drain.drain.rest,
             relocation: self.relocation(job),
         })
     }
@@ -182,13 +182,13 @@
     fn drain_decisions(
         &self,
         machine: &Machine,
-        target: &DrainTarget,
+        active_drain: &ActiveDrain,
     ) -> Vec<(AttemptId, DrainDecision)> {
         machine
             .live_attempts()
             .filter(|(_, attempt)| attempt.stop_grace_s.is_none())
             .filter_map(|(key, attempt)| {
-                let outlook = self.attempt_outlook(machine, target, key, attempt)?;
+                let outlook = self.attempt_outlook(machine, active_drain, key, attempt)?;
                 Some((key.clone(), decide(&outlook)))
             })
             .collect()
@@ -210,7 +210,8 @@
 
     /// The attempts to evict from the machine now; those that lose the least work come first.
     fn due_evictions(&self, name: &Name) -> Vec<Eviction> {
-        let (Some(machine), Some(target)) = (self.machines.get(name), self.drains.get(name)) else {
+        let (Some(machine), Some(active_drain)) = (self.machines.get(name), self.drains.get(name))
+        else {
             return Vec::new();
         };
         let reports_under_term = machine.status == MachineStatus::Up && machine.fenced;
@@ -218,7 +219,7 @@
             return Vec::new();
         }
         let mut evictions: Vec<Eviction> = self
-            .drain_decisions(machine, target)
+            .drain_decisions(machine, active_drain)
             .into_iter()
             .filter_map(|(attempt, decision)| match decision {
                 DrainDecision::Evict(cost) => Some(Eviction { attempt, cost }),
@@ -234,7 +235,7 @@
             .live_attempts()
             .filter(|(_, attempt)| attempt.stop_grace_s.is_some())
             .count();
-        let max_stopping = if target.must_stop_now(self.now) {
+        let max_stopping = if active_drain.must_stop_now(self.now) {
             live
         } else {
             live.div_ceil(EVICTION_DIVISOR)
@@ -261,9 +262,9 @@
         if !self.fence.open {
             return Vec::new();
         }
-        let proven = self.drains.iter().filter_map(|(name, target)| {
+        let proven = self.drains.iter().filter_map(|(name, active_drain)| {
             let machine = self.machines.get(name)?;
-            if target.drain.drained.is_some() {
+            if active_drain.drain.drained.is_some() {
                 return None;
             }
             let drained = Some(Drained {
@@ -272,8 +273,8 @@
                 proof: self.proof_of_emptiness(machine)?,
                 session: machine.last_message.session,
             });
-            let drain = target.drain.clone();
-            Some((Drain { drained, ..drain }, target.version))
+            let drain = active_drain.drain.clone();
+            Some((Drain { drained, ..drain }, active_drain.version))
         });
         // An empty order name marks a record that could not be read. It is not overwritten.
         proven
@@ -287,31 +288,31 @@
         let mut rows: Vec<DrainRow> = self
             .drains
             .iter()
-            .map(|(name, target)| self.drain_row(name, target, now))
+            .map(|(name, active_drain)| self.drain_row(name, active_drain, now))
             .collect();
         rows.sort_by(|a, b| a.drain.host.cmp(&b.drain.host));
         rows
     }
 
-    fn drain_row(&self, name: &Name, target: &DrainTarget, now: f64) -> DrainRow {
+    fn drain_row(&self, name: &Name, active_drain: &ActiveDrain, now: f64) -> DrainRow {
         let machine = self.machines.get(name);
         let tasks = machine.map_or(0, |m| m.live_attempts().count() as u32);
-        let decisions = machine.map_or(Vec::new(), |m| self.drain_decisions(m, target));
+        let decisions = machine.map_or(Vec::new(), |m| self.drain_decisions(m, active_drain));
         let keep_reason = decisions
             .into_iter()
             .find_map(|(key, decision)| match decision {
                 DrainDecision::Keep(why) => Some(format!("{}: {why}", key.task.wire())),
                 _ => None,
             });
-        let overdue = target.deadline_at.is_some_and(|d| now > d);
+        let overdue = active_drain.deadline_at.is_some_and(|d| now > d);
         let state = match machine {
             None if self.fence.open => DrainState::Gone,
-            _ if target.drain.drained.is_some() && tasks == 0 => DrainState::Drained,
+            _ if active_drain.drain.drained.is_some() && tasks == 0 => DrainState::Drained,
             _ if overdue => DrainState::Overdue,
             _ => DrainState::Draining,
         };
         DrainRow {
-            drain: target.drain.clone(),
+            drain: active_drain.drain.clone(),
             state,
             tasks,
             stays: keep_reason.unwrap_or_default(),
--- a/src/coordination/fleet/manager.rs
+++ b/src/coordination/fleet/manager.rs
@@ -115,7 +115,7 @@
     if let Some(name) = scale_in::idle_machine(scheduler, &node.policy, now) {
         scheduler.retire_machine(&name);
     }
-    state.request_return(scheduler.machines_given_up(now));
+    state.request_return(scheduler.machines_presumed_dead(now));
     state.request_return(scale_in::retired_machines(scheduler, now));
     for name in state.pending_returns() {
         scheduler.retire_machine(name);
--- a/src/coordination/jobs/completion_batch.rs
+++ b/src/coordination/jobs/completion_batch.rs
@@ -196,7 +196,7 @@
     let accepted_ms = (job.accepted_at + wall_clock_offset_s) * 1000.0;
     LiveJob {
         spec: job.spec.clone(),
-        at_ms: accepted_ms.round().max(0.0) as u64,
+        accepted_at_ms: accepted_ms.round().max(0.0) as u64,
         done,
     }
 }
--- a/src/coordination/leadership/cluster_view.rs
+++ b/src/coordination/leadership/cluster_view.rs
@@ -34,7 +34,7 @@
 
 impl ClusterView {
     /// Updates a controller's alive key, unless a newer version is known.
-    pub fn see_alive(&mut self, host: String, incarnation: u64, version: u64) {
+    pub fn update_alive_key(&mut self, host: String, incarnation: u64, version: u64) {
         let known = self.alive.get(&host);
         if known.is_none_or(|(_, known_version)| version >= *known_version) {
             self.alive.insert(host, (incarnation, version));
@@ -47,7 +47,7 @@
         let key = entry.key.as_str();
         if key == records::SHARD_KEY {
             if let Ok(shard) = entry.read::<ShardRecord>() {
-                self.see_shard(shard, entry.version);
+                self.update_shard(shard, entry.version);
             }
         } else if key == records::TERM_KEY {
             if let Ok(term) = entry.read::<TermCounter>() {
@@ -65,7 +65,7 @@
             self.update_drain(host, entry);
         } else if let Some(host) = key.strip_prefix(&records::alive_key("")) {
             if let Ok(alive) = entry.read::<AliveRecord>() {
-                self.see_alive(host.to_string(), alive.incarnation, entry.version);
+                self.update_alive_key(host.to_string(), alive.incarnation, entry.version);
             }
         }
     }
@@ -103,7 +103,7 @@
     }
 
     /// Updates the shard record, unless a newer version is known.
-    pub fn see_shard(&mut self, shard: ShardRecord, version: u64) {
+    pub fn update_shard(&mut self, shard: ShardRecord, version: u64) {
         if version >= self.shard_version() {
             self.shard = Some((shard, version));
         }
--- a/src/coordination/leadership/confirmed_cancellations.rs
+++ b/src/coordination/leadership/confirmed_cancellations.rs
@@ -24,7 +24,7 @@
 
 impl ConfirmedCancellations {
     /// An empty list, complete from `started_at` by the process's clock.
-    pub fn since(started_at: f64) -> ConfirmedCancellations {
+    pub fn starting_at(started_at: f64) -> ConfirmedCancellations {
         ConfirmedCancellations {
             complete_from: started_at,
             ..ConfirmedCancellations::default()
--- a/src/coordination/leadership/lease.rs
+++ b/src/coordination/leadership/lease.rs
@@ -19,7 +19,7 @@
 impl AliveKeyWrite {
     /// The transaction that writes the alive key of the controller `host`.
     pub fn txn(&self, host: &str) -> Txn {
-        records::write_alive(host, self.incarnation, self.lease, self.expected_version)
+        records::alive_txn(host, self.incarnation, self.lease, self.expected_version)
     }
 }
 
@@ -105,7 +105,7 @@
                 .read::<AliveRecord>()
                 .map_or(0, |alive| alive.incarnation);
             let host = self.config.host.clone();
-            self.view.see_alive(host, incarnation, entry.version);
+            self.view.update_alive_key(host, incarnation, entry.version);
         }
     }
 
@@ -118,7 +118,7 @@
                 version,
             });
             let host = self.config.host.clone();
-            self.view.see_alive(host, write.incarnation, version);
+            self.view.update_alive_key(host, write.incarnation, version);
         }
     }
 
--- a/src/coordination/leadership/loops/reachability_check.rs
+++ b/src/coordination/leadership/loops/reachability_check.rs
@@ -3,7 +3,7 @@
 use super::peer_calls::ask_all;
 use super::sleep;
 use super::step_down::resign;
-use crate::coordination::agents::leader_reachability::out_of_reach;
+use crate::coordination::agents::leader_reachability::should_resign;
 use crate::coordination::node::Node;
 use crate::protocol::mesh::{PeerRequest, PeerResponse};
 use std::rc::Rc;
@@ -35,8 +35,8 @@
     }
 
     /// Whether to resign if the peers recently redirected this many heartbeats.
-    fn out_of_reach(&self, redirected: u32) -> bool {
-        out_of_reach(self.all, self.silent, redirected)
+    fn should_resign(&self, redirected: u32) -> bool {
+        should_resign(self.all, self.silent, redirected)
     }
 }
 
@@ -51,8 +51,8 @@
 
 async fn check(node: &Rc<Node>) {
     // The peers are asked only if so many machines are silent that their answers can matter.
-    let suspicious =
-        SilentMachines::of(node).filter(|machines| machines.out_of_reach(ALWAYS_ENOUGH_REDIRECTED));
+    let suspicious = SilentMachines::of(node)
+        .filter(|machines| machines.should_resign(ALWAYS_ENOUGH_REDIRECTED));
     let Some(machines) = suspicious.filter(|_| node.is_certain_leader()) else {
         return;
     };
@@ -62,7 +62,7 @@
         .borrow()
         .as_ref()
         .is_some_and(|scheduler| scheduler.term == machines.term);
-    if still_leads && machines.out_of_reach(redirected) {
+    if still_leads && machines.should_resign(redirected) {
         let SilentMachines { term, all, silent } = machines;
         tracing::warn!(
             term,
--- a/src/coordination/leadership/loops/readiness_check.rs
+++ b/src/coordination/leadership/loops/readiness_check.rs
@@ -48,7 +48,7 @@
 async fn peer_contacts(node: &Node) -> PeerContacts {
     let responses = ask_all(node, &PeerRequest::Contact).await;
     let mut contacts = PeerContacts {
-        all: responses.len(),
+        peers: responses.len(),
         ..PeerContacts::default()
     };
     for response in responses {
--- a/src/coordination/leadership/loops/step_down.rs
+++ b/src/coordination/leadership/loops/step_down.rs
@@ -1,7 +1,7 @@
 //! Stops leading: drops the scheduler and draws a new incarnation, which tells the other
 //! controllers that the former leader is silent.
 
-use crate::coordination::node::{draw_incarnation, Node};
+use crate::coordination::node::{random_incarnation, Node};
 
 /// Promises never to extend the lease of a leader under an earlier term. If this controller is
 /// such a leader, it steps down: a leader counts itself in the majority that extends its
@@ -17,7 +17,7 @@
 /// Steps down after a worker reported a term above ours, which only another leader can have
 /// sent to it. If this controller went on, workers and users would stay with it until its
 /// lease expires.
-pub fn superseded(node: &Node) {
+pub fn step_down_after_higher_term(node: &Node) {
     if node.scheduler.borrow().is_some() {
         tracing::warn!("a worker reported a higher term; stepping down");
         step_down(node);
@@ -27,12 +27,12 @@
 /// Stops leading the shard.
 pub(super) fn step_down(node: &Node) {
     *node.scheduler.borrow_mut() = None;
-    node.leadership.borrow_mut().step_down(draw_incarnation());
+    node.leadership.borrow_mut().step_down(random_incarnation());
 }
 
 /// Stops leading the shard and leaves it to the other controllers for a worker's lease.
 pub(super) fn resign(node: &Node) {
     *node.scheduler.borrow_mut() = None;
-    let incarnation = draw_incarnation();
+    let incarnation = random_incarnation();
     node.leadership.borrow_mut().resign(node.now(), incarnation);
 }
--- a/src/coordination/leadership/mod.rs
+++ b/src/coordination/leadership/mod.rs
@@ -43,5 +43,5 @@
 pub mod takeover;
 
 pub use loops::failover;
-pub use loops::step_down::{promise, superseded};
+pub use loops::step_down::{promise, step_down_after_higher_term};
 pub use loops::LeadershipActor;
--- a/src/coordination/leadership/shard_update.rs
+++ b/src/coordination/leadership/shard_update.rs
@@ -69,7 +69,7 @@
                 .when(records::SHARD_KEY, *version)
                 .when(records::TERM_KEY, self.view.term.1)
                 .put(records::SHARD_KEY, &shard)
-                .put(records::TERM_KEY, &TermCounter::taken(shard.term)),
+                .put(records::TERM_KEY, &TermCounter::after_taking(shard.term)),
             shard,
             purpose: Purpose::RaiseTerm,
             asked_at: now,
@@ -80,10 +80,10 @@
     /// shard is still ours.
     pub fn shard_record_written(&mut self, update: &ShardUpdate, version: u64) -> Option<u64> {
         let term = update.shard.term;
-        self.view.see_shard(update.shard.clone(), version);
+        self.view.update_shard(update.shard.clone(), version);
         if update.raises_term() {
             self.view
-                .update_term(TermCounter::taken(term).term, version);
+                .update_term(TermCounter::after_taking(term).term, version);
         }
         // If we stepped down and took over again since, this response is about an earlier term.
         let holds = self.holds_term(term);
--- a/src/coordination/leadership/state.rs
+++ b/src/coordination/leadership/state.rs
@@ -19,7 +19,7 @@
 use crate::coordination::leadership::cluster_view::ClusterView;
 use crate::coordination::leadership::lease_extension::{LeaseDurations, QuorumRound};
 use crate::coordination::leadership::queries::QueryTimes;
-use crate::coordination::scheduler::fence::remaining;
+use crate::coordination::scheduler::fence::unfenced_leaders;
 use crate::storage::records::{FormerLeader, ShardRecord};
 
 /// The settings that leadership decisions need.
@@ -35,14 +35,14 @@
     pub lease_ttl_s: f64,
     /// The longest time for which a leader may answer workers without contact to the state
     /// service, in seconds.
-    pub longest_silence_s: f64,
+    pub max_without_contact_s: f64,
     /// A worker's lease, in seconds.
     pub worker_lease_s: f64,
     /// The greatest age of a leader's knowledge of cancellations at which it may answer
     /// workers, in seconds.
     pub staleness_bound_s: f64,
     /// The largest error of a controller's time of day, in milliseconds.
-    pub clock_bound_ms: u64,
+    pub max_clock_error_ms: u64,
 }
 
 /// This controller's alive key in the state service, as this process wrote it.
@@ -237,11 +237,11 @@
                 self.view.alive.get(host).map(|alive| alive.0)
             }
         };
-        remaining(
+        unfenced_leaders(
             former_leaders,
             alive_incarnation,
             now_ms,
-            self.config.clock_bound_ms,
+            self.config.max_clock_error_ms,
         )
         .into_iter()
         .cloned()
@@ -267,6 +267,6 @@
     }
 
     fn lease_durations(&self) -> LeaseDurations {
-        LeaseDurations::new(self.config.lease_ttl_s, self.config.longest_silence_s)
+        LeaseDurations::new(self.config.lease_ttl_s, self.config.max_without_contact_s)
     }
 }
--- a/src/coordination/leadership/takeover.rs
+++ b/src/coordination/leadership/takeover.rs
@@ -42,7 +42,7 @@
         };
         let txn = conditions
             .put(records::SHARD_KEY, &shard)
-            .put(records::TERM_KEY, &TermCounter::taken(shard.term));
+            .put(records::TERM_KEY, &TermCounter::after_taking(shard.term));
         self.attempted_version = Some(self.view.shard_version());
         Some(TakeoverAttempt {
             txn,
@@ -85,7 +85,7 @@
             former_leaders.push(FormerLeader {
                 host: shard.leader.clone(),
                 incarnation: shard.incarnation,
-                until_ms: now_ms + self.silent_after_ms(shard) + self.config.clock_bound_ms,
+                until_ms: now_ms + self.silent_after_ms(shard) + self.config.max_clock_error_ms,
             });
         }
         former_leaders
@@ -101,9 +101,9 @@
     fn silent_after_ms(&self, shard: &ShardRecord) -> u64 {
         let config = &self.config;
         let silent_s = if shard.bounded_staleness {
-            config.longest_silence_s.min(config.staleness_bound_s)
+            config.max_without_contact_s.min(config.staleness_bound_s)
         } else {
-            config.longest_silence_s
+            config.max_without_contact_s
         };
         (silent_s * MS_PER_S_WITH_DRIFT) as u64
     }
@@ -112,9 +112,9 @@
     /// the shard over since, before we processed this response.
     pub fn takeover_written(&mut self, attempt: &TakeoverAttempt, version: u64, now: f64) -> bool {
         let term = attempt.shard.term;
-        self.view.see_shard(attempt.shard.clone(), version);
+        self.view.update_shard(attempt.shard.clone(), version);
         self.view
-            .update_term(TermCounter::taken(term).term, version);
+            .update_term(TermCounter::after_taking(term).term, version);
         if !self.holds_term(term) || self.leader_term.is_some() {
             return false;
         }
--- a/src/coordination/node.rs
+++ b/src/coordination/node.rs
@@ -45,7 +45,7 @@
 const BYTES_PER_COMPLETED_TASK: f64 = 16.0;
 
 /// A random incarnation number of 52 bits, which every JSON parser reads exactly.
-pub fn draw_incarnation() -> u64 {
+pub fn random_incarnation() -> u64 {
     SmallRng::from_os_rng().next_u64() >> 12
 }
 
@@ -152,10 +152,10 @@
         // No takeover is possible while the state service is unavailable to all controllers,
         // so this can be long. After a takeover it limits how long the former leader may
         // answer workers, if no quorum promised never to extend its lease again.
-        longest_silence_s: policy.quiet_leases * workers.lease_s,
+        max_without_contact_s: policy.quiet_leases * workers.lease_s,
         worker_lease_s: workers.lease_s,
         staleness_bound_s: staleness_bound_s(workers.cancel_s, workers.lease_s),
-        clock_bound_ms: settings.cluster.time_bound_ms.ceil() as u64,
+        max_clock_error_ms: settings.cluster.time_bound_ms.ceil() as u64,
     }
 }
 
@@ -181,7 +181,7 @@
             announced_term: Cell::new(0),
             start: Instant::now(),
             scheduler: RefCell::new(None),
-            leadership: RefCell::new(Leadership::new(config, draw_incarnation())),
+            leadership: RefCell::new(Leadership::new(config, random_incarnation())),
             terminal_states: RefCell::default(),
             confirmed_cancellations: RefCell::default(),
             relayed_cancellations: RefCell::default(),
@@ -266,7 +266,7 @@
     /// Waits until a takeover by this controller has ended, up to a timeout. A worker that is
     /// turned away during the takeover would connect again and again, and a thousand such
     /// workers would keep this controller from reading the shard.
-    pub async fn takeover_settled(&self) {
+    pub async fn wait_for_takeover(&self) {
         if self.taking_over.get() {
             let change = self.leadership_changed.notified();
             let _ = actix_rt::time::timeout(TAKEOVER_TIMEOUT, change).await;
@@ -275,10 +275,10 @@
 
     /// Waits until the leadership of the shard changes and a takeover by this controller has
     /// ended, up to a timeout.
-    pub async fn leader_changed(&self) {
+    pub async fn wait_for_leader_change(&self) {
         let change = async {
             self.leadership_changed.notified().await;
-            self.takeover_settled().await;
+            self.wait_for_takeover().await;
         };
         let _ = actix_rt::time::timeout(LEADER_CHANGE_TIMEOUT, change).await;
     }
--- a/src/coordination/readiness.rs
+++ b/src/coordination/readiness.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct PeerContacts {
     /// Number of other controllers.
-    pub all: usize,
+    pub peers: usize,
     /// Number of other controllers that have had contact for some time.
     pub with_contact: usize,
     /// Number of other controllers that answered that they have no contact.
@@ -36,7 +36,7 @@
     /// from each other's answers that all are affected.
     fn is_outage(&self) -> bool {
         // This controller has no contact either.
-        let controllers = self.all + 1;
+        let controllers = self.peers + 1;
         let without_contact = self.without_contact + 1;
         self.with_contact == 0 && 2 * without_contact > controllers
     }
@@ -63,14 +63,14 @@
             if let Some(peers) = peers {
                 self.not_ready = !peers.is_outage();
             }
-        } else if self.contact_for(now) > timeout_s {
+        } else if self.contact_duration_s(now) > timeout_s {
             self.not_ready = false;
         }
         (self.not_ready != was_not_ready).then_some(self.not_ready)
     }
 
     /// How long there has been contact without a gap, in seconds.
-    pub fn contact_for(&self, now: f64) -> f64 {
+    pub fn contact_duration_s(&self, now: f64) -> f64 {
         now - self.contact_since
     }
 
--- a/src/coordination/scheduler/drain_target.rs
+++ b/src/coordination/scheduler/active_drain.rs
@@ -5,7 +5,7 @@
 
 /// The drain of a machine that the leader carries out.
 #[derive(Debug, Clone, PartialEq)]
-pub struct DrainTarget {
+pub struct ActiveDrain {
     /// The drain's record in the state service.
     pub drain: Drain,
     /// Version of that record.
@@ -14,7 +14,7 @@
     pub(crate) deadline_at: Option<f64>,
 }
 
-impl DrainTarget {
+impl ActiveDrain {
     /// Whether the attempts that still run must be stopped now: the deadline has passed, and
     /// the operator chose to stop what remains.
     pub(crate) fn must_stop_now(&self, now: f64) -> bool {
--- a/src/coordination/scheduler/attempt.rs
+++ b/src/coordination/scheduler/attempt.rs
@@ -34,7 +34,7 @@
     pub unsent: bool,
     /// A reply told the machine to stop or forget the attempt, and no later message has
     /// shown that it did.
-    pub told_to_end: bool,
+    pub end_command_sent: bool,
     /// Grace period, in seconds, of the requested stop; `None` if no stop was requested.
     pub stop_grace_s: Option<f64>,
     /// Resources that the attempt occupies on the machine; zero while its job is unknown.
@@ -56,7 +56,7 @@
             duplicate_starts_up_to: None,
             unresolved_call: None,
             unsent: true,
-            told_to_end: false,
+            end_command_sent: false,
             stop_grace_s: None,
             resources,
         }
--- a/src/coordination/scheduler/capacity_index.rs
+++ b/src/coordination/scheduler/capacity_index.rs
@@ -153,7 +153,12 @@
     }
 
     /// Inserts a usable machine, or moves it to its new position.
-    pub(crate) fn put(&mut self, name: &Name, info: &MachineInfo, availability: Availability) {
+    pub(crate) fn insert_or_move(
+        &mut self,
+        name: &Name,
+        info: &MachineInfo,
+        availability: Availability,
+    ) {
         let known = self.entries.get(name).copied();
         if known.is_some_and(|entry| entry.availability() == availability) {
             return;
--- a/src/coordination/scheduler/config.rs
+++ b/src/coordination/scheduler/config.rs
@@ -17,7 +17,7 @@
 
 /// Upper bound on the time, in seconds, in which a worker that gets no response tries all
 /// `nodes` controllers once.
-pub fn round_s(nodes: usize) -> f64 {
+pub fn worker_retry_round_s(nodes: usize) -> f64 {
     nodes as f64 * WORKER_TRY_S
 }
 
@@ -50,7 +50,7 @@
             lease_s: workers.lease_s,
             heartbeat_s: workers.report_s,
             cancel_s: workers.cancel_s,
-            retry_round_s: round_s(settings.cluster.nodes),
+            retry_round_s: worker_retry_round_s(settings.cluster.nodes),
             teams: settings.cluster.teams.clone(),
             objectives: settings.cluster.objectives.clone(),
             policy: policy.clone(),
--- a/src/coordination/scheduler/delivery.rs
+++ b/src/coordination/scheduler/delivery.rs
@@ -63,13 +63,13 @@
     /// The present session was answered and has not yet shown that a reply arrived.
     awaiting_effect: bool,
     /// Highest term in a reply to the machine so far.
-    pub told_term: u64,
+    pub highest_sent_term: u64,
 }
 
 impl Delivery {
     /// Records that a reply with this term is sent to the machine.
     pub fn answered(&mut self, term: u64) {
-        self.told_term = self.told_term.max(term);
+        self.highest_sent_term = self.highest_sent_term.max(term);
         self.awaiting_effect = true;
     }
 
@@ -78,7 +78,7 @@
         match evidence {
             Evidence::Delivered => {
                 *self = Delivery {
-                    told_term: self.told_term,
+                    highest_sent_term: self.highest_sent_term,
                     ..Delivery::default()
                 }
             }
--- a/src/coordination/scheduler/fence.rs
+++ b/src/coordination/scheduler/fence.rs
@@ -38,12 +38,12 @@
 /// The former leaders that may still answer workers. `present_incarnation` gives the present
 /// incarnation of the controller on a host. If it differs from that of the former leader,
 /// the former leader's process has ended. Otherwise a former leader stops answering when the
-/// time in its record is over; both clocks may be off by up to `clock_bound_ms`.
-pub fn remaining(
+/// time in its record is over; both clocks may be off by up to `max_clock_error_ms`.
+pub fn unfenced_leaders(
     former: &[FormerLeader],
     present_incarnation: impl Fn(&str) -> Option<u64>,
     now_ms: u64,
-    clock_bound_ms: u64,
+    max_clock_error_ms: u64,
 ) -> Vec<&FormerLeader> {
     former
         .iter()
@@ -51,7 +51,7 @@
             let replaced = present_incarnation(&leader.host)
                 .is_some_and(|incarnation| incarnation != leader.incarnation);
             // Both clocks may be off by the bound, in opposite directions.
-            let expired = now_ms > leader.until_ms + 2 * clock_bound_ms;
+            let expired = now_ms > leader.until_ms + 2 * max_clock_error_ms;
             !replaced && !expired
         })
         .collect()
--- a/src/coordination/scheduler/job.rs
+++ b/src/coordination/scheduler/job.rs
@@ -116,9 +116,9 @@
 pub(crate) struct Claims {
     /// The job fits into its team's guarantee (see `quota`).
     pub guaranteed: bool,
-    /// The job is placed ahead of others because its class or team is owed a minimum share
-    /// of the capacity (see `fair_share`).
-    pub on_floor: bool,
+    /// The job's class or team is underserved, and the job is within its floor: it is placed
+    /// ahead of others (see `fair_share`).
+    pub underserved: bool,
     /// The job can still meet one of its objectives, or has no objectives.
     pub objective_reachable: bool,
     /// Capacity that becomes free without preemption would come too late for the job.
@@ -130,7 +130,7 @@
     fn default() -> Claims {
         Claims {
             guaranteed: false,
-            on_floor: false,
+            underserved: false,
             objective_reachable: true,
             preemption_needed: true,
         }
@@ -179,7 +179,7 @@
     /// was placed.
     pub retries: u32,
     /// The job's first task was started ahead of other jobs because the job had waited long.
-    pub began_late: bool,
+    pub first_task_prioritized: bool,
     /// A worker refused the latest start because it does not know the job description.
     pub description_unknown: bool,
     /// Back-off after failed attempts and refused starts: no start before this time.
@@ -232,7 +232,7 @@
             failed_on: Names::default(),
             failures: 0,
             retries: 0,
-            began_late: false,
+            first_task_prioritized: false,
             description_unknown: false,
             not_before: 0.0,
             pool_cache: PoolCache::empty(),
@@ -438,7 +438,7 @@
 
     /// Whether the only placed task is the first one, started because the job had waited
     /// long, and no task is completed. Preempting it would undo that start.
-    pub fn is_only_late_first_task(&self) -> bool {
-        self.began_late && self.placed.len() == 1 && self.completed.is_empty()
+    pub fn runs_only_prioritized_first_task(&self) -> bool {
+        self.first_task_prioritized && self.placed.len() == 1 && self.completed.is_empty()
     }
 }
--- a/src/coordination/scheduler/jobs.rs
+++ b/src/coordination/scheduler/jobs.rs
@@ -42,7 +42,7 @@
     fn job_from_record(&self, record: LiveJob, version: u64, completed: CompletedTasks) -> Job {
         let mut saved = CompletedTasks::from_text(&record.done, record.spec.tasks);
         saved.merge(&completed);
-        let accepted_at = record.at_ms as f64 / 1000.0 - self.wall_clock_offset_s;
+        let accepted_at = record.accepted_at_ms as f64 / 1000.0 - self.wall_clock_offset_s;
         let team = self.team_index(&record.spec.team);
         Job::new(record.spec, team, accepted_at, version, saved)
     }
--- a/src/coordination/scheduler/machine.rs
+++ b/src/coordination/scheduler/machine.rs
@@ -92,11 +92,11 @@
     pub heard_at: f64,
     /// When a message suggested that the machine had restarted its session numbering, unless
     /// a newer message has arrived since.
-    pub renumbered_at: Option<f64>,
+    pub restart_suspected_at: Option<f64>,
     /// The machine has restarted its session numbering: it answered a direct call with a
     /// message that is older than the newest one known when the call began. Its sessions may
     /// therefore reach the number of the session that a start in flight was sent to.
-    pub renumbers: bool,
+    pub session_numbering_restarted: bool,
     /// When a heartbeat of the machine was last answered.
     pub answered_at: Option<f64>,
     /// Evidence on whether the machine receives this leader's replies.
@@ -152,8 +152,8 @@
             fenced_at: now,
             session_seen_at: now,
             heard_at: now,
-            renumbered_at: None,
-            renumbers: false,
+            restart_suspected_at: None,
+            session_numbering_restarted: false,
             answered_at: None,
             delivery: Delivery::default(),
             notice_at: None,
@@ -231,7 +231,7 @@
             && self.unknown_attempts == 0
             && self.notice_at.is_none()
             && !self.delivery.is_doubtful()
-            && !self.renumbers
+            && !self.session_numbering_restarted
             && now - self.heard_at < silent_s
     }
 
@@ -263,7 +263,7 @@
     /// session number that it was sent to, long after the expiry of the lease had seemed to
     /// prove the machine empty.)
     pub fn may_still_start(&self) -> bool {
-        // A suspected restart of the numbering (`renumbered_at`) is not sufficient. If the
+        // A suspected restart of the numbering (`restart_suspected_at`) is not sufficient. If the
         // first message that a leader receives is a late heartbeat of an old session,
         // `is_early_session` holds for the present session, and such a machine would be
         // refused for ever.
@@ -273,7 +273,7 @@
                 .is_some_and(|token| token >= self.seen_token)
         };
         let may_start = |attempt: &Attempt| attempt.is_in_flight() || may_have_late_copy(attempt);
-        self.renumbers && self.attempts.values().any(may_start)
+        self.session_numbering_restarted && self.attempts.values().any(may_start)
     }
 
     /// Attempts that occupy capacity: all that have not exited.
--- a/src/coordination/scheduler/machines.rs
+++ b/src/coordination/scheduler/machines.rs
@@ -58,7 +58,8 @@
                 free_cpus: free.cpus,
                 has_short_queue: machine.queue.len() < queue_depth,
             };
-            self.capacity_index.put(key, &machine.info, availability);
+            self.capacity_index
+                .insert_or_move(key, &machine.info, availability);
         } else {
             self.capacity_index.remove(key);
         }
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! - Data types: [`job`], [`machine`] with [`attempt`], [`message_id`] and [`delivery`],
 //!   [`resources`], [`capacity_index`], [`team_usage`], [`fair_share`], [`job_order`],
-//!   [`run_time_predictor`], [`fence`], [`drain_target`], `placement_pass`,
+//!   [`run_time_predictor`], [`fence`], [`active_drain`], `placement_pass`,
 //!   `preemption_cost`.
 //! - State: [`state`] with [`config`].
 //! - Operations on the state:
@@ -15,13 +15,13 @@
 //!   - placement: [`placement`], `sampling`, [`queue`], [`preemption`], `zone_constraint`;
 //!   - views: [`load`], [`views`], [`overview`], [`snapshot`].
 
+pub mod active_drain;
 pub mod attempt;
 mod attempts;
 pub mod capacity_index;
 mod completions;
 pub mod config;
 pub mod delivery;
-pub mod drain_target;
 pub mod fair_share;
 pub mod fence;
 pub mod job;
--- a/src/coordination/scheduler/order_refresh.rs
+++ b/src/coordination/scheduler/order_refresh.rs
@@ -141,7 +141,7 @@
     /// the CPUs of the group's floor. Underserved groups share the floor's CPUs equally.
     fn apply_fair_share_floor(&mut self, order: &mut JobOrder) {
         for job in self.jobs.values_mut() {
-            job.claims.on_floor = false;
+            job.claims.underserved = false;
         }
         let groups: Vec<FairShareGroup> =
             self.fair_share.underserved().into_iter().cloned().collect();
@@ -170,7 +170,7 @@
             }
             let tasks = job.unplaced_tasks() + job.placed.len() as u32;
             required_cpus += f64::from(tasks) * job.spec.cpus;
-            job.claims.on_floor = true;
+            job.claims.underserved = true;
             entry.precedence.rank = entry.precedence.rank.min(FLOOR_RANK);
         }
     }
@@ -210,7 +210,7 @@
     /// CPUs in use by first tasks that were started ahead of other jobs.
     fn prioritized_first_task_cpus(&self) -> f64 {
         let jobs = self.jobs.values();
-        jobs.filter(|job| job.is_only_late_first_task())
+        jobs.filter(|job| job.runs_only_prioritized_first_task())
             .map(|job| job.spec.cpus)
             .sum()
     }
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -243,7 +243,7 @@
         };
         if request.limit == TaskLimit::First {
             if let Some(job) = self.jobs.get_mut(request.name) {
-                job.began_late = true;
+                job.first_task_prioritized = true;
             }
         }
         self.start_task(&machine, task.clone(), spec, pass, now);
--- a/src/coordination/scheduler/precedence.rs
+++ b/src/coordination/scheduler/precedence.rs
@@ -122,7 +122,7 @@
         let times = self.job_times(job, now);
         let late = self.is_late(job, times);
         let mut rank = if late { LATE_RANK } else { job.rank() };
-        if job.claims.on_floor && !late {
+        if job.claims.underserved && !late {
             rank = rank.min(FLOOR_RANK);
         }
         // The job with the smallest predicted remaining work comes first: if not all jobs can
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -38,7 +38,7 @@
 
 /// The work that stopping an attempt loses, in CPU or GPU seconds, and the grace period to stop
 /// it with, in seconds. `immediate` means that there is no time to write a checkpoint.
-pub(crate) fn loss(spec: &JobSpec, ran_s: f64, immediate: bool) -> (f64, f64) {
+pub(crate) fn stop_loss_and_grace(spec: &JobSpec, ran_s: f64, immediate: bool) -> (f64, f64) {
     let stop_mode = if immediate {
         StopMode::Immediate
     } else {
@@ -175,7 +175,7 @@
 
     /// Whether `job` may preempt a task of `victim`.
     fn may_preempt(&self, job: &Job, victim: &Job, usage: &TeamUsage) -> bool {
-        if victim.claims.on_floor && !job.claims.guaranteed && !job.claims.on_floor {
+        if victim.claims.underserved && !job.claims.guaranteed && !job.claims.underserved {
             return false;
         }
         if victim.spec.urgency < job.spec.urgency && job.spec.urgency > Urgency::Idle {
@@ -362,7 +362,7 @@
     ) -> Option<Victim> {
         let preemptions = victim.preemptions.get(&id.task.index).copied();
         if preemptions.unwrap_or(0) >= self.config.policy.max_stops
-            || victim.is_only_late_first_task()
+            || victim.runs_only_prioritized_first_task()
             || !self.is_valid_victim(request, victim)
         {
             return None;
--- a/src/coordination/scheduler/queue.rs
+++ b/src/coordination/scheduler/queue.rs
@@ -86,10 +86,10 @@
     /// The queue of a machine that is no longer usable is emptied immediately.
     pub(crate) fn expire_queued(&mut self, now: f64) {
         let interval_s = self.config.heartbeat_s / EXPIRY_CHECKS_PER_HEARTBEAT;
-        if now - self.queues_aged_at < interval_s {
+        if now - self.queues_checked_at < interval_s {
             return;
         }
-        self.queues_aged_at = now;
+        self.queues_checked_at = now;
         for name in self.machines_with_queue.clone() {
             let Some(machine) = self.machines.get(&name) else {
                 self.machines_with_queue.swap_remove(&name);
--- a/src/coordination/scheduler/run_time_predictor.rs
+++ b/src/coordination/scheduler/run_time_predictor.rs
@@ -91,7 +91,7 @@
     }
 
     /// Records how long a job of the class waited for its first task.
-    pub(crate) fn waited(&mut self, class: &str, wait_s: f64) {
+    pub(crate) fn record_wait(&mut self, class: &str, wait_s: f64) {
         self.wait_ms.add(class, wait_s * 1000.0);
     }
 
--- a/src/coordination/scheduler/snapshot.rs
+++ b/src/coordination/scheduler/snapshot.rs
@@ -176,7 +176,7 @@
     /// Machines that are alive in the snapshot are in its machine record, and no message has
     /// arrived from them yet. Jobs keep the age that they have in the snapshot, so deadlines
     /// count from their acceptance.
-    pub fn of_snapshot(snapshot: &Snapshot, seed: u64) -> Scheduler {
+    pub fn from_snapshot(snapshot: &Snapshot, seed: u64) -> Scheduler {
         let config = SchedulerConfig {
             lease_s: snapshot.lease_s,
             heartbeat_s: snapshot.report_s,
@@ -202,7 +202,7 @@
     fn add_snap_job(&mut self, job: &SnapJob) {
         let record = LiveJob {
             spec: Rc::new(job.spec.clone()),
-            at_ms: 0,
+            accepted_at_ms: 0,
             done: job.done.clone(),
         };
         self.add_job(record, 1, CompletedTasks::default());
--- a/src/coordination/scheduler/state.rs
+++ b/src/coordination/scheduler/state.rs
@@ -9,8 +9,8 @@
 //! machines.
 
 use crate::coordination::recent::RecentMap;
+use crate::coordination::scheduler::active_drain::ActiveDrain;
 use crate::coordination::scheduler::capacity_index::CapacityIndex;
-use crate::coordination::scheduler::drain_target::DrainTarget;
 use crate::coordination::scheduler::fair_share::FairShare;
 use crate::coordination::scheduler::fence::Fence;
 use crate::coordination::scheduler::job::{AttemptId, ByName, Job, Name, Names};
@@ -25,7 +25,9 @@
 use rand::SeedableRng;
 use std::collections::HashMap;
 
-pub use crate::coordination::scheduler::config::{lease_with_margin_s, round_s, SchedulerConfig};
+pub use crate::coordination::scheduler::config::{
+    lease_with_margin_s, worker_retry_round_s, SchedulerConfig,
+};
 pub use crate::coordination::scheduler::resources::Types;
 
 /// Maximum number of remembered names of machines that were returned to the cloud: 1.5
@@ -92,14 +94,14 @@
     /// closed it contains every machine that does.
     pub(crate) unfenced: Names,
     /// Length of `unfenced` when it was last pruned.
-    pub(crate) unfenced_before: usize,
+    pub(crate) unfenced_count_at_last_prune: usize,
     /// Work list: machines that may not receive this leader's replies.
-    pub(crate) suspects: Names,
+    pub(crate) machines_with_doubtful_delivery: Names,
     /// Machines whose return the cloud confirmed most recently. Heartbeats that they sent
     /// before may still arrive.
     pub(crate) returned_machines: RecentMap<Name, ()>,
     /// Work list: machines with a start command whose outcome is unknown.
-    pub(crate) unresolved_starts: Names,
+    pub(crate) machines_with_unresolved_starts: Names,
     /// Work list: attempts that are being stopped.
     pub(crate) stopping_attempts: IndexSet<(Name, AttemptId), RandomState>,
     /// Unfinished jobs in order of precedence.
@@ -107,13 +109,13 @@
     /// Tracks which classes and teams meet too few of their objectives.
     pub fair_share: FairShare,
     /// When the queues of machines were last checked for tasks that waited too long.
-    pub(crate) queues_aged_at: f64,
+    pub(crate) queues_checked_at: f64,
     /// How many attempt numbers this leader has assigned.
     pub(crate) attempts_numbered: u64,
     /// Predicts run times from statistics of finished tasks.
     pub predictor: RunTimePredictor,
     /// Machines that operators are draining or have drained (see `drains`).
-    pub(crate) drains: ByName<DrainTarget>,
+    pub(crate) drains: ByName<ActiveDrain>,
     /// Source of all random draws, seeded so that a run can be repeated.
     pub(crate) rng: SmallRng,
 }
@@ -143,14 +145,14 @@
             capacity_changes: CapacityChanges::default(),
             team_usage: TeamUsage::default(),
             unfenced: Names::default(),
-            unfenced_before: 0,
-            suspects: Names::default(),
+            unfenced_count_at_last_prune: 0,
+            machines_with_doubtful_delivery: Names::default(),
             returned_machines: RecentMap::new(MAX_RETURNED_MACHINES),
-            unresolved_starts: Names::default(),
+            machines_with_unresolved_starts: Names::default(),
             stopping_attempts: IndexSet::default(),
             job_order: JobOrder::default(),
             fair_share: FairShare::default(),
-            queues_aged_at: f64::NEG_INFINITY,
+            queues_checked_at: f64::NEG_INFINITY,
             attempts_numbered: 0,
             predictor: RunTimePredictor::default(),
             drains: ByName::default(),
--- a/src/coordination/scheduler/terms.rs
+++ b/src/coordination/scheduler/terms.rs
@@ -71,7 +71,7 @@
         let last_token = term + TOKENS_PER_TERM - 1;
         let machines = &mut self.machines;
         let mut any_exhausted = false;
-        self.unresolved_starts.retain(|name| {
+        self.machines_with_unresolved_starts.retain(|name| {
             let Some(machine) = machines.get_mut(name) else {
                 return false;
             };
--- a/src/coordination/scheduler/views.rs
+++ b/src/coordination/scheduler/views.rs
@@ -1,7 +1,7 @@
 //! Views of the scheduler for operators: jobs, teams, machines and waiting times. Each view
 //! is computed from the current state when it is requested.
 
-use crate::coordination::scheduler::drain_target::DrainTarget;
+use crate::coordination::scheduler::active_drain::ActiveDrain;
 use crate::coordination::scheduler::job::Job;
 use crate::coordination::scheduler::machine::{Machine, MachineStatus};
 use crate::coordination::scheduler::run_time_predictor::{ClassHistograms, ALL_CLASSES};
@@ -196,8 +196,8 @@
 
     /// A machine's state, and the reason for it.
     fn machine_state(&self, machine: &Machine, now: f64) -> (MachineState, String) {
-        if let Some(target) = self.drains.get(&*machine.info.id) {
-            return drain_state(target);
+        if let Some(active_drain) = self.drains.get(&*machine.info.id) {
+            return drain_state(active_drain);
         }
         match machine.status {
             MachineStatus::Draining => {
@@ -290,8 +290,8 @@
 }
 
 /// The state of a machine that an operator drains, and the reason for it.
-fn drain_state(target: &DrainTarget) -> (MachineState, String) {
-    let drain = &target.drain;
+fn drain_state(active_drain: &ActiveDrain) -> (MachineState, String) {
+    let drain = &active_drain.drain;
     let state = if drain.drained.is_some() {
         MachineState::Drained
     } else {
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -66,7 +66,7 @@
     }
     let record = LiveJob {
         spec: Rc::new(spec),
-        at_ms: node.wall_ms(),
+        accepted_at_ms: node.wall_ms(),
         done: String::new(),
     };
     let txn = Txn::default()
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -34,7 +34,7 @@
             PeerResponse::Agreed
         }
         PeerRequest::Contact => {
-            let contact_s = node.readiness.borrow().contact_for(node.now());
+            let contact_s = node.readiness.borrow().contact_duration_s(node.now());
             PeerResponse::Contact((contact_s.max(0.0) * 1000.0) as u64)
         }
         PeerRequest::RedirectedHeartbeats => {
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -43,7 +43,7 @@
         }
         HeartbeatReply::Refuse => unavailable(),
         HeartbeatReply::Superseded => {
-            leadership::superseded(&node);
+            leadership::step_down_after_higher_term(&node);
             unavailable()
         }
     }
@@ -85,13 +85,13 @@
     if node.may_answer_workers() {
         return;
     }
-    node.takeover_settled().await;
+    node.wait_for_takeover().await;
     if node.may_answer_workers() {
         return;
     }
     let now = node.now();
     let recently_redirected = node.redirected_heartbeats.borrow_mut().add(now);
-    if leader_reachability::leader_unreached(recently_redirected) {
-        node.leader_changed().await;
+    if leader_reachability::is_leader_unreachable(recently_redirected) {
+        node.wait_for_leader_change().await;
     }
 }
--- a/src/storage/records.rs
+++ b/src/storage/records.rs
@@ -121,7 +121,7 @@
 
 impl TermCounter {
     /// The value of the counter once this term is taken. It covers all tokens of the term.
-    pub fn taken(term: u64) -> TermCounter {
+    pub fn after_taking(term: u64) -> TermCounter {
         TermCounter {
             term: term + TOKENS_PER_TERM - 1,
         }
@@ -130,7 +130,7 @@
 
 /// A controller that is alive.
 ///
-/// Written by the controller itself, under its lease (see [`write_alive`]); read by all
+/// Written by the controller itself, under its lease (see [`alive_txn`]); read by all
 /// controllers through their watch; deleted by the state service when the lease expires or is
 /// revoked. Other controllers may then take over.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
@@ -146,7 +146,7 @@
 /// Without the condition, a late write by an earlier incarnation once put the key under a lease
 /// that was about to expire. Another controller then took over the shard while its leader was
 /// still renewing its own, newer lease.
-pub fn write_alive(host: &str, incarnation: u64, lease: u64, current_version: u64) -> Txn {
+pub fn alive_txn(host: &str, incarnation: u64, lease: u64, current_version: u64) -> Txn {
     let key = alive_key(host);
     let txn = Txn::default().when(&key, current_version);
     txn.put_leased(&key, &AliveRecord { incarnation }, Some(lease))
@@ -231,7 +231,8 @@
     /// The job as it was submitted.
     pub spec: Rc<JobSpec>,
     /// When the job was accepted: Unix time in milliseconds.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub accepted_at_ms: u64,
     /// The completed tasks as ranges; empty if the job has too many tasks for one record.
     #[serde(default)]
     pub done: String,
--- a/src/transport/clients/cloud.rs
+++ b/src/transport/clients/cloud.rs
@@ -5,7 +5,7 @@
 use super::{CallStatistics, Priority, ServiceError};
 use crate::protocol::cloud::{Listed, Names, Page, Rental, TypeList};
 use crate::protocol::settings::Settings;
-use crate::transport::http::{Http, Response};
+use crate::transport::http::{HttpClient, Response};
 use crate::transport::token_bucket::TokenBucket;
 use awc::http::Method;
 use std::cell::RefCell;
@@ -35,7 +35,7 @@
     /// A client of the cloud that the settings name.
     pub fn new(settings: &Settings) -> CloudClient {
         let rps = settings.cluster.cloud.rps;
-        let http = Http::new(CONNECT_TIMEOUT_S, MAX_CONNECTIONS);
+        let http = HttpClient::new(CONNECT_TIMEOUT_S, MAX_CONNECTIONS);
         let requests = TokenBucket::new(rps * RATE_FRACTION, rps, 0.0);
         CloudClient {
             service: Service::new(http, settings.services.cloud),
--- a/src/transport/clients/peers.rs
+++ b/src/transport/clients/peers.rs
@@ -1,7 +1,7 @@
 //! Client of the other controllers: sends them the messages of [`crate::protocol::mesh`].
 
 use crate::protocol::mesh::{self, PeerRequest, PeerResponse};
-use crate::transport::http::Http;
+use crate::transport::http::HttpClient;
 use awc::http::Method;
 use std::net::SocketAddr;
 
@@ -16,20 +16,20 @@
 /// Client of the other controllers.
 #[derive(Clone)]
 pub struct MeshClient {
-    http: Http,
+    http: HttpClient,
 }
 
 impl Default for MeshClient {
     fn default() -> Self {
         MeshClient {
-            http: Http::new(CONNECT_TIMEOUT_S, MAX_CONNECTIONS),
+            http: HttpClient::new(CONNECT_TIMEOUT_S, MAX_CONNECTIONS),
         }
     }
 }
 
 impl MeshClient {
     /// A client whose calls are made by `http`.
-    pub fn over(http: Http) -> MeshClient {
+    pub fn with_http(http: HttpClient) -> MeshClient {
         MeshClient { http }
     }
 
--- a/src/transport/clients/service.rs
+++ b/src/transport/clients/service.rs
@@ -2,7 +2,7 @@
 //! request bodies, decoding of responses.
 
 use super::ServiceError;
-use crate::transport::http::{Http, Response};
+use crate::transport::http::{HttpClient, Response};
 use actix_rt::time::Instant;
 use awc::http::Method;
 use serde::de::DeserializeOwned;
@@ -24,7 +24,7 @@
 /// statistics.
 #[derive(Clone)]
 pub(super) struct Service {
-    http: Http,
+    http: HttpClient,
     addr: SocketAddr,
     /// Time 0 of [`Service::now`].
     start: Instant,
@@ -32,7 +32,7 @@
 }
 
 impl Service {
-    pub(super) fn new(http: Http, addr: SocketAddr) -> Service {
+    pub(super) fn new(http: HttpClient, addr: SocketAddr) -> Service {
         Service {
             http,
             addr,
@@ -61,7 +61,7 @@
     /// Makes a call through the given client, without counting it.
     pub(super) async fn send(
         &self,
-        http: &Http,
+        http: &HttpClient,
         request: Request<'_>,
     ) -> Result<Response, ServiceError> {
         let Request {
--- a/src/transport/clients/state.rs
+++ b/src/transport/clients/state.rs
@@ -5,7 +5,7 @@
 use super::{CallStatistics, Priority, ServiceError, TimedResult};
 use crate::protocol::settings::Settings;
 use crate::protocol::state::{Conflict, Entry, Lease, LeaseRequest, Listing, News, Revision, Txn};
-use crate::transport::http::{Http, Response};
+use crate::transport::http::{HttpClient, Response};
 use crate::transport::token_bucket::TokenBucket;
 use actix_rt::time::Instant;
 use awc::http::Method;
@@ -40,7 +40,7 @@
 pub struct StateClient {
     service: Service,
     /// Makes the watches: they are long calls, and have a pool of their own.
-    watch_http: Http,
+    watch_http: HttpClient,
     requests: Rc<RefCell<TokenBucket>>,
     writes: Rc<RefCell<TokenBucket>>,
 }
@@ -49,14 +49,14 @@
     /// A client of the state service that the settings name.
     pub fn new(settings: &Settings) -> StateClient {
         let max_connections = (settings.cluster.quota.max_sockets / 16).clamp(4, 48);
-        let http = Http::new(CONNECT_TIMEOUT_S, max_connections);
-        let watch_http = Http::new(CONNECT_TIMEOUT_S, MAX_WATCH_CONNECTIONS);
-        StateClient::over(settings, http, watch_http)
+        let http = HttpClient::new(CONNECT_TIMEOUT_S, max_connections);
+        let watch_http = HttpClient::new(CONNECT_TIMEOUT_S, MAX_WATCH_CONNECTIONS);
+        StateClient::with_http(settings, http, watch_http)
     }
 
     /// A client of the state service that the settings name. `http` makes its calls, and
     /// `watch_http` its watches.
-    pub fn over(settings: &Settings, http: Http, watch_http: Http) -> StateClient {
+    pub fn with_http(settings: &Settings, http: HttpClient, watch_http: HttpClient) -> StateClient {
         let limits = &settings.cluster.state;
         let fraction = rate_fraction(settings.cluster.nodes);
         let bucket = |limit: f64| {
--- a/src/transport/clients/workers.rs
+++ b/src/transport/clients/workers.rs
@@ -3,7 +3,7 @@
 
 use crate::protocol::settings::Settings;
 use crate::protocol::worker::{Direct, Report};
-use crate::transport::http::{CallError, Http, Response};
+use crate::transport::http::{CallError, HttpClient, Response};
 use crate::transport::sockets::Sockets;
 use awc::http::Method;
 use std::cell::RefCell;
@@ -17,20 +17,20 @@
 /// call to the same address. So connections to machines that no longer exist stay open. After
 /// calls to as many machines as there are sockets, the process would have no socket left, not
 /// even to renew its own lease. Therefore the client counts the addresses to which the pool
-/// may hold a connection. When this number reaches the limit ([`Sockets::to_workers`]), the
+/// may hold a connection. When this number reaches the limit ([`Sockets::max_to_workers`]), the
 /// client replaces the pool, which closes all of the old pool's connections.
 #[derive(Clone)]
 pub struct WorkerClient {
     pool: Rc<RefCell<Pool>>,
     process_sockets: Sockets,
     /// Most calls that can be under way at once.
-    pub sockets: usize,
+    pub max_concurrent_calls: usize,
     timeout_s: f64,
 }
 
 /// The connection pool.
 struct Pool {
-    http: Http,
+    http: HttpClient,
     /// Addresses to which the pool may hold a connection.
     addresses: HashSet<SocketAddr>,
 }
@@ -50,7 +50,7 @@
 }
 
 impl WorkerClient {
-    /// A client with the sockets and the timeout that follow from the settings.
+    /// A client with the limits and the timeout that follow from the settings.
     pub fn new(settings: &Settings) -> WorkerClient {
         let timeout_s = settings.cluster.workers.report_s.clamp(1.0, 4.0);
         WorkerClient::with_sockets(settings.cluster.quota.max_sockets, timeout_s)
@@ -60,15 +60,15 @@
     /// seconds.
     pub fn with_sockets(max_sockets: usize, timeout_s: f64) -> WorkerClient {
         let process_sockets = Sockets::new(max_sockets);
-        let sockets = (process_sockets.limit / 4).clamp(8, 128);
+        let max_concurrent_calls = (process_sockets.limit / 4).clamp(8, 128);
         let pool = Pool {
-            http: Http::new(timeout_s / 2.0, sockets),
+            http: HttpClient::new(timeout_s / 2.0, max_concurrent_calls),
             addresses: HashSet::new(),
         };
         WorkerClient {
             pool: Rc::new(RefCell::new(pool)),
             process_sockets,
-            sockets,
+            max_concurrent_calls,
             timeout_s,
         }
     }
@@ -84,14 +84,14 @@
     }
 
     /// The pool for a call to this address. Replaces the pool if it holds too many connections.
-    fn pool(&self, addr: SocketAddr) -> Http {
+    fn pool(&self, addr: SocketAddr) -> HttpClient {
         let mut pool = self.pool.borrow_mut();
         // The limit may be lower now than when the other connections were opened: hence `>=`.
         let other_addresses = pool.addresses.len() - usize::from(pool.addresses.contains(&addr));
-        if other_addresses >= self.process_sockets.to_workers() {
+        if other_addresses >= self.process_sockets.max_to_workers() {
             pool.addresses.clear();
             // The old pool is dropped when its last call has ended.
-            pool.http = Http::new(self.timeout_s / 2.0, self.sockets);
+            pool.http = HttpClient::new(self.timeout_s / 2.0, self.max_concurrent_calls);
         }
         pool.addresses.insert(addr);
         pool.http.clone()
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -37,7 +37,7 @@
     Unknown,
 }
 
-/// One call, as it is passed to an [`Exchange`].
+/// One call, as it is passed to a [`CallHandler`].
 #[derive(Debug, Clone)]
 pub struct Call {
     /// Address to call.
@@ -53,7 +53,7 @@
 }
 
 /// Answers calls without sockets: a simulated network in tests.
-pub trait Exchange {
+pub trait CallHandler {
     /// Returns the response, or the reason why there is none, within the call's timeout.
     fn call(&self, call: Call) -> LocalBoxFuture<'static, Result<Response, CallError>>;
 }
@@ -64,7 +64,7 @@
     /// Over the sockets of a connection pool.
     Pool(Pool),
     /// Through a simulated network.
-    Simulated(Rc<dyn Exchange>),
+    Simulated(Rc<dyn CallHandler>),
 }
 
 /// A connection pool, and the longest time to wait for a new connection.
@@ -76,17 +76,17 @@
 
 /// An HTTP client, by default with its own connection pool.
 #[derive(Clone)]
-pub struct Http(Transport);
+pub struct HttpClient(Transport);
 
-impl Http {
+impl HttpClient {
     /// A client whose calls go to a simulated network.
-    pub fn simulated(exchange: Rc<dyn Exchange>) -> Http {
-        Http(Transport::Simulated(exchange))
+    pub fn simulated(handler: Rc<dyn CallHandler>) -> HttpClient {
+        HttpClient(Transport::Simulated(handler))
     }
 
     /// A client over sockets. A new connection may take `connect_timeout_s` seconds, and the
     /// pool holds at most `max_connections`.
-    pub fn new(connect_timeout_s: f64, max_connections: usize) -> Http {
+    pub fn new(connect_timeout_s: f64, max_connections: usize) -> HttpClient {
         let connect_timeout = Duration::from_secs_f64(connect_timeout_s);
         let connector = awc::Connector::new()
             .timeout(connect_timeout)
@@ -102,7 +102,7 @@
             .disable_timeout()
             .no_default_headers()
             .finish();
-        Http(Transport::Pool(Pool {
+        HttpClient(Transport::Pool(Pool {
             client,
             connect_timeout,
         }))
--- a/src/transport/listen.rs
+++ b/src/transport/listen.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Idle timeout of connections that are used only now and then.
-pub const IDLE: Duration = Duration::from_secs(120);
+pub const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Longest time to wait for the head of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest time that closing a connection may take.
--- a/src/transport/sockets.rs
+++ b/src/transport/sockets.rs
@@ -26,13 +26,13 @@
 
     /// Most connections from workers and users. Every worker holds one to the leader, and users
     /// hold fewer. Connections above this number are closed at once.
-    pub fn front(&self) -> usize {
+    pub fn max_incoming(&self) -> usize {
         self.limit * 11 / 16
     }
 
     /// Most connections from other controllers. With thousands of sockets this is enough for a
     /// dozen controllers with eight connections each.
-    pub fn mesh(&self) -> usize {
+    pub fn max_from_controllers(&self) -> usize {
         self.limit / 16
     }
 
@@ -40,7 +40,7 @@
     /// not use, less three sixteenths of the limit. That reserve is for this process's other
     /// calls, for new incoming connections, and for connections that are being closed. The
     /// result is at least an eighth of the limit, and at least 8.
-    pub fn to_workers(&self) -> usize {
+    pub fn max_to_workers(&self) -> usize {
         let reserve = self.limit * 3 / 16;
         let unused = self.limit.saturating_sub(self.incoming.get() + reserve);
         unused.max(self.limit / 8).max(8)
