--- a/src/admin/error.rs
+++ b/src/admin/error.rs
@@ -1,4 +1,4 @@
-//! Errors of operators' orders, and the responses for them.
+//! Errors of operators' orders, and the error responses to the operators.
 
 use super::reply::problem;
 use actix_web::HttpResponse;
@@ -6,12 +6,12 @@
 /// Why an order was not carried out.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum OrderError {
-    /// A field of the order is wrong.
+    /// A field of the order has an invalid value.
     #[error("{field}: {reason}")]
     InvalidField {
-        /// The field's path.
+        /// Path of the field in the order.
         field: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         reason: String,
     },
     /// A machine or a rollout that the order names does not exist.
@@ -25,10 +25,10 @@
     Unavailable(&'static str),
 }
 
-/// The state service did not answer a read that precedes the writes of the order.
+/// The state service did not answer a read. Nothing has been written for this attempt yet.
 pub(super) const STATE_UNAVAILABLE: OrderError =
     OrderError::Unavailable("the state service does not answer now: nothing was ordered");
-/// The state service did not answer a write, which may nevertheless have been carried out.
+/// The state service did not answer a write, which may have been executed nevertheless.
 pub(super) const OUTCOME_UNKNOWN: OrderError = OrderError::Unavailable(
     "no answer from the state service: give the same order again to be sure",
 );
--- a/src/admin/metrics.rs
+++ b/src/admin/metrics.rs
@@ -1,5 +1,5 @@
-//! Metrics in Prometheus' text format: of this controller and, if it leads, of the shard. Every
-//! request computes them anew; no state is kept between requests.
+//! Metrics of this controller and, if it leads, of the shard, in Prometheus' text format. The
+//! metrics are computed for each request; no state is kept between requests.
 
 use super::views::service_rows;
 use crate::coordination::node::Node;
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,8 +1,8 @@
 //! The operators' API. It listens on its own address, and only if the policy sets one.
 //!
-//! Every controller serves it. The leader answers from its scheduler, and other controllers
-//! ask the leader. While the leader does not answer, they send its last answer and the age of
-//! that answer.
+//! Every controller serves the API. The leader answers from its scheduler, and other controllers
+//! ask the leader. While the leader does not answer, the other controllers send the last answer
+//! that they received from it, with the age of that answer.
 
 pub mod error;
 mod metrics;
@@ -22,9 +22,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Most simultaneous connections: a few operators and a metrics collector.
+/// Maximum number of simultaneous connections: enough for a few operators and a metrics collector.
 const MAX_CONNECTIONS: usize = 8;
-/// Largest body of an order, in bytes; 10,000 machine names fit.
+/// Maximum size of the body of an order, in bytes. 10,000 machine names fit into this size.
 pub const MAX_BODY: usize = 256 * 1024;
 /// Pause between two attempts to listen.
 const LISTEN_RETRY_PAUSE: Duration = Duration::from_secs(5);
@@ -42,11 +42,11 @@
     }
 }
 
-/// Starts the operators' API at `addr`, and retries until the address can be bound. An address
-/// that is in use must not stop the controller from working.
+/// Starts the operators' API at `addr`. If the address cannot be bound, retries until it can: the
+/// controller must work even while another process uses the address.
 pub async fn run(node: Rc<Node>, addr: SocketAddr) {
     while let Err(error) = serve(node.clone(), addr).await {
-        tracing::error!(%addr, %error, "operators' API cannot listen; retrying");
+        tracing::error!(%addr, %error, "operators' API cannot listen at its address; retrying");
         actix_rt::time::sleep(LISTEN_RETRY_PAUSE).await;
     }
     tracing::info!(%addr, "operators' API is listening");
--- a/src/admin/orders.rs
+++ b/src/admin/orders.rs
@@ -2,8 +2,9 @@
 //!
 //! An order only writes or deletes the drain's record in the state service; the shard's leader
 //! reads it from there. The write is a compare-and-swap on two records. The shard's record ties
-//! the order to one term. The drain's own record makes one of two concurrent orders conflict, so
-//! that its operator is told. An order that is repeated has no further effect.
+//! the order to one term. The drain's own record makes one of two concurrent orders for the same
+//! machine conflict, and the operator of that order gets an error. Repeating an order has no
+//! further effect.
 
 use super::error::{OrderError, OUTCOME_UNKNOWN, STATE_UNAVAILABLE, TOO_MANY_CONFLICTS};
 use super::{SharedNode, MAX_BODY};
@@ -19,20 +20,24 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::rc::Rc;
 
-/// Most drains at once: more than one and a half times a fleet of 6,000 machines. Every
-/// controller keeps all drains in memory and reads them when it starts.
+/// Maximum number of drains at a time: over 1.5 times the number of machines in a fleet of 6,000.
+/// The number is limited because every controller keeps all drains in memory and reads them when
+/// it starts.
 const MAX_DRAINS: usize = 10_000;
-/// Longest reason (`why`) of an order, in bytes.
+/// Maximum length of the reason (`why`) of an order, in bytes.
 const MAX_REASON_BYTES: usize = 500;
-/// Longest name in an order, in bytes.
+/// Maximum length of a name in an order, in bytes.
 const MAX_NAME_BYTES: usize = 150;
-/// Longest time from an order to its deadline, in seconds: a month of 31 days.
+/// Maximum time from an order to its deadline, in seconds: a month of 31 days.
 const MAX_DEADLINE_S: f64 = 31.0 * 86_400.0;
-/// Attempts to write an order while others change the same records: the leader may change, and
-/// drains may end.
+/// Maximum number of attempts to write an order. A write conflicts if a record on which it depends
+/// changes concurrently, for example because the leader changes or a drain ends.
 pub(super) const MAX_ATTEMPTS: usize = 4;
 
-/// Parses an order. The error names the path of the wrong field.
+/// Parses an order.
+///
+/// # Errors
+/// The order is malformed. The error names the path of the invalid field.
 pub(super) fn parse_order<T: DeserializeOwned>(body: &[u8]) -> Result<T, OrderError> {
     let mut json = serde_json::Deserializer::from_slice(body);
     serde_path_to_error::deserialize(&mut json).map_err(|error| {
@@ -46,7 +51,8 @@
     })
 }
 
-/// Checks a field that holds a name.
+/// Checks that the value of a name field is not blank, not too long and without control
+/// characters.
 pub(super) fn check_name(field: &'static str, text: &str) -> Result<(), OrderError> {
     if text.trim().is_empty() || text.len() > MAX_NAME_BYTES || text.chars().any(char::is_control) {
         return Err(OrderError::invalid(field, "is empty or too long"));
@@ -54,7 +60,7 @@
     Ok(())
 }
 
-/// Checks the names of the machines, and returns each name once.
+/// Checks the names of the machines, and returns them without duplicates.
 fn check_hosts(names: &[String]) -> Result<BTreeSet<String>, OrderError> {
     let invalid = |reason: String| Err(OrderError::invalid("hosts", reason));
     if names.is_empty() || names.len() > MAX_DRAINS {
@@ -69,10 +75,11 @@
     Ok(names.iter().cloned().collect())
 }
 
-/// Checks what can be checked without the recorded state, and returns the order's machines.
+/// Checks the fields of an order by themselves, without the recorded state, and returns the names
+/// of the order's machines.
 ///
 /// # Errors
-/// The first field that is wrong.
+/// A field is invalid. The error names the first such field.
 pub fn check(order: &DrainOrder) -> Result<BTreeSet<String>, OrderError> {
     check_name("order", &order.order)?;
     check_name("by", &order.by)?;
@@ -94,7 +101,7 @@
     version: u64,
 }
 
-/// Reads all recorded drains, by machine.
+/// Reads all recorded drains; the keys are the names of the machines.
 async fn recorded_drains(node: &Node) -> Result<BTreeMap<String, RecordedDrain>, OrderError> {
     let listed = node
         .state
@@ -143,14 +150,15 @@
 /// The result of writing an order in batches.
 enum WriteProgress {
     Complete,
-    /// A transaction conflicted. The changes of the first `written` machines are committed.
+    /// A transaction conflicted. The changes for the first `written` machines are committed.
     Conflict {
         written: usize,
     },
 }
 
-/// Writes a change for each machine, in transactions of the largest size that the state service
-/// allows. Each transaction is conditional on the version of the shard's record.
+/// Writes a change for each machine, in transactions of the maximum size that the state service
+/// allows. Every transaction conflicts unless the shard's record has the version
+/// `shard_version`. `change` adds the change for a machine to a transaction.
 async fn write_in_batches(
     node: &Node,
     shard_version: u64,
@@ -170,7 +178,7 @@
     Ok(WriteProgress::Complete)
 }
 
-/// Checks that the plan of the order, if it has one, was made under the current term.
+/// If the order carries out a plan, checks that the plan was computed under the current term.
 fn check_term(order: &DrainOrder, term: u64) -> Result<(), OrderError> {
     match order.term {
         Some(planned) if planned != term => Err(OrderError::Conflict(format!(
@@ -181,20 +189,24 @@
 }
 
 /// Checks that the machines are recorded.
-async fn check_machines_known(node: &Node, hosts: &BTreeSet<String>) -> Result<(), OrderError> {
+async fn check_machines_recorded(node: &Node, hosts: &BTreeSet<String>) -> Result<(), OrderError> {
     let record = recorded_machines(node).await?;
-    let known: HashSet<&str> = record.machines().map(|m| m.id.as_str()).collect();
-    match hosts.iter().find(|host| !known.contains(host.as_str())) {
+    let recorded_names: HashSet<&str> = record.machines().map(|m| m.id.as_str()).collect();
+    match hosts
+        .iter()
+        .find(|host| !recorded_names.contains(host.as_str()))
+    {
         Some(host) => Err(OrderError::NotFound(format!("no machine {host} is in use"))),
         None => Ok(()),
     }
 }
 
-/// The machines whose drains are not recorded yet. An earlier attempt at the same order may have
-/// recorded some of them.
+/// The machines of the order whose drains are not recorded yet. An earlier attempt to write the
+/// same order may have recorded some drains.
 ///
 /// # Errors
-/// A machine is drained by another order, or there would be more than [`MAX_DRAINS`] drains.
+/// A machine is already drained by another order, or the order would raise the number of drains
+/// above [`MAX_DRAINS`].
 fn hosts_to_drain<'a>(
     order: &DrainOrder,
     wanted: &'a BTreeSet<String>,
@@ -219,7 +231,7 @@
     Ok(hosts)
 }
 
-/// The drain of one machine that an order asks for.
+/// The record of the drain that an order begins for one machine.
 fn ordered_drain(order: &DrainOrder, host: &str, now_ms: u64) -> Drain {
     Drain {
         host: host.to_string(),
@@ -234,13 +246,13 @@
     }
 }
 
-/// Records the drains that an order asks for.
+/// Records the drains that an order begins, and returns the names of the order's machines.
 async fn begin_drains(node: &Rc<Node>, order: &DrainOrder) -> Result<Vec<String>, OrderError> {
     let wanted = check(order)?;
     for _ in 0..MAX_ATTEMPTS {
         let shard = shard_version(node).await?;
         check_term(order, shard.term)?;
-        check_machines_known(node, &wanted).await?;
+        check_machines_recorded(node, &wanted).await?;
         let drains = recorded_drains(node).await?;
         let hosts = hosts_to_drain(order, &wanted, &drains)?;
         let now_ms = node.wall_ms();
@@ -258,7 +270,8 @@
     Err(TOO_MANY_CONFLICTS)
 }
 
-/// Deletes the records of the drains that an order ends.
+/// Deletes the records of the drains that an order ends, and returns the names of the order's
+/// machines.
 async fn end_drains(node: &Rc<Node>, order: &UndrainOrder) -> Result<Vec<String>, OrderError> {
     check_name("by", &order.by)?;
     let wanted = check_hosts(&order.hosts)?;
--- a/src/admin/reply.rs
+++ b/src/admin/reply.rs
@@ -6,8 +6,8 @@
 use actix_web::HttpResponse;
 use serde::Serialize;
 
-/// An error response: the wrong field, if the error concerns one, and the reason. A status that
-/// is not valid is sent as 503.
+/// An error response with the reason and, if the error concerns a field, the field's name. If
+/// `status` is not a valid HTTP status, 503 is sent.
 pub(super) fn problem(status: u16, field: Option<&str>, error: &str) -> HttpResponse {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut response = HttpResponse::build(status);
@@ -20,7 +20,7 @@
     })
 }
 
-/// The response if the leader does not answer and no earlier answer of it is cached.
+/// The response if the leader does not answer and none of its earlier answers is cached.
 pub(super) fn leader_unavailable() -> HttpResponse {
     problem(503, None, "the owner of the share does not answer now")
 }
@@ -38,8 +38,8 @@
     node.other_leader()
 }
 
-/// A response with data and their origin: this controller, the leader, the term under which the
-/// data were made, and their age in seconds.
+/// A response with data and their origin: the name of this controller, the name of the leader, the
+/// term under which the data were generated, and the age of the data in seconds.
 pub(super) fn answer<T: Serialize>(node: &Node, term: u64, age_s: f64, data: T) -> HttpResponse {
     HttpResponse::Ok().json(Answer {
         from: node.settings.host_name.clone(),
--- a/src/admin/rollouts.rs
+++ b/src/admin/rollouts.rs
@@ -1,7 +1,7 @@
 //! Operators' orders that begin, halt, resume, cancel (`back`) and forget rollouts.
 //!
-//! A rollout drains its machines step by step. As with drains, an order only writes the record;
-//! the shard's leader carries the rollout out.
+//! A rollout drains its machines step by step. An order only writes or deletes the rollout's
+//! record; the shard's leader reads the record and executes the rollout.
 
 use super::error::{OrderError, OUTCOME_UNKNOWN, STATE_UNAVAILABLE, TOO_MANY_CONFLICTS};
 use super::orders::{check_name, parse_order, recorded_machines, shard_version, MAX_ATTEMPTS};
@@ -17,20 +17,20 @@
 use actix_web::HttpResponse;
 use std::rc::Rc;
 
-/// Most rollouts at once.
+/// Maximum number of rollouts at a time.
 const MAX_ROLLOUTS: usize = 100;
-/// Fraction of the state service's largest value that a new rollout's record may fill. The rest
-/// is left for what is added to the record while the rollout proceeds.
-const MAX_VALUE_FILL: f64 = 0.9;
+/// Maximum size of a new rollout's record, as a fraction of the maximum size of a value in the
+/// state service. The rest is left for data that are added to the record as the rollout proceeds.
+const MAX_RECORD_FRACTION: f64 = 0.9;
 
 fn invalid<T>(field: &'static str, reason: &str) -> Result<T, OrderError> {
     Err(OrderError::invalid(field, reason))
 }
 
-/// Checks what can be checked without the recorded state.
+/// Checks the fields of an order by themselves, without the recorded state.
 ///
 /// # Errors
-/// The first field that is wrong.
+/// A field is invalid. The error names the first such field.
 pub fn check(order: &RollOrder) -> Result<(), OrderError> {
     check_name("name", &order.name)?;
     if order.name.contains(['/', ' ']) {
@@ -61,10 +61,11 @@
     Ok(())
 }
 
-/// The machines that match the order, in the sequence in which they are drained.
+/// The names of the machines that the order selects, in the sequence in which the rollout drains
+/// them.
 fn selected_hosts(among: &Among, machines: &[&MachineInfo]) -> Result<Vec<String>, OrderError> {
-    let is_known = |host: &&String| machines.iter().any(|m| m.id == **host);
-    if let Some(host) = among.hosts.iter().find(|host| !is_known(host)) {
+    let is_recorded = |host: &&String| machines.iter().any(|m| m.id == **host);
+    if let Some(host) = among.hosts.iter().find(|host| !is_recorded(host)) {
         return Err(OrderError::NotFound(format!("no machine {host} is in use")));
     }
     let is_selected = |m: &&&MachineInfo| {
@@ -104,7 +105,8 @@
     }))
 }
 
-/// The rollout that the order describes, of the currently recorded machines.
+/// The rollout that an order begins, with those of the currently recorded machines that the order
+/// selects.
 async fn new_rollout(node: &Node, order: &RollOrder) -> Result<Roll, OrderError> {
     let record = recorded_machines(node).await?;
     let machines: Vec<&MachineInfo> = record.machines().collect();
@@ -124,14 +126,14 @@
         late_before: None,
     };
     let bytes = serde_json::to_vec(&rollout).map_or(usize::MAX, |json| json.len());
-    if bytes as f64 > node.settings.cluster.state.value_kb * 1024.0 * MAX_VALUE_FILL {
+    if bytes as f64 > node.settings.cluster.state.value_kb * 1024.0 * MAX_RECORD_FRACTION {
         let reason = "too many machines for one record: roll zone by zone";
         return invalid("among", reason);
     }
     Ok(rollout)
 }
 
-/// The result of a write that may be retried.
+/// The result of a write that the caller may retry after a conflict.
 enum WriteOutcome {
     Written,
     Conflict,
@@ -150,7 +152,7 @@
     for _ in 0..MAX_ATTEMPTS {
         let shard = shard_version(node).await?;
         if let Some(RecordedRollout { rollout, .. }) = recorded_rollout(node, &order.name).await? {
-            // The same order was repeated, because its answer was lost.
+            // The operator repeated the order, for example because the answer was lost.
             if rollout.by == order.by && rollout.why == order.why {
                 return Ok(rollout);
             }
@@ -174,11 +176,11 @@
     Err(TOO_MANY_CONFLICTS)
 }
 
-/// The rollout after an order to halt, resume, cancel (`back`) or forget it; `None` if its record
-/// is to be deleted.
+/// Applies an order to halt, resume, cancel (`back`) or forget a rollout. Returns the changed
+/// rollout; `None` if the rollout's record must be deleted.
 ///
 /// # Errors
-/// The order is not possible in the rollout's state.
+/// The order is not allowed in the rollout's current state.
 pub fn apply_turn(rollout: &Roll, order: &TurnOrder) -> Result<Option<Roll>, OrderError> {
     let mut next = rollout.clone();
     match (order.turn, rollout.state) {
@@ -189,8 +191,8 @@
         (Turn::Resume, RollState::Halted) => {
             next.state = RollState::Running;
             next.reason = String::new();
-            // The operator who resumes the rollout accepts the jobs that are late by now. The
-            // leader counts them again.
+            // The operator who resumes the rollout accepts the number of jobs that are late now.
+            // `None` makes the leader count the late jobs again.
             next.late_before = None;
         }
         (Turn::Back, RollState::Running | RollState::Halted) => {
--- a/src/app.rs
+++ b/src/app.rs
@@ -19,7 +19,8 @@
 /// Minimum idle timeout of connections from workers and users, in seconds.
 const MIN_IDLE_TIMEOUT_S: f64 = 30.0;
 
-/// Starts the servers and the actors, and serves until the process is killed.
+/// Starts the servers and the actors. Returns only on an error; otherwise the controller runs until
+/// the process is killed.
 ///
 /// # Errors
 /// The address of the front server or of the mesh server cannot be bound.
@@ -47,7 +48,7 @@
 /// Starts the front server, which serves users, workers and health checks.
 async fn serve_front(node: &Rc<Node>) -> std::io::Result<()> {
     let sockets = node.workers.process_sockets();
-    // Workers send heartbeats and users poll several times within two worker leases.
+    // Within two worker leases, workers send several heartbeats and users poll several times.
     let idle_timeout_s = (2.0 * node.settings.cluster.workers.lease_s).max(MIN_IDLE_TIMEOUT_S);
     let idle_timeout = Duration::from_secs_f64(idle_timeout_s);
     let app = App::new()
--- a/src/handlers/jobs.rs
+++ b/src/handlers/jobs.rs
@@ -1,9 +1,9 @@
 //! Submissions, polls and cancellations of jobs.
 //!
-//! Any controller answers for any job. Every answer is based either on [`lookup::find`], after
-//! which the handler awaits nothing else, or on a write by the handler itself.
+//! Every controller answers requests about any job. Each answer is based either on a look-up with
+//! [`lookup::find`], after which the handler awaits nothing else, or on a write by the handler.
 
-use super::reply::{json_response, no_such_job, read_body, refuse, try_elsewhere};
+use super::reply::{json_response, no_such_job, read_body, refuse, unavailable_to_user};
 use super::SharedNode;
 use crate::coordination::agents::dispatcher;
 use crate::coordination::jobs::admission::{self, Admission};
@@ -24,11 +24,12 @@
 use actix_web::HttpResponse;
 use std::rc::Rc;
 
-/// Bound on the time that a user's cancellation, once recorded, is delayed by notifying the
-/// leader, in seconds: a twentieth of the 5 s that users wait for an answer.
+/// Maximum time to wait for the leader's confirmation that it was notified of a cancellation, in
+/// seconds. The user's answer is delayed by this wait. Users wait for an answer for 5 s, twenty
+/// times as long.
 const NOTIFY_LEADER_TIMEOUT_S: f64 = 0.25;
 
-/// Attempts to cancel a job whose record is changed concurrently.
+/// Maximum number of attempts to cancel a job while its record changes concurrently.
 const MAX_CANCEL_ATTEMPTS: usize = 8;
 
 /// `POST /work`: accepts a job after recording it in the state service.
@@ -43,7 +44,7 @@
         Err(why) => {
             let refusal = refuse(StatusCode::BAD_REQUEST, &why);
             return match peek_id(&body) {
-                Some(id) => state_if_known_or(&node, &id, refusal).await,
+                Some(id) => respond_with_state_or(&node, &id, refusal).await,
                 None => refusal,
             };
         }
@@ -52,9 +53,11 @@
         Admission::Admitted => accept(&node, spec, received_at).await,
         Admission::Rejected(error) => {
             let refusal = refuse(StatusCode::UNPROCESSABLE_ENTITY, &error.to_string());
-            state_if_known_or(&node, &spec.id, refusal).await
+            respond_with_state_or(&node, &spec.id, refusal).await
+        }
+        Admission::Undecided => {
+            respond_with_state_or(&node, &spec.id, unavailable_to_user(&node)).await
         }
-        Admission::Undecided => state_if_known_or(&node, &spec.id, try_elsewhere(&node)).await,
     }
 }
 
@@ -81,16 +84,16 @@
             notify_scheduler(node, record, version);
         }
         Err(ServiceError::Conflict(_)) => {
-            return state_if_known_or(node, &id, try_elsewhere(node)).await
+            return respond_with_state_or(node, &id, unavailable_to_user(node)).await
         }
-        Err(_) => return try_elsewhere(node),
+        Err(_) => return unavailable_to_user(node),
     }
-    // The response of the state service may have been delayed. Meanwhile the user may have been
-    // told that the job is over, here or by another controller. In that case, and after a long
-    // delay, the job is looked up again.
+    // If the response of the state service was delayed, this or another controller may have told
+    // the user meanwhile that the job is over. The job is looked up again if this controller knows
+    // that the job is over, or if the delay was so long that the write is no basis for an answer.
     let is_over = node.terminal_states.borrow().get(&id).is_some();
     if is_over || write.sent_at.elapsed() > MAX_READ_AGE {
-        return state_if_known_or(node, &id, try_elsewhere(node)).await;
+        return respond_with_state_or(node, &id, unavailable_to_user(node)).await;
     }
     accepted_response(StatusCode::CREATED, &id, JobState::Pending)
 }
@@ -100,7 +103,8 @@
     tracing::info!(job = %spec.id, class = %spec.class, team = %spec.team, tasks = spec.tasks, cpus = spec.cpus, estimate_s = spec.estimate_s, due_s, "accepted");
 }
 
-/// Passes a job that was just recorded to the scheduler, if this controller leads.
+/// Adds a job that was just recorded to the record cache and, if this controller leads, to the
+/// scheduler.
 fn notify_scheduler(node: &Rc<Node>, record: LiveJob, version: u64) {
     let cached = Rc::new(record.clone());
     node.record_cache.borrow_mut().insert(&cached, version);
@@ -116,23 +120,25 @@
     json_response(status, &Accepted { id, state })
 }
 
-/// The current state of the job if it is known, whatever its repeated submission contains;
-/// otherwise `refusal`.
-async fn state_if_known_or(node: &Rc<Node>, id: &str, refusal: HttpResponse) -> HttpResponse {
-    let mut found = lookup::find(node, id).await;
+/// The response to a submission that was not recorded now. If the job was accepted earlier, the
+/// response is its current state, even if this submission is invalid or differs from the accepted
+/// one. If the job was never accepted, the response is `refusal`.
+async fn respond_with_state_or(node: &Rc<Node>, id: &str, refusal: HttpResponse) -> HttpResponse {
+    let mut lookup_result = lookup::find(node, id).await;
     let mut counts = None;
-    if matches!(found, Ok(JobLookup::Live(..))) {
+    if matches!(lookup_result, Ok(JobLookup::Live(..))) {
         // Most jobs that reach this function are unknown or over. Only a live job needs the
-        // leader's counts. Waiting for them has made the look-up stale, so it is repeated.
+        // leader's counts. The wait for the counts makes the look-up stale, so the job is looked
+        // up again.
         counts = task_counts(node, id).await;
-        found = lookup::find(node, id).await;
+        lookup_result = lookup::find(node, id).await;
     }
-    match found {
+    match lookup_result {
         Ok(JobLookup::Live(..)) => accepted_response(StatusCode::OK, id, live_state(counts)),
         Ok(JobLookup::Unreadable(_)) => accepted_response(StatusCode::OK, id, JobState::Pending),
         Ok(JobLookup::Terminal(terminal)) => accepted_response(StatusCode::OK, id, terminal.state),
         Ok(JobLookup::NotFound) => refusal,
-        Err(_) => try_elsewhere(node),
+        Err(_) => unavailable_to_user(node),
     }
 }
 
@@ -143,9 +149,10 @@
     }
 }
 
-/// The numbers of done and running tasks, from the leader. Callers request them before they
-/// look the job up: the counts are for display only, and waiting for them after the look-up
-/// would make its result stale.
+/// The numbers of done and running tasks, from the leader; `None` if the job is known to be over,
+/// or if the leader is unknown, does not answer or does not know the job. Callers request the
+/// counts before they look the job up, because a wait after the look-up would make its result
+/// stale. Outdated counts do no harm: they are for display only.
 async fn task_counts(node: &Rc<Node>, id: &str) -> Option<TaskCounts> {
     if node.terminal_states.borrow().get(id).is_some() {
         return None;
@@ -172,12 +179,12 @@
     }
     let counts = task_counts(&node, &id).await;
     match lookup::find(&node, &id).await {
-        Ok(JobLookup::Live(read)) => {
-            // The counts of the job's record are used if the leader does not answer. They omit
-            // completed tasks that are stored in separate chunks: these take hundreds of KiB
-            // for the largest jobs, which is too much to read for a count.
+        Ok(JobLookup::Live(versioned)) => {
+            // The job's record supplies the counts if the leader does not. The record's count
+            // omits completed tasks that are stored in separate chunks. For the largest jobs the
+            // chunks take hundreds of KiB, which is too much to read for a count.
             let recorded_counts = TaskCounts {
-                done: read.record.completed_count(),
+                done: versioned.record.completed_count(),
                 running: 0,
             };
             progress_response(&id, live_state(counts), counts.unwrap_or(recorded_counts))
@@ -193,7 +200,7 @@
             progress_response(&id, terminal.state, counts)
         }
         Ok(JobLookup::NotFound) => no_such_job(),
-        Err(_) => try_elsewhere(&node),
+        Err(_) => unavailable_to_user(&node),
     }
 }
 
@@ -207,30 +214,30 @@
     json_response(StatusCode::OK, &body)
 }
 
-/// `POST /work/{id}/cancel`: responds once the cancellation is recorded and the leader has been
-/// notified, or has not answered within [`NOTIFY_LEADER_TIMEOUT_S`].
+/// `POST /work/{id}/cancel`: cancels a job. The response is sent once the cancellation is recorded
+/// and the leader has confirmed the notification or [`NOTIFY_LEADER_TIMEOUT_S`] has passed.
 pub async fn cancel(node: SharedNode, path: web::Path<String>) -> HttpResponse {
     let id = path.into_inner();
     if !valid_id(&id) {
         return no_such_job();
     }
-    let was_known_over = node.terminal_states.borrow().get(&id).is_some();
-    // The record's version changes when completed tasks are recorded concurrently, and then
-    // the transaction conflicts.
+    let was_already_over = node.terminal_states.borrow().get(&id).is_some();
+    // The transaction conflicts if the version of the job's record changes concurrently, for
+    // example because completed tasks are recorded.
     for _ in 0..MAX_CANCEL_ATTEMPTS {
         let (record, version) = match lookup::find(&node, &id).await {
-            Ok(JobLookup::Live(read)) => (Some(read.record), read.version),
+            Ok(JobLookup::Live(versioned)) => (Some(versioned.record), versioned.version),
             Ok(JobLookup::Unreadable(version)) => (None, version),
             Ok(JobLookup::Terminal(terminal)) => {
-                // An earlier attempt recorded the cancellation but its response was lost, so
-                // the leader may not have been notified.
-                if !was_known_over && terminal.state == JobState::Cancelled {
+                // An earlier attempt may have recorded the cancellation without receiving the
+                // state service's response. In that case the leader was not notified.
+                if !was_already_over && terminal.state == JobState::Cancelled {
                     notify_leader(&node, &id).await;
                 }
                 return accepted_response(StatusCode::OK, &id, terminal.state);
             }
             Ok(JobLookup::NotFound) => return no_such_job(),
-            Err(_) => return try_elsewhere(&node),
+            Err(_) => return unavailable_to_user(&node),
         };
         let terminal = cancelled_record(record.as_deref());
         let txn = cancellation_txn(&id, version, &terminal);
@@ -240,10 +247,10 @@
                 return accepted_response(StatusCode::OK, &id, JobState::Cancelled);
             }
             Err(ServiceError::Conflict(_)) => continue,
-            Err(_) => return try_elsewhere(&node),
+            Err(_) => return unavailable_to_user(&node),
         }
     }
-    try_elsewhere(&node)
+    unavailable_to_user(&node)
 }
 
 /// The terminal record of a cancelled job. Its counts are 0 if the live record cannot be read.
@@ -255,7 +262,8 @@
     }
 }
 
-/// The transaction that replaces the live record of this version by the terminal record.
+/// The transaction that replaces the job's live record by the terminal record. The transaction
+/// conflicts unless the live record still has this version.
 fn cancellation_txn(id: &str, version: u64, terminal: &TerminalRecord) -> Txn {
     Txn::default()
         .when(&records::live_key(id), version)
--- a/src/handlers/mod.rs
+++ b/src/handlers/mod.rs
@@ -1,7 +1,7 @@
 //! The HTTP handlers for users, workers, health checks and other controllers.
 //!
-//! A handler decodes the request, calls [`crate::coordination`], and encodes the result. All
-//! decisions are made in [`crate::coordination`].
+//! A handler decodes the request, calls functions of [`crate::coordination`], which make all
+//! decisions, and encodes the result.
 
 mod jobs;
 mod peers;
@@ -13,7 +13,7 @@
 use actix_web::web::{self, Data, ServiceConfig};
 use std::rc::Rc;
 
-/// Largest request body that the protocol allows, in bytes.
+/// Maximum size of a request body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 
 /// The controller, as actix-web passes it to handlers.
--- a/src/handlers/peers.rs
+++ b/src/handlers/peers.rs
@@ -45,16 +45,16 @@
             apply_cancellation(node, &id);
             PeerResponse::Agreed
         }
-        PeerRequest::ConfirmedCancellations(term, for_ms) => {
-            confirmed_cancellations(node, term, for_ms)
+        PeerRequest::ConfirmedCancellations(term, period_ms) => {
+            confirmed_cancellations(node, term, period_ms)
         }
     }
 }
 
 /// Stops a job whose cancellation another controller has recorded.
 fn apply_cancellation(node: &Rc<Node>, id: &str) {
-    // A takeover by this controller may be under way. It may already have read the job from
-    // the list of live jobs, and its scheduler does not exist yet. Without this entry the new
+    // A takeover by this controller may be in progress: the job may already have been read from
+    // the list of live jobs, while the scheduler does not exist yet. Without this entry the new
     // scheduler would start the cancelled job.
     node.relayed_cancellations
         .borrow_mut()
@@ -65,8 +65,8 @@
     dispatcher::send_due_calls(node);
 }
 
-/// The scheduler's response; `NotLeader` if this controller does not lead or `ask` returns
-/// `None`.
+/// The response that `ask` gets from the scheduler; `NotLeader` if this controller does not lead
+/// or `ask` returns `None`.
 fn ask_scheduler(
     node: &Node,
     ask: impl FnOnce(&Scheduler) -> Option<PeerResponse>,
@@ -99,17 +99,19 @@
     Some(PeerResponse::View(scheduler.term, text))
 }
 
-/// The cancellations that this controller confirmed to users in the last `for_ms`. The leader
-/// asks for them while it cannot learn of cancellations from the state service.
-fn confirmed_cancellations(node: &Node, term: u64, for_ms: u64) -> PeerResponse {
+/// The cancellations that this controller confirmed to users in the last `period_ms` milliseconds.
+/// The leader of `term` requests them while it cannot learn of cancellations from the state
+/// service. `NotLeader` if this controller may not report to that leader or does not remember all
+/// of these cancellations.
+fn confirmed_cancellations(node: &Node, term: u64, period_ms: u64) -> PeerResponse {
     if !node.leadership.borrow().may_report_cancellations_to(term) {
         return PeerResponse::NotLeader;
     }
-    let for_s = for_ms as f64 / 1000.0;
+    let period_s = period_ms as f64 / 1000.0;
     match node
         .confirmed_cancellations
         .borrow()
-        .within(for_s, node.now())
+        .within(period_s, node.now())
     {
         Some(jobs) => PeerResponse::ConfirmedCancellations(jobs),
         None => PeerResponse::NotLeader,
--- a/src/handlers/reply.rs
+++ b/src/handlers/reply.rs
@@ -16,7 +16,7 @@
     HttpResponse::build(status).json(body)
 }
 
-/// An error response with its reason.
+/// An error response whose body gives the reason.
 pub fn refuse(status: StatusCode, why: &str) -> HttpResponse {
     json_response(status, &Refusal { error: why.into() })
 }
@@ -26,19 +26,19 @@
     refuse(StatusCode::NOT_FOUND, "no such job")
 }
 
-/// The response when the request cannot be answered, or its change cannot be recorded, now.
-/// Clients are asked to retry after 1 s, since the state service is usually available again
-/// soon.
+/// The response (503) when a request cannot be answered at present or its change cannot be
+/// recorded at present. The `retry-after` header asks clients to retry after 1 s, since the state
+/// service is usually available again soon.
 pub fn unavailable() -> HttpResponse {
     HttpResponse::ServiceUnavailable()
         .insert_header(("retry-after", "1"))
         .json(json!({"error": "not available now"}))
 }
 
-/// The response of [`unavailable`], for users. While this controller alone has lost contact to
-/// the state service, the connection is closed as well, so that the user's next connection
-/// reaches another controller.
-pub fn try_elsewhere(node: &Node) -> HttpResponse {
+/// The response of [`unavailable`], for users. While this controller has lost contact to the state
+/// service and the other controllers have not, the connection is closed as well, so that the
+/// user's next connection reaches another controller.
+pub fn unavailable_to_user(node: &Node) -> HttpResponse {
     let mut response = unavailable();
     if node.readiness.borrow().is_not_ready() {
         response
@@ -51,9 +51,9 @@
 /// Reads a request body of at most [`MAX_BODY`] bytes.
 ///
 /// # Errors
-/// The response for a body that is too large or cannot be read.
+/// The body is too large or cannot be read. The error is the response to the client.
 pub async fn read_body(mut payload: web::Payload) -> Result<Bytes, HttpResponse> {
-    // Most bodies arrive in one chunk, which is returned without copying.
+    // Most bodies arrive as a single chunk, which is returned without copying.
     let mut first = Bytes::new();
     let mut copied = Vec::new();
     while let Some(chunk) = payload.next().await {
--- a/src/handlers/reports.rs
+++ b/src/handlers/reports.rs
@@ -49,8 +49,9 @@
     }
 }
 
-/// Replies to a heartbeat whose task list equals that of the previous one, as most do, without
-/// parsing the list. `None` if the heartbeat needs [`handle_heartbeat`].
+/// Replies to a heartbeat that repeats the worker's previous one while there are no commands for
+/// the worker. Most heartbeats are such repetitions; their task lists are not parsed. `None` if
+/// the heartbeat must be passed to [`handle_heartbeat`].
 fn reply_to_repeated_heartbeat(node: &Node, head: &ReportHead, now: f64) -> Option<HttpResponse> {
     let mut scheduler = node.scheduler.borrow_mut();
     let token = scheduler.as_mut()?.handle_repeated_heartbeat(head, now)?;
@@ -58,8 +59,8 @@
     Some(json_response(StatusCode::OK, &Reply { token, commands }))
 }
 
-/// Passes a heartbeat to the scheduler, and remembers its unparsed task list, so that the next
-/// heartbeat can be compared with it.
+/// Passes a heartbeat to the scheduler, and stores the heartbeat's unparsed task list for the
+/// comparison with the next heartbeat.
 fn handle_heartbeat(node: &Node, report: &Report, tasks: &str, now: f64) -> HeartbeatReply {
     let mut scheduler = node.scheduler.borrow_mut();
     let Some(scheduler) = scheduler.as_mut() else {
@@ -78,9 +79,11 @@
     json_response(StatusCode::MISDIRECTED_REQUEST, &redirect)
 }
 
-/// Waits until a takeover by this controller has ended, or, if so many workers come here that
-/// the leader seems unreachable for them, until the leader changes. A worker that was
-/// redirected at once would have to connect again and wait again.
+/// Delays the answer to a heartbeat while a change of leader is expected, up to a timeout. If a
+/// takeover by this controller is in progress, waits until the takeover has ended. If so many
+/// heartbeats were redirected recently that workers seem unable to reach the leader, waits until
+/// the leader changes. Without this wait, a worker would be redirected at once, and would have to
+/// connect again and wait again.
 async fn wait_for_expected_takeover(node: &Rc<Node>) {
     if node.may_answer_workers() {
         return;
--- a/src/handlers/status.rs
+++ b/src/handlers/status.rs
@@ -1,4 +1,4 @@
-//! The health check and the overview of live jobs.
+//! The health check of the controller and the overview of live jobs.
 
 use super::reply::{json_response, unavailable};
 use super::SharedNode;
@@ -9,8 +9,8 @@
 use serde_json::json;
 use std::rc::Rc;
 
-/// `GET /up`: healthy once the cluster's records have been loaded, except while this
-/// controller has lost contact to the state service and the other controllers have not.
+/// `GET /up`: the health check. The controller is healthy once it has loaded the cluster's records,
+/// except while it has lost contact to the state service and the other controllers have not.
 pub async fn health(node: SharedNode) -> HttpResponse {
     let loaded = node.leadership.borrow().view.loaded;
     if loaded && !node.readiness.borrow().is_not_ready() {
@@ -20,7 +20,7 @@
     }
 }
 
-/// `GET /overview`: the live jobs as a text table made by the leader.
+/// `GET /overview`: the live jobs as a text table, which the leader generates.
 pub async fn overview(node: SharedNode) -> HttpResponse {
     let text = match own_overview(&node) {
         Some(text) => Some(text),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
 //! foxspur: a cluster scheduler.
 //!
-//! For each task the scheduler samples two suitable machines. The task starts at once on one
-//! that has enough free resources; otherwise it joins the queue of the machine with fewer
-//! waiting tasks. A queue starts the task with the smallest predicted run time first (see
-//! `docs/design.md`).
+//! For each task the scheduler samples a few suitable machines, by default two. If a sampled
+//! machine has enough free resources, the task starts there at once; otherwise the task joins the
+//! queue of the sampled machine with the fewest waiting tasks. In a queue, the task with the
+//! smallest predicted run time starts first (see `docs/design.md`).
 //!
-//! The layers, each of which imports only the ones listed before it:
+//! The program consists of the following layers. Each layer imports only layers listed before it:
 //!
 //! - [`protocol`]: the messages exchanged with other programs, the settings and the policy.
 //! - [`storage`]: the records in the state service and their keys.
--- a/src/main.rs
+++ b/src/main.rs
@@ -15,7 +15,7 @@
     /// Settings file of the platform (TOML).
     #[arg(long)]
     config: PathBuf,
-    /// Policy file of the operators (S-expressions); every setting in it has a default.
+    /// Policy file of the operators (S-expressions); every field has a default.
     #[arg(long)]
     policy: Option<PathBuf>,
     /// Check the settings and the policy, and exit.
@@ -23,7 +23,7 @@
     check: bool,
 }
 
-/// Why the settings or the policy cannot be loaded.
+/// Why the settings or the policy could not be loaded.
 #[derive(thiserror::Error, Debug)]
 enum LoadError {
     #[error("{path}: {source}")]
@@ -44,7 +44,7 @@
     })
 }
 
-/// Reads the settings and the policy, and checks them against each other.
+/// Reads the settings and the policy, and checks that they do not contradict each other.
 fn load(args: &Args) -> Result<(Settings, Policy), LoadError> {
     let settings = Settings::parse(&read_file(&args.config)?)?;
     let policy = match &args.policy {
--- a/src/protocol/settings.rs
+++ b/src/protocol/settings.rs
@@ -6,20 +6,20 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Another controller.
+/// Another controller of the cluster.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Peer {
-    /// Its host name.
+    /// Host name of the controller.
     #[serde(rename = "host_name")]
     pub name: String,
-    /// Its zone.
+    /// Zone of the controller.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Address on which it accepts messages from other controllers.
+    /// Address on which the controller accepts messages from other controllers.
     pub addr: SocketAddr,
 }
 
-/// Addresses of the outside services.
+/// Addresses of the external services.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Services {
     /// Address of the cloud.
@@ -28,22 +28,22 @@
     pub state: SocketAddr,
 }
 
-/// A team and its quota: the resources that it is guaranteed, and the most that it may use.
-/// 0 means no guarantee or no limit.
+/// A team and its quota: the resources that are guaranteed to the team, and the maximum that it may
+/// use. A guarantee of 0 means no guarantee, and a maximum of 0 means no limit.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
     /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Most CPUs that it may use.
+    /// Maximum number of CPUs that the team may use.
     #[serde(default)]
     pub cpus_max: f64,
     /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most GPUs that it may use.
+    /// Maximum number of GPUs that the team may use.
     #[serde(default)]
     pub gpus_max: f64,
 }
@@ -51,9 +51,9 @@
 /// A service-level objective: what is expected of a class of jobs.
 #[derive(Serialize, Deserialize, Clone, Debug, Default, PartialEq)]
 pub struct Objective {
-    /// What is bounded: `wait` (until the job's first start), `finished` (until its end),
-    /// `deadline` (until its end, by its own deadline), or `guarantee` (until its first
-    /// start, for jobs within their team's guarantee).
+    /// The time that the objective bounds: `wait` (until the job's first start), `finished` (until
+    /// the job's end), `deadline` (until the job's end, relative to the job's own deadline), or
+    /// `guarantee` (until the job's first start, for jobs within their team's guarantee).
     pub kind: String,
     /// The class of jobs. An objective without a class applies to no class.
     #[serde(default)]
@@ -88,9 +88,9 @@
     pub rps: f64,
     /// Written keys per second.
     pub write_rps: f64,
-    /// Largest value, in KiB.
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
-    /// Most changes in one transaction.
+    /// Maximum number of changes in one transaction.
     pub txn_ops: usize,
 }
 
@@ -99,7 +99,7 @@
 pub struct CloudLimits {
     /// Requests per second.
     pub rps: f64,
-    /// How far the list of machines may lag behind the actual state, in seconds.
+    /// Maximum time by which the list of machines lags behind the actual state, in seconds.
     pub list_lag_s: f64,
 }
 
@@ -110,7 +110,7 @@
     pub cpu: f64,
     /// Memory, in MB.
     pub memory_mb: f64,
-    /// Open sockets.
+    /// Maximum number of open sockets.
     pub max_sockets: usize,
 }
 
@@ -121,7 +121,7 @@
     pub nodes: usize,
     /// The zones.
     pub zones: Vec<String>,
-    /// Largest difference between two clocks, in milliseconds.
+    /// Maximum difference between two clocks, in milliseconds.
     pub time_bound_ms: f64,
     /// The teams and their quotas.
     #[serde(default)]
@@ -154,7 +154,7 @@
     /// The other controllers.
     #[serde(default)]
     pub peers: Vec<Peer>,
-    /// Addresses of the outside services.
+    /// Addresses of the external services.
     pub services: Services,
     /// The part of the settings that is the same for all controllers.
     pub cluster: Cluster,
@@ -166,30 +166,30 @@
     /// The text cannot be parsed, or a field is missing.
     #[error("settings: {0}")]
     Malformed(String),
-    /// A field has an impossible value.
-    #[error("settings: {field}: {why}")]
+    /// A field has an invalid value.
+    #[error("settings: {field}: {requirement}")]
     Field {
         /// Path of the field in the file.
         field: String,
-        /// What is wrong with its value.
-        why: String,
+        /// What the value must be.
+        requirement: String,
     },
 }
 
-/// The error for a field with an impossible value.
-fn invalid<T>(field: &str, why: &str) -> Result<T, SettingsError> {
+/// The error for a field with an invalid value. `requirement` says what the value must be.
+fn invalid<T>(field: &str, requirement: &str) -> Result<T, SettingsError> {
     Err(SettingsError::Field {
         field: field.into(),
-        why: why.into(),
+        requirement: requirement.into(),
     })
 }
 
-/// Fails unless the value is a finite number above 0.
+/// Returns an error unless the value is finite and greater than 0.
 fn check_positive(field: &str, value: f64) -> Result<(), SettingsError> {
     if value.is_finite() && value > 0.0 {
         Ok(())
     } else {
-        invalid(field, "is not above 0 or not finite")
+        invalid(field, "must be finite and greater than 0")
     }
 }
 
@@ -206,7 +206,8 @@
         Ok(settings)
     }
 
-    /// Checks every value. The order of the checks decides which of several errors is reported.
+    /// Checks every value, and reports the first error. The order of the checks therefore decides
+    /// which of several errors is reported.
     fn check(&self) -> Result<(), SettingsError> {
         self.check_numbers()?;
         self.check_intervals()?;
@@ -234,7 +235,7 @@
             check_positive(field, value)?;
         }
         if !cluster.time_bound_ms.is_finite() || cluster.time_bound_ms < 0.0 {
-            return invalid("cluster.time_bound_ms", "is negative or not finite");
+            return invalid("cluster.time_bound_ms", "must be finite and at least 0");
         }
         Ok(())
     }
@@ -242,39 +243,40 @@
     fn check_intervals(&self) -> Result<(), SettingsError> {
         let workers = &self.cluster.workers;
         if workers.lease_s <= workers.report_s {
-            return invalid("cluster.workers.lease_s", "is not above report_s");
+            return invalid("cluster.workers.lease_s", "must be greater than report_s");
         }
-        // A leader answers workers only while its knowledge of cancellations is recent enough:
-        // at most about `cancel_s` minus `lease_s` old (`leadership::cancellation_horizon`). If
-        // that were less than a heartbeat interval, no worker would get an answer.
+        // A leader answers workers only while its knowledge of cancellations is at most about
+        // `cancel_s` minus `lease_s` old (`leadership::cancellation_horizon`). If this maximum age
+        // were less than a heartbeat interval, no worker would get an answer.
         let min_cancel_s = 1.05 * (workers.lease_s + workers.report_s);
         if workers.cancel_s < min_cancel_s {
-            let why =
-                format!("is below {min_cancel_s:.2}, 1.05 times the sum of lease_s and report_s");
-            return invalid("cluster.workers.cancel_s", &why);
+            let requirement = format!(
+                "must be at least {min_cancel_s:.2}, 1.05 times the sum of lease_s and report_s"
+            );
+            return invalid("cluster.workers.cancel_s", &requirement);
         }
         Ok(())
     }
 
     fn check_limits(&self) -> Result<(), SettingsError> {
         if self.cluster.state.txn_ops < 4 {
-            return invalid("cluster.state.txn_ops", "is below 4");
+            return invalid("cluster.state.txn_ops", "must be at least 4");
         }
         if self.cluster.quota.max_sockets < 32 {
-            return invalid("cluster.quota.max_sockets", "is below 32");
+            return invalid("cluster.quota.max_sockets", "must be at least 32");
         }
         Ok(())
     }
 
     fn check_controllers(&self) -> Result<(), SettingsError> {
         if self.host_name.is_empty() || self.host_name.contains(char::is_whitespace) {
-            return invalid("host_name", "is empty or contains whitespace");
+            return invalid("host_name", "must not be empty or contain whitespace");
         }
         if self.front == self.mesh_addr {
-            return invalid("mesh_addr", "is the same as front");
+            return invalid("mesh_addr", "must differ from front");
         }
         if self.cluster.nodes != self.peers.len() + 1 {
-            return invalid("cluster.nodes", "is not the number of peers plus 1");
+            return invalid("cluster.nodes", "must be the number of peers plus 1");
         }
         Ok(())
     }
@@ -284,10 +286,13 @@
     fn check_zones_and_addresses(&self) -> Result<(), SettingsError> {
         let zones: HashSet<&str> = self.cluster.zones.iter().map(String::as_str).collect();
         if zones.is_empty() || zones.len() < self.cluster.zones.len() {
-            return invalid("cluster.zones", "is empty or lists a zone twice");
+            return invalid(
+                "cluster.zones",
+                "must list at least one zone, and no zone twice",
+            );
         }
         if !zones.contains(&*self.zone) {
-            return invalid("site", "is not one of cluster.zones");
+            return invalid("site", "must be one of cluster.zones");
         }
         let mut names = HashSet::from([self.host_name.as_str()]);
         let mut addrs = HashSet::from([self.mesh_addr, self.front]);
@@ -295,17 +300,17 @@
             if !names.insert(&peer.name) {
                 return invalid(
                     "peers.host_name",
-                    "is the same as host_name or as that of another peer",
+                    "must differ from host_name and from the host names of the other peers",
                 );
             }
             if !addrs.insert(peer.addr) {
                 return invalid(
                     "peers.addr",
-                    "is the same as front, mesh_addr or the address of another peer",
+                    "must differ from front, mesh_addr and the addresses of the other peers",
                 );
             }
             if !zones.contains(&*peer.zone) {
-                return invalid("peers.site", "is not one of cluster.zones");
+                return invalid("peers.site", "must be one of cluster.zones");
             }
         }
         Ok(())
@@ -317,7 +322,7 @@
                 .share
                 .is_some_and(|share| !(0.0..=1.0).contains(&share))
             {
-                return invalid("cluster.objectives.share", "is not within 0 and 1");
+                return invalid("cluster.objectives.share", "must be between 0 and 1");
             }
             for (field, value) in [
                 ("cluster.objectives.times", objective.times),
@@ -335,59 +340,63 @@
         let mut names = HashSet::new();
         for team in &self.cluster.teams {
             if team.name.is_empty() || !names.insert(&team.name) {
-                return invalid("cluster.teams.name", "is empty or used by two teams");
+                return invalid(
+                    "cluster.teams.name",
+                    "must not be empty, and must differ from the names of the other teams",
+                );
             }
             for (field, guaranteed, limit) in [
                 ("cluster.teams.cpus", team.cpus, team.cpus_max),
                 ("cluster.teams.gpus", team.gpus, team.gpus_max),
             ] {
                 if guaranteed.is_nan() || limit.is_nan() || guaranteed < 0.0 || limit < 0.0 {
-                    return invalid(field, "is negative or not a number, or the team's limit is");
+                    return invalid(field, "must be at least 0, and so must the team's limit");
                 }
                 if limit > 0.0 && guaranteed > limit {
-                    return invalid(field, "is above the team's limit");
+                    return invalid(field, "must be at most the team's limit");
                 }
             }
         }
         Ok(())
     }
 
-    /// Checks that the policy fits these settings: values that are each possible alone may
-    /// contradict each other.
+    /// Checks that the policy does not contradict these settings. Values that are valid by
+    /// themselves may contradict each other.
     ///
     /// # Errors
-    /// A value of the policy contradicts the settings. The error names the field that must be
-    /// changed, and says why.
+    /// A value of the policy contradicts the settings. The error names a field of the policy or of
+    /// the settings, and says what its value must be.
     pub fn check_policy(&self, policy: &Policy) -> Result<(), SettingsError> {
-        let in_use = |addr| addr == self.front || addr == self.mesh_addr;
-        if policy.admin.is_some_and(in_use) {
-            return invalid("admin", "is the same as front or mesh_addr");
+        let is_own_address = |addr| addr == self.front || addr == self.mesh_addr;
+        if policy.admin.is_some_and(is_own_address) {
+            return invalid("admin", "must differ from front and mesh_addr");
         }
         let worker_lease_s = self.cluster.workers.lease_s;
         let lease_ttl_s = policy.lease_ttl_s(worker_lease_s);
         if policy.quiet_leases * worker_lease_s < 1.5 * lease_ttl_s {
-            let why =
-                "multiplied by lease_s is below 1.5 times the time to live of a controller's lease";
-            return invalid("quiet-leases", why);
+            let requirement =
+                "multiplied by lease_s must be at least 1.5 times the time to live of a \
+                 controller's lease";
+            return invalid("quiet-leases", requirement);
         }
         if lease_ttl_s > worker_lease_s.max(2.0) {
             // Workers of a failed controller would stop their tasks before another controller
             // could take over its shard.
-            let why = "makes a controller's lease longer than its workers' leases";
-            return invalid("member-leases", why);
+            let requirement = "must not make a controller's lease longer than a worker's lease";
+            return invalid("member-leases", requirement);
         }
         // Every controller renews its lease five times within its time to live. Half of the
         // rate limit is left to other requests.
         let renewals_per_s = 5.0 * self.cluster.nodes as f64 / lease_ttl_s;
         if renewals_per_s > self.cluster.state.rps / 2.0 {
-            let why =
-                "is below twice the rate at which cluster.nodes controllers renew their leases";
-            return invalid("cluster.state.rps", why);
+            let requirement =
+                "must be at least twice the rate at which cluster.nodes controllers renew leases";
+            return invalid("cluster.state.rps", requirement);
         }
         Ok(())
     }
 
-    /// The team with this name.
+    /// The team with this name; `None` if the settings list no such team.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.cluster.teams.iter().find(|team| team.name == name)
     }
--- a/src/transport/clients/cloud.rs
+++ b/src/transport/clients/cloud.rs
@@ -1,5 +1,5 @@
-//! Client of the cloud: machine types, scaling out and in, and the list of machines, within
-//! the published rate limit.
+//! Client of the cloud, which observes the published rate limit. It reads the machine types and
+//! the list of machines, rents machines and returns them.
 
 use super::service::{self, Request, Service};
 use super::{CallStatistics, Priority, ServiceError};
@@ -12,16 +12,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time to connect, in seconds.
+/// Maximum time to connect, in seconds.
 const CONNECT_TIMEOUT_S: f64 = 1.0;
 /// Timeout of a call, in seconds.
 const CALL_TIMEOUT_S: f64 = 5.0;
-/// Most connections.
+/// Maximum number of connections.
 const MAX_CONNECTIONS: usize = 4;
 /// Fraction of the published rate limit that a controller may use. The rest is for the other
 /// controllers, which only read the machine types; the leader makes all other calls.
 const RATE_FRACTION: f64 = 0.7;
-/// Longest wait for the rate limit before a request, in seconds.
+/// Maximum wait for the rate limit before a request, in seconds.
 const MAX_WAIT_S: f64 = 2.0;
 
 /// Client of the cloud.
@@ -43,7 +43,11 @@
         }
     }
 
-    /// Takes the token of one request. If there is none, waits for it once and tries again.
+    /// Takes a token of the rate limit for one request. If none is available, waits once and tries
+    /// again.
+    ///
+    /// # Errors
+    /// No token is available after the wait.
     async fn wait_for_token(&self) -> Result<(), ServiceError> {
         let Err(wait_s) = self.take_token() else {
             return Ok(());
@@ -52,7 +56,7 @@
         self.take_token().map_err(|_| ServiceError::Refused)
     }
 
-    /// Takes one token. The error is the time to wait for it, in seconds.
+    /// Takes one token of the rate limit. The error is the time until one is available, in seconds.
     fn take_token(&self) -> Result<(), f64> {
         let now = self.service.now();
         self.requests.borrow_mut().take(1.0, Priority::Control, now)
@@ -96,8 +100,8 @@
         service::decode(&self.call(Method::POST, "/rentals", Some(body)).await?)
     }
 
-    /// Scales in: returns machines to the cloud. On success the machines no longer exist, nor
-    /// does anything that was on them.
+    /// Scales in: returns machines to the cloud. After a success, the machines, their tasks and
+    /// their data no longer exist.
     ///
     /// # Errors
     /// The call failed.
@@ -112,15 +116,17 @@
     /// # Errors
     /// A call failed.
     pub async fn machines(&self) -> Result<Vec<Listed>, ServiceError> {
-        let mut all: Vec<Listed> = Vec::new();
+        let mut machines: Vec<Listed> = Vec::new();
         loop {
-            let since = all.last().map(|machine| format!("&since={}", machine.id));
+            let since = machines
+                .last()
+                .map(|machine| format!("&since={}", machine.id));
             let path = format!("/rentals?limit=500{}", since.unwrap_or_default());
             let page: Page = service::decode(&self.call(Method::GET, &path, None).await?)?;
-            let more = page.more && !page.machines.is_empty();
-            all.extend(page.machines);
-            if !more {
-                return Ok(all);
+            let has_more = page.more && !page.machines.is_empty();
+            machines.extend(page.machines);
+            if !has_more {
+                return Ok(machines);
             }
         }
     }
--- a/src/transport/clients/mod.rs
+++ b/src/transport/clients/mod.rs
@@ -19,8 +19,8 @@
 /// Why a call has no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ServiceError {
-    /// The request was not executed and will not be: the other side refused it (429, 503), no
-    /// connection was made, or the client's own rate limit left no room for it.
+    /// The request was not executed and never will be: the other side refused it (429, 503), no
+    /// connection was made, or the client's own rate limit did not admit the request in time.
     #[error("refused")]
     Refused,
     /// The request may have been executed, or may be executed later.
@@ -35,8 +35,8 @@
     /// A watch fell too far behind: the changes after its revision have been compacted.
     #[error("compacted")]
     Compacted,
-    /// The other side answered with this status, which has no other meaning here. 0: the
-    /// request could not be encoded and was not sent.
+    /// The other side answered with this HTTP status, for which there is no other variant. Status
+    /// 0 means that the request could not be encoded and was not sent.
     #[error("status {0}")]
     Status(u16),
 }
@@ -50,8 +50,8 @@
     }
 }
 
-/// A result, and the time at which its request was sent. The result reflects the state of the
-/// service at that time or later.
+/// The result of a request, and the time at which the request was sent. The result reflects the
+/// state of the service at that time or later.
 #[derive(Debug)]
 pub struct TimedResult<T> {
     /// The result.
--- a/src/transport/clients/peers.rs
+++ b/src/transport/clients/peers.rs
@@ -5,12 +5,12 @@
 use awc::http::Method;
 use std::net::SocketAddr;
 
-/// Longest time to connect, in seconds.
+/// Maximum time to connect, in seconds.
 const CONNECT_TIMEOUT_S: f64 = 0.2;
-/// Most connections.
+/// Maximum number of connections.
 const MAX_CONNECTIONS: usize = 8;
-/// Timeout of a request for which the caller sets none, in seconds. Most such requests ask for
-/// hints, which are not worth a long wait.
+/// Timeout of a request if the caller does not set another one, in seconds. Most such requests ask
+/// for hints, which are not worth a long wait.
 const DEFAULT_TIMEOUT_S: f64 = 0.3;
 
 /// Client of the other controllers.
@@ -33,13 +33,14 @@
         MeshClient { http }
     }
 
-    /// Sends a request to a peer; `None` if it does not answer within the default timeout of
-    /// 0.3 seconds.
+    /// Sends a request to another controller; `None` if there is no valid response within the
+    /// default timeout of 0.3 seconds.
     pub async fn ask(&self, addr: SocketAddr, request: &PeerRequest) -> Option<PeerResponse> {
         self.ask_within(addr, request, DEFAULT_TIMEOUT_S).await
     }
 
-    /// Sends a request to a peer; `None` if it does not answer within `timeout_s` seconds.
+    /// Sends a request to another controller; `None` if there is no valid response within
+    /// `timeout_s` seconds.
     pub async fn ask_within(
         &self,
         addr: SocketAddr,
--- a/src/transport/clients/service.rs
+++ b/src/transport/clients/service.rs
@@ -1,5 +1,5 @@
-//! What the clients of the outside services share: calls and their statistics, encoding of
-//! request bodies, decoding of responses.
+//! Functions that the clients of the state service and of the cloud share: calls with statistics,
+//! encoding of request bodies, decoding of responses.
 
 use super::ServiceError;
 use crate::transport::http::{HttpClient, Response};
@@ -16,17 +16,17 @@
     pub(super) method: Method,
     pub(super) path: &'a str,
     pub(super) body: Option<Vec<u8>>,
-    /// Longest time from sending the request to the end of the response, in seconds.
+    /// Maximum time from sending the request to the end of the response, in seconds.
     pub(super) timeout_s: f64,
 }
 
-/// One outside service: its address, and statistics of the calls to it. Clones share the
-/// statistics.
+/// An external service: its address, and statistics of the calls to it. Clones of the value share
+/// the statistics.
 #[derive(Clone)]
 pub(super) struct Service {
     http: HttpClient,
     addr: SocketAddr,
-    /// Time 0 of [`Service::now`].
+    /// The time at which [`Service::now`] is 0.
     start: Instant,
     statistics: Rc<RefCell<CallStatistics>>,
 }
@@ -41,13 +41,13 @@
         }
     }
 
-    /// The current time for token buckets, in seconds.
+    /// The current time for token buckets: the time since this value was created, in seconds.
     pub(super) fn now(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// Makes a call and counts it as answered or failed. `check` turns a response that is a
-    /// failure into an error.
+    /// Makes a call and counts it as answered or failed. `check` returns an error if the response
+    /// is a failure.
     pub(super) async fn call(
         &self,
         request: Request<'_>,
@@ -58,7 +58,7 @@
         result
     }
 
-    /// Makes a call through the given client, without counting it.
+    /// Makes a call through the client `http`, without counting the call in the statistics.
     pub(super) async fn send(
         &self,
         http: &HttpClient,
@@ -80,8 +80,8 @@
     }
 }
 
-/// Fails if the service refused the request because of overload (429, 503). It has not
-/// executed the request then.
+/// Returns an error if the service refused the request because of overload (429, 503). A refused
+/// request has not been executed.
 pub(super) fn not_overloaded(response: Response) -> Result<Response, ServiceError> {
     match response.status {
         429 | 503 => Err(ServiceError::Refused),
@@ -100,7 +100,8 @@
     serde_json::from_slice(&response.body).map_err(|_| ServiceError::Unknown)
 }
 
-/// Statistics of the calls to a service: counts, and the times of the last ones.
+/// Statistics of the calls to a service: the numbers of answered and failed calls, and when the
+/// last call of each kind ended.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct CallStatistics {
     /// Calls that were answered.
--- a/src/transport/clients/state.rs
+++ b/src/transport/clients/state.rs
@@ -1,5 +1,5 @@
-//! Client of the state service: keys, conditional transactions, leases and watches,
-//! within the published limits on requests and writes.
+//! Client of the state service, which observes the published rate limits on requests and writes.
+//! It reads keys, runs conditional transactions, manages leases and watches for changes.
 
 use super::service::{self, Request, Service};
 use super::{CallStatistics, Priority, ServiceError, TimedResult};
@@ -13,33 +13,36 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time to connect, in seconds.
+/// Maximum time to connect, in seconds.
 const CONNECT_TIMEOUT_S: f64 = 0.5;
-/// Timeout of a call, in seconds. A user waits 2 s for the answer to a poll; half of that
-/// leaves time for the answer to reach the user.
+/// Timeout of a call, in seconds. Users wait 2 s for the answer to a poll; the remaining second is
+/// for the answer to reach the user.
 const CALL_TIMEOUT_S: f64 = 1.0;
-/// Most connections for watches.
+/// Maximum number of connections for watches.
 const MAX_WATCH_CONNECTIONS: usize = 4;
-/// How much longer than the wait that it asks for a watch may take, in seconds.
+/// Difference between the timeout of a watch and the time for which the service is asked to wait
+/// for changes, in seconds.
 const WATCH_SLACK_S: f64 = 2.0;
 /// Fraction of the rate limits that is reserved for control traffic.
 const RESERVED_FRACTION: f64 = 0.2;
-/// Most attempts to take the tokens of a request.
+/// Maximum number of attempts to take the tokens for a request.
 const MAX_TOKEN_ATTEMPTS: usize = 8;
-/// Shortest wait between two of these attempts, in seconds.
+/// Minimum wait after a failed attempt to take tokens, in seconds.
 const MIN_WAIT_S: f64 = 0.005;
-/// Longest wait between two of these attempts, in seconds.
+/// Maximum wait after a failed attempt to take tokens, in seconds.
 const MAX_WAIT_S: f64 = 0.5;
-/// Most entries on a page of a listing.
+/// Maximum number of entries on a page of a listing.
 const PAGE_ENTRIES: usize = 200;
-/// Text in the body of a 400 by which the service reports that a lease has expired.
+/// Text in the body of a response with status 400, by which the service reports that a lease has
+/// expired or was revoked.
 const NO_SUCH_LEASE: &[u8] = b"no such lease";
 
 /// Client of the state service.
 #[derive(Clone)]
 pub struct StateClient {
     service: Service,
-    /// Makes the watches: they are long calls, and have a pool of their own.
+    /// The client for watches, with its own connection pool, because a watch occupies a connection
+    /// for a long time.
     watch_http: HttpClient,
     requests: Rc<RefCell<TokenBucket>>,
     writes: Rc<RefCell<TokenBucket>>,
@@ -54,8 +57,8 @@
         StateClient::with_http(settings, http, watch_http)
     }
 
-    /// A client of the state service that the settings name. `http` makes its calls, and
-    /// `watch_http` its watches.
+    /// A client of the state service that the settings name. It uses `watch_http` for watches and
+    /// `http` for all other calls.
     pub fn with_http(settings: &Settings, http: HttpClient, watch_http: HttpClient) -> StateClient {
         let limits = &settings.cluster.state;
         let fraction = rate_fraction(settings.cluster.nodes);
@@ -72,8 +75,11 @@
         }
     }
 
-    /// Waits until the rate limits admit a request that writes `written_keys` keys, and takes
-    /// its tokens. Fails when all attempts to take them failed.
+    /// Waits until the rate limits admit a request that writes `written_keys` keys, and takes the
+    /// tokens for the request.
+    ///
+    /// # Errors
+    /// All attempts to take the tokens failed.
     async fn wait_for_tokens(
         &self,
         written_keys: usize,
@@ -89,7 +95,8 @@
         Err(ServiceError::Refused)
     }
 
-    /// Takes the tokens of one request. The error is the time to wait for them, in seconds.
+    /// Takes the tokens for one request. The error is the time until enough are available, in
+    /// seconds.
     fn take_tokens(&self, written_keys: usize, priority: Priority) -> Result<(), f64> {
         let now = self.service.now();
         self.requests.borrow_mut().take(1.0, priority, now)?;
@@ -125,7 +132,7 @@
         };
         let check = |response: Response| {
             if response.status == 429 {
-                self.requests.borrow_mut().drain();
+                self.requests.borrow_mut().discard_tokens();
             }
             service::not_overloaded(response)
         };
@@ -137,7 +144,7 @@
         self.service.statistics()
     }
 
-    /// Reads a key.
+    /// Reads a key; `None` if the key does not exist.
     ///
     /// # Errors
     /// The call failed.
@@ -145,7 +152,7 @@
         self.timed_get(key, priority).await.result
     }
 
-    /// Reads a key, and returns the time at which the request was sent as well.
+    /// Reads a key, and also returns the time at which the request was sent.
     pub async fn timed_get(&self, key: &str, priority: Priority) -> TimedResult<Option<Entry>> {
         let admitted = self.wait_for_tokens(0, priority).await;
         let sent_at = Instant::now();
@@ -166,8 +173,8 @@
         }
     }
 
-    /// Reads all entries under a prefix. The revision returned is that of the first page, so
-    /// that a watch from this revision misses no change.
+    /// Reads all entries under a prefix, and returns them with the revision of the first page. A
+    /// watch from this revision misses no change that was made while the pages were read.
     ///
     /// # Errors
     /// A call failed.
@@ -176,22 +183,23 @@
         prefix: &str,
         priority: Priority,
     ) -> Result<(Vec<Entry>, u64), ServiceError> {
-        let mut all: Vec<Entry> = Vec::new();
+        let mut entries: Vec<Entry> = Vec::new();
         let mut revision = None;
         loop {
             self.wait_for_tokens(0, priority).await?;
-            let page = self.page(prefix, all.last()).await?;
+            let page = self.list_page(prefix, entries.last()).await?;
             revision.get_or_insert(page.revision);
-            let more = page.more && !page.items.is_empty();
-            all.extend(page.items);
-            if !more {
-                return Ok((all, revision.unwrap_or(0)));
+            let has_more = page.more && !page.items.is_empty();
+            entries.extend(page.items);
+            if !has_more {
+                return Ok((entries, revision.unwrap_or(0)));
             }
         }
     }
 
-    /// Reads the page of a listing that follows the entry `last`.
-    async fn page(&self, prefix: &str, last: Option<&Entry>) -> Result<Listing, ServiceError> {
+    /// Reads the page of a listing that follows the entry `last`; the first page if `last` is
+    /// `None`.
+    async fn list_page(&self, prefix: &str, last: Option<&Entry>) -> Result<Listing, ServiceError> {
         let since = last.map(|entry| format!("&since={}", entry.key));
         let since = since.unwrap_or_default();
         let path = format!("/keys?under={prefix}&limit={PAGE_ENTRIES}{since}");
@@ -210,7 +218,7 @@
         self.timed_txn(txn, priority).await.result
     }
 
-    /// Runs a transaction, and returns the time at which the request was sent as well.
+    /// Runs a transaction, and also returns the time at which the request was sent.
     pub async fn timed_txn(&self, txn: &Txn, priority: Priority) -> TimedResult<u64> {
         let admitted = self.wait_for_tokens(txn.changes.len(), priority).await;
         let sent_at = Instant::now();
@@ -225,7 +233,7 @@
         let body = service::encode(txn)?;
         let response = self.call(Method::POST, "/multi", Some(body)).await?;
         match response.status {
-            200 => service::decode::<Revision>(&response).map(|done| done.revision),
+            200 => service::decode::<Revision>(&response).map(|response| response.revision),
             409 => Err(ServiceError::Conflict(
                 service::decode::<Conflict>(&response)?.failed,
             )),
@@ -250,11 +258,12 @@
         }
     }
 
-    /// Renews a lease. The timeout is `timeout_s`, but at least that of other calls.
+    /// Renews a lease. The timeout is `timeout_s` seconds, or the timeout of other calls if that is
+    /// longer.
     ///
-    /// A late answer counts as well: the request is what renews the lease, and the caller
-    /// reckons the renewal from the time of the request. So a busy controller should not give
-    /// up early.
+    /// A late response is still useful: the service renews the lease when it receives the request,
+    /// and the caller counts the lease's duration from the time of the request. Therefore a busy
+    /// controller should wait for the response.
     ///
     /// # Errors
     /// The call failed, or the lease has expired.
@@ -281,8 +290,8 @@
         self.call(Method::DELETE, &path, None).await.map(|_| ())
     }
 
-    /// Waits for changes under a prefix after the revision `since`, for at most `wait_s`
-    /// seconds.
+    /// Waits at most `wait_s` seconds for changes under a prefix after the revision `since`, and
+    /// returns these changes; there are none if the time has passed.
     ///
     /// # Errors
     /// The call failed, or the changes after `since` have been compacted
@@ -306,9 +315,9 @@
     }
 }
 
-/// Fraction of the published rate limits that each controller may use. Most traffic comes from
-/// the one leader, so each controller may use more than an equal share. What all controllers
-/// actually use together stays far below the limits.
+/// Fraction of the published rate limits that each controller may use. The leader causes most of
+/// the traffic, and any controller may become the leader, so each may use more than an equal share.
+/// The actual traffic of all controllers together stays far below the limits.
 fn rate_fraction(controllers: usize) -> f64 {
     if controllers > 1 {
         0.6
--- a/src/transport/clients/workers.rs
+++ b/src/transport/clients/workers.rs
@@ -1,10 +1,10 @@
-//! Client of the workers: sends direct commands, and bounds the number of connections that it
-//! keeps open.
+//! Client of the workers: sends direct commands, and limits the number of connections to workers
+//! that are kept open.
 
 use crate::protocol::settings::Settings;
 use crate::protocol::worker::{Direct, Report};
 use crate::transport::http::{CallError, HttpClient, Response};
-use crate::transport::sockets::Sockets;
+use crate::transport::sockets::SocketBudget;
 use awc::http::Method;
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -13,17 +13,18 @@
 
 /// Client of the workers.
 ///
-/// The pool keeps a connection to a worker open for later calls, and closes it only at the next
-/// call to the same address. So connections to machines that no longer exist stay open. After
-/// calls to as many machines as there are sockets, the process would have no socket left, not
-/// even to renew its own lease. Therefore the client counts the addresses to which the pool
-/// may hold a connection. When this number reaches the limit ([`Sockets::max_to_workers`]), the
-/// client replaces the pool, which closes all of the old pool's connections.
+/// The pool keeps a connection to a worker open for later calls, and closes an expired connection
+/// only at the next call to the same address. So connections to machines that no longer exist stay
+/// open. As machines come and go, these connections would use up all sockets of the process, and
+/// the process could not even renew its own lease. Therefore the client counts the addresses to
+/// which the pool may hold a connection. When their number reaches the limit
+/// ([`SocketBudget::max_to_workers`]), the client replaces the pool; this closes all connections
+/// of the old pool.
 #[derive(Clone)]
 pub struct WorkerClient {
     pool: Rc<RefCell<Pool>>,
-    process_sockets: Sockets,
-    /// Most calls that can be under way at once.
+    process_sockets: SocketBudget,
+    /// Maximum number of calls in progress at a time.
     pub max_concurrent_calls: usize,
     timeout_s: f64,
 }
@@ -38,28 +39,30 @@
 /// Outcome of sending direct commands.
 #[derive(Debug)]
 pub enum DirectOutcome {
-    /// The worker executed them; its heartbeat was made after that.
+    /// The worker executed the commands, and then generated the heartbeat that this variant holds.
     Executed(Report),
-    /// The worker refused them and will never execute them; its heartbeat says why.
+    /// The worker refused the commands and will never execute them. This variant holds its
+    /// heartbeat, which shows why.
     Rejected(Report),
-    /// They are never executed: they were not sent, or the worker answered with a 400.
+    /// The commands will never be executed: they were not sent, or the worker answered with status
+    /// 400.
     NotSent,
-    /// The worker may execute them at any time, as long as their token and session match its
-    /// own.
+    /// The worker may have executed the commands, or may execute them at any later time, as long as
+    /// their token and session equal those of the worker.
     Unknown,
 }
 
 impl WorkerClient {
-    /// A client with the limits and the timeout that follow from the settings.
+    /// A client whose limits and timeout are derived from the settings.
     pub fn new(settings: &Settings) -> WorkerClient {
         let timeout_s = settings.cluster.workers.report_s.clamp(1.0, 4.0);
         WorkerClient::with_sockets(settings.cluster.quota.max_sockets, timeout_s)
     }
 
-    /// A client in a process that may have `max_sockets` open. A call may take `timeout_s`
-    /// seconds.
+    /// A client for a process that may have at most `max_sockets` sockets open, with a timeout of
+    /// `timeout_s` seconds per call.
     pub fn with_sockets(max_sockets: usize, timeout_s: f64) -> WorkerClient {
-        let process_sockets = Sockets::new(max_sockets);
+        let process_sockets = SocketBudget::new(max_sockets);
         let max_concurrent_calls = (process_sockets.limit / 4).clamp(8, 128);
         let pool = Pool {
             http: HttpClient::new(timeout_s / 2.0, max_concurrent_calls),
@@ -78,15 +81,17 @@
         self.pool.borrow().addresses.len()
     }
 
-    /// The sockets of the process.
-    pub fn process_sockets(&self) -> &Sockets {
+    /// The socket budget of the process.
+    pub fn process_sockets(&self) -> &SocketBudget {
         &self.process_sockets
     }
 
-    /// The pool for a call to this address. Replaces the pool if it holds too many connections.
+    /// The pool for a call to this address. If the current pool may hold too many connections, it is
+    /// replaced first.
     fn pool(&self, addr: SocketAddr) -> HttpClient {
         let mut pool = self.pool.borrow_mut();
-        // The limit may be lower now than when the other connections were opened: hence `>=`.
+        // The number can be above the limit, because the limit may have been higher when the other
+        // connections were opened.
         let other_addresses = pool.addresses.len() - usize::from(pool.addresses.contains(&addr));
         if other_addresses >= self.process_sockets.max_to_workers() {
             pool.addresses.clear();
@@ -114,8 +119,8 @@
 
 /// The outcome of the commands, according to the worker's response.
 fn outcome(response: &Response) -> DirectOutcome {
-    let with_report = |outcome: fn(Report) -> DirectOutcome| {
-        serde_json::from_slice(&response.body).map_or(DirectOutcome::Unknown, outcome)
+    let with_report = |variant: fn(Report) -> DirectOutcome| {
+        serde_json::from_slice(&response.body).map_or(DirectOutcome::Unknown, variant)
     };
     match response.status {
         200 => with_report(DirectOutcome::Executed),
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,5 +1,5 @@
-//! One HTTP call with a timeout. When a call fails, the error says whether the request may
-//! have been executed.
+//! An HTTP client for calls with a timeout. When a call fails, the error says whether the request
+//! may have been executed.
 
 use bytes::Bytes;
 use futures_util::future::LocalBoxFuture;
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Largest response body accepted, in bytes. The largest are a snapshot of 6,000 machines, and
-/// the 10,000 changes that one response to a watch of the state service may hold. Listings are
-/// paged.
+/// Maximum size of a response body, in bytes. The largest expected bodies are a snapshot of 6,000
+/// machines, and a response to a watch of the state service with 10,000 changes. Listings are
+/// divided into pages.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// An HTTP response.
@@ -17,12 +17,12 @@
 pub struct Response {
     /// HTTP status code.
     pub status: u16,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
 }
 
-/// How long an idle connection is kept open for later calls: longer than the time between
-/// two calls to any machine in use.
+/// How long an idle connection is kept open for later calls. This is longer than the interval
+/// between two calls to a machine in use.
 const KEEP_ALIVE: Duration = Duration::from_secs(600);
 
 /// Why a call has no response.
@@ -48,11 +48,11 @@
     pub path: String,
     /// Request body; empty if there is none.
     pub body: Vec<u8>,
-    /// Longest time to wait for the response.
+    /// Maximum time to wait for the response.
     pub timeout: Duration,
 }
 
-/// Answers calls without sockets: a simulated network in tests.
+/// Answers calls in place of the network. Tests implement this trait to simulate a network.
 pub trait CallHandler {
     /// Returns the response, or the reason why there is none, within the call's timeout.
     fn call(&self, call: Call) -> LocalBoxFuture<'static, Result<Response, CallError>>;
@@ -67,7 +67,7 @@
     Simulated(Rc<dyn CallHandler>),
 }
 
-/// A connection pool, and the longest time to wait for a new connection.
+/// A connection pool, and the maximum time to wait for a new connection.
 #[derive(Clone)]
 struct Pool {
     client: awc::Client,
@@ -84,16 +84,17 @@
         HttpClient(Transport::Simulated(handler))
     }
 
-    /// A client over sockets. A new connection may take `connect_timeout_s` seconds, and the
-    /// pool holds at most `max_connections`.
+    /// A client whose calls go over sockets. Connecting may take at most `connect_timeout_s`
+    /// seconds, and the pool holds at most `max_connections` connections.
     pub fn new(connect_timeout_s: f64, max_connections: usize) -> HttpClient {
         let connect_timeout = Duration::from_secs_f64(connect_timeout_s);
         let connector = awc::Connector::new()
             .timeout(connect_timeout)
             .limit(max_connections)
-            // Connections are kept for long: a new one costs a dozen system calls and
-            // packets, and the other side can close one at any time. (In any case the pool
-            // closes an expired connection only at the next call to the same address.)
+            // Idle connections are kept open for a long time, because a new connection costs a
+            // dozen system calls and packets. The other side can close a connection at any
+            // time. (The pool closes an expired connection only at the next call to the same
+            // address.)
             .conn_keep_alive(KEEP_ALIVE)
             .conn_lifetime(KEEP_ALIVE);
         let client = awc::Client::builder()
@@ -108,8 +109,8 @@
         }))
     }
 
-    /// Sends a request to `addr` and reads the whole response. `timeout_s` bounds the call, in
-    /// seconds; over sockets the time to connect is added to it.
+    /// Sends a request to `addr` and reads the whole response. The call takes at most `timeout_s`
+    /// seconds; if the call goes over sockets, the client's connect timeout is added.
     ///
     /// # Errors
     /// There is no response. The error says whether the request may have been executed.
@@ -124,7 +125,7 @@
         let timeout = Duration::from_secs_f64(timeout_s);
         match &self.0 {
             Transport::Pool(pool) => pool.call(addr, method, path, body, timeout).await,
-            Transport::Simulated(exchange) => {
+            Transport::Simulated(handler) => {
                 let call = Call {
                     addr,
                     method,
@@ -132,7 +133,7 @@
                     body: body.unwrap_or_default(),
                     timeout,
                 };
-                exchange.call(call).await
+                handler.call(call).await
             }
         }
     }
@@ -177,7 +178,7 @@
     Ok(Response { status, body })
 }
 
-/// Tells whether a request that failed may have been sent.
+/// Converts the error of a request. The result says whether the request may have been sent.
 fn call_error(error: awc::error::SendRequestError) -> CallError {
     use awc::error::SendRequestError::{Connect, Url};
     match error {
--- a/src/transport/listen.rs
+++ b/src/transport/listen.rs
@@ -1,7 +1,7 @@
 //! Accepts connections and serves them on the current thread. The server of `actix-web` would
 //! start one thread that accepts connections and another that serves them. A controller may
-//! have only a tenth of a processor, where each hand-over between threads is costly. So one
-//! loop here accepts connections and passes them to the HTTP service of `actix-web`.
+//! have only a tenth of a CPU, and then each hand-over between threads is costly. Therefore a
+//! loop in this module accepts connections and passes them to the HTTP service of `actix-web`.
 
 use actix_http::{HttpService, KeepAlive};
 use actix_rt::net::{TcpListener, TcpStream};
@@ -14,11 +14,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Idle timeout of connections that are used only now and then.
+/// Idle timeout of connections that are used only occasionally.
 pub const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Longest time to wait for the head of a request.
+/// Maximum time to wait for the head of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time that closing a connection may take.
+/// Maximum time that closing a connection may take.
 const DISCONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
@@ -36,18 +36,20 @@
         match listener.accept().await {
             Ok((stream, _)) => return stream,
             Err(error) => {
-                tracing::warn!(%error, "accept failed");
+                tracing::warn!(%error, "accepting a connection failed; retrying");
                 actix_rt::time::sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Starts to serve `app` at `addr`; it is served until the process ends.
+/// Starts to serve `app` at `addr`, and returns once the server is listening. The server runs until
+/// the process ends.
 ///
-/// `open` counts the open connections. While `max_connections` are open, a new one is closed
-/// at once, so that enough sockets remain for the controller's own calls. A connection without
-/// traffic for `idle` is closed, because the other side is assumed to be gone.
+/// `open_connections` counts the open connections. While `max_connections` connections are open,
+/// each new connection is closed at once, so that enough sockets remain for the controller's own
+/// calls. A connection without traffic for `idle_timeout` is closed, because the other side is
+/// assumed to be gone.
 ///
 /// # Errors
 /// The address cannot be bound, or the HTTP service did not start.
@@ -55,8 +57,8 @@
     app: App<T>,
     addr: SocketAddr,
     max_connections: usize,
-    open: Rc<Cell<usize>>,
-    idle: Duration,
+    open_connections: Rc<Cell<usize>>,
+    idle_timeout: Duration,
 ) -> std::io::Result<()>
 where
     T: ServiceFactory<
@@ -72,7 +74,7 @@
     let listener = bind(addr)?;
     let config = AppConfig::default();
     let factory = HttpService::build()
-        .keep_alive(KeepAlive::Timeout(idle))
+        .keep_alive(KeepAlive::Timeout(idle_timeout))
         .client_request_timeout(REQUEST_TIMEOUT)
         .client_disconnect_timeout(DISCONNECT_TIMEOUT)
         .h1(map_config(
@@ -86,7 +88,12 @@
             .await
             .map_err(|_| std::io::Error::other("the HTTP service did not start"))?,
     );
-    actix_rt::spawn(serve_connections(listener, service, max_connections, open));
+    actix_rt::spawn(serve_connections(
+        listener,
+        service,
+        max_connections,
+        open_connections,
+    ));
     Ok(())
 }
 
@@ -95,21 +102,21 @@
     listener: TcpListener,
     service: Rc<S>,
     max_connections: usize,
-    open: Rc<Cell<usize>>,
+    open_connections: Rc<Cell<usize>>,
 ) where
     S: Service<TcpStream> + 'static,
 {
     loop {
         let stream = accept(&listener).await;
-        if open.get() >= max_connections {
+        if open_connections.get() >= max_connections {
             // Dropping the stream closes the connection.
             continue;
         }
-        open.set(open.get() + 1);
-        let (service, open) = (service.clone(), open.clone());
+        open_connections.set(open_connections.get() + 1);
+        let (service, open_connections) = (service.clone(), open_connections.clone());
         actix_rt::spawn(async move {
             let _ = service.call(stream).await;
-            open.set(open.get() - 1);
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
--- a/src/transport/sockets.rs
+++ b/src/transport/sockets.rs
@@ -1,45 +1,46 @@
-//! Divides the sockets of a process among their uses. Once the process has as many open as it
-//! may, every new connection fails, whatever it is for. So the number of connections to and
-//! from workers, users and other controllers is bounded, and enough sockets remain for calls
-//! to the state service, the cloud and the peers.
+//! Limits the number of sockets that a process uses for each purpose. Once a process has its
+//! maximum number of sockets open, it cannot open any further connection. Therefore the number of
+//! connections to workers, and from workers, users and other controllers, is limited, so that
+//! enough sockets remain for calls to the state service, the cloud and the other controllers.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The sockets of a process, and how many each use may take.
+/// The socket budget of a process: how many sockets it may use for each purpose.
 #[derive(Clone)]
-pub struct Sockets {
-    /// Most sockets that the process may have open.
+pub struct SocketBudget {
+    /// Maximum number of open sockets of the process.
     pub limit: usize,
     /// Number of open connections from workers and users.
     pub incoming: Rc<Cell<usize>>,
 }
 
-impl Sockets {
-    /// The sockets of a process that may have `limit` of them open.
-    pub fn new(limit: usize) -> Sockets {
-        Sockets {
+impl SocketBudget {
+    /// The budget of a process that may have at most `limit` sockets open.
+    pub fn new(limit: usize) -> SocketBudget {
+        SocketBudget {
             limit,
             incoming: Rc::default(),
         }
     }
 
-    /// Most connections from workers and users. Every worker holds one to the leader, and users
-    /// hold fewer. Connections above this number are closed at once.
+    /// Maximum number of connections from workers and users; connections above it are closed at
+    /// once. Every worker keeps one connection to the leader. Users keep fewer connections than
+    /// workers.
     pub fn max_incoming(&self) -> usize {
         self.limit * 11 / 16
     }
 
-    /// Most connections from other controllers. With thousands of sockets this is enough for a
-    /// dozen controllers with eight connections each.
+    /// Maximum number of connections from other controllers. With a limit of thousands of sockets,
+    /// the result is enough for a dozen controllers with eight connections each.
     pub fn max_from_controllers(&self) -> usize {
         self.limit / 16
     }
 
-    /// Most connections kept open to workers. These are the sockets that workers and users do
-    /// not use, less three sixteenths of the limit. That reserve is for this process's other
-    /// calls, for new incoming connections, and for connections that are being closed. The
-    /// result is at least an eighth of the limit, and at least 8.
+    /// Maximum number of connections to workers that are kept open: the limit less the open
+    /// connections from workers and users, and less a reserve of three sixteenths of the limit. The
+    /// reserve is for this process's other calls, for new incoming connections, and for connections
+    /// that are being closed. The result is at least an eighth of the limit, and at least 8.
     pub fn max_to_workers(&self) -> usize {
         let reserve = self.limit * 3 / 16;
         let unused = self.limit.saturating_sub(self.incoming.get() + reserve);
--- a/tests/answer_cases.rs
+++ b/tests/answer_cases.rs
@@ -1,5 +1,5 @@
-//! Consistency of the answers to users in single, known cases. `tests/answers.rs` searches for
-//! further cases at random.
+//! Consistency of the answers to users in specific cases. `tests/answers.rs` searches for further
+//! cases with random scenarios.
 
 mod common;
 mod simulated;
@@ -54,8 +54,9 @@
 }
 
 /// Guards against a leader that keeps running a job after its user was told that it is cancelled.
-/// The leader's watch reports nothing here, so the controller that cancels must notify it before
-/// answering, also if an earlier attempt recorded the cancellation and its answer was lost. An
+/// The leader's watch reports nothing in this test. Therefore the controller that cancels must
+/// notify the leader before it answers the user, also if an earlier attempt recorded the
+/// cancellation and the answer of that attempt was lost. An
 /// unreachable leader must not delay the answer for long.
 #[test]
 fn the_leader_is_notified_of_a_cancellation_before_the_user_is_answered() {
--- a/tests/simulated/users.rs
+++ b/tests/simulated/users.rs
@@ -17,8 +17,8 @@
     .to_string()
 }
 
-/// The state of a job that an answer reports, in ascending rank. A later answer about the same job
-/// never ranks lower.
+/// The state of a job according to an answer. The variants are in ascending rank: a later answer
+/// about the same job must never have a lower rank than an earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum JobAnswer {
     Unknown,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Parses a response; `None` if the controller cannot answer now.
+    /// Parses a response; `None` if the controller could not answer the request (503).
     pub fn parse(status: u16, text: &str) -> Option<JobAnswer> {
         match status {
             200 | 201 if text.contains("\"done\",") || text.contains("\"done\"}") => {
